--- a/process/allocator/cells.go
+++ b/process/allocator/cells.go
@@ -61,9 +61,9 @@
 	Entries   func() []persister.Entry
 	Caller    Caller
 	Scheduler *scheduler.Scheduler
-	// Far holds the digests of other regions' cells.
-	Far   overflower.Digests
-	Scope tally.Scope
+	// OtherRegions holds the digests of other regions' cells.
+	OtherRegions overflower.Digests
+	Scope        tally.Scope
 
 	sequence atomic.Uint64
 
@@ -109,7 +109,7 @@
 func (all *Allocator) fromCellOnce(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
 	now := time.Now()
 	all.mu.Lock()
-	cou := scheduler.Count(len(all.view(poo, now).endpoints))
+	cou := scheduler.CellCount(len(all.view(poo, now).endpoints))
 	all.mu.Unlock()
 	cells := all.Cells
 	nam := cells.choose(cells.Region+"/"+poo.Name, cou, req, now)
@@ -121,9 +121,9 @@
 	return all.granted(ctx, req, act, grantor{hos, nam, ask.ID})
 }
 
-func (cel *Cells) newAsk(req placer.Request) scheduler.Ask {
+func (cel *Cells) newAsk(req placer.Request) scheduler.Request {
 	id := req.ID + "-" + strconv.FormatUint(cel.sequence.Add(1), 10)
-	return scheduler.Ask{ID: id, Host: cel.Self, Incarnation: cel.Incarnation, Request: req}
+	return scheduler.Request{ID: id, Host: cel.Self, Incarnation: cel.Incarnation, Request: req}
 }
 
 // granted makes a lease of what a scheduler answered, or the error that says why
@@ -173,13 +173,13 @@
 // prefixes meet, unless another one drawn at random waits clearly less.
 func (cel *Cells) choose(scope string, count int, req placer.Request, now time.Time) string {
 	if count == 1 {
-		return scheduler.Name(scope, 0)
+		return scheduler.CellName(scope, 0)
 	}
 	num := rand.IntN(count)
 	if len(req.Prefix) > 0 {
 		num = int(req.Prefix[0] % uint64(count))
 	}
-	one, two := scheduler.Name(scope, num), scheduler.Name(scope, rand.IntN(count))
+	one, two := scheduler.CellName(scope, num), scheduler.CellName(scope, rand.IntN(count))
 	cel.mu.Lock()
 	defer cel.mu.Unlock()
 	if cel.wait(two, now)+prefixGain < cel.wait(one, now) {
@@ -216,7 +216,7 @@
 }
 
 // ask tries the hosts in the order of the cell's candidates.
-func (cel *Cells) ask(ctx context.Context, nam, pool string, ask scheduler.Ask) (scheduler.Action, host, error) {
+func (cel *Cells) ask(ctx context.Context, nam, pool string, ask scheduler.Request) (scheduler.Action, host, error) {
 	for _, hos := range cel.candidates(nam, cel.Region, time.Now()) {
 		act, err := cel.askHost(ctx, hos, nam, pool, ask, 0)
 		if err == nil {
--- a/process/allocator/cells_test.go
+++ b/process/allocator/cells_test.go
@@ -53,7 +53,7 @@
 func TestAskTurnsToNextScheduler(t *testing.T) {
 	cel := newCells(3, answers{"h1": {Endpoint: "e1", Address: "a1"}})
 	nam := cellOf(t, cel, "h0", "h1")
-	act, hos, err := cel.ask(t.Context(), nam, "pool", scheduler.Ask{ID: "x"})
+	act, hos, err := cel.ask(t.Context(), nam, "pool", scheduler.Request{ID: "x"})
 	require.NoError(t, err)
 	require.Equal(t, "h1", hos.id)
 	require.Equal(t, scheduler.Grant{ID: "x", Endpoint: "e1", Address: "a1"}, act)
@@ -72,7 +72,7 @@
 func TestAskWithoutScheduler(t *testing.T) {
 	cel := newCells(3, answers{})
 	nam := cellOf(t, cel, "h0", "h1")
-	_, _, err := cel.ask(t.Context(), nam, "pool", scheduler.Ask{ID: "x"})
+	_, _, err := cel.ask(t.Context(), nam, "pool", scheduler.Request{ID: "x"})
 	require.True(t, eris.Is(err, errNoScheduler))
 }
 
@@ -83,7 +83,7 @@
 	nam := cellOf(t, cel, "h0", "h1")
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer stop()
-	_, _, err := cel.ask(ctx, nam, "pool", scheduler.Ask{ID: "x", Request: placer.Request{Deadline: time.Now().Add(time.Minute)}})
+	_, _, err := cel.ask(ctx, nam, "pool", scheduler.Request{ID: "x", Request: placer.Request{Deadline: time.Now().Add(time.Minute)}})
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	require.Empty(t, cel.suspects)
 	require.Equal(t, messenger.GrantNotice_KIND_RELEASED, cel.notices["h0"][0].GetKind())
@@ -111,8 +111,8 @@
 			cel := newCells(cou, ans)
 			b.ReportAllocs()
 			for b.Loop() {
-				nam := cel.choose("region/pool", scheduler.Count(1000), placer.Request{}, time.Now())
-				if _, _, err := cel.ask(b.Context(), nam, "pool", scheduler.Ask{ID: "x"}); err != nil {
+				nam := cel.choose("region/pool", scheduler.CellCount(1000), placer.Request{}, time.Now())
+				if _, _, err := cel.ask(b.Context(), nam, "pool", scheduler.Request{ID: "x"}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/process/allocator/explain.go
+++ b/process/allocator/explain.go
@@ -8,9 +8,9 @@
 	"hemlockpin/version/parser"
 )
 
-// Scheduler names the cell that a request would be queued in and the host that
+// SchedulerFor names the cell that a request would be queued in and the host that
 // schedules it. Both are empty if this host places by itself.
-func (all *Allocator) Scheduler(req placer.Request, poo parser.Pool, now time.Time) (cell, id string) {
+func (all *Allocator) SchedulerFor(req placer.Request, poo parser.Pool, now time.Time) (cell, id string) {
 	if all.Cells == nil || poo.Kind != parser.PoolEngine {
 		return "", ""
 	}
@@ -20,7 +20,7 @@
 	if len(ends) == 0 {
 		return "", ""
 	}
-	cell = all.Cells.choose(all.Cells.Region+"/"+poo.Name, scheduler.Count(len(ends)), req, now)
+	cell = all.Cells.choose(all.Cells.Region+"/"+poo.Name, scheduler.CellCount(len(ends)), req, now)
 	for _, hos := range all.Cells.candidates(cell, all.Cells.Region, now) {
 		return cell, hos.id
 	}
--- a/process/allocator/overflow.go
+++ b/process/allocator/overflow.go
@@ -70,12 +70,12 @@
 		return overflower.Digest{}, false
 	}
 	wan := overflower.Want{Pool: poo.Name, Own: all.Cells.Region, Takes: poo.Takes, Slack: req.Deadline.Sub(now)}
-	return all.Cells.Far.Choose(wan, now)
+	return all.Cells.OtherRegions.Choose(wan, now)
 }
 
 func (all *Allocator) askFar(ctx context.Context, req placer.Request, poo parser.Pool, dig overflower.Digest) (executor.Lease, error) {
 	cel := all.Cells
-	nam := scheduler.Name(dig.Region+"/"+poo.Name, dig.Number)
+	nam := scheduler.CellName(dig.Region+"/"+poo.Name, dig.Number)
 	hoss := cel.candidates(nam, dig.Region, time.Now())
 	if len(hoss) == 0 {
 		return executor.Lease{}, errNoScheduler
@@ -87,12 +87,12 @@
 		cel.notify(hos, nam, ask.ID, messenger.GrantNotice_KIND_RELEASED)
 		if ctx.Err() == nil {
 			cel.suspect(hos.id, time.Now())
-			cel.Far.Silent(dig.Region, time.Now())
+			cel.OtherRegions.Silent(dig.Region, time.Now())
 		}
 		return executor.Lease{}, err
 	}
 	if _, ok := act.(scheduler.Refuse); ok {
-		cel.Far.Refused(dig, time.Now())
+		cel.OtherRegions.Refused(dig, time.Now())
 	}
 	return all.granted(ctx, req, act, grantor{hos, nam, ask.ID})
 }
@@ -109,16 +109,16 @@
 	cel.Scope.Tagged(map[string]string{"region": region, "result": res}).Counter("cell_overflows").Inc(1)
 }
 
-// Announce notes the digests of the cells of a pool that this host schedules,
+// RecordOwnDigests notes the digests of the cells of a pool that this host schedules,
 // for the hosts of other regions. engines is the number of the pool's engines
 // in the region.
-func (cel *Cells) Announce(pool string, engines int, now time.Time) {
+func (cel *Cells) RecordOwnDigests(pool string, engines int, now time.Time) {
 	if cel.Region == "" || engines == 0 {
 		return
 	}
-	cou := scheduler.Count(engines)
+	cou := scheduler.CellCount(engines)
 	for num := range cou {
-		nam := scheduler.Name(cel.Region+"/"+pool, num)
+		nam := scheduler.CellName(cel.Region+"/"+pool, num)
 		if hoss := cel.candidates(nam, cel.Region, now); len(hoss) == 0 || hoss[0].id != cel.Self {
 			continue
 		}
@@ -127,6 +127,6 @@
 		dig.Wait = cel.wait(nam, now)
 		dig.Full = cel.digests[nam].full && now.Sub(cel.digests[nam].at) < digestLife
 		cel.mu.Unlock()
-		cel.Far.Note(dig)
+		cel.OtherRegions.Note(dig)
 	}
 }
--- a/process/allocator/overflow_test.go
+++ b/process/allocator/overflow_test.go
@@ -44,8 +44,8 @@
 			all := &Allocator{Cells: cel}
 			req := placer.Request{ID: "r", Deadline: now.Add(time.Minute)}
 			poo := parser.Pool{Name: "p", Overflow: []string{"far"}}
-			cel.Far.Note(overflower.Digest{Region: "near", Pool: "p", Cells: 1, Engines: 4, At: now})
-			cel.Far.Note(overflower.Digest{Region: "far", Pool: "p", Cells: 1, Engines: 4, At: now})
+			cel.OtherRegions.Note(overflower.Digest{Region: "near", Pool: "p", Cells: 1, Engines: 4, At: now})
+			cel.OtherRegions.Note(overflower.Digest{Region: "far", Pool: "p", Cells: 1, Engines: 4, At: now})
 			_, ok := all.far(req, parser.Pool{Name: "p"}, now)
 			require.False(t, ok, "the pool has no overflow")
 			lea, ok := all.fromFarCell(t.Context(), req, poo)
--- a/process/allocator/remote.go
+++ b/process/allocator/remote.go
@@ -24,7 +24,7 @@
 
 // askHost repeats an ask until it is granted or refused, or the host does not
 // answer. extra is added to the time that it has for that.
-func (cel *Cells) askHost(ctx context.Context, hos host, nam, pool string, ask scheduler.Ask, extra time.Duration) (scheduler.Action, error) {
+func (cel *Cells) askHost(ctx context.Context, hos host, nam, pool string, ask scheduler.Request, extra time.Duration) (scheduler.Action, error) {
 	if hos.id == cel.Self {
 		return cel.askSelf(ctx, nam, pool, ask)
 	}
@@ -46,9 +46,9 @@
 	}
 }
 
-func (cel *Cells) askSelf(ctx context.Context, nam, pool string, ask scheduler.Ask) (scheduler.Action, error) {
+func (cel *Cells) askSelf(ctx context.Context, nam, pool string, ask scheduler.Request) (scheduler.Action, error) {
 	for {
-		act, wai := cel.Scheduler.Ask(ctx, nam, pool, ask, laterHold)
+		act, wai := cel.Scheduler.Submit(ctx, nam, pool, ask, laterHold)
 		cel.learn(nam, wai, act, time.Now())
 		if ctx.Err() != nil {
 			return nil, eris.Wrap(ctx.Err(), "Cells.askSelf")
@@ -72,7 +72,7 @@
 
 // call places one call. The end of the request cancels it; only a host that
 // does not answer in time lets it time out, which condemns the session.
-func (cel *Cells) call(ctx context.Context, hos host, nam, pool string, ask scheduler.Ask, hold, grace time.Duration) (*messenger.Grant, error) {
+func (cel *Cells) call(ctx context.Context, hos host, nam, pool string, ask scheduler.Request, hold, grace time.Duration) (*messenger.Grant, error) {
 	cal, cancel := context.WithTimeout(context.WithoutCancel(ctx), hold+grace)
 	defer cancel()
 	stop := context.AfterFunc(ctx, cancel)
@@ -99,12 +99,12 @@
 		gra := moveOf(cel.Scheduler.Move(req.GetCell(), req.GetAskId()))
 		return &messenger.Envelope{Body: &messenger.Envelope_Grant{Grant: gra}}
 	}
-	ask := scheduler.Ask{ID: req.GetAskId(), Host: req.GetHost(), Incarnation: req.GetIncarnation(), Request: placer.Request{
+	ask := scheduler.Request{ID: req.GetAskId(), Host: req.GetHost(), Incarnation: req.GetIncarnation(), Request: placer.Request{
 		ID: req.GetRequestId(), Team: req.GetTeam(), Share: req.GetShare(), Model: req.GetModel(), Pool: req.GetPool(),
 		PromptTokens: req.GetPromptTokens(), MaxTokens: req.GetMaxTokens(), Priority: int(req.GetPriority()),
 		Deadline: now.Add(time.Duration(req.GetBudgetMs()) * time.Millisecond), Prefix: req.GetPrefixHashes(), Excluded: req.GetExcluded(),
 	}}
-	act, wai := cel.Scheduler.Ask(ctx, req.GetCell(), req.GetPool(), ask, time.Duration(req.GetHoldMs())*time.Millisecond)
+	act, wai := cel.Scheduler.Submit(ctx, req.GetCell(), req.GetPool(), ask, time.Duration(req.GetHoldMs())*time.Millisecond)
 	cel.learn(req.GetCell(), wai, act, now)
 	gra := grantOf(act)
 	gra.WaitMs = wai.Milliseconds()
--- a/process/scheduler/asker.go
+++ b/process/scheduler/asker.go
@@ -54,7 +54,7 @@
 }
 
 // ask takes a request in, or refuses it.
-func (cel *Cell) ask(eve Ask, now time.Time) {
+func (cel *Cell) ask(eve Request, now time.Time) {
 	if gra := cel.grants[eve.ID]; gra != nil {
 		cel.answer(gra)
 		return
@@ -91,7 +91,7 @@
 	}
 }
 
-func (cel *Cell) newAsk(eve Ask, now time.Time) *ask {
+func (cel *Cell) newAsk(eve Request, now time.Time) *ask {
 	req := eve.Request
 	one := &ask{id: eve.ID, host: eve.Host, inc: eve.Incarnation, req: req, arrived: now}
 	one.team = cel.queue.team(req.Team, req.Share)
--- a/process/scheduler/bench_test.go
+++ b/process/scheduler/bench_test.go
@@ -32,7 +32,7 @@
 				now := epoch
 				cel := newCell(cou, now)
 				for ind := range wai {
-					cel.Next(Ask{ID: "w" + strconv.Itoa(ind), Request: placer.Request{Team: "t" + strconv.Itoa(ind%20), Model: "m", PromptTokens: 399_000, MaxTokens: 100, Deadline: now.Add(24 * time.Hour)}}, now)
+					cel.Next(Request{ID: "w" + strconv.Itoa(ind), Request: placer.Request{Team: "t" + strconv.Itoa(ind%20), Model: "m", PromptTokens: 399_000, MaxTokens: 100, Deadline: now.Add(24 * time.Hour)}}, now)
 				}
 				pre := make([]uint64, 4)
 				b.ReportAllocs()
@@ -40,7 +40,7 @@
 				for b.Loop() {
 					num++
 					id := strconv.Itoa(num)
-					cel.Next(Ask{ID: id, Request: placer.Request{ID: id, Team: "u", Model: "m", PromptTokens: 4000, MaxTokens: 100, Prefix: pre, Deadline: now.Add(time.Minute)}}, now)
+					cel.Next(Request{ID: id, Request: placer.Request{ID: id, Team: "u", Model: "m", PromptTokens: 4000, MaxTokens: 100, Prefix: pre, Deadline: now.Add(time.Minute)}}, now)
 					cel.Next(Prefilled{id}, now)
 					cel.Next(Release{id}, now)
 				}
--- a/process/scheduler/cell.go
+++ b/process/scheduler/cell.go
@@ -60,7 +60,7 @@
 	cel.chooseDecoders(now)
 	cel.actions = cel.actions[:0]
 	switch eve := eve.(type) {
-	case Ask:
+	case Request:
 		cel.ask(eve, now)
 	case Cancel:
 		cel.end(eve.ID, now)
@@ -80,7 +80,7 @@
 		cel.unreachable(eve.Endpoint)
 	case Listing:
 		cel.list(eve, now)
-	case OwnerGone:
+	case OwnerRemoved:
 		cel.ownerGone(eve, now)
 	case Limits:
 		cel.limits = eve
@@ -109,8 +109,8 @@
 // Granted returns the number of grants that have not ended.
 func (cel *Cell) Granted() int { return len(cel.grants) }
 
-// Wait returns the expected wait of a new prompt.
-func (cel *Cell) Wait(now time.Time) time.Duration {
+// ExpectedWait returns the expected wait of a new prompt.
+func (cel *Cell) ExpectedWait(now time.Time) time.Duration {
 	queued := cel.queue.tokens
 	var rat float64
 	for _, eng := range cel.engines {
@@ -281,9 +281,9 @@
 	return nil
 }
 
-// Doubted reports whether an engine may have failed, so that its report should
+// Suspected reports whether an engine may have failed, so that its report should
 // be read soon.
-func (cel *Cell) Doubted(endpoint string) bool {
+func (cel *Cell) Suspected(endpoint string) bool {
 	eng := cel.byID[endpoint]
 	return eng != nil && (eng.lost || eng.doubted)
 }
@@ -296,7 +296,7 @@
 	}
 }
 
-func (cel *Cell) ownerGone(own OwnerGone, now time.Time) {
+func (cel *Cell) ownerGone(own OwnerRemoved, now time.Time) {
 	for _, one := range cel.asks {
 		if one.host == own.Host && one.inc <= own.Incarnation {
 			cel.drop(one)
--- a/process/scheduler/cell_test.go
+++ b/process/scheduler/cell_test.go
@@ -57,7 +57,7 @@
 	case "unreachable":
 		return ben.next(Unreachable{word(dat, "engine", "e0")})
 	case "owner-gone":
-		return ben.next(OwnerGone{Host: word(dat, "host", "h"), Incarnation: uint64(number(dat, "inc", 1))})
+		return ben.next(OwnerRemoved{Host: word(dat, "host", "h"), Incarnation: uint64(number(dat, "inc", 1))})
 	case "wait":
 		ben.now = ben.now.Add(time.Duration(number(dat, "ms", 0)) * time.Millisecond)
 		return ben.next(Tick{})
@@ -135,7 +135,7 @@
 func (ben *bench) ask(dat *datadriven.TestData) string {
 	out := ""
 	for _, id := range words(dat, "ids") {
-		out += ben.next(Ask{ID: id, Host: word(dat, "host", "h"), Incarnation: 1, Request: placer.Request{
+		out += ben.next(Request{ID: id, Host: word(dat, "host", "h"), Incarnation: 1, Request: placer.Request{
 			ID: "r-" + id, Team: word(dat, "team", "t"), Share: float64(number(dat, "share", 1)), Model: word(dat, "model", "m"),
 			PromptTokens: int64(number(dat, "prompt", 1000)), MaxTokens: int64(number(dat, "answer", 10)), Priority: number(dat, "priority", 0),
 			Deadline: ben.now.Add(time.Duration(number(dat, "limit", 30_000)) * time.Millisecond), Excluded: words(dat, "excluded"),
--- a/process/scheduler/event.go
+++ b/process/scheduler/event.go
@@ -7,13 +7,13 @@
 	"hemlockpin/request/placer"
 )
 
-// Event is what a cell decides on: Ask, Cancel, Prefilled, Move, Moved, Stayed,
-// Release, Report, Unreachable, Listing, OwnerGone, Limits or Tick.
+// Event is what a cell decides on: Request, Cancel, Prefilled, Move, Moved, Stayed,
+// Release, Report, Unreachable, Listing, OwnerRemoved, Limits or Tick.
 type Event interface{ event() }
 
-// Ask wants an endpoint for a request. A repeated ask with the same identifier
+// Request wants an endpoint for a request. A repeated ask with the same identifier
 // is the same ask.
-type Ask struct {
+type Request struct {
 	// ID names the ask and later the grant.
 	ID          string
 	Host        string
@@ -52,9 +52,9 @@
 // Listing names the engines of the cell.
 type Listing struct{ Engines []placer.Endpoint }
 
-// OwnerGone reports that a host's incarnation has ended. Its waiting asks and
+// OwnerRemoved reports that a host's incarnation has ended. Its waiting asks and
 // its grants end with it.
-type OwnerGone struct {
+type OwnerRemoved struct {
 	Host string
 	// Incarnation is the last one that has ended.
 	Incarnation uint64
@@ -74,19 +74,19 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Ask) event()         {}
-func (Cancel) event()      {}
-func (Prefilled) event()   {}
-func (Release) event()     {}
-func (Move) event()        {}
-func (Moved) event()       {}
-func (Stayed) event()      {}
-func (Report) event()      {}
-func (Unreachable) event() {}
-func (Listing) event()     {}
-func (OwnerGone) event()   {}
-func (Limits) event()      {}
-func (Tick) event()        {}
+func (Request) event()      {}
+func (Cancel) event()       {}
+func (Prefilled) event()    {}
+func (Release) event()      {}
+func (Move) event()         {}
+func (Moved) event()        {}
+func (Stayed) event()       {}
+func (Report) event()       {}
+func (Unreachable) event()  {}
+func (Listing) event()      {}
+func (OwnerRemoved) event() {}
+func (Limits) event()       {}
+func (Tick) event()         {}
 
 // Action answers an ask: Grant, GrantGroup or Refuse; or a Move: MoveTo or Stay.
 type Action interface{ action() }
--- a/process/scheduler/matrix_test.go
+++ b/process/scheduler/matrix_test.go
@@ -32,7 +32,7 @@
 type stage struct {
 	bench
 	engines  []string
-	ask      Ask
+	ask      Request
 	silent   bool
 	quiet    string
 	unlisted string
@@ -129,8 +129,8 @@
 	return sta
 }
 
-func (sta *stage) newAsk(id, host string, tokens int64, limit time.Duration) Ask {
-	return Ask{ID: id, Host: host, Incarnation: 1, Request: placer.Request{ID: id, Team: host, Model: "m", PromptTokens: tokens, MaxTokens: 10, Prefix: blocks(id, int(tokens)), Deadline: sta.now.Add(limit)}}
+func (sta *stage) newAsk(id, host string, tokens int64, limit time.Duration) Request {
+	return Request{ID: id, Host: host, Incarnation: 1, Request: placer.Request{ID: id, Team: host, Model: "m", PromptTokens: tokens, MaxTokens: 10, Prefix: blocks(id, int(tokens)), Deadline: sta.now.Add(limit)}}
 }
 
 func (sta *stage) send(eve Event) {
@@ -259,11 +259,11 @@
 		sta.unlisted = "e0"
 		sta.list()
 	case "owner-gone":
-		sta.send(OwnerGone{"h", 1})
+		sta.send(OwnerRemoved{"h", 1})
 		delete(sta.holds, "x")
 		sta.silent = true
 	case "owner-older":
-		sta.send(OwnerGone{"h", 0})
+		sta.send(OwnerRemoved{"h", 0})
 	case "deadline":
 		sta.pass(stageLimit)
 	case "second-scheduler":
--- a/process/scheduler/pace.go
+++ b/process/scheduler/pace.go
@@ -58,7 +58,7 @@
 func (run *running) due(interval time.Duration, now time.Time) []placer.Endpoint {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	return run.reads.due(run.engines, interval, run.cell.Doubted, now)
+	return run.reads.due(run.engines, interval, run.cell.Suspected, now)
 }
 
 func (run *running) size() int {
--- a/process/scheduler/partition.go
+++ b/process/scheduler/partition.go
@@ -18,31 +18,31 @@
 	MaxCellEngines = maxSlots
 )
 
-// Group is the part of a pool's engines that one host schedules.
-type Group struct {
+// CellMembers is the part of a pool's engines that one host schedules.
+type CellMembers struct {
 	// Name is the pool's scope and the number of the cell.
 	Name    string
 	Engines []placer.Endpoint
 }
 
-// Count returns the number of cells of a pool with a number of engines.
-func Count(engines int) int {
+// CellCount returns the number of cells of a pool with a number of engines.
+func CellCount(engines int) int {
 	if engines <= MaxCellEngines {
 		return 1
 	}
 	return (engines + meanCellEngines - 1) / meanCellEngines
 }
 
-// Name returns the name of a numbered cell.
-func Name(scope string, number int) string { return scope + "/" + strconv.Itoa(number) }
+// CellName returns the name of a numbered cell.
+func CellName(scope string, number int) string { return scope + "/" + strconv.Itoa(number) }
 
 // Partition divides the engines of a pool into cells. Every host comes to the
 // same cells from the same list. An engine goes to the cell with the highest
 // hash that has room, so that few engines move when their number changes.
-func Partition(scope string, engines []placer.Endpoint) []Group {
-	gros := make([]Group, Count(len(engines)))
+func Partition(scope string, engines []placer.Endpoint) []CellMembers {
+	gros := make([]CellMembers, CellCount(len(engines)))
 	for ind := range gros {
-		gros[ind].Name = Name(scope, ind)
+		gros[ind].Name = CellName(scope, ind)
 	}
 	for _, end := range sortedByID(engines) {
 		bes := -1
@@ -83,7 +83,7 @@
 	return dig.Sum64()
 }
 
-// Scope returns the scope that a cell's name was made from.
-func Scope(cell string) string {
+// CellScope returns the scope that a cell's name was made from.
+func CellScope(cell string) string {
 	return cell[:max(0, strings.LastIndexByte(cell, '/'))]
 }
--- a/process/scheduler/prefixes_test.go
+++ b/process/scheduler/prefixes_test.go
@@ -49,7 +49,7 @@
 			eng := cel.byID["e1"]
 			cel.prefixes.store(eng.slot, blos)
 			tt.do(cel, eng)
-			acts := cel.Next(Ask{ID: "x", Request: placer.Request{ID: "x", Model: "m", PromptTokens: 12_000, Prefix: blos, Deadline: epoch.Add(stageLimit)}}, epoch)
+			acts := cel.Next(Request{ID: "x", Request: placer.Request{ID: "x", Model: "m", PromptTokens: 12_000, Prefix: blos, Deadline: epoch.Add(stageLimit)}}, epoch)
 			require.Len(t, acts, 1)
 			require.Equal(t, tt.want, acts[0].(Grant).Endpoint)
 		})
--- a/process/scheduler/property_test.go
+++ b/process/scheduler/property_test.go
@@ -37,7 +37,7 @@
 }
 
 type worldAsk struct {
-	eve      Ask
+	eve      Request
 	asked    time.Time
 	parts    []placer.Part
 	group    []placer.Part
@@ -79,7 +79,7 @@
 	tok := rapid.SampledFrom([]int64{500, 1000, 4000, 20_000, 120_000, 380_000, 900_000}).Draw(wor.t, "Tokens")
 	id := fmt.Sprintf("a%d", len(wor.ids))
 	wor.ids = append(wor.ids, id)
-	wor.asks[id] = &worldAsk{lost: rapid.IntRange(0, 9).Draw(wor.t, "Lost") == 0, asked: wor.now, eve: Ask{ID: id, Host: "h", Incarnation: 1, Request: placer.Request{
+	wor.asks[id] = &worldAsk{lost: rapid.IntRange(0, 9).Draw(wor.t, "Lost") == 0, asked: wor.now, eve: Request{ID: id, Host: "h", Incarnation: 1, Request: placer.Request{
 		ID: "r" + id, Team: rapid.SampledFrom([]string{"t", "u"}).Draw(wor.t, "Team"), Model: "m", PromptTokens: tok, MaxTokens: 10,
 		Priority: rapid.IntRange(0, 2).Draw(wor.t, "Priority"), Deadline: wor.now.Add(time.Duration(rapid.IntRange(1, 30).Draw(wor.t, "Limit")) * time.Second),
 	}}}
--- a/process/scheduler/scheduler.go
+++ b/process/scheduler/scheduler.go
@@ -61,11 +61,11 @@
 	holders holderPace
 }
 
-// Ask queues a request in a cell and waits for the answer at most for hold. It
+// Submit queues a request in a cell and waits for the answer at most for hold. It
 // returns a nil action while the ask waits; the host then repeats it. With the
 // action comes the expected wait of a new request in the cell. When ctx
 // ends, the ask is cancelled, or its grant released.
-func (sch *Scheduler) Ask(ctx context.Context, cell, pool string, eve Ask, hold time.Duration) (Action, time.Duration) {
+func (sch *Scheduler) Submit(ctx context.Context, cell, pool string, eve Request, hold time.Duration) (Action, time.Duration) {
 	run := sch.running(ctx, cell, pool)
 	if run == nil {
 		return Refuse{ID: eve.ID, Refuse: placer.Refuse{Code: CodeUnavailable, Message: "this host does not know the cell", RetryAfter: minRetryAfter}}, 0
@@ -120,8 +120,8 @@
 	}
 }
 
-// OwnerGone ends what the incarnations of a host up to the given one hold.
-func (sch *Scheduler) OwnerGone(own OwnerGone) {
+// OwnerRemoved ends what the incarnations of a host up to the given one hold.
+func (sch *Scheduler) OwnerRemoved(own OwnerRemoved) {
 	for _, run := range sch.all() {
 		run.next(own, sch.Clock())
 	}
@@ -166,7 +166,7 @@
 	if !ok {
 		return false
 	}
-	for _, gro := range Partition(Scope(run.name), sch.Engines(poo)) {
+	for _, gro := range Partition(CellScope(run.name), sch.Engines(poo)) {
 		if gro.Name != run.name {
 			continue
 		}
@@ -274,11 +274,11 @@
 func (run *running) wait(now time.Time) time.Duration {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	return run.cell.Wait(now)
+	return run.cell.ExpectedWait(now)
 }
 
 // ask returns the action for the ask, or the channel that will carry it.
-func (run *running) ask(eve Ask, now time.Time) (Action, chan Action) {
+func (run *running) ask(eve Request, now time.Time) (Action, chan Action) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	run.asked = now
--- a/process/scheduler/starvation_test.go
+++ b/process/scheduler/starvation_test.go
@@ -25,7 +25,7 @@
 		req.Model = "m"
 		req.ID = fmt.Sprint(num)
 		req.Deadline = now.Add(time.Minute)
-		acts := slices.Clone(cel.Next(Ask{ID: req.ID, Request: req}, now))
+		acts := slices.Clone(cel.Next(Request{ID: req.ID, Request: req}, now))
 		for len(ends) > 0 && !now.Before(ends[0].at) {
 			acts = append(acts, cel.Next(Prefilled{ends[0].id}, now)...)
 			acts = append(acts, cel.Next(Release{ends[0].id}, now)...)
--- a/process/server/explain.go
+++ b/process/server/explain.go
@@ -90,7 +90,7 @@
 	for _, end := range vie.Endpoints {
 		exp.Endpoints = append(exp.Endpoints, endpointView(end, pla, now))
 	}
-	exp.Cell, exp.Scheduler = ser.allocator.Scheduler(pla, *exp.Pool, now)
+	exp.Cell, exp.Scheduler = ser.allocator.SchedulerFor(pla, *exp.Pool, now)
 	seed := uint64(now.UnixNano())
 	dec := placer.Decide(placer.Policy(ser.Settings.Placement), pla, vie, now, rand.New(rand.NewPCG(seed, seed)))
 	_, exp.Refused = dec.(placer.Refuse)
--- a/process/server/schedule.go
+++ b/process/server/schedule.go
@@ -44,11 +44,11 @@
 
 // farCells returns digests of cells for a host of a region.
 func (ser *Server) farCells(region string, now time.Time) []*messenger.CellDigest {
-	return ser.cells.Far.Outgoing(region, now)
+	return ser.cells.OtherRegions.Outgoing(region, now)
 }
 
 func (ser *Server) takeFarCells(digs []*messenger.CellDigest, now time.Time) {
-	ser.cells.Far.Take(digs, now)
+	ser.cells.OtherRegions.Take(digs, now)
 }
 
 // announceCells lets other regions know what the cells of this host can take.
@@ -59,7 +59,7 @@
 		now := time.Now()
 		for _, poo := range ser.publisher.Current().Tables().Pools {
 			if poo.Takes(ser.Settings.Region) {
-				ser.cells.Announce(poo.Name, len(ser.watcher.Pool(poo).Endpoints), now)
+				ser.cells.RecordOwnDigests(poo.Name, len(ser.watcher.Pool(poo).Endpoints), now)
 			}
 		}
 		select {
@@ -97,7 +97,7 @@
 	for {
 		for _, per := range ser.gossiper.Peers() {
 			if old, ok := las[per.ID]; ok && per.Started > old {
-				ser.scheduler.OwnerGone(scheduler.OwnerGone{Host: per.ID, Incarnation: old})
+				ser.scheduler.OwnerRemoved(scheduler.OwnerRemoved{Host: per.ID, Incarnation: old})
 			}
 			las[per.ID] = per.Started
 		}
--- a/process/server/tables.go
+++ b/process/server/tables.go
@@ -95,7 +95,7 @@
 	ser.scope.Gauge("tables_revision").Update(float64(rev))
 	ser.scope.Gauge("tables_age_seconds").Update(age.Seconds())
 	ser.scope.Gauge("peers_live").Update(float64(len(ser.gossiper.Live(now))))
-	ser.scope.Gauge("far_cells").Update(float64(ser.cells.Far.Count(ser.Settings.Region, now)))
+	ser.scope.Gauge("far_cells").Update(float64(ser.cells.OtherRegions.Count(ser.Settings.Region, now)))
 	ser.scope.Gauge("peer_sessions").Update(float64(ser.multiplexer.Sessions()))
 	for kin, tra := range map[string]*counter.Traffic{
 		"peer": &ser.multiplexer.Traffic, "platform": &ser.platformTraffic, "endpoint": &ser.invoker.Control,
