--- a/process/scheduler/asker.go
+++ b/process/scheduler/asker.go
@@ -8,238 +8,248 @@
 )
 
 const (
-	// waitShare is the part of a request's slack that the queue before it may
-	// take; a request that would wait longer is refused at once.
-	waitShare = 0.5
-	// demandPeriod is the time over which the work of short prompts is
-	// averaged.
+	// maxWaitShare is the share of a request's slack that its expected wait in
+	// the queue may take; a request that would wait longer is refused at once.
+	maxWaitShare = 0.5
+	// demandPeriod is the time constant of the exponential average of demand.
 	demandPeriod = 20 * time.Second
-	// minDemandAge is the least time over which work is averaged.
+	// minDemandAge is the minimum time over which demand is averaged, so that
+	// the first work after the start does not count as a high load.
 	minDemandAge = 2 * time.Second
-	// headroom sets how many engines short prompts get beyond their mean work,
-	// in square roots of it.
-	headroom = 1.2
-	// minShortShare is the least share of the engines left to short prompts.
+	// shortHeadroom is the number of engines reserved for short prompts beyond
+	// their mean work, as a multiple of the square root of that work.
+	shortHeadroom = 1.2
+	// minShortShare is the minimum share of the engines reserved for short
+	// prompts.
 	minShortShare = 0.15
-	// CodeInfeasible refuses a prompt whose prefill alone exceeds its time.
+	// CodeInfeasible refuses a prompt whose prefill would end after its deadline
+	// even if it started at once.
 	CodeInfeasible = "deadline_infeasible"
 )
 
-// demand averages work that takes a place for some time: the prefills of short
-// or of long prompts, in engines, or the answers, in sequences or in tokens of
-// memory. Its zero value has seen no work.
+// demand is an exponential average of how much of a resource is in use: engines
+// by the prefills of short or of long prompts, sequences or tokens of memory by
+// answers. Its zero value has no work.
 type demand struct {
-	sum   float64
-	at    time.Time
-	since time.Time
+	sum       float64
+	updatedAt time.Time
+	since     time.Time
 }
 
 func (dem demand) withWork(work float64, now time.Time) demand {
 	if dem.since.IsZero() {
 		dem.since = now
 	}
-	dem.sum = dem.faded(now) + work/demandPeriod.Seconds()
-	dem.at = now
+	dem.sum = dem.decayed(now) + work/demandPeriod.Seconds()
+	dem.updatedAt = now
 	return dem
 }
 
-func (dem demand) faded(now time.Time) float64 {
-	return dem.sum * math.Exp(-max(0, now.Sub(dem.at).Seconds())/demandPeriod.Seconds())
+func (dem demand) decayed(now time.Time) float64 {
+	return dem.sum * math.Exp(-max(0, now.Sub(dem.updatedAt).Seconds())/demandPeriod.Seconds())
 }
 
-// level is the mean over the time for which work has been counted.
-func (dem demand) level(now time.Time) float64 {
+// mean returns the average over the time since the first work, corrected for a
+// time that is short compared with demandPeriod.
+func (dem demand) mean(now time.Time) float64 {
 	age := max(minDemandAge, now.Sub(dem.since))
-	return dem.faded(now) / (1 - math.Exp(-age.Seconds()/demandPeriod.Seconds()))
+	return dem.decayed(now) / (1 - math.Exp(-age.Seconds()/demandPeriod.Seconds()))
 }
 
-// ask takes a request in, or refuses it.
-func (cel *Cell) ask(eve Request, now time.Time) {
-	if gra := cel.grants[eve.ID]; gra != nil {
-		cel.answer(gra)
+// submit queues a request or refuses it. For one that has been granted, it repeats
+// the grant.
+func (cel *Cell) submit(req Request, now time.Time) {
+	if gra := cel.grants[req.ID]; gra != nil {
+		cel.emitGrant(gra)
 		return
 	}
-	if cel.asks[eve.ID] != nil {
-		cel.seen[eve.ID] = now
+	if cel.pending[req.ID] != nil {
+		cel.lastSeen[req.ID] = now
 		return
 	}
-	one := cel.newAsk(eve, now)
-	if !cel.feasible(one, now) {
+	ent := cel.newEntry(req, now)
+	if !cel.admit(ent, now) {
 		return
 	}
-	if lim := cel.limits.MaxWaiting; lim > 0 && cel.queue.count >= lim && !cel.makeRoom(one, now) {
+	if limit := cel.limits.MaxWaiting; limit > 0 && cel.queue.count >= limit && !cel.makeRoom(ent, now) {
 		return
 	}
-	cel.asks[one.id] = one
-	cel.seen[one.id] = now
-	cel.queue.push(one)
-	cel.count(one, now)
+	cel.pending[ent.id] = ent
+	cel.lastSeen[ent.id] = now
+	cel.queue.push(ent)
+	cel.countDemand(ent, now)
 }
 
-// count adds an ask to the demand for prefills and for answers.
-func (cel *Cell) count(one *ask, now time.Time) {
-	pre := cel.prefillTime(one.req.PromptTokens).Seconds()
-	if one.long {
-		cel.longs = cel.longs.withWork(pre, now)
+// countDemand adds a request to the demand for prefills and for answers.
+func (cel *Cell) countDemand(ent *entry, now time.Time) {
+	prefill := cel.prefillTime(ent.req.PromptTokens).Seconds()
+	if ent.long {
+		cel.longDemand = cel.longDemand.withWork(prefill, now)
 	} else {
-		cel.shorts = cel.shorts.withWork(pre, now)
+		cel.shortDemand = cel.shortDemand.withWork(prefill, now)
 	}
-	if cel.movable(one) {
-		dec := cel.answerTime(one.req.MaxTokens).Seconds()
-		cel.answers = cel.answers.withWork(dec, now)
-		cel.held = cel.held.withWork(dec*float64(one.req.Need()), now)
+	if cel.movable(ent) {
+		decode := cel.answerTime(ent.req.MaxTokens).Seconds()
+		cel.answerDemand = cel.answerDemand.withWork(decode, now)
+		cel.answerMemory = cel.answerMemory.withWork(decode*float64(ent.req.Need()), now)
 	}
 }
 
-func (cel *Cell) newAsk(eve Request, now time.Time) *ask {
+func (cel *Cell) newEntry(eve Request, now time.Time) *entry {
 	req := eve.Request
-	one := &ask{id: eve.ID, host: eve.Host, inc: eve.Incarnation, req: req, arrived: now}
-	one.team = cel.queue.team(req.Team, req.Share)
-	cel.prefixes.match(req.Prefix, &one.cached)
+	ent := &entry{id: eve.ID, host: eve.Host, incarnation: eve.Incarnation, req: req, arrived: now}
+	ent.team = cel.queue.team(req.Team, req.Share)
+	cel.prefixes.match(req.Prefix, &ent.cachedBlocks)
 	var hit uint16
-	for _, cou := range one.cached {
-		hit = max(hit, cou)
-	}
-	own := max(1, req.PromptTokens-int64(hit)*hasher.BlockTokens)
-	pre := cel.prefillTime(own)
-	one.cost = float64(own + answerWeight*min(req.MaxTokens, typicalAnswer))
-	one.long = pre >= longPrefill
-	one.latestStart = req.Deadline.Add(-pre - cel.answerTime(req.MaxTokens))
-	one.key = now.Add(time.Duration(stretch * float64(pre))).Add(-time.Duration(req.Priority) * priorityHeadStart)
-	return one
-}
-
-// feasible refuses what no engine of the cell can serve, or not in time.
-func (cel *Cell) feasible(one *ask, now time.Time) bool {
-	hol := cel.holders(one, now)
-	one.group = one.req.Need() > hol.largest
-	one.long = one.long || one.group
-	cel.loosen(one, now)
-	wai := cel.wait(one.team, one.long, now)
+	for _, blocks := range ent.cachedBlocks {
+		hit = max(hit, blocks)
+	}
+	uncached := max(1, req.PromptTokens-int64(hit)*hasher.BlockTokens)
+	prefill := cel.prefillTime(uncached)
+	ent.cost = float64(uncached + answerWeight*min(req.MaxTokens, typicalAnswerTokens))
+	ent.long = prefill >= longPrefill
+	ent.latestStart = req.Deadline.Add(-prefill - cel.answerTime(req.MaxTokens))
+	ent.key = now.Add(time.Duration(prefillKeyFactor * float64(prefill))).Add(-time.Duration(req.Priority) * priorityKeyStep)
+	return ent
+}
+
+// admit refuses a request that the engines of the cell cannot serve, or not in
+// time. It reports whether the request may be queued.
+func (cel *Cell) admit(ent *entry, now time.Time) bool {
+	available := cel.capacityFor(ent, now)
+	ent.group = ent.req.Need() > available.largest
+	ent.long = ent.long || ent.group
+	cel.relaxLatestStart(ent, now)
+	wait := cel.queueWait(ent.team, ent.long, now)
 	switch {
-	case !hol.listed:
-		cel.refuse(one.id, CodeNoEndpoint, "no engine of the pool can take the request", minRetryAfter)
-	case hol.largest == 0:
-		cel.refuse(one.id, CodeUnavailable, "no engine of the cell reports", minRetryAfter)
-	case one.req.Need() > hol.sum:
-		cel.refuse(one.id, CodeTooLarge, "the prompt exceeds the memory of the engines together", 0)
-	case !one.latestStart.After(now):
-		cel.refuse(one.id, CodeInfeasible, "the prompt cannot be read within the time limit", 0)
-	case wai.Seconds() > waitShare*one.latestStart.Sub(now).Seconds():
-		cel.refuse(one.id, CodeOverloaded, "the queue is too long for the time limit", wai)
+	case !available.listed:
+		cel.refuse(ent.id, CodeNoEndpoint, "no engine of the pool can take the request", minRetryAfter)
+	case available.largest == 0:
+		cel.refuse(ent.id, CodeUnavailable, "no engine of the cell reports", minRetryAfter)
+	case ent.req.Need() > available.sum:
+		cel.refuse(ent.id, CodeTooLarge, "the prompt exceeds the memory of the engines together", 0)
+	case !ent.latestStart.After(now):
+		cel.refuse(ent.id, CodeInfeasible, "the prompt cannot be read within the time limit", 0)
+	case wait.Seconds() > maxWaitShare*ent.latestStart.Sub(now).Seconds():
+		cel.refuse(ent.id, CodeOverloaded, "the queue is too long for the time limit", wait)
 	default:
 		return true
 	}
 	return false
 }
 
-// holders sums up the engines that an ask can use.
-type holders struct {
+// capacity is the memory of the engines that can serve a request, in tokens:
+// of the largest live engine and of all live engines. listed reports whether
+// there is any such engine, live or not.
+type capacity struct {
 	listed  bool
 	largest int64
 	sum     int64
 }
 
-func (cel *Cell) holders(one *ask, now time.Time) holders {
-	var hol holders
+func (cel *Cell) capacityFor(ent *entry, now time.Time) capacity {
+	var available capacity
 	for _, eng := range cel.engines {
-		if !one.takes(eng) {
+		if !ent.canServe(eng) {
 			continue
 		}
-		hol.listed = true
+		available.listed = true
 		if eng.live(now) {
-			hol.largest = max(hol.largest, eng.memory)
-			hol.sum += eng.memory
+			available.largest = max(available.largest, eng.memory)
+			available.sum += eng.memory
 		}
 	}
-	return hol
+	return available
 }
 
-// loosen gives a request without slack the time set aside for its answer, as
-// the answer may be shorter than expected. A group reads its prompt faster than
-// one engine, so only its deadline counts.
-func (cel *Cell) loosen(one *ask, now time.Time) {
-	if one.group {
-		one.latestStart = one.req.Deadline
+// relaxLatestStart gives a request without slack the time kept for its answer, as
+// the answer may be shorter than expected. A group prefills faster than the one
+// engine that the estimate is for, so for a group only the deadline counts.
+func (cel *Cell) relaxLatestStart(ent *entry, now time.Time) {
+	if ent.group {
+		ent.latestStart = ent.req.Deadline
 		return
 	}
-	if !one.latestStart.After(now) {
-		one.latestStart = one.latestStart.Add(cel.answerTime(one.req.MaxTokens))
+	if !ent.latestStart.After(now) {
+		ent.latestStart = ent.latestStart.Add(cel.answerTime(ent.req.MaxTokens))
 	}
 }
 
-// makeRoom finds a place in a full queue for an ask of a team that has less
-// than its share of it, at the cost of the team furthest over its share.
-func (cel *Cell) makeRoom(one *ask, now time.Time) bool {
-	lar := cel.queue.largest()
-	own := float64(one.team.waiting()+1) / one.team.share
-	if lar == nil || lar == one.team || float64(lar.waiting())/lar.share <= own {
-		cel.refuse(one.id, CodePoolFull, "too many requests wait for the pool", cel.wait(one.team, one.long, now))
+// makeRoom frees a place in a full queue for a request of a team that has less
+// than its share of it, by refusing a request of the team furthest over its share.
+// It refuses the new request and returns false if there is no such team.
+func (cel *Cell) makeRoom(ent *entry, now time.Time) bool {
+	largest := cel.queue.mostOverShare()
+	own := float64(ent.team.waiting()+1) / ent.team.share
+	if largest == nil || largest == ent.team || float64(largest.waiting())/largest.share <= own {
+		cel.refuse(ent.id, CodePoolFull, "too many requests wait for the pool", cel.queueWait(ent.team, ent.long, now))
 		return false
 	}
-	vic := lar.last()
-	cel.drop(vic)
-	cel.refuse(vic.id, CodePoolFull, "too many requests of the team wait for the pool", cel.wait(vic.team, vic.long, now))
+	victim := largest.lastEntry()
+	cel.dequeue(victim)
+	cel.refuse(victim.id, CodePoolFull, "too many requests of the team wait for the pool", cel.queueWait(victim.team, victim.long, now))
 	return true
 }
 
-// wait estimates the time until the asks of a class that wait before a new one
-// of the team have started: those of all teams, or the team's own at its share
-// of the engines, whichever is less.
-func (cel *Cell) wait(tea *team, long bool, now time.Time) time.Duration {
-	var all, sha float64
-	for _, oth := range cel.queue.active {
-		all += oth.waitingTokens(long)
-		if oth.waitingTokens(long) > 0 && oth != tea {
-			sha += oth.share
+// queueWait estimates the wait of a new request of the team: the prefill time of
+// all waiting requests of its class, or that of the team's own requests at the
+// team's share of the engines, whichever is less.
+func (cel *Cell) queueWait(tea *team, long bool, now time.Time) time.Duration {
+	var all, otherShares float64
+	for _, other := range cel.queue.active {
+		all += other.waitingTokens(long)
+		if other.waitingTokens(long) > 0 && other != tea {
+			otherShares += other.share
 		}
 	}
-	rat := cel.rate()
-	if rat == 0 || all == 0 {
+	rate := cel.totalPrefillRate()
+	if rate == 0 || all == 0 {
 		return 0
 	}
-	lim := float64(cel.longLimit(now))
+	limit := float64(cel.longLimit(now))
 	if n := float64(len(cel.engines)); long {
-		rat *= lim / n
-	} else if n > lim {
-		rat *= (n - lim) / n
+		rate *= limit / n
+	} else if n > limit {
+		rate *= (n - limit) / n
 	}
-	own := tea.waitingTokens(long) * (sha + tea.share) / tea.share
-	return time.Duration(min(all, own) / rat * float64(time.Second))
+	own := tea.waitingTokens(long) * (otherShares + tea.share) / tea.share
+	return time.Duration(min(all, own) / rate * float64(time.Second))
 }
 
-// rate is the prefill rate of all engines together, in tokens a second.
-func (cel *Cell) rate() float64 {
-	var rat float64
+// totalPrefillRate returns the sum of the engines' prefill rates, in tokens a
+// second.
+func (cel *Cell) totalPrefillRate() float64 {
+	var rate float64
 	for _, eng := range cel.engines {
-		rat += eng.prefillRate()
+		rate += eng.prefillRate()
 	}
-	return rat
+	return rate
 }
 
 func (cel *Cell) prefillTime(tokens int64) time.Duration {
 	if len(cel.engines) == 0 {
 		return 0
 	}
-	return time.Duration(float64(tokens) * float64(len(cel.engines)) / cel.rate() * float64(time.Second))
+	return time.Duration(float64(tokens) * float64(len(cel.engines)) / cel.totalPrefillRate() * float64(time.Second))
 }
 
-// answerTime is the expected time of an answer.
+// answerTime returns the expected time to decode an answer.
 func (cel *Cell) answerTime(maxTokens int64) time.Duration {
-	var ste time.Duration
+	var step time.Duration
 	for _, eng := range cel.engines {
-		ste = max(ste, eng.step)
+		step = max(step, eng.stepTime)
 	}
-	return time.Duration(min(maxTokens, typicalAnswer)) * ste
+	return time.Duration(min(maxTokens, typicalAnswerTokens)) * step
 }
 
-// longLimit is the number of engines that may prefill long prompts at a time.
+// longLimit returns the number of engines that may prefill long prompts at the
+// same time.
 func (cel *Cell) longLimit(now time.Time) int {
-	cou := len(cel.engines)
+	engines := len(cel.engines)
 	if cel.limits.LongShare > 0 {
-		return max(1, int(cel.limits.LongShare*float64(cou)))
+		return max(1, int(cel.limits.LongShare*float64(engines)))
 	}
-	sho := cel.shorts.level(now)
-	lef := max(sho+headroom*math.Sqrt(sho), minShortShare*float64(cou))
-	return max(1, cou-max(cel.decoders, int(math.Ceil(lef))))
+	short := cel.shortDemand.mean(now)
+	reserved := max(short+shortHeadroom*math.Sqrt(short), minShortShare*float64(engines))
+	return max(1, engines-max(cel.decoderCount, int(math.Ceil(reserved))))
 }
--- a/process/scheduler/cell.go
+++ b/process/scheduler/cell.go
@@ -1,8 +1,8 @@
-// Package scheduler queues the requests of one cell of engines and grants
-// engines to the hosts that ask.
+// Package scheduler queues the requests for a cell, which is a part of a pool's
+// engines, and grants engines to the hosts that submit the requests.
 //
-// Cell decides: it is a state machine without input, output or a clock.
-// Scheduler carries the decisions out.
+// Cell is the state machine that decides; it does no input or output and has no
+// clock. Scheduler feeds events to it and delivers its actions.
 package scheduler
 
 import (
@@ -14,74 +14,76 @@
 )
 
 const (
-	// askTimeout is the time after which an ask that its host does not repeat
-	// is dropped.
-	askTimeout = 3 * time.Second
-	// grantGrace is the time after its deadline at which a grant expires.
+	// repeatTimeout is the time after which a waiting request that its host does
+	// not repeat is dropped.
+	repeatTimeout = 3 * time.Second
+	// grantGrace is the time from a request's deadline to the expiry of its grant.
 	grantGrace = 2 * time.Second
-	// sweepInterval is the least time between two looks for what has expired.
+	// sweepInterval is the minimum time between two scans for expired requests
+	// and grants.
 	sweepInterval = 100 * time.Millisecond
-	// typicalAnswer bounds the answer tokens that are expected when only the
-	// limit of the answer is known.
-	typicalAnswer = 128
+	// typicalAnswerTokens bounds the expected length of an answer, of which only
+	// the maximum is known.
+	typicalAnswerTokens = 128
 )
 
-// Cell is the state of one cell. Next changes it; it must not be used by two
-// goroutines at a time. Its zero value is an empty cell.
+// Cell is the state of one cell. Next changes it. A Cell is not safe for
+// concurrent use. Its zero value is an empty cell.
 type Cell struct {
-	limits   Limits
-	engines  []*engine
-	byID     map[string]*engine
-	asks     map[string]*ask
-	seen     map[string]time.Time
-	grants   map[string]*grant
-	requests map[string]int
-	released map[string]time.Time
-	queue    queue
-	prefixes prefixes
-	promise  *promise
-	// shorts and longs are the prefills by class; answers and held are the
-	// answers that can move, in sequences and in tokens of memory.
-	shorts  demand
-	longs   demand
-	answers demand
-	held    demand
-	// decoders counts the engines set apart for answers that move.
-	decoders  int
-	moveAsked time.Time
-	swept     time.Time
-	actions   []Action
+	limits          Limits
+	engines         []*engine
+	byID            map[string]*engine
+	pending         map[string]*entry
+	lastSeen        map[string]time.Time
+	grants          map[string]*grant
+	grantsByRequest map[string]int
+	releasedAt      map[string]time.Time
+	queue           queue
+	prefixes        prefixes
+	promise         *promise
+	// shortDemand and longDemand average the prefill work of short and of long
+	// prompts, in engines. answerDemand and answerMemory average the answers that
+	// can move to another engine, in sequences and in tokens of memory.
+	shortDemand  demand
+	longDemand   demand
+	answerDemand demand
+	answerMemory demand
+	// decoderCount is the number of engines dedicated to answers that move.
+	decoderCount    int
+	lastMoveRequest time.Time
+	lastSweep       time.Time
+	actions         []Action
 }
 
-// Next takes an event and returns the actions that follow. The returned slice
-// is valid until the next call.
+// Next applies an event and returns the resulting actions. The returned slice is
+// valid until the next call.
 func (cel *Cell) Next(eve Event, now time.Time) []Action {
 	cel.prepare()
 	cel.chooseDecoders(now)
 	cel.actions = cel.actions[:0]
 	switch eve := eve.(type) {
 	case Request:
-		cel.ask(eve, now)
+		cel.submit(eve, now)
 	case Cancel:
-		cel.end(eve.ID, now)
+		cel.cancelOrRelease(eve.ID, now)
 	case Prefilled:
-		cel.prefilled(eve.ID)
+		cel.markPrefilled(eve.ID)
 	case Release:
-		cel.end(eve.ID, now)
+		cel.cancelOrRelease(eve.ID, now)
 	case Move:
-		cel.move(eve.ID, now)
+		cel.answerMove(eve.ID, now)
 	case Moved:
-		cel.moved(eve.ID, now)
+		cel.finishMove(eve.ID, now)
 	case Stayed:
-		cel.stayed(eve.ID, now)
+		cel.cancelMove(eve.ID, now)
 	case Report:
-		cel.report(eve, now)
+		cel.acceptReport(eve, now)
 	case Unreachable:
-		cel.unreachable(eve.Endpoint)
+		cel.markUnreachable(eve.Endpoint)
 	case Listing:
-		cel.list(eve, now)
+		cel.applyListing(eve, now)
 	case OwnerRemoved:
-		cel.ownerGone(eve, now)
+		cel.ownerRemoved(eve, now)
 	case Limits:
 		cel.limits = eve
 	case Tick:
@@ -96,58 +98,59 @@
 		return
 	}
 	cel.byID = map[string]*engine{}
-	cel.asks = map[string]*ask{}
-	cel.seen = map[string]time.Time{}
+	cel.pending = map[string]*entry{}
+	cel.lastSeen = map[string]time.Time{}
 	cel.grants = map[string]*grant{}
-	cel.requests = map[string]int{}
-	cel.released = map[string]time.Time{}
+	cel.grantsByRequest = map[string]int{}
+	cel.releasedAt = map[string]time.Time{}
 }
 
-// Waiting returns the number of waiting asks.
+// Waiting returns the number of waiting requests.
 func (cel *Cell) Waiting() int { return cel.queue.count }
 
 // Granted returns the number of grants that have not ended.
 func (cel *Cell) Granted() int { return len(cel.grants) }
 
-// ExpectedWait returns the expected wait of a new prompt.
+// ExpectedWait returns the time in which the live engines prefill what is queued
+// and started, or maxRetryAfter if no engine is live.
 func (cel *Cell) ExpectedWait(now time.Time) time.Duration {
-	queued := cel.queue.tokens
-	var rat float64
+	queued := cel.queue.promptTokens
+	var rate float64
 	for _, eng := range cel.engines {
 		eng.advance(now)
 		if !eng.live(now) {
 			continue
 		}
-		rat += eng.prefillRate()
+		rate += eng.prefillRate()
 		for _, par := range eng.prefills {
-			queued += par.left
+			queued += par.prefillLeft
 		}
 	}
-	if rat == 0 {
+	if rate == 0 {
 		return maxRetryAfter
 	}
-	return time.Duration(float64(queued) / rat * float64(time.Second))
+	return time.Duration(float64(queued) / rate * float64(time.Second))
 }
 
 func (cel *Cell) refuse(id, code, message string, retry time.Duration) {
-	delete(cel.seen, id)
+	delete(cel.lastSeen, id)
 	cel.actions = append(cel.actions, Refuse{ID: id, Refuse: placer.Refuse{Code: code, Message: message, RetryAfter: min(maxRetryAfter, max(minRetryAfter, retry))}})
 }
 
-// drop takes a waiting ask out of the queue.
-func (cel *Cell) drop(one *ask) {
-	cel.queue.remove(one)
-	delete(cel.asks, one.id)
-	delete(cel.seen, one.id)
-	if cel.promise != nil && cel.promise.ask == one {
-		cel.unpromise()
+// dequeue removes a waiting request and cancels its promise.
+func (cel *Cell) dequeue(ent *entry) {
+	cel.queue.remove(ent)
+	delete(cel.pending, ent.id)
+	delete(cel.lastSeen, ent.id)
+	if cel.promise != nil && cel.promise.entry == ent {
+		cel.cancelPromise()
 	}
 }
 
-// end cancels a waiting ask or releases a grant.
-func (cel *Cell) end(id string, now time.Time) {
-	if one := cel.asks[id]; one != nil {
-		cel.drop(one)
+// cancelOrRelease cancels a waiting request or releases its grant.
+func (cel *Cell) cancelOrRelease(id string, now time.Time) {
+	if ent := cel.pending[id]; ent != nil {
+		cel.dequeue(ent)
 	}
 	if gra := cel.grants[id]; gra != nil {
 		cel.release(gra, now)
@@ -156,54 +159,54 @@
 
 func (cel *Cell) release(gra *grant, now time.Time) {
 	for _, par := range gra.parts {
-		par.eng.doubted = par.eng.doubted || !gra.prefilled
-		par.give(now)
+		par.engine.suspected = par.engine.suspected || !gra.prefilled
+		par.release(now)
 	}
-	cel.giveTarget(gra, now)
-	delete(cel.grants, gra.ask.id)
-	id := gra.ask.req.ID
-	if cel.requests[id]--; cel.requests[id] <= 0 {
-		delete(cel.requests, id)
-		cel.released[id] = now
+	cel.releaseTarget(gra, now)
+	delete(cel.grants, gra.entry.id)
+	id := gra.entry.req.ID
+	if cel.grantsByRequest[id]--; cel.grantsByRequest[id] <= 0 {
+		delete(cel.grantsByRequest, id)
+		cel.releasedAt[id] = now
 	}
 }
 
-// prefilled notes that the lead engine is done with the prompt and holds its
-// prefix.
-func (cel *Cell) prefilled(id string) {
+// markPrefilled records that the prefill of a grant is done and, unless a group
+// did it, that the engine caches the prompt's blocks.
+func (cel *Cell) markPrefilled(id string) {
 	gra := cel.grants[id]
 	if gra == nil || gra.prefilled {
 		return
 	}
 	gra.prefilled = true
 	for _, par := range gra.parts {
-		par.eng.prefilled(par)
+		par.engine.finishPrefill(par)
 	}
 	if len(gra.parts) == 1 {
-		cel.cache(gra.parts[0])
+		cel.recordCache(gra.parts[0])
 	}
 }
 
-func (cel *Cell) report(rep Report, now time.Time) {
+func (cel *Cell) acceptReport(rep Report, now time.Time) {
 	eng := cel.byID[rep.Endpoint]
 	if eng == nil {
 		return
 	}
 	if eng.incarnation != rep.Load.Incarnation {
-		// Another process of the engine has none of the blocks.
+		// A restarted engine has no cached blocks.
 		eng.incarnation = rep.Load.Incarnation
 		cel.prefixes.clear(eng.slot)
 	}
 	known := func(id string) bool {
-		_, ended := cel.released[id]
-		return ended || cel.requests[id] > 0
+		_, ended := cel.releasedAt[id]
+		return ended || cel.grantsByRequest[id] > 0
 	}
-	eng.accept(rep.Load, known, now)
+	eng.acceptReport(rep.Load, known, now)
 	cel.reconcile(eng, rep.Load, now)
 }
 
-// reconcile ends the grants whose requests an engine no longer lists, because
-// the notice of their end was lost.
+// reconcile ends grants whose requests an engine no longer lists because the
+// notice of their end was lost. Reports without all sequences are ignored.
 func (cel *Cell) reconcile(eng *engine, loa invoker.Load, now time.Time) {
 	if loa.Partial || len(loa.Sequences) < loa.Running {
 		return
@@ -213,35 +216,36 @@
 		listed[seq.RequestID] = true
 	}
 	for _, gra := range cel.grants {
-		lis := listed[gra.ask.req.ID]
-		if tar := gra.target; tar != nil && tar.eng == eng && tar.lost(lis, now) {
-			cel.stayed(gra.ask.id, now)
+		isListed := listed[gra.entry.req.ID]
+		if target := gra.target; target != nil && target.engine == eng && target.requestLost(isListed, now) {
+			cel.cancelMove(gra.entry.id, now)
 		}
-		if sou := gra.parts[0]; sou.eng == eng && sou.lost(lis, now) {
-			cel.leave(gra, now)
+		if source := gra.parts[0]; source.engine == eng && source.requestLost(isListed, now) {
+			cel.releaseLost(gra, now)
 		}
 	}
 }
 
-// leave ends a grant whose engine no longer has its request, or its move, if
-// the request has gone on elsewhere.
-func (cel *Cell) leave(gra *grant, now time.Time) {
+// releaseLost releases a grant whose first engine no longer lists the request. If
+// a move is under way, the request now runs on the target, so it completes the
+// move instead.
+func (cel *Cell) releaseLost(gra *grant, now time.Time) {
 	if gra.target != nil {
-		cel.moved(gra.ask.id, now)
+		cel.finishMove(gra.entry.id, now)
 		return
 	}
 	cel.release(gra, now)
 }
 
-// list takes engines in and out of the cell. An engine that went keeps its
-// account until its grants have ended, as it may come back.
-func (cel *Cell) list(lis Listing, now time.Time) {
+// applyListing adds and removes engines. A removed engine that still has grants
+// is kept as leaving until they have ended, as it may be listed again.
+func (cel *Cell) applyListing(lis Listing, now time.Time) {
 	keep := map[string]bool{}
 	for _, end := range lis.Engines {
 		keep[end.ID] = true
 		eng := cel.byID[end.ID]
 		if eng == nil {
-			if eng = cel.add(end.ID, now); eng == nil {
+			if eng = cel.addEngine(end.ID, now); eng == nil {
 				continue
 			}
 		}
@@ -253,7 +257,7 @@
 		if keep[eng.id] {
 			continue
 		}
-		cel.unpromiseOn(eng)
+		cel.cancelPromiseOn(eng)
 		if eng.running > 0 {
 			eng.listedLeaving = true
 			keep[eng.id] = true
@@ -265,14 +269,14 @@
 	cel.engines = slices.DeleteFunc(cel.engines, func(eng *engine) bool { return !keep[eng.id] })
 }
 
-func (cel *Cell) add(id string, now time.Time) *engine {
-	var use uint64
+func (cel *Cell) addEngine(id string, now time.Time) *engine {
+	var used uint64
 	for _, eng := range cel.engines {
-		use |= 1 << eng.slot
+		used |= 1 << eng.slot
 	}
-	for slo := range maxSlots {
-		if use&(1<<slo) == 0 {
-			eng := &engine{id: id, slot: slo, advanced: now}
+	for slot := range maxSlots {
+		if used&(1<<slot) == 0 {
+			eng := &engine{id: id, slot: slot, advancedAt: now}
 			cel.byID[id] = eng
 			cel.engines = append(cel.engines, eng)
 			return eng
@@ -281,44 +285,45 @@
 	return nil
 }
 
-// Suspected reports whether an engine may have failed, so that its report should
-// be read soon.
+// Suspected reports whether an engine may have failed, so that its load report is
+// read sooner.
 func (cel *Cell) Suspected(endpoint string) bool {
 	eng := cel.byID[endpoint]
-	return eng != nil && (eng.lost || eng.doubted)
+	return eng != nil && (eng.unreachable || eng.suspected)
 }
 
-// unreachable keeps new asks from an engine until a report is read.
-func (cel *Cell) unreachable(endpoint string) {
+// markUnreachable stops new grants on an engine until its next report.
+func (cel *Cell) markUnreachable(endpoint string) {
 	if eng := cel.byID[endpoint]; eng != nil {
-		eng.lost = true
-		cel.unpromiseOn(eng)
+		eng.unreachable = true
+		cel.cancelPromiseOn(eng)
 	}
 }
 
-func (cel *Cell) ownerGone(own OwnerRemoved, now time.Time) {
-	for _, one := range cel.asks {
-		if one.host == own.Host && one.inc <= own.Incarnation {
-			cel.drop(one)
+func (cel *Cell) ownerRemoved(own OwnerRemoved, now time.Time) {
+	for _, ent := range cel.pending {
+		if ent.host == own.Host && ent.incarnation <= own.Incarnation {
+			cel.dequeue(ent)
 		}
 	}
 	for _, gra := range cel.grants {
-		if gra.ask.host == own.Host && gra.ask.inc <= own.Incarnation {
+		if gra.entry.host == own.Host && gra.entry.incarnation <= own.Incarnation {
 			cel.release(gra, now)
 		}
 	}
 }
 
-// sweep ends what has expired.
+// sweep drops expired requests and those that their hosts no longer repeat, and
+// releases expired grants.
 func (cel *Cell) sweep(now time.Time) {
-	if now.Sub(cel.swept) < sweepInterval {
+	if now.Sub(cel.lastSweep) < sweepInterval {
 		return
 	}
-	cel.swept = now
-	for _, id := range sortedKeys(cel.asks) {
-		one := cel.asks[id]
-		if !cel.expired(one, now) && now.Sub(cel.seen[id]) > askTimeout {
-			cel.drop(one)
+	cel.lastSweep = now
+	for _, id := range sortedIDs(cel.pending) {
+		ent := cel.pending[id]
+		if !cel.refuseIfExpired(ent, now) && now.Sub(cel.lastSeen[id]) > repeatTimeout {
+			cel.dequeue(ent)
 		}
 	}
 	for _, gra := range cel.grants {
@@ -326,28 +331,30 @@
 			cel.release(gra, now)
 		}
 	}
-	for id, at := range cel.released {
+	for id, at := range cel.releasedAt {
 		if now.Sub(at) > releasedGrace {
-			delete(cel.released, id)
+			delete(cel.releasedAt, id)
 		}
 	}
-	cel.queue.forget()
+	cel.queue.dropIdleTeams()
 }
 
-// expired refuses a waiting ask that can no longer start in time.
-func (cel *Cell) expired(one *ask, now time.Time) bool {
-	if now.Before(one.latestStart) {
+// refuseIfExpired refuses a waiting request that can no longer start in time. It
+// reports whether it did.
+func (cel *Cell) refuseIfExpired(ent *entry, now time.Time) bool {
+	if now.Before(ent.latestStart) {
 		return false
 	}
-	cel.drop(one)
-	cel.refuse(one.id, CodeOverloaded, "no engine could start the prompt in time", cel.wait(one.team, one.long, now))
+	cel.dequeue(ent)
+	cel.refuse(ent.id, CodeOverloaded, "no engine could start the prompt in time", cel.queueWait(ent.team, ent.long, now))
 	return true
 }
 
-// sortedKeys makes the order of actions a function of the state.
-func sortedKeys(asks map[string]*ask) []string {
-	ids := make([]string, 0, len(asks))
-	for id := range asks {
+// sortedIDs returns the request IDs in order, so that the order of actions does
+// not depend on the map's iteration order.
+func sortedIDs(pending map[string]*entry) []string {
+	ids := make([]string, 0, len(pending))
+	for id := range pending {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
--- a/process/scheduler/cell_test.go
+++ b/process/scheduler/cell_test.go
@@ -16,74 +16,74 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// bench drives one cell by a script.
-type bench struct {
-	cel Cell
-	now time.Time
+// scriptedCell runs the commands of a data file on one cell.
+type scriptedCell struct {
+	cell Cell
+	now  time.Time
 }
 
 func TestCell(t *testing.T) {
 	datadriven.Walk(t, "testdata/cell", func(t *testing.T, path string) {
-		ben := &bench{now: epoch}
+		scr := &scriptedCell{now: epoch}
 		datadriven.RunTest(t, path, func(t *testing.T, dat *datadriven.TestData) string {
-			return ben.run(t, dat)
+			return scr.run(t, dat)
 		})
 	})
 }
 
-func (ben *bench) run(t *testing.T, dat *datadriven.TestData) string {
+func (scr *scriptedCell) run(t *testing.T, dat *datadriven.TestData) string {
 	switch dat.Cmd {
 	case "engines":
-		return ben.engines(dat)
+		return scr.engines(dat)
 	case "limits":
-		lim := Limits{MaxOutstanding: number(dat, "outstanding", 0), MaxWaiting: number(dat, "waiting", 0), LongShare: float64(number(dat, "long-percent", 0)) / 100}
-		return ben.next(lim)
+		limit := Limits{MaxOutstanding: intArg(dat, "outstanding", 0), MaxWaiting: intArg(dat, "waiting", 0), LongShare: float64(intArg(dat, "long-percent", 0)) / 100}
+		return scr.next(limit)
 	case "ask":
-		return ben.ask(dat)
+		return scr.submit(dat)
 	case "prefilled":
-		return ben.each(dat, func(id string) Event { return Prefilled{id} })
+		return scr.eachID(dat, func(id string) Event { return Prefilled{id} })
 	case "release":
-		return ben.each(dat, func(id string) Event { return Release{id} })
+		return scr.eachID(dat, func(id string) Event { return Release{id} })
 	case "move":
-		return ben.each(dat, func(id string) Event { return Move{id} })
+		return scr.eachID(dat, func(id string) Event { return Move{id} })
 	case "moved":
-		return ben.each(dat, func(id string) Event { return Moved{id} })
+		return scr.eachID(dat, func(id string) Event { return Moved{id} })
 	case "stayed":
-		return ben.each(dat, func(id string) Event { return Stayed{id} })
+		return scr.eachID(dat, func(id string) Event { return Stayed{id} })
 	case "cancel":
-		return ben.each(dat, func(id string) Event { return Cancel{id} })
+		return scr.eachID(dat, func(id string) Event { return Cancel{id} })
 	case "report":
-		return ben.report(dat)
+		return scr.report(dat)
 	case "unreachable":
-		return ben.next(Unreachable{word(dat, "engine", "e0")})
+		return scr.next(Unreachable{stringArg(dat, "engine", "e0")})
 	case "owner-gone":
-		return ben.next(OwnerRemoved{Host: word(dat, "host", "h"), Incarnation: uint64(number(dat, "inc", 1))})
+		return scr.next(OwnerRemoved{Host: stringArg(dat, "host", "h"), Incarnation: uint64(intArg(dat, "inc", 1))})
 	case "wait":
-		ben.now = ben.now.Add(time.Duration(number(dat, "ms", 0)) * time.Millisecond)
-		return ben.next(Tick{})
+		scr.now = scr.now.Add(time.Duration(intArg(dat, "ms", 0)) * time.Millisecond)
+		return scr.next(Tick{})
 	case "state":
-		return ben.state()
+		return scr.state()
 	default:
 		require.Failf(t, "unknown command", dat.Cmd)
 		return ""
 	}
 }
 
-func number(dat *datadriven.TestData, key string, def int) int {
-	for _, txt := range words(dat, key) {
-		_, _ = fmt.Sscan(txt, &def)
+func intArg(dat *datadriven.TestData, key string, def int) int {
+	for _, text := range stringArgs(dat, key) {
+		_, _ = fmt.Sscan(text, &def)
 	}
 	return def
 }
 
-func word(dat *datadriven.TestData, key, def string) string {
-	for _, txt := range words(dat, key) {
-		return txt
+func stringArg(dat *datadriven.TestData, key, def string) string {
+	for _, text := range stringArgs(dat, key) {
+		return text
 	}
 	return def
 }
 
-func words(dat *datadriven.TestData, key string) []string {
+func stringArgs(dat *datadriven.TestData, key string) []string {
 	for _, arg := range dat.CmdArgs {
 		if arg.Key == key {
 			return arg.Vals
@@ -92,75 +92,75 @@
 	return nil
 }
 
-// engines lists a number of engines and lets each report.
-func (ben *bench) engines(dat *datadriven.TestData) string {
+// engines lists a number of engines and sends a report of each.
+func (scr *scriptedCell) engines(dat *datadriven.TestData) string {
 	var lis Listing
-	for ind := range number(dat, "count", 1) {
-		id := fmt.Sprintf("e%d", ind)
-		lis.Engines = append(lis.Engines, placer.Endpoint{ID: id, Address: id, Models: []string{"m"}, Leaving: word(dat, "leaving", "") == id})
+	for i := range intArg(dat, "count", 1) {
+		id := fmt.Sprintf("e%d", i)
+		lis.Engines = append(lis.Engines, placer.Endpoint{ID: id, Address: id, Models: []string{"m"}, Leaving: stringArg(dat, "leaving", "") == id})
 	}
-	out := ben.next(lis)
+	out := scr.next(lis)
 	for _, end := range lis.Engines {
-		if word(dat, "silent", "") != "all" {
-			out += ben.next(Report{end.ID, load(dat)})
+		if stringArg(dat, "silent", "") != "all" {
+			out += scr.next(Report{end.ID, load(dat)})
 		}
 	}
-	return clean(out)
+	return normalize(out)
 }
 
 func load(dat *datadriven.TestData) invoker.Load {
-	return invoker.Load{MemoryTokens: int64(number(dat, "memory", 400_000)), PrefillRate: 200_000, StepMs: 10}
+	return invoker.Load{MemoryTokens: int64(intArg(dat, "memory", 400_000)), PrefillRate: 200_000, StepMs: 10}
 }
 
-// report repeats the report of engines, with the sequences that they hold.
-func (ben *bench) report(dat *datadriven.TestData) string {
+// report sends reports of engines with the given sequences.
+func (scr *scriptedCell) report(dat *datadriven.TestData) string {
 	out := ""
 	loa := load(dat)
-	for _, txt := range strings.Fields(dat.Input) {
-		nam, tok, _ := strings.Cut(txt, "=")
-		seq := invoker.Sequence{RequestID: nam}
-		_, _ = fmt.Sscan(tok, &seq.Tokens)
+	for _, text := range strings.Fields(dat.Input) {
+		name, tokens, _ := strings.Cut(text, "=")
+		seq := invoker.Sequence{RequestID: name}
+		_, _ = fmt.Sscan(tokens, &seq.Tokens)
 		loa.Sequences = append(loa.Sequences, seq)
 		loa.Running++
 	}
-	loa.QueuedPromptTokens = int64(number(dat, "queued", 0))
-	for _, eng := range ben.cel.engines {
-		if id := word(dat, "engine", eng.id); id == eng.id {
-			out += ben.next(Report{eng.id, loa})
+	loa.QueuedPromptTokens = int64(intArg(dat, "queued", 0))
+	for _, eng := range scr.cell.engines {
+		if id := stringArg(dat, "engine", eng.id); id == eng.id {
+			out += scr.next(Report{eng.id, loa})
 		}
 	}
-	return clean(out)
+	return normalize(out)
 }
 
-func (ben *bench) ask(dat *datadriven.TestData) string {
+func (scr *scriptedCell) submit(dat *datadriven.TestData) string {
 	out := ""
-	for _, id := range words(dat, "ids") {
-		out += ben.next(Request{ID: id, Host: word(dat, "host", "h"), Incarnation: 1, Request: placer.Request{
-			ID: "r-" + id, Team: word(dat, "team", "t"), Share: float64(number(dat, "share", 1)), Model: word(dat, "model", "m"),
-			PromptTokens: int64(number(dat, "prompt", 1000)), MaxTokens: int64(number(dat, "answer", 10)), Priority: number(dat, "priority", 0),
-			Deadline: ben.now.Add(time.Duration(number(dat, "limit", 30_000)) * time.Millisecond), Excluded: words(dat, "excluded"),
-			Prefix: blocks(id, number(dat, "prompt", 1000)),
+	for _, id := range stringArgs(dat, "ids") {
+		out += scr.next(Request{ID: id, Host: stringArg(dat, "host", "h"), Incarnation: 1, Request: placer.Request{
+			ID: "r-" + id, Team: stringArg(dat, "team", "t"), Share: float64(intArg(dat, "share", 1)), Model: stringArg(dat, "model", "m"),
+			PromptTokens: int64(intArg(dat, "prompt", 1000)), MaxTokens: int64(intArg(dat, "answer", 10)), Priority: intArg(dat, "priority", 0),
+			Deadline: scr.now.Add(time.Duration(intArg(dat, "limit", 30_000)) * time.Millisecond), Excluded: stringArgs(dat, "excluded"),
+			Prefix: blocks(id, intArg(dat, "prompt", 1000)),
 		}})
 	}
-	return clean(out)
+	return normalize(out)
 }
 
-// blocks returns the whole blocks of a prompt that shares none.
+// blocks returns the complete blocks of a prompt that shares none with others.
 func blocks(id string, tokens int) []uint64 {
 	return hasher.Blocks(strings.Repeat(id, tokens*hasher.BytesPerToken/len(id)))
 }
 
-func (ben *bench) each(dat *datadriven.TestData, eve func(id string) Event) string {
+func (scr *scriptedCell) eachID(dat *datadriven.TestData, eve func(id string) Event) string {
 	out := ""
 	for _, id := range strings.Fields(dat.Input) {
-		out += ben.next(eve(id))
+		out += scr.next(eve(id))
 	}
-	return clean(out)
+	return normalize(out)
 }
 
-func (ben *bench) next(eve Event) string {
+func (scr *scriptedCell) next(eve Event) string {
 	out := ""
-	for _, act := range ben.cel.Next(eve, ben.now) {
+	for _, act := range scr.cell.Next(eve, scr.now) {
 		switch act := act.(type) {
 		case Grant:
 			out += fmt.Sprintf("grant %s %s\n", act.ID, act.Endpoint)
@@ -178,18 +178,18 @@
 			out += fmt.Sprintf("refuse %s %s after %s\n", act.ID, act.Code, act.RetryAfter.Round(time.Second))
 		}
 	}
-	return clean(out)
+	return normalize(out)
 }
 
-func (ben *bench) state() string {
-	out := fmt.Sprintf("waiting %d granted %d promise %t\n", ben.cel.Waiting(), ben.cel.Granted(), ben.cel.promise != nil)
-	for _, eng := range ben.cel.engines {
+func (scr *scriptedCell) state() string {
+	out := fmt.Sprintf("waiting %d granted %d promise %t\n", scr.cell.Waiting(), scr.cell.Granted(), scr.cell.promise != nil)
+	for _, eng := range scr.cell.engines {
 		out += fmt.Sprintf("%s used %d running %d foreign %d\n", eng.id, eng.used, eng.running, eng.foreign)
 	}
 	return out
 }
 
-func clean(out string) string {
+func normalize(out string) string {
 	if out = strings.ReplaceAll(out, "-\n", ""); out == "" {
 		return "-\n"
 	}
--- a/process/scheduler/dispatcher.go
+++ b/process/scheduler/dispatcher.go
@@ -9,42 +9,45 @@
 	"hemlockpin/request/placer"
 )
 
-// lookahead bounds the asks that one pass tries after the first that must wait.
+// lookahead is the number of teams whose first request has to wait after which a
+// pass over a class ends.
 const lookahead = 8
 
-// promiseLife is the time for which a promise lasts. An ask whose memory has
-// not become free by then lets others go first for as long.
-const promiseLife = 10 * time.Second
+// promiseTimeout is the lifetime of a promise. A request whose memory has not
+// become free by then gets no other promise for the same time, so that others can
+// be granted.
+const promiseTimeout = 10 * time.Second
 
-// shortFill is the part of an engine's memory that short prompts may use beside
-// a promise.
-const shortFill = 0.2
+// shortShareBesidePromise is the share of an engine's memory that short prompts
+// may use in spite of a promise.
+const shortShareBesidePromise = 0.2
 
-// verdict is the outcome of an attempt to grant an ask.
-type verdict int
+// outcome is the result of an attempt to grant a request.
+type outcome int
 
 const (
-	granted verdict = iota
-	// mustWait is for an engine with less work.
+	granted outcome = iota
+	// mustWait means that no engine can start the request now.
 	mustWait
-	// lacksMemory would be granted if memory were free.
+	// lacksMemory means that only free memory is missing.
 	lacksMemory
-	// noEngine is for an ask that no engine of the cell takes any more.
+	// noEngine means that no engine of the cell can serve the request any more.
 	noEngine
 )
 
-// promise keeps memory on some engines free for one ask, so that it is not
-// overtaken for ever by smaller ones. There is one at a time, so promises
-// cannot block each other. Other asks still use what is not promised.
+// promise keeps memory on some engines free for one request, so that smaller
+// requests do not starve it. A cell has at most one promise, so promises cannot
+// block each other. Other requests still use the memory that is not promised.
 type promise struct {
-	ask *ask
-	// until bounds the time for which the ask may hold others up.
+	entry *entry
+	// until bounds the time for which the promise may delay other requests.
 	until  time.Time
 	shares map[*engine]int64
 }
 
-// dispatch grants what can be granted, short prompts first: these never wait
-// for a long one's engine, and long ones have a share of their own.
+// dispatch grants all requests that can be granted. Short prompts come first:
+// they do not wait for engines that are busy with long prompts, and long prompts
+// have a share of the engines of their own.
 func (cel *Cell) dispatch(now time.Time) {
 	if cel.queue.count == 0 {
 		return
@@ -52,306 +55,315 @@
 	for _, eng := range cel.engines {
 		eng.advance(now)
 		if !eng.live(now) {
-			cel.unpromiseOn(eng)
+			cel.cancelPromiseOn(eng)
 		}
 	}
 	if cel.promise != nil && !now.Before(cel.promise.until) {
-		cel.promise.ask.patient = now.Add(promiseLife)
-		cel.unpromise()
+		cel.promise.entry.promiseAfter = now.Add(promiseTimeout)
+		cel.cancelPromise()
 	}
-	cel.pass(classShort, now)
-	cel.pass(classGroup, now)
-	cel.pass(classLong, now)
+	cel.dispatchClass(classShort, now)
+	cel.dispatchClass(classGroup, now)
+	cel.dispatchClass(classLong, now)
 }
 
-func (cel *Cell) pass(cla class, now time.Time) {
-	var over []*team
-	for len(over) < lookahead {
-		tea := cel.queue.next(cla, over)
+func (cel *Cell) dispatchClass(cla class, now time.Time) {
+	var skipped []*team
+	for len(skipped) < lookahead {
+		tea := cel.queue.nextTeam(cla, skipped)
 		if tea == nil {
 			return
 		}
-		one := tea.heaps[cla][0]
-		if cel.expired(one, now) {
+		ent := tea.heaps[cla][0]
+		if cel.refuseIfExpired(ent, now) {
 			continue
 		}
-		switch cel.try(one, now) {
+		switch cel.tryGrant(ent, now) {
 		case granted:
 		case noEngine:
-			cel.drop(one)
-			cel.refuse(one.id, CodeNoEndpoint, "no engine of the pool can take the request", minRetryAfter)
+			cel.dequeue(ent)
+			cel.refuse(ent.id, CodeNoEndpoint, "no engine of the pool can take the request", minRetryAfter)
 		case lacksMemory:
 			if cla != classShort {
-				cel.keepFree(one, now)
+				cel.promiseMemory(ent, now)
 			}
-			over = append(over, tea)
+			skipped = append(skipped, tea)
 		default:
-			over = append(over, tea)
+			skipped = append(skipped, tea)
 		}
 	}
 }
 
-func (cel *Cell) try(one *ask, now time.Time) verdict {
-	if one.long && !cel.longAllowed(one, now) {
+func (cel *Cell) tryGrant(ent *entry, now time.Time) outcome {
+	if ent.long && !cel.longAllowed(ent, now) {
 		return mustWait
 	}
-	if one.group {
-		return cel.tryGroup(one, now)
+	if ent.group {
+		return cel.tryGroup(ent, now)
 	}
-	return cel.tryOne(one, now)
+	return cel.trySingle(ent, now)
 }
 
-// longAllowed counts the engines that prefill long prompts. An ask with a
-// promise takes the first place that becomes free.
-func (cel *Cell) longAllowed(one *ask, now time.Time) bool {
-	lim := cel.longLimit(now)
+// longAllowed reports whether another engine may prefill a long prompt. While
+// another request has a promise, one engine of the limit is kept for that request.
+func (cel *Cell) longAllowed(ent *entry, now time.Time) bool {
+	limit := cel.longLimit(now)
 	for _, eng := range cel.engines {
-		if eng.longBusy() {
-			lim--
+		if eng.busyWithLong() {
+			limit--
 		}
 	}
-	if cel.promise != nil && cel.promise.ask != one {
-		lim--
+	if cel.promise != nil && cel.promise.entry != ent {
+		limit--
 	}
-	return lim > 0
+	return limit > 0
 }
 
-func (cel *Cell) tryOne(one *ask, now time.Time) verdict {
-	var bes *engine
-	var est time.Duration
-	ver := noEngine
-	spa := one.long && cel.sparesDecoders(one, now)
+func (cel *Cell) trySingle(ent *entry, now time.Time) outcome {
+	var best *engine
+	var estimate time.Duration
+	result := noEngine
+	avoidDecoders := ent.long && cel.canAvoidDecoders(ent, now)
 	for _, eng := range cel.engines {
-		if !one.takes(eng) {
+		if !ent.canServe(eng) {
 			continue
 		}
-		if spa && eng.decoder {
-			ver = worse(ver, mustWait)
+		if avoidDecoders && eng.decoder {
+			result = worse(result, mustWait)
 			continue
 		}
-		if fit := cel.fits(one, eng, one.req.Need(), now); fit != granted {
-			ver = worse(ver, fit)
+		if fit := cel.fits(ent, eng, ent.req.Need(), now); fit != granted {
+			result = worse(result, fit)
 			continue
 		}
-		if oth := eng.estimate(one, int(one.cached[eng.slot])) + cel.detour(one, eng); bes == nil || oth < est {
-			bes, est = eng, oth
+		if candidate := eng.timeToFirstToken(ent, int(ent.cachedBlocks[eng.slot])) + cel.placementPenalty(ent, eng); best == nil || candidate < estimate {
+			best, estimate = eng, candidate
 		}
 	}
-	if bes == nil {
-		return ver
+	if best == nil {
+		return result
 	}
-	own := max(1, one.req.PromptTokens-int64(one.cached[bes.slot])*hasher.BlockTokens)
-	cel.grant(one, []*part{{eng: bes, memory: one.req.Need(), left: own}}, now)
+	uncached := max(1, ent.req.PromptTokens-int64(ent.cachedBlocks[best.slot])*hasher.BlockTokens)
+	cel.grant(ent, []*part{{engine: best, memory: ent.req.Need(), prefillLeft: uncached}}, now)
 	return granted
 }
 
-// worse prefers the wait for memory, because it may call for a promise.
-func worse(one, two verdict) verdict {
-	if one == lacksMemory || two == lacksMemory {
+// worse combines the outcomes of two engines that cannot serve a request now.
+// lacksMemory has precedence, because it may lead to a promise.
+func worse(first, second outcome) outcome {
+	if first == lacksMemory || second == lacksMemory {
 		return lacksMemory
 	}
 	return mustWait
 }
 
-// fits reports whether an engine can start an ask now that takes the memory.
-func (cel *Cell) fits(one *ask, eng *engine, memory int64, now time.Time) verdict {
+// fits returns granted if an engine can start a request now that takes the memory,
+// else mustWait or lacksMemory.
+func (cel *Cell) fits(ent *entry, eng *engine, memory int64, now time.Time) outcome {
 	if !eng.live(now) {
 		return mustWait
 	}
-	oth := cel.othersShare(one, eng)
-	if one.long && (oth > 0 || eng.longBusy()) {
+	promised := cel.promisedToOthers(ent, eng)
+	if ent.long && (promised > 0 || eng.busyWithLong()) {
 		return mustWait
 	}
-	if lim := cel.limits.MaxOutstanding; lim > 0 && eng.running >= lim {
+	if limit := cel.limits.MaxOutstanding; limit > 0 && eng.running >= limit {
 		return mustWait
 	}
-	if eng.prefillTime(eng.ahead(one.req.Priority)) > backlogWindow {
+	if eng.prefillTime(eng.tokensAhead(ent.req.Priority)) > backlogWindow {
 		return mustWait
 	}
-	if eng.free()-oth >= memory || oth > 0 && eng.letsThrough(oth, memory) {
+	if eng.freeMemory()-promised >= memory || promised > 0 && eng.fitsBesidePromise(promised, memory) {
 		return granted
 	}
 	return lacksMemory
 }
 
-// letsThrough gives a short prompt memory that is promised to another ask, out
-// of the part of the engine that no promise of a group takes.
-func (eng *engine) letsThrough(promised, memory int64) bool {
-	sho := int64(shortFill * float64(eng.memory))
-	return promised <= eng.memory-sho && eng.shortUsed+memory <= sho && eng.free() >= memory
+// fitsBesidePromise reports whether a short prompt may use memory that is promised
+// to another request. It may if the promise leaves shortShareBesidePromise of the
+// engine's total memory, and short prompts together do not exceed that share.
+func (eng *engine) fitsBesidePromise(promised, memory int64) bool {
+	limit := int64(shortShareBesidePromise * float64(eng.memory))
+	return promised <= eng.memory-limit && eng.shortUsed+memory <= limit && eng.freeMemory() >= memory
 }
 
-// othersShare is the memory of an engine promised to another ask.
-func (cel *Cell) othersShare(one *ask, eng *engine) int64 {
-	if cel.promise == nil || cel.promise.ask == one {
+// promisedToOthers returns the memory of an engine that is promised to another
+// request.
+func (cel *Cell) promisedToOthers(ent *entry, eng *engine) int64 {
+	if cel.promise == nil || cel.promise.entry == ent {
 		return 0
 	}
 	return cel.promise.shares[eng]
 }
 
-// takes reports whether an engine can serve the ask at all.
-func (one *ask) takes(eng *engine) bool {
-	if eng.gone() || slices.Contains(one.req.Excluded, eng.id) {
+// canServe reports whether an engine is not leaving, is not excluded by the
+// request and has its model.
+func (ent *entry) canServe(eng *engine) bool {
+	if eng.isLeaving() || slices.Contains(ent.req.Excluded, eng.id) {
 		return false
 	}
-	return one.req.Model == "" || slices.Contains(eng.models, one.req.Model)
+	return ent.req.Model == "" || slices.Contains(eng.models, ent.req.Model)
 }
 
-// tryGroup grants memory on several engines or on none.
-func (cel *Cell) tryGroup(one *ask, now time.Time) verdict {
-	shas, all := cel.groupShares(one, now)
-	if shas == nil {
-		if all < one.req.Need() {
+// tryGroup grants memory on several engines or on none. The lead engine, on which
+// the cell accounts for the prefill, is the one with the least work ahead,
+// preferably not a decoder.
+func (cel *Cell) tryGroup(ent *entry, now time.Time) outcome {
+	shares, all := cel.groupShares(ent, now)
+	if shares == nil {
+		if all < ent.req.Need() {
 			return noEngine
 		}
 		return mustWait
 	}
-	var lea *engine
-	for _, sha := range shas {
-		if sha.eng.free() < sha.tokens {
+	var lead *engine
+	for _, share := range shares {
+		if share.engine.freeMemory() < share.tokens {
 			return lacksMemory
 		}
-		if cel.fits(one, sha.eng, sha.tokens, now) != granted {
+		if cel.fits(ent, share.engine, share.tokens, now) != granted {
 			continue
 		}
-		if lea == nil || lea.decoder && !sha.eng.decoder || lea.decoder == sha.eng.decoder && sha.eng.ahead(one.req.Priority) < lea.ahead(one.req.Priority) {
-			lea = sha.eng
+		if lead == nil || lead.decoder && !share.engine.decoder || lead.decoder == share.engine.decoder && share.engine.tokensAhead(ent.req.Priority) < lead.tokensAhead(ent.req.Priority) {
+			lead = share.engine
 		}
 	}
-	if lea == nil {
+	if lead == nil {
 		return mustWait
 	}
-	var pars []*part
-	for _, sha := range shas {
-		par := &part{eng: sha.eng, memory: sha.tokens}
-		if sha.eng == lea {
-			par.left = max(1, one.req.PromptTokens/int64(len(shas)))
-			pars = append([]*part{par}, pars...)
+	var parts []*part
+	for _, share := range shares {
+		par := &part{engine: share.engine, memory: share.tokens}
+		if share.engine == lead {
+			par.prefillLeft = max(1, ent.req.PromptTokens/int64(len(shares)))
+			parts = append([]*part{par}, parts...)
 			continue
 		}
-		pars = append(pars, par)
+		parts = append(parts, par)
 	}
-	cel.grant(one, pars, now)
+	cel.grant(ent, parts, now)
 	return granted
 }
 
 type groupShare struct {
-	eng    *engine
+	engine *engine
 	tokens int64
 }
 
-// groupShares divides a prompt over the engines of its promise, or else over
-// those with the most free memory that are not promised to another ask. It also
-// returns the memory of all engines that the ask could have.
-func (cel *Cell) groupShares(one *ask, now time.Time) (shas []groupShare, all int64) {
-	var engs []*engine
+// groupShares divides a request over the engines of its promise, or without one
+// over those with the most free memory that are not promised to another request.
+// It also returns the total memory of all live engines that can serve the request.
+func (cel *Cell) groupShares(ent *entry, now time.Time) (shares []groupShare, all int64) {
+	var engines []*engine
 	for _, eng := range cel.engines {
-		if !one.takes(eng) || !eng.live(now) {
+		if !ent.canServe(eng) || !eng.live(now) {
 			continue
 		}
 		all += eng.memory
-		if cel.othersShare(one, eng) == 0 {
-			engs = append(engs, eng)
+		if cel.promisedToOthers(ent, eng) == 0 {
+			engines = append(engines, eng)
 		}
 	}
 	pro := cel.promise
-	slices.SortStableFunc(engs, func(a, b *engine) int {
-		if pro != nil && pro.ask == one && (pro.shares[a] > 0) != (pro.shares[b] > 0) {
+	slices.SortStableFunc(engines, func(a, b *engine) int {
+		if pro != nil && pro.entry == ent && (pro.shares[a] > 0) != (pro.shares[b] > 0) {
 			return cmp.Compare(pro.shares[b], pro.shares[a])
 		}
-		return cmp.Compare(b.free(), a.free())
+		return cmp.Compare(b.freeMemory(), a.freeMemory())
 	})
-	if pro == nil || pro.ask != one {
-		cel.leadFirst(one, engs, now)
+	if pro == nil || pro.entry != ent {
+		cel.moveLeadFirst(ent, engines, now)
 	}
-	mems := make([]int64, len(engs))
-	for ind, eng := range engs {
-		mems[ind] = max(0, eng.memory-eng.foreign)
+	memory := make([]int64, len(engines))
+	for i, eng := range engines {
+		memory[i] = max(0, eng.memory-eng.foreign)
 	}
-	for ind, tok := range placer.Split(one.req.Need(), mems) {
-		shas = append(shas, groupShare{engs[ind], tok})
+	for i, tokens := range placer.Split(ent.req.Need(), memory) {
+		shares = append(shares, groupShare{engines[i], tokens})
 	}
-	return shas, all
+	return shares, all
 }
 
-// leadFirst moves the first engine that can start the prompt to the front, if
-// its memory suffices for a share of any size.
-func (cel *Cell) leadFirst(one *ask, engs []*engine, now time.Time) {
-	for ind, eng := range engs {
-		if !eng.decoder && float64(eng.free()) >= placer.GroupFill*float64(eng.memory) && cel.fits(one, eng, 0, now) == granted {
-			copy(engs[1:ind+1], engs[:ind])
-			engs[0] = eng
+// moveLeadFirst moves to the front the first engine that can start the prefill
+// now and has enough free memory for the largest share, so that the group
+// includes it.
+func (cel *Cell) moveLeadFirst(ent *entry, engines []*engine, now time.Time) {
+	for i, eng := range engines {
+		if !eng.decoder && float64(eng.freeMemory()) >= placer.GroupFill*float64(eng.memory) && cel.fits(ent, eng, 0, now) == granted {
+			copy(engines[1:i+1], engines[:i])
+			engines[0] = eng
 			return
 		}
 	}
 }
 
-// keepFree promises memory to an ask, unless another one has a promise.
-func (cel *Cell) keepFree(one *ask, now time.Time) {
-	if cel.promise != nil || now.Before(one.patient) {
+// promiseMemory promises memory to a request, unless a promise exists or the
+// request had one that expired recently.
+func (cel *Cell) promiseMemory(ent *entry, now time.Time) {
+	if cel.promise != nil || now.Before(ent.promiseAfter) {
 		return
 	}
-	pro := &promise{ask: one, until: now.Add(promiseLife), shares: map[*engine]int64{}}
-	if one.group {
-		shas, _ := cel.groupShares(one, now)
-		for _, sha := range shas {
-			pro.shares[sha.eng] = sha.tokens
+	pro := &promise{entry: ent, until: now.Add(promiseTimeout), shares: map[*engine]int64{}}
+	if ent.group {
+		shares, _ := cel.groupShares(ent, now)
+		for _, share := range shares {
+			pro.shares[share.engine] = share.tokens
 		}
-	} else if eng := cel.mostFree(one, now); eng != nil {
-		pro.shares[eng] = one.req.Need()
+	} else if eng := cel.engineWithMostFree(ent, now); eng != nil {
+		pro.shares[eng] = ent.req.Need()
 	}
 	if len(pro.shares) > 0 {
 		cel.promise = pro
 	}
 }
 
-func (cel *Cell) mostFree(one *ask, now time.Time) *engine {
-	var bes *engine
+func (cel *Cell) engineWithMostFree(ent *entry, now time.Time) *engine {
+	var best *engine
 	for _, eng := range cel.engines {
-		if !one.takes(eng) || !eng.live(now) || eng.memory-eng.foreign < one.req.Need() {
+		if !ent.canServe(eng) || !eng.live(now) || eng.memory-eng.foreign < ent.req.Need() {
 			continue
 		}
-		if bes == nil || eng.free() > bes.free() {
-			bes = eng
+		if best == nil || eng.freeMemory() > best.freeMemory() {
+			best = eng
 		}
 	}
-	return bes
+	return best
 }
 
-func (cel *Cell) unpromise() { cel.promise = nil }
+func (cel *Cell) cancelPromise() { cel.promise = nil }
 
-// unpromiseOn gives up a promise that counts on an engine.
-func (cel *Cell) unpromiseOn(eng *engine) {
+// cancelPromiseOn cancels a promise that includes memory on the engine.
+func (cel *Cell) cancelPromiseOn(eng *engine) {
 	if cel.promise != nil && cel.promise.shares[eng] > 0 {
-		cel.unpromise()
+		cel.cancelPromise()
 	}
 }
 
-func (cel *Cell) grant(one *ask, pars []*part, now time.Time) {
-	cel.drop(one)
-	cel.queue.charge(one)
-	gra := &grant{ask: one, parts: pars, expires: one.req.Deadline.Add(grantGrace)}
-	for _, par := range pars {
-		par.gra = gra
-		par.since = now
-		par.eng.add(par)
-		cel.makeCacheRoom(par.eng)
-	}
-	cel.grants[one.id] = gra
-	cel.requests[one.req.ID]++
-	delete(cel.released, one.req.ID)
-	cel.answer(gra)
+func (cel *Cell) grant(ent *entry, parts []*part, now time.Time) {
+	cel.dequeue(ent)
+	cel.queue.charge(ent)
+	gra := &grant{entry: ent, parts: parts, expires: ent.req.Deadline.Add(grantGrace)}
+	for _, par := range parts {
+		par.grant = gra
+		par.grantedAt = now
+		par.engine.addPart(par)
+		cel.trimCache(par.engine)
+	}
+	cel.grants[ent.id] = gra
+	cel.grantsByRequest[ent.req.ID]++
+	delete(cel.releasedAt, ent.req.ID)
+	cel.emitGrant(gra)
 }
 
-func (cel *Cell) answer(gra *grant) {
-	lea := gra.parts[0].eng
+func (cel *Cell) emitGrant(gra *grant) {
+	lead := gra.parts[0].engine
 	if len(gra.parts) == 1 {
-		cel.actions = append(cel.actions, Grant{ID: gra.ask.id, Endpoint: lea.id, Address: lea.address})
+		cel.actions = append(cel.actions, Grant{ID: gra.entry.id, Endpoint: lead.id, Address: lead.address})
 		return
 	}
-	var pars []placer.Part
+	var parts []placer.Part
 	for _, par := range gra.parts {
-		pars = append(pars, placer.Part{Endpoint: par.eng.id, Address: par.eng.address, Tokens: par.memory})
+		parts = append(parts, placer.Part{Endpoint: par.engine.id, Address: par.engine.address, Tokens: par.memory})
 	}
-	cel.actions = append(cel.actions, GrantGroup{ID: gra.ask.id, Parts: pars})
+	cel.actions = append(cel.actions, GrantGroup{ID: gra.entry.id, Parts: parts})
 }
--- a/process/scheduler/engine.go
+++ b/process/scheduler/engine.go
@@ -9,125 +9,135 @@
 )
 
 const (
-	// chunkTime is what an engine may spend on a prompt of lower priority before
-	// it turns to one of higher priority.
+	// chunkTime is the duration of a prefill chunk. An engine finishes the chunk
+	// of a prompt of lower priority before it starts one of higher priority.
 	chunkTime = 20 * time.Millisecond
-	// backlogWindow is the prefill work that a cell keeps on an engine. More
-	// would wait in the engine's queue, where it can't be put in order anew.
+	// backlogWindow is the prefill work up to which an engine gets further
+	// prompts. More would wait in the engine's own queue, where the cell can't
+	// reorder it.
 	backlogWindow = 15 * time.Millisecond
-	// overdueFactor and overdueGrace give the time after which the notice of a
-	// first token counts as lost, from the expected time.
+	// The notice of a first token counts as lost after overdueFactor times the
+	// expected time to the first token, plus overdueGrace.
 	overdueFactor = 2
 	overdueGrace  = 200 * time.Millisecond
-	// reportTimeout is the age at which an engine without a new load report
-	// gets no more grants.
+	// reportTimeout is the age of its last load report at which an engine gets no
+	// more grants.
 	reportTimeout = 20 * time.Second
-	// releasedGrace is the time for which load reports may still list a
-	// request that has ended.
+	// releasedGrace is the time for which load reports may still list a request
+	// that has ended. Until then, its memory is not counted as foreign.
 	releasedGrace = time.Second
-	// missingGrace is the time after a grant from which a report that does not
-	// list its request shows that it has ended.
+	// missingGrace is the time after a grant before which a report need not list
+	// its request yet. Afterwards, a missing request counts as ended.
 	missingGrace = 5 * time.Second
-	// runningPenalty makes an engine with fewer sequences preferred.
+	// runningPenalty is added to an engine's estimate for each running sequence,
+	// so that engines with fewer sequences are preferred.
 	runningPenalty = time.Millisecond
-	// assumedPrefillRate stands in for a report without one, in tokens a second.
+	// assumedPrefillRate is used if an engine reports no prefill rate, in tokens a
+	// second.
 	assumedPrefillRate = 100_000
 )
 
-// engine is the account of one engine of the cell.
+// engine is the cell's model of one engine: what the engine last reported and
+// what the cell has granted on it.
 type engine struct {
 	id      string
 	address string
 	slot    int
 	models  []string
-	// listedLeaving and leaving come from the list and from the engine itself.
+	// listedLeaving says that the engine is listed as leaving or no longer listed,
+	// leaving that its own report says so.
 	listedLeaving bool
 	leaving       bool
 	incarnation   uint64
-	// lost says that the last read of a report failed; doubted says that a
-	// prompt has left the engine before its first token since the last report.
-	lost    bool
-	doubted bool
+	// unreachable says that the last read of a report failed; suspected says that
+	// since the last report a request has ended before its first token.
+	unreachable bool
+	suspected   bool
 
-	memory     int64
-	rate       float64
-	step       time.Duration
-	reportedAt time.Time
-	// foreign is memory that other schedulers and hosts use.
-	foreign       int64
-	foreignQueued int64
+	memory       int64
+	reportedRate float64
+	stepTime     time.Duration
+	reportedAt   time.Time
+	// foreign is the memory, in tokens, used by requests that this cell has not
+	// granted. foreignPrefill is the estimate of their queued prompt tokens.
+	foreign        int64
+	foreignPrefill int64
 
-	// used, running and prefills account for the cell's own grants. The
-	// prefills are in the order in which the engine takes them.
+	// used, running and prefills are the memory, the number and the unfinished
+	// prefills of the cell's own grants. The prefills are in the order in which
+	// the engine runs them.
 	used int64
-	// shared is the part of used that is cached blocks of prefilled prompts.
+	// shared is the part of used that holds cached blocks of prefilled prompts.
 	shared int64
-	// shortUsed is the part of used that short prompts have.
-	shortUsed int64
-	running   int
-	prefills  []*part
-	advanced  time.Time
-	// decoder engines take answers that move; moves counts those on their way.
-	decoder bool
-	moves   int
+	// shortUsed is the part of used that belongs to short prompts.
+	shortUsed  int64
+	running    int
+	prefills   []*part
+	advancedAt time.Time
+	// decoder says that the engine is dedicated to answers that move;
+	// incomingMoves counts the unfinished moves to it.
+	decoder       bool
+	incomingMoves int
 }
 
-// part is the share of one engine in a grant.
+// part is what a grant takes of one engine.
 type part struct {
-	gra    *grant
-	eng    *engine
+	grant  *grant
+	engine *engine
 	memory int64
-	// shared is the part of memory that the engine shares with later prompts.
+	// shared is the part of memory that holds cached blocks, which later prompts
+	// can use.
 	shared int64
-	// left counts the prompt tokens that the engine still has to prefill. It
-	// is estimated from the rate and stays at 1 until the first token arrives.
-	left int64
-	// overdue is when the first token should long have arrived, so that its
-	// notice may be lost.
+	// prefillLeft is the number of prompt tokens still to prefill. It is estimated
+	// from the rate and stays at 1 until the first token is reported.
+	prefillLeft int64
+	// overdue is the time after which the notice of the first token counts as
+	// lost.
 	overdue time.Time
-	// since is when the memory was granted, missing when a report first did
-	// not list the request.
-	since   time.Time
-	missing time.Time
+	// grantedAt is when the memory was granted, missingSince when a report first
+	// did not list the request.
+	grantedAt    time.Time
+	missingSince time.Time
 }
 
-// grant is an ask that has been granted.
+// grant is a request that has been granted.
 type grant struct {
-	ask       *ask
+	entry     *entry
 	parts     []*part
 	expires   time.Time
 	prefilled bool
-	// target is the memory on the engine that the request moves to, until the
-	// move is over; then answer says how a repeated Move is answered.
-	target *part
-	answer Action
+	// target is the memory on the engine that the request moves to, nil unless a
+	// move is under way. moveAnswer is the reply to the first Move, which a
+	// repeated one gets, too.
+	target     *part
+	moveAnswer Action
 }
 
-// give returns the memory of a part to its engine.
-func (par *part) give(now time.Time) {
-	par.eng.advance(now)
-	par.eng.remove(par)
+// release frees the memory of a part on its engine.
+func (par *part) release(now time.Time) {
+	par.engine.advance(now)
+	par.engine.removePart(par)
 }
 
-// lost notes whether the engine lists the request of a part, and reports
-// whether it has not done so for too long.
-func (par *part) lost(listed bool, now time.Time) bool {
+// requestLost records whether the engine's report lists the request of a part. It
+// reports whether the request has been missing for longer than releasedGrace.
+func (par *part) requestLost(listed bool, now time.Time) bool {
 	switch {
-	case listed || now.Sub(par.since) < missingGrace:
-		par.missing = time.Time{}
-	case par.missing.IsZero():
-		par.missing = now
+	case listed || now.Sub(par.grantedAt) < missingGrace:
+		par.missingSince = time.Time{}
+	case par.missingSince.IsZero():
+		par.missingSince = now
 	default:
-		return now.Sub(par.missing) >= releasedGrace
+		return now.Sub(par.missingSince) >= releasedGrace
 	}
 	return false
 }
 
 func (eng *engine) prefillRate() float64 {
-	if eng.rate <= 0 {
+	if eng.reportedRate <= 0 {
 		return assumedPrefillRate
 	}
-	return eng.rate
+	return eng.reportedRate
 }
 
 func (eng *engine) chunkTokens() int64 { return int64(eng.prefillRate() * chunkTime.Seconds()) }
@@ -136,23 +146,24 @@
 	return time.Duration(float64(tokens) / eng.prefillRate() * float64(time.Second))
 }
 
-// advance estimates the progress of the prefills since the last look.
+// advance estimates the progress of the prefills since the last call.
 func (eng *engine) advance(now time.Time) {
-	gap := now.Sub(eng.advanced)
+	gap := now.Sub(eng.advancedAt)
 	if gap <= 0 {
 		return
 	}
-	eng.advanced = now
-	bud := int64(gap.Seconds() * eng.prefillRate() * eng.efficiency())
-	eng.foreignQueued = max(0, eng.foreignQueued-bud)
+	eng.advancedAt = now
+	budget := int64(gap.Seconds() * eng.prefillRate() * eng.efficiency())
+	eng.foreignPrefill = max(0, eng.foreignPrefill-budget)
 	for _, par := range eng.prefills {
-		tak := min(bud, par.left-1)
-		par.left -= tak
-		bud -= tak
+		taken := min(budget, par.prefillLeft-1)
+		par.prefillLeft -= taken
+		budget -= taken
 	}
 }
 
-// efficiency is the part of the prefill rate that the engine reaches.
+// efficiency returns the share of the prefill rate that the engine reaches: all of
+// it while no sequence decodes.
 func (eng *engine) efficiency() float64 {
 	if eng.running == len(eng.prefills) {
 		return 1
@@ -160,100 +171,101 @@
 	return 1 / eng.slowdown()
 }
 
-// slowdown is the factor by which prefills take longer while the engine
-// decodes, as a step of decoding follows each chunk.
+// slowdown returns the factor by which prefills take longer while the engine
+// decodes, as it runs a decode step after each prefill chunk.
 func (eng *engine) slowdown() float64 {
-	return (chunkTime + eng.step).Seconds() / chunkTime.Seconds()
+	return (chunkTime + eng.stepTime).Seconds() / chunkTime.Seconds()
 }
 
-// ahead returns the prompt tokens that the engine prefills before a new prompt
-// of the priority.
-func (eng *engine) ahead(priority int) int64 {
+// tokensAhead returns the prompt tokens that the engine prefills before a new
+// prompt of the priority: those of the same or a higher priority, and at most one
+// chunk of a lower one.
+func (eng *engine) tokensAhead(priority int) int64 {
 	var same, lower int64
 	for _, par := range eng.prefills {
-		if par.gra.ask.req.Priority >= priority {
-			same += par.left
+		if par.grant.entry.req.Priority >= priority {
+			same += par.prefillLeft
 		} else {
-			lower += par.left
+			lower += par.prefillLeft
 		}
 	}
-	return same + min(lower, eng.chunkTokens()) + eng.foreignQueued
+	return same + min(lower, eng.chunkTokens()) + eng.foreignPrefill
 }
 
-// longBusy reports whether the engine prefills a long prompt that it does not
-// finish within the backlog window, so that another one would wait.
-func (eng *engine) longBusy() bool {
+// busyWithLong reports whether the engine prefills a long prompt that it does not
+// finish within backlogWindow, so that another long prompt would wait.
+func (eng *engine) busyWithLong() bool {
 	for _, par := range eng.prefills {
-		if par.gra.ask.long && eng.prefillTime(par.left) > backlogWindow {
+		if par.grant.entry.long && eng.prefillTime(par.prefillLeft) > backlogWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// sharesChunks reports whether the engine may still prefill a long prompt: its
-// first token has not been seen, nor is it overdue.
-func (eng *engine) sharesChunks() bool {
+// mayPrefillLong reports whether the engine may still prefill a long prompt: the
+// notice of its first token has not arrived and is not overdue.
+func (eng *engine) mayPrefillLong() bool {
 	for _, par := range eng.prefills {
-		if par.gra.ask.long && eng.advanced.Before(par.overdue) {
+		if par.grant.entry.long && eng.advancedAt.Before(par.overdue) {
 			return true
 		}
 	}
 	return false
 }
 
-func (eng *engine) gone() bool { return eng.leaving || eng.listedLeaving }
+func (eng *engine) isLeaving() bool { return eng.leaving || eng.listedLeaving }
 
-func (eng *engine) free() int64 { return eng.memory - eng.used - eng.foreign }
+func (eng *engine) freeMemory() int64 { return eng.memory - eng.used - eng.foreign }
 
 func (eng *engine) live(now time.Time) bool {
-	return !eng.gone() && !eng.lost && eng.memory > 0 && now.Sub(eng.reportedAt) <= reportTimeout
+	return !eng.isLeaving() && !eng.unreachable && eng.memory > 0 && now.Sub(eng.reportedAt) <= reportTimeout
 }
 
-// add accounts for a part of a grant.
-func (eng *engine) add(par *part) {
-	eng.account(par, par.memory)
+// addPart adds a part of a grant to the engine's model.
+func (eng *engine) addPart(par *part) {
+	eng.chargeMemory(par, par.memory)
 	eng.running++
-	if par.left <= 0 {
+	if par.prefillLeft <= 0 {
 		return
 	}
-	par.overdue = eng.advanced.Add(overdueFactor*eng.prefillTime(eng.ahead(par.gra.ask.req.Priority)+par.left) + overdueGrace)
+	par.overdue = eng.advancedAt.Add(overdueFactor*eng.prefillTime(eng.tokensAhead(par.grant.entry.req.Priority)+par.prefillLeft) + overdueGrace)
 	pos := len(eng.prefills)
-	for pos > 0 && eng.prefills[pos-1].gra.ask.req.Priority < par.gra.ask.req.Priority {
+	for pos > 0 && eng.prefills[pos-1].grant.entry.req.Priority < par.grant.entry.req.Priority {
 		pos--
 	}
 	eng.prefills = slices.Insert(eng.prefills, pos, par)
 }
 
-func (eng *engine) remove(par *part) {
-	eng.account(par, -par.memory)
+func (eng *engine) removePart(par *part) {
+	eng.chargeMemory(par, -par.memory)
 	eng.shared -= par.shared
 	par.shared = 0
 	eng.running--
-	eng.prefilled(par)
+	eng.finishPrefill(par)
 }
 
-func (eng *engine) account(par *part, tokens int64) {
+func (eng *engine) chargeMemory(par *part, tokens int64) {
 	eng.used += tokens
-	if !par.gra.ask.long {
+	if !par.grant.entry.long {
 		eng.shortUsed += tokens
 	}
 }
 
-func (eng *engine) prefilled(par *part) {
-	par.left = 0
-	eng.prefills = slices.DeleteFunc(eng.prefills, func(oth *part) bool { return oth == par })
+func (eng *engine) finishPrefill(par *part) {
+	par.prefillLeft = 0
+	eng.prefills = slices.DeleteFunc(eng.prefills, func(other *part) bool { return other == par })
 }
 
-// accept takes the engine's own figures from a report. known tells whether a
-// request is the cell's own or has just ended.
-func (eng *engine) accept(loa invoker.Load, known func(requestID string) bool, now time.Time) {
+// acceptReport updates the engine's model from its load report. known reports
+// whether a request is the cell's own or has just ended.
+func (eng *engine) acceptReport(loa invoker.Load, known func(requestID string) bool, now time.Time) {
 	eng.advance(now)
 	eng.reportedAt = now
-	eng.lost, eng.doubted = false, false
+	eng.unreachable, eng.suspected = false, false
 	eng.memory = loa.MemoryTokens
-	eng.rate = loa.PrefillRate
-	eng.step = time.Duration(loa.StepMs * float64(time.Millisecond))
+	eng.reportedRate = loa.PrefillRate
+	eng.stepTime = time.Duration(loa.StepMs * float64(time.Millisecond))
 	eng.leaving = loa.Leaving
 	if len(loa.Models) > 0 {
 		eng.models = loa.Models
@@ -261,32 +273,33 @@
 	if loa.Partial {
 		return
 	}
-	var oth, all int64
+	var foreign, total int64
 	for _, seq := range loa.Sequences {
-		all += seq.Tokens
+		total += seq.Tokens
 		if !known(seq.RequestID) {
-			oth += seq.Tokens
+			foreign += seq.Tokens
 		}
 	}
-	eng.foreign = oth
-	eng.foreignQueued = 0
-	if all > 0 {
-		eng.foreignQueued = int64(float64(loa.QueuedPromptTokens) * float64(oth) / float64(all))
+	eng.foreign = foreign
+	eng.foreignPrefill = 0
+	if total > 0 {
+		eng.foreignPrefill = int64(float64(loa.QueuedPromptTokens) * float64(foreign) / float64(total))
 	}
 }
 
-// estimate returns the expected time to the first token of an ask, with a
-// small penalty for the sequences that share the engine.
-func (eng *engine) estimate(ask *ask, cachedBlocks int) time.Duration {
-	own := max(1, ask.req.PromptTokens-int64(cachedBlocks)*hasher.BlockTokens)
-	est := eng.prefillTime(eng.ahead(ask.req.Priority)+own) + time.Duration(eng.running)*runningPenalty
-	if ask.long && eng.running > 0 {
-		// What runs there decodes for a part of the prompt at least.
-		est = time.Duration(float64(est) * eng.slowdown())
+// timeToFirstToken returns the expected time to the first token of a request, with
+// a small penalty for the sequences that share the engine.
+func (eng *engine) timeToFirstToken(ent *entry, cachedBlocks int) time.Duration {
+	uncached := max(1, ent.req.PromptTokens-int64(cachedBlocks)*hasher.BlockTokens)
+	estimate := eng.prefillTime(eng.tokensAhead(ent.req.Priority)+uncached) + time.Duration(eng.running)*runningPenalty
+	if ent.long && eng.running > 0 {
+		// The running sequences decode during at least a part of the prefill.
+		estimate = time.Duration(float64(estimate) * eng.slowdown())
 	}
-	if eng.sharesChunks() {
-		// The engine fills the ask's own chunk up with the long prompt.
-		est += chunkTime
+	if eng.mayPrefillLong() {
+		// The engine fills the chunk that prefills this request up with tokens of
+		// the long prompt, so that it takes the full chunk time.
+		estimate += chunkTime
 	}
-	return est
+	return estimate
 }
--- a/process/scheduler/event.go
+++ b/process/scheduler/event.go
@@ -7,21 +7,21 @@
 	"hemlockpin/request/placer"
 )
 
-// Event is what a cell decides on: Request, Cancel, Prefilled, Move, Moved, Stayed,
+// Event is an input of a cell: Request, Cancel, Prefilled, Move, Moved, Stayed,
 // Release, Report, Unreachable, Listing, OwnerRemoved, Limits or Tick.
 type Event interface{ event() }
 
-// Request wants an endpoint for a request. A repeated ask with the same identifier
-// is the same ask.
+// Request asks for an endpoint. A repetition has the same ID and is not queued
+// again.
 type Request struct {
-	// ID names the ask and later the grant.
+	// ID is the request ID; the grant has the same ID.
 	ID          string
 	Host        string
 	Incarnation uint64
 	Request     placer.Request
 }
 
-// Cancel takes a waiting ask back, or releases its grant.
+// Cancel drops a waiting request, or releases its grant.
 type Cancel struct{ ID string }
 
 // Prefilled reports that the first token of a grant has arrived.
@@ -30,14 +30,15 @@
 // Release ends a grant.
 type Release struct{ ID string }
 
-// Move asks for an engine that goes on with the answer of a prefilled grant. A
-// repeated one gets the same answer.
+// Move asks for an engine that decodes the rest of a prefilled grant's answer. A
+// repeated Move gets the same reply.
 type Move struct{ ID string }
 
-// Moved reports that a grant's request runs on the engine of its move alone.
+// Moved reports that a grant's request now runs only on the engine that it moved
+// to.
 type Moved struct{ ID string }
 
-// Stayed reports that a grant's request stays where it was prefilled.
+// Stayed reports that a grant's request stays on the engine that prefilled it.
 type Stayed struct{ ID string }
 
 // Report is an engine's load report.
@@ -46,32 +47,34 @@
 	Load     invoker.Load
 }
 
-// Unreachable reports that an engine did not answer the read of its report.
+// Unreachable reports that an engine's load report could not be read.
 type Unreachable struct{ Endpoint string }
 
-// Listing names the engines of the cell.
+// Listing lists all engines of the cell.
 type Listing struct{ Engines []placer.Endpoint }
 
-// OwnerRemoved reports that a host's incarnation has ended. Its waiting asks and
-// its grants end with it.
+// OwnerRemoved reports that a host's incarnation has ended, which ends its waiting
+// requests and its grants.
 type OwnerRemoved struct {
 	Host string
-	// Incarnation is the last one that has ended.
+	// Incarnation is the last incarnation that has ended; earlier ones have
+	// ended, too.
 	Incarnation uint64
 }
 
 // Limits are the limits of the pool.
 type Limits struct {
-	// MaxOutstanding bounds the grants on one engine; 0 stands for no bound.
+	// MaxOutstanding bounds the grants on one engine; 0 means no limit.
 	MaxOutstanding int
-	// MaxWaiting bounds the waiting asks; 0 stands for no bound.
+	// MaxWaiting bounds the waiting requests; 0 means no limit.
 	MaxWaiting int
-	// LongShare is the share of the engines that may prefill long prompts at a
-	// time; 0 leaves as many to short prompts as their work needs.
+	// LongShare is the share of the engines that may prefill long prompts at the
+	// same time; 0 means all engines except those that short prompts need for
+	// their recent load.
 	LongShare float64
 }
 
-// Tick lets time pass.
+// Tick has the cell check for expiry and grant what has become possible.
 type Tick struct{}
 
 func (Request) event()      {}
@@ -88,36 +91,38 @@
 func (Limits) event()       {}
 func (Tick) event()         {}
 
-// Action answers an ask: Grant, GrantGroup or Refuse; or a Move: MoveTo or Stay.
+// Action is the reply to a Request (Grant, GrantGroup or Refuse) or to a Move
+// (MoveTo or Stay).
 type Action interface{ action() }
 
-// Grant gives an endpoint to an ask.
+// Grant assigns an endpoint to a request.
 type Grant struct {
 	ID       string
 	Endpoint string
 	Address  string
 }
 
-// GrantGroup gives memory on several engines to an ask. The first one leads.
+// GrantGroup assigns memory on several engines to a request. The first engine
+// leads the group.
 type GrantGroup struct {
 	ID    string
 	Parts []placer.Part
 }
 
-// Refuse turns an ask away. Nothing has run for it.
+// Refuse rejects a request. No engine has run it.
 type Refuse struct {
 	ID string
 	placer.Refuse
 }
 
-// MoveTo gives memory on another engine to a prefilled grant.
+// MoveTo assigns memory on another engine to a prefilled grant.
 type MoveTo struct {
 	ID       string
 	Endpoint string
 	Address  string
 }
 
-// Stay leaves a grant where it is.
+// Stay leaves a grant on the engine that prefilled it.
 type Stay struct{ ID string }
 
 func (MoveTo) action()     {}
--- a/process/scheduler/holders.go
+++ b/process/scheduler/holders.go
@@ -7,84 +7,87 @@
 )
 
 const (
-	// holdersInterval is the least time between two reads of who holds the
-	// memory of one engine.
-	holdersInterval = time.Second
-	// holdersRate and holdersBurst bound the traffic of these reads for one
+	// fullReportInterval is the minimum time between two reads of an engine's full
+	// load report, which lists the sequences that occupy its memory.
+	fullReportInterval = time.Second
+	// fullReportRate and fullReportBurst bound the traffic of full reports for one
 	// cell, in bytes a second and in bytes.
-	holdersRate  = 3000
-	holdersBurst = 60_000
-	// forgetHolders is the time after which an engine that was not asked for
-	// has left the cell.
-	forgetHolders = time.Minute
-	// reportBytes and sequenceBytes estimate the length of a packed report.
+	fullReportRate  = 3000
+	fullReportBurst = 60_000
+	// fullReportExpiry is the time after which an engine for which no full report
+	// was wanted no longer competes for the traffic; it may have left the cell.
+	fullReportExpiry = time.Minute
+	// reportBytes and sequenceBytes are the estimated sizes of a compressed report
+	// without sequences and of each sequence.
 	reportBytes   = 400
 	sequenceBytes = 50
 )
 
-// holderPace paces the reads of who holds the memory of a cell's engines. Its zero
-// value allows a burst.
-type holderPace struct {
-	spent float64
-	at    time.Time
-	reads map[string]holderRead
+// fullReportPacer decides when full load reports are read. It is a leaky bucket
+// for the traffic of one cell. Its zero value allows a burst.
+type fullReportPacer struct {
+	spent     float64
+	updatedAt time.Time
+	reads     map[string]fullReportRead
 }
 
-// holderRead is when an engine's holders were read and last asked for.
-type holderRead struct{ read, asked time.Time }
+// fullReportRead is when an engine's full report was last read and last wanted.
+type fullReportRead struct{ readAt, wantedAt time.Time }
 
-// due reports whether an engine's holders may be read now, and counts the read.
-// Where traffic is short, the engine that was read longest ago goes first.
-func (hol *holderPace) due(id string, sequences int, now time.Time) bool {
-	if hol.reads == nil {
-		hol.reads = map[string]holderRead{}
+// due reports whether an engine's full report may be read now, and counts the read.
+// Once more than half of the burst is spent, only the engine that was read longest
+// ago is due.
+func (pac *fullReportPacer) due(id string, sequences int, now time.Time) bool {
+	if pac.reads == nil {
+		pac.reads = map[string]fullReportRead{}
 	}
-	las := hol.reads[id].read
-	hol.reads[id] = holderRead{las, now}
-	hol.spent = max(0, hol.spent-now.Sub(hol.at).Seconds()*holdersRate)
-	hol.at = now
-	cos := float64(reportBytes + sequences*sequenceBytes)
+	last := pac.reads[id].readAt
+	pac.reads[id] = fullReportRead{last, now}
+	pac.spent = max(0, pac.spent-now.Sub(pac.updatedAt).Seconds()*fullReportRate)
+	pac.updatedAt = now
+	cost := float64(reportBytes + sequences*sequenceBytes)
 	switch {
-	case now.Sub(las) < holdersInterval:
+	case now.Sub(last) < fullReportInterval:
 		return false
-	case hol.spent+cos > holdersBurst/2 && hol.olderThan(las):
+	case pac.spent+cost > fullReportBurst/2 && pac.anyOlderThan(last):
 		return false
-	case hol.spent > 0 && hol.spent+cos > holdersBurst:
+	case pac.spent > 0 && pac.spent+cost > fullReportBurst:
 		return false
 	}
-	hol.spent += cos
-	hol.reads[id] = holderRead{now, now}
+	pac.spent += cost
+	pac.reads[id] = fullReportRead{now, now}
 	return true
 }
 
-// olderThan reports whether an engine that is still asked for was read before a
-// time. It forgets the others.
-func (hol *holderPace) olderThan(tim time.Time) bool {
-	for id, oth := range hol.reads {
-		if hol.at.Sub(oth.asked) > forgetHolders {
-			delete(hol.reads, id)
+// anyOlderThan reports whether any engine whose report is still wanted was last
+// read before the given time. It drops engines past fullReportExpiry.
+func (pac *fullReportPacer) anyOlderThan(at time.Time) bool {
+	for id, other := range pac.reads {
+		if pac.updatedAt.Sub(other.wantedAt) > fullReportExpiry {
+			delete(pac.reads, id)
 			continue
 		}
-		if oth.read.Before(tim) {
+		if other.readAt.Before(at) {
 			return true
 		}
 	}
 	return false
 }
 
-// wantsHolders reports whether the whole report of an engine is to be read. An
-// engine that holds nothing, as the cell believes too, has no holders.
-func (run *running) wantsHolders(id string, loa invoker.Load, now time.Time) bool {
+// wantsFullReport reports whether the full report of an engine is to be read. It is
+// not needed if the summary shows no sequences and no used memory, and the cell
+// accounts for none either.
+func (run *runningCell) wantsFullReport(id string, loa invoker.Load, now time.Time) bool {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	if loa.Running+loa.Queued == 0 && loa.UsedTokens == 0 && run.cell.holdsNothing(id) {
+	if loa.Running+loa.Queued == 0 && loa.UsedTokens == 0 && run.cell.usesNoMemory(id) {
 		return false
 	}
-	return run.holders.due(id, loa.Running+loa.Queued, now)
+	return run.fullReports.due(id, loa.Running+loa.Queued, now)
 }
 
-// holdsNothing reports whether no memory of an engine is accounted for.
-func (cel *Cell) holdsNothing(id string) bool {
+// usesNoMemory reports whether the cell accounts for no used memory on an engine.
+func (cel *Cell) usesNoMemory(id string) bool {
 	eng := cel.byID[id]
 	return eng == nil || eng.used == 0 && eng.foreign == 0
 }
--- a/process/scheduler/holders_test.go
+++ b/process/scheduler/holders_test.go
@@ -8,39 +8,40 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHoldersPace reads a cell of 64 busy engines as the scheduler would and
-// checks that the traffic stays within its rate while every engine is read.
-func TestHoldersPace(t *testing.T) {
+// TestFullReportPace reads a cell of 64 busy engines as the scheduler does. It
+// checks that the traffic stays within its limit and that every engine is read.
+func TestFullReportPace(t *testing.T) {
 	const (
 		engines   = 64
 		sequences = 180
 		period    = 20 * time.Minute
 	)
-	var hol holderPace
+	var pac fullReportPacer
 	reads := map[string]int{}
-	all := 0
-	for pas := time.Duration(0); pas < period; pas += time.Second {
-		for ind := range engines {
-			id := fmt.Sprint(ind)
-			if int(pas/time.Second)%4 == ind/16 && hol.due(id, sequences, epoch.Add(pas)) {
+	total := 0
+	for elapsed := time.Duration(0); elapsed < period; elapsed += time.Second {
+		for i := range engines {
+			id := fmt.Sprint(i)
+			if int(elapsed/time.Second)%4 == i/16 && pac.due(id, sequences, epoch.Add(elapsed)) {
 				reads[id]++
-				all++
+				total++
 			}
 		}
 	}
-	bytes := float64(all * (reportBytes + sequences*sequenceBytes))
-	require.LessOrEqual(t, bytes, holdersRate*period.Seconds()+holdersBurst)
-	require.GreaterOrEqual(t, bytes, 0.8*holdersRate*period.Seconds())
-	for ind := range engines {
-		require.NotZero(t, reads[fmt.Sprint(ind)], "engine %d was never read", ind)
+	bytes := float64(total * (reportBytes + sequences*sequenceBytes))
+	require.LessOrEqual(t, bytes, fullReportRate*period.Seconds()+fullReportBurst)
+	require.GreaterOrEqual(t, bytes, 0.8*fullReportRate*period.Seconds())
+	for i := range engines {
+		require.NotZero(t, reads[fmt.Sprint(i)], "engine %d was never read", i)
 	}
 }
 
-// A small cell is read at once and then each interval.
-func TestHoldersOfSmallCell(t *testing.T) {
-	var hol holderPace
-	require.True(t, hol.due("a", 5, epoch))
-	require.False(t, hol.due("a", 5, epoch.Add(holdersInterval/2)))
-	require.True(t, hol.due("b", 5, epoch.Add(holdersInterval/2)))
-	require.True(t, hol.due("a", 5, epoch.Add(holdersInterval)))
+// TestFullReportsOfSmallCell checks that engines of a small cell are read at once
+// and then once per interval.
+func TestFullReportsOfSmallCell(t *testing.T) {
+	var pac fullReportPacer
+	require.True(t, pac.due("a", 5, epoch))
+	require.False(t, pac.due("a", 5, epoch.Add(fullReportInterval/2)))
+	require.True(t, pac.due("b", 5, epoch.Add(fullReportInterval/2)))
+	require.True(t, pac.due("a", 5, epoch.Add(fullReportInterval)))
 }
--- a/process/scheduler/matrix_test.go
+++ b/process/scheduler/matrix_test.go
@@ -15,295 +15,298 @@
 )
 
 const (
-	stageLimit = 20 * time.Second
-	stageStep  = 250 * time.Millisecond
+	requestLimit = 20 * time.Second
+	scenarioStep = 250 * time.Millisecond
 )
 
 var (
-	stageStates = []string{"waiting", "promised", "granted", "prefilled", "released", "group-waiting", "group-granted", "moving", "moved"}
-	stageFaults = []string{
+	matrixStates = []string{"waiting", "promised", "granted", "prefilled", "released", "group-waiting", "group-granted", "moving", "moved"}
+	matrixFaults = []string{
 		"nothing", "grant-lost", "cancel", "host-silent", "prefilled", "prefilled-twice", "release", "release-lost", "engine-silent",
 		"engine-leaving", "engine-unlisted", "owner-gone", "owner-older", "deadline", "second-scheduler", "fillers-end", "limits", "late-report",
 		"move", "moved", "stayed", "moved-lost",
 	}
 )
 
-// stage is one cell with its engines, the ask x and two fillers of the memory.
-type stage struct {
-	bench
-	engines  []string
-	ask      Request
-	silent   bool
-	quiet    string
-	unlisted string
-	leaving  string
-	foreign  int64
-	// holds are the tokens that engines truly hold, by request and engine.
-	holds map[string]map[string]int64
-	heard []string
+// scenario is one cell with its engines, the request x and two requests f0 and f1
+// that fill the memory.
+type scenario struct {
+	scriptedCell
+	engines     []string
+	request     Request
+	hostSilent  bool
+	unreachable string
+	unlisted    string
+	leaving     string
+	foreign     int64
+	// held is the memory that engines use in fact, in tokens, by request and
+	// engine.
+	held    map[string]map[string]int64
+	answers []string
 }
 
-// TestMatrix takes every state through every pair of faults. The data file has
-// one line for each cell of the matrix, so a missing cell is a difference. Each
-// cell ends with an empty account.
+// TestMatrix injects every pair of faults in every state. The data file has a line
+// for each combination, so that a missing one is a difference. At the end of each
+// combination no request, grant, promise or used memory may be left.
 func TestMatrix(t *testing.T) {
 	datadriven.RunTest(t, "testdata/matrix", func(t *testing.T, dat *datadriven.TestData) string {
 		require.Equal(t, "state", dat.Cmd)
-		require.Contains(t, stageStates, dat.CmdArgs[0].Key)
+		require.Contains(t, matrixStates, dat.CmdArgs[0].Key)
 		var out strings.Builder
-		for _, one := range stageFaults {
-			for _, two := range stageFaults {
-				fmt.Fprintf(&out, "%s, %s: %s\n", one, two, runStage(t, dat.CmdArgs[0].Key, one, two))
+		for _, first := range matrixFaults {
+			for _, second := range matrixFaults {
+				fmt.Fprintf(&out, "%s, %s: %s\n", first, second, runScenario(t, dat.CmdArgs[0].Key, first, second))
 			}
 		}
 		return out.String()
 	})
 }
 
-// TestMatrixStates checks that the data file has every state.
+// TestMatrixStates checks that the data file contains all states.
 func TestMatrixStates(t *testing.T) {
-	var see []string
+	var seen []string
 	datadriven.RunTest(t, "testdata/matrix", func(_ *testing.T, dat *datadriven.TestData) string {
-		see = append(see, dat.CmdArgs[0].Key)
+		seen = append(seen, dat.CmdArgs[0].Key)
 		return dat.Expected
 	})
-	require.Equal(t, stageStates, see)
+	require.Equal(t, matrixStates, seen)
 }
 
-func runStage(t *testing.T, state, one, two string) string {
-	sta := newStage(state)
-	sta.heard = nil
-	sta.fault(one)
-	fir := sta.told()
-	sta.fault(two)
-	sec := sta.told()
-	sta.finish()
-	thi := sta.told()
-	nam := state + " " + one + " " + two
-	require.Zero(t, sta.cel.Waiting(), nam)
-	require.Zero(t, sta.cel.Granted(), nam)
-	require.Nil(t, sta.cel.promise, nam)
-	for _, eng := range sta.cel.engines {
-		require.Zero(t, eng.used, nam)
+func runScenario(t *testing.T, state, firstFault, secondFault string) string {
+	sce := newScenario(state)
+	sce.answers = nil
+	sce.inject(firstFault)
+	first := sce.takeOutput()
+	sce.inject(secondFault)
+	second := sce.takeOutput()
+	sce.expireAll()
+	third := sce.takeOutput()
+	name := state + " " + firstFault + " " + secondFault
+	require.Zero(t, sce.cell.Waiting(), name)
+	require.Zero(t, sce.cell.Granted(), name)
+	require.Nil(t, sce.cell.promise, name)
+	for _, eng := range sce.cell.engines {
+		require.Zero(t, eng.used, name)
 	}
-	return fmt.Sprintf("%s | %s | %s", fir, sec, thi)
+	return fmt.Sprintf("%s | %s | %s", first, second, third)
 }
 
-func newStage(state string) *stage {
-	sta := &stage{bench: bench{now: epoch}, engines: []string{"e0", "e1"}, holds: map[string]map[string]int64{}}
+func newScenario(state string) *scenario {
+	sce := &scenario{scriptedCell: scriptedCell{now: epoch}, engines: []string{"e0", "e1"}, held: map[string]map[string]int64{}}
 	moves := state == "moving" || state == "moved"
 	if moves {
-		sta.engines = []string{"e0", "e1", "e2", "e3"}
+		sce.engines = []string{"e0", "e1", "e2", "e3"}
 	}
-	tok := map[string]int64{"waiting": 15_000, "promised": 50_000, "group-waiting": 600_000, "group-granted": 600_000}[state]
-	if tok == 0 {
-		tok = 15_000
+	tokens := map[string]int64{"waiting": 15_000, "promised": 50_000, "group-waiting": 600_000, "group-granted": 600_000}[state]
+	if tokens == 0 {
+		tokens = 15_000
 	}
-	sta.ask = sta.newAsk("x", "h", tok, stageLimit)
-	sta.list()
-	sta.reports()
+	sce.request = sce.newRequest("x", "h", tokens, requestLimit)
+	sce.sendListing()
+	sce.sendReports()
 	if moves || state == "waiting" || state == "promised" || state == "group-waiting" {
 		for _, id := range []string{"f0", "f1"} {
-			sta.send(sta.newAsk(id, "o", 390_000, 2*stageLimit))
-			sta.send(Prefilled{id})
+			sce.send(sce.newRequest(id, "o", 390_000, 2*requestLimit))
+			sce.send(Prefilled{id})
 		}
 	}
 	if moves {
-		// The first question sets the decoder e0 apart.
-		sta.send(Move{"f0"})
-		sta.send(Release{"f0"})
-		delete(sta.holds, "f0")
+		// The first Move event makes e0 a decoder.
+		sce.send(Move{"f0"})
+		sce.send(Release{"f0"})
+		delete(sce.held, "f0")
 	}
-	sta.send(sta.ask)
+	sce.send(sce.request)
 	switch state {
 	case "prefilled":
-		sta.fault("prefilled")
+		sce.inject("prefilled")
 	case "released":
-		sta.fault("release")
+		sce.inject("release")
 	case "moving":
-		sta.fault("move")
+		sce.inject("move")
 	case "moved":
-		sta.fault("move")
-		sta.fault("moved")
+		sce.inject("move")
+		sce.inject("moved")
 	}
-	return sta
+	return sce
 }
 
-func (sta *stage) newAsk(id, host string, tokens int64, limit time.Duration) Request {
-	return Request{ID: id, Host: host, Incarnation: 1, Request: placer.Request{ID: id, Team: host, Model: "m", PromptTokens: tokens, MaxTokens: 10, Prefix: blocks(id, int(tokens)), Deadline: sta.now.Add(limit)}}
+func (sce *scenario) newRequest(id, host string, tokens int64, limit time.Duration) Request {
+	return Request{ID: id, Host: host, Incarnation: 1, Request: placer.Request{ID: id, Team: host, Model: "m", PromptTokens: tokens, MaxTokens: 10, Prefix: blocks(id, int(tokens)), Deadline: sce.now.Add(limit)}}
 }
 
-func (sta *stage) send(eve Event) {
-	for _, act := range slices.Clone(sta.cel.Next(eve, sta.now)) {
-		id := askOf(act)
-		txt := "refuse"
-		if mov, ok := act.(MoveTo); ok {
-			id, txt = mov.ID, "move to "+mov.Endpoint
+func (sce *scenario) send(eve Event) {
+	for _, act := range slices.Clone(sce.cell.Next(eve, sce.now)) {
+		id := requestIDOf(act)
+		text := "refuse"
+		if move, ok := act.(MoveTo); ok {
+			id, text = move.ID, "move to "+move.Endpoint
 		}
-		if sty, ok := act.(Stay); ok {
-			id, txt = sty.ID, "stay"
+		if stay, ok := act.(Stay); ok {
+			id, text = stay.ID, "stay"
 		}
 		switch act := act.(type) {
 		case Grant:
-			txt = "grant"
-			sta.hold(id, act.Endpoint, 1)
+			text = "grant"
+			sce.recordHeld(id, act.Endpoint, 1)
 		case GrantGroup:
-			txt = "group"
+			text = "group"
 			for _, par := range act.Parts {
-				sta.hold(id, par.Endpoint, par.Tokens)
+				sce.recordHeld(id, par.Endpoint, par.Tokens)
 			}
 		case Refuse:
-			txt += " " + act.Code
+			text += " " + act.Code
 		}
 		if id == "x" {
-			sta.heard = append(sta.heard, txt)
+			sce.answers = append(sce.answers, text)
 		}
 	}
 }
 
-func (sta *stage) hold(id, engine string, tokens int64) {
-	if sta.holds[id] == nil {
-		sta.holds[id] = map[string]int64{}
+func (sce *scenario) recordHeld(id, engine string, tokens int64) {
+	if sce.held[id] == nil {
+		sce.held[id] = map[string]int64{}
 	}
-	sta.holds[id][engine] = tokens
+	sce.held[id][engine] = tokens
 }
 
-// switchTo lets an engine alone hold x, if x is on any.
-func (sta *stage) switchTo(engine string) {
-	if len(sta.holds["x"]) == 1 {
-		sta.holds["x"] = map[string]int64{engine: 1}
+// holdOnlyOn makes x use memory on the given engine only, if it runs on one.
+func (sce *scenario) holdOnlyOn(engine string) {
+	if len(sce.held["x"]) == 1 {
+		sce.held["x"] = map[string]int64{engine: 1}
 	}
 }
 
-// told returns what x heard since the last call.
-func (sta *stage) told() string {
-	out := strings.Join(slices.Compact(sta.heard), ", ")
-	sta.heard = nil
+// takeOutput returns the replies to x since the last call, and the cell's counts.
+func (sce *scenario) takeOutput() string {
+	out := strings.Join(slices.Compact(sce.answers), ", ")
+	sce.answers = nil
 	if out == "" {
 		out = "-"
 	}
-	var use int64
-	for _, eng := range sta.cel.engines {
-		use += eng.used
+	var used int64
+	for _, eng := range sce.cell.engines {
+		used += eng.used
 	}
-	return fmt.Sprintf("%s (%d waiting, %d granted, %d used)", out, sta.cel.Waiting(), sta.cel.Granted(), use)
+	return fmt.Sprintf("%s (%d waiting, %d granted, %d used)", out, sce.cell.Waiting(), sce.cell.Granted(), used)
 }
 
-func (sta *stage) list() {
+func (sce *scenario) sendListing() {
 	var lis Listing
-	for _, id := range sta.engines {
-		if id != sta.unlisted {
-			lis.Engines = append(lis.Engines, placer.Endpoint{ID: id, Address: id, Models: []string{"m"}, Leaving: id == sta.leaving})
+	for _, id := range sce.engines {
+		if id != sce.unlisted {
+			lis.Engines = append(lis.Engines, placer.Endpoint{ID: id, Address: id, Models: []string{"m"}, Leaving: id == sce.leaving})
 		}
 	}
-	sta.send(lis)
+	sce.send(lis)
 }
 
-func (sta *stage) reports() {
-	for _, id := range sta.engines {
-		if id == sta.quiet {
-			sta.send(Unreachable{id})
+func (sce *scenario) sendReports() {
+	for _, id := range sce.engines {
+		if id == sce.unreachable {
+			sce.send(Unreachable{id})
 			continue
 		}
 		loa := invoker.Load{MemoryTokens: 400_000, PrefillRate: 200_000, StepMs: 10}
-		for req, ons := range sta.holds {
-			if ons[id] > 0 {
-				loa.Sequences = append(loa.Sequences, invoker.Sequence{RequestID: req, Tokens: ons[id]})
+		for req, byEngine := range sce.held {
+			if byEngine[id] > 0 {
+				loa.Sequences = append(loa.Sequences, invoker.Sequence{RequestID: req, Tokens: byEngine[id]})
 			}
 		}
-		if sta.foreign > 0 && id == "e0" {
-			loa.Sequences = append(loa.Sequences, invoker.Sequence{RequestID: "foreign", Tokens: sta.foreign})
+		if sce.foreign > 0 && id == "e0" {
+			loa.Sequences = append(loa.Sequences, invoker.Sequence{RequestID: "foreign", Tokens: sce.foreign})
 		}
-		sta.send(Report{id, loa})
+		sce.send(Report{id, loa})
 	}
 }
 
-// pass lets time go by, with reports and with hosts that repeat their asks.
-func (sta *stage) pass(dur time.Duration) {
-	for end := sta.now.Add(dur); sta.now.Before(end); {
-		sta.now = sta.now.Add(stageStep)
-		sta.reports()
-		if sta.cel.asks["x"] != nil && !sta.silent {
-			sta.send(sta.ask)
+// advance moves the time forward in steps, with load reports and with a host that
+// repeats its request.
+func (sce *scenario) advance(period time.Duration) {
+	for end := sce.now.Add(period); sce.now.Before(end); {
+		sce.now = sce.now.Add(scenarioStep)
+		sce.sendReports()
+		if sce.cell.pending["x"] != nil && !sce.hostSilent {
+			sce.send(sce.request)
 		}
-		sta.send(Tick{})
+		sce.send(Tick{})
 	}
 }
 
-func (sta *stage) fault(nam string) {
-	switch nam {
+func (sce *scenario) inject(name string) {
+	switch name {
 	case "grant-lost":
-		sta.send(sta.ask)
+		sce.send(sce.request)
 	case "cancel":
-		sta.send(Cancel{"x"})
-		delete(sta.holds, "x")
+		sce.send(Cancel{"x"})
+		delete(sce.held, "x")
 	case "host-silent":
-		sta.silent = true
-		sta.pass(4 * time.Second)
+		sce.hostSilent = true
+		sce.advance(4 * time.Second)
 	case "prefilled", "prefilled-twice":
-		sta.send(Prefilled{"x"})
-		sta.send(Prefilled{"x"})
+		sce.send(Prefilled{"x"})
+		sce.send(Prefilled{"x"})
 	case "release":
-		sta.send(Release{"x"})
-		delete(sta.holds, "x")
+		sce.send(Release{"x"})
+		delete(sce.held, "x")
 	case "release-lost":
-		delete(sta.holds, "x")
-		sta.pass(8 * time.Second)
+		delete(sce.held, "x")
+		sce.advance(8 * time.Second)
 	case "engine-silent":
-		sta.quiet = "e0"
-		sta.pass(4 * time.Second)
+		sce.unreachable = "e0"
+		sce.advance(4 * time.Second)
 	case "engine-leaving":
-		sta.leaving = "e0"
-		sta.list()
+		sce.leaving = "e0"
+		sce.sendListing()
 	case "engine-unlisted":
-		sta.unlisted = "e0"
-		sta.list()
+		sce.unlisted = "e0"
+		sce.sendListing()
 	case "owner-gone":
-		sta.send(OwnerRemoved{"h", 1})
-		delete(sta.holds, "x")
-		sta.silent = true
+		sce.send(OwnerRemoved{"h", 1})
+		delete(sce.held, "x")
+		sce.hostSilent = true
 	case "owner-older":
-		sta.send(OwnerRemoved{"h", 0})
+		sce.send(OwnerRemoved{"h", 0})
 	case "deadline":
-		sta.pass(stageLimit)
+		sce.advance(requestLimit)
 	case "second-scheduler":
-		sta.foreign = 300_000
-		sta.reports()
+		sce.foreign = 300_000
+		sce.sendReports()
 	case "fillers-end":
 		for _, id := range []string{"f0", "f1"} {
-			sta.send(Release{id})
-			delete(sta.holds, id)
+			sce.send(Release{id})
+			delete(sce.held, id)
 		}
 	case "limits":
-		sta.send(Limits{MaxOutstanding: 1, MaxWaiting: 1, LongShare: 0.5})
+		sce.send(Limits{MaxOutstanding: 1, MaxWaiting: 1, LongShare: 0.5})
 	case "late-report":
-		old := sta.holds
-		sta.holds = map[string]map[string]int64{}
-		sta.reports()
-		sta.holds = old
+		old := sce.held
+		sce.held = map[string]map[string]int64{}
+		sce.sendReports()
+		sce.held = old
 	default:
-		sta.moveFault(nam)
+		sce.injectMove(name)
 	}
 }
 
-func (sta *stage) moveFault(nam string) {
-	switch nam {
+func (sce *scenario) injectMove(name string) {
+	switch name {
 	case "move":
-		sta.send(Move{"x"})
-		sta.send(Move{"x"})
+		sce.send(Move{"x"})
+		sce.send(Move{"x"})
 	case "moved":
-		sta.send(Moved{"x"})
-		sta.switchTo("e0")
+		sce.send(Moved{"x"})
+		sce.holdOnlyOn("e0")
 	case "moved-lost":
-		sta.switchTo("e0")
-		sta.pass(8 * time.Second)
+		sce.holdOnlyOn("e0")
+		sce.advance(8 * time.Second)
 	case "stayed":
-		sta.send(Stayed{"x"})
+		sce.send(Stayed{"x"})
 	}
 }
 
-// finish lets every deadline pass. What the host still holds it gives back.
-func (sta *stage) finish() {
-	sta.pass(2 * stageLimit)
-	sta.pass(grantGrace + time.Second)
+// expireAll advances past every deadline, so that all grants expire.
+func (sce *scenario) expireAll() {
+	sce.advance(2 * requestLimit)
+	sce.advance(grantGrace + time.Second)
 }
--- a/process/scheduler/mover.go
+++ b/process/scheduler/mover.go
@@ -8,186 +8,191 @@
 )
 
 const (
-	// decoderAnswers is the number of answers that one decoder is meant for,
-	// and decoderFill the part of its memory that they take in the mean.
-	decoderAnswers = 16
-	decoderFill    = 0.35
-	// minDecoderCell is the least number of live engines of which some decode
-	// the answers of others, and maxDecoderShare bounds the decoders' share.
+	// answersPerDecoder is the mean number of answers planned for one decoder,
+	// and decoderMemoryShare the mean share of its memory planned for them.
+	answersPerDecoder  = 16
+	decoderMemoryShare = 0.35
+	// minDecoderCell is the minimum number of live engines of a cell with
+	// decoders, and maxDecoderShare bounds the share of the engines that are
+	// decoders.
 	minDecoderCell  = 4
 	maxDecoderShare = 0.5
-	// minLongEngines is the prefill work of long prompts, in engines, from
-	// which it is worth while to move answers out of their way.
-	minLongEngines = 0.5
-	// moveMemory is the time after a question for a move for which decoders
-	// are set apart. Hosts that never ask leave all engines to prompts.
-	moveMemory = 5 * time.Second
-	// maxMoves bounds the answers on their way to one engine.
+	// minLongDemand is the prefill work of long prompts, in engines, from which
+	// a cell has decoders. With less, moving answers out of the way of long
+	// prompts is not worth while.
+	minLongDemand = 0.5
+	// decoderTimeout is the time after the last Move event for which a cell has
+	// decoders. If hosts send no Move, all engines prefill prompts.
+	decoderTimeout = 5 * time.Second
+	// maxMoves bounds the unfinished moves to one engine.
 	maxMoves = 8
-	// shortDetour is how much longer a short prompt may take on a decoder than
-	// elsewhere, since its answer needs no move from there.
-	shortDetour = 10 * time.Millisecond
-	// maxReread bounds the prefill of what the copy of a prompt leaves out, as
-	// it holds up the answers on the decoder.
-	maxReread = 11 * time.Millisecond
-	// minMoveAnswer is the least answer that is worth a move, in tokens.
-	minMoveAnswer = 4
-	// transferRate is the assumed rate of the copy to another engine, in
-	// tokens a second, and maxTransferShare bounds its time, as a part of that
-	// of the answer.
+	// nonDecoderPenalty is added to a short prompt's estimate on engines that are
+	// not decoders. A short prompt may take that much longer on a decoder, since
+	// its answer needs no move from there.
+	nonDecoderPenalty = 10 * time.Millisecond
+	// maxUncopiedPrefill bounds the prefill time of the prompt tokens that a move
+	// does not copy, as this prefill delays the answers on the decoder.
+	maxUncopiedPrefill = 11 * time.Millisecond
+	// minMoveTokens is the minimum length of an answer that moves, in tokens.
+	minMoveTokens = 4
+	// transferRate is the assumed rate of copying a prompt's blocks to another
+	// engine, in tokens a second. maxTransferShare bounds the time of the copy
+	// relative to the expected time of the answer.
 	transferRate     = 2_000_000
 	maxTransferShare = 1.0 / 3
 )
 
-// chooseDecoders sets the engines apart that go on with the answers of others,
-// so that these prefill at their full rate. The first ones that are live are
-// taken, so the choice is stable.
+// chooseDecoders dedicates engines to decoding the answers of the other engines, so
+// that the others prefill at their full rate. It chooses the first live engines, so
+// that the choice is stable.
 func (cel *Cell) chooseDecoders(now time.Time) {
-	cel.decoders = cel.countDecoders(now)
-	lef := cel.decoders
+	cel.decoderCount = cel.countDecoders(now)
+	left := cel.decoderCount
 	for _, eng := range cel.engines {
-		eng.decoder = lef > 0 && eng.live(now)
+		eng.decoder = left > 0 && eng.live(now)
 		if eng.decoder {
-			lef--
+			left--
 		}
 	}
 }
 
-// countDecoders follows the number of the answers and the memory that they hold.
+// countDecoders returns the number of decoders needed for the mean number of
+// answers and for the memory that they use.
 func (cel *Cell) countDecoders(now time.Time) int {
-	if now.Sub(cel.moveAsked) > moveMemory || cel.longs.level(now) < minLongEngines {
+	if now.Sub(cel.lastMoveRequest) > decoderTimeout || cel.longDemand.mean(now) < minLongDemand {
 		return 0
 	}
-	liv := 0
-	var mem int64
+	live := 0
+	var memory int64
 	for _, eng := range cel.engines {
 		if eng.live(now) {
-			liv++
-			mem = max(mem, eng.memory)
+			live++
+			memory = max(memory, eng.memory)
 		}
 	}
-	if liv < minDecoderCell {
+	if live < minDecoderCell {
 		return 0
 	}
-	cou := max(cel.answers.level(now)/decoderAnswers, cel.held.level(now)/(decoderFill*float64(mem)))
-	return max(1, min(int(maxDecoderShare*float64(liv)), int(math.Ceil(cou))))
+	needed := max(cel.answerDemand.mean(now)/answersPerDecoder, cel.answerMemory.mean(now)/(decoderMemoryShare*float64(memory)))
+	return max(1, min(int(maxDecoderShare*float64(live)), int(math.Ceil(needed))))
 }
 
-// sparesDecoders reports whether an ask has engines to go to beside the decoders.
-func (cel *Cell) sparesDecoders(one *ask, now time.Time) bool {
+// canAvoidDecoders reports whether a live engine that is not a decoder can serve a
+// request.
+func (cel *Cell) canAvoidDecoders(ent *entry, now time.Time) bool {
 	for _, eng := range cel.engines {
-		if !eng.decoder && one.takes(eng) && eng.live(now) {
+		if !eng.decoder && ent.canServe(eng) && eng.live(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// detour is added to the estimate of an engine that a short prompt had better
-// leave to long ones.
-func (cel *Cell) detour(one *ask, eng *engine) time.Duration {
-	if one.long || eng.decoder || cel.decoders == 0 {
+// placementPenalty returns nonDecoderPenalty for a short prompt on an engine that
+// is better left to long prompts, else 0.
+func (cel *Cell) placementPenalty(ent *entry, eng *engine) time.Duration {
+	if ent.long || eng.decoder || cel.decoderCount == 0 {
 		return 0
 	}
-	return shortDetour
+	return nonDecoderPenalty
 }
 
-// move answers whether the answer of a grant goes on elsewhere. The question
-// may come before the notice of the first token.
-func (cel *Cell) move(id string, now time.Time) {
-	cel.moveAsked = now
-	cel.prefilled(id)
+// answerMove replies whether the answer of a grant moves to another engine. The Move
+// event may arrive before the notice of the first token.
+func (cel *Cell) answerMove(id string, now time.Time) {
+	cel.lastMoveRequest = now
+	cel.markPrefilled(id)
 	gra := cel.grants[id]
 	if gra == nil {
 		cel.actions = append(cel.actions, Stay{ID: id})
 		return
 	}
-	if gra.answer == nil {
-		gra.answer = cel.moveTo(gra, now)
+	if gra.moveAnswer == nil {
+		gra.moveAnswer = cel.startMove(gra, now)
 	}
-	cel.actions = append(cel.actions, gra.answer)
+	cel.actions = append(cel.actions, gra.moveAnswer)
 }
 
-// moveTo sets memory aside on the decoder with the fewest sequences.
-func (cel *Cell) moveTo(gra *grant, now time.Time) Action {
-	sou := gra.parts[0]
-	if len(gra.parts) > 1 || sou.eng.decoder || !cel.movable(gra.ask) {
-		return Stay{ID: gra.ask.id}
+// startMove allocates memory on the decoder with the fewest sequences.
+func (cel *Cell) startMove(gra *grant, now time.Time) Action {
+	source := gra.parts[0]
+	if len(gra.parts) > 1 || source.engine.decoder || !cel.movable(gra.entry) {
+		return Stay{ID: gra.entry.id}
 	}
-	var bes *engine
+	var best *engine
 	for _, eng := range cel.engines {
-		if cel.takesMove(gra, eng, now) && (bes == nil || eng.running < bes.running) {
-			bes = eng
+		if cel.canTakeMove(gra, eng, now) && (best == nil || eng.running < best.running) {
+			best = eng
 		}
 	}
-	if bes == nil {
-		return Stay{ID: gra.ask.id}
+	if best == nil {
+		return Stay{ID: gra.entry.id}
 	}
-	bes.advance(now)
-	gra.target = &part{gra: gra, eng: bes, memory: sou.memory, left: gra.ask.reread(), since: now}
-	bes.add(gra.target)
-	cel.makeCacheRoom(bes)
-	bes.moves++
-	return MoveTo{ID: gra.ask.id, Endpoint: bes.id, Address: bes.address}
+	best.advance(now)
+	gra.target = &part{grant: gra, engine: best, memory: source.memory, prefillLeft: gra.entry.uncopiedTokens(), grantedAt: now}
+	best.addPart(gra.target)
+	cel.trimCache(best)
+	best.incomingMoves++
+	return MoveTo{ID: gra.entry.id, Endpoint: best.id, Address: best.address}
 }
 
-// movable reports whether the answer of an ask takes clearly longer than its
-// copy to another engine.
-func (cel *Cell) movable(one *ask) bool {
-	if one.group || one.req.MaxTokens < minMoveAnswer || cel.prefillTime(one.reread()) > maxReread {
+// movable reports whether the answer of a request takes clearly longer than copying
+// its prompt's blocks to another engine.
+func (cel *Cell) movable(ent *entry) bool {
+	if ent.group || ent.req.MaxTokens < minMoveTokens || cel.prefillTime(ent.uncopiedTokens()) > maxUncopiedPrefill {
 		return false
 	}
-	cop := float64(one.req.PromptTokens) / transferRate
-	return cop <= maxTransferShare*cel.answerTime(one.req.MaxTokens).Seconds()
+	copyTime := float64(ent.req.PromptTokens) / transferRate
+	return copyTime <= maxTransferShare*cel.answerTime(ent.req.MaxTokens).Seconds()
 }
 
-// reread counts the tokens after the prompt's last whole block. Engines pass
-// on whole blocks only.
-func (one *ask) reread() int64 {
-	return max(0, one.req.PromptTokens-int64(len(one.req.Prefix))*hasher.BlockTokens)
+// uncopiedTokens returns the number of tokens after the prompt's last complete
+// block. Engines copy only complete blocks to each other.
+func (ent *entry) uncopiedTokens() int64 {
+	return max(0, ent.req.PromptTokens-int64(len(ent.req.Prefix))*hasher.BlockTokens)
 }
 
-// takesMove reports whether an engine can go on with the answer of a grant.
-func (cel *Cell) takesMove(gra *grant, eng *engine, now time.Time) bool {
-	if !eng.decoder || !eng.live(now) || !gra.ask.takes(eng) || eng.moves >= maxMoves {
+// canTakeMove reports whether an engine can decode the rest of a grant's answer.
+func (cel *Cell) canTakeMove(gra *grant, eng *engine, now time.Time) bool {
+	if !eng.decoder || !eng.live(now) || !gra.entry.canServe(eng) || eng.incomingMoves >= maxMoves {
 		return false
 	}
-	if lim := cel.limits.MaxOutstanding; lim > 0 && eng.running >= lim {
+	if limit := cel.limits.MaxOutstanding; limit > 0 && eng.running >= limit {
 		return false
 	}
-	return eng.free()-cel.othersShare(gra.ask, eng) >= gra.parts[0].memory
+	return eng.freeMemory()-cel.promisedToOthers(gra.entry, eng) >= gra.parts[0].memory
 }
 
-// moved frees the memory of a request on the engine that it has left.
-func (cel *Cell) moved(id string, now time.Time) {
+// finishMove frees the memory of a request on the engine that it has left.
+func (cel *Cell) finishMove(id string, now time.Time) {
 	gra := cel.grants[id]
 	if gra == nil || gra.target == nil {
 		return
 	}
-	gra.parts[0].give(now)
+	gra.parts[0].release(now)
 	gra.parts[0] = gra.target
-	gra.target.eng.prefilled(gra.target)
-	gra.target.eng.moves--
+	gra.target.engine.finishPrefill(gra.target)
+	gra.target.engine.incomingMoves--
 	gra.target = nil
-	cel.cache(gra.parts[0])
+	cel.recordCache(gra.parts[0])
 }
 
-// stayed frees the memory set aside for a move that did not come about. A
-// question that arrives later gets no engine any more.
-func (cel *Cell) stayed(id string, now time.Time) {
+// cancelMove frees the memory allocated for a move that did not happen. A Move event
+// that arrives later is answered with Stay.
+func (cel *Cell) cancelMove(id string, now time.Time) {
 	gra := cel.grants[id]
-	if gra == nil || gra.target == nil && gra.answer != nil {
+	if gra == nil || gra.target == nil && gra.moveAnswer != nil {
 		return
 	}
-	cel.giveTarget(gra, now)
-	gra.answer = Stay{ID: id}
+	cel.releaseTarget(gra, now)
+	gra.moveAnswer = Stay{ID: id}
 }
 
-func (cel *Cell) giveTarget(gra *grant, now time.Time) {
+func (cel *Cell) releaseTarget(gra *grant, now time.Time) {
 	if gra.target == nil {
 		return
 	}
-	gra.target.give(now)
-	gra.target.eng.moves--
+	gra.target.release(now)
+	gra.target.engine.incomingMoves--
 	gra.target = nil
 }
--- a/process/scheduler/partition.go
+++ b/process/scheduler/partition.go
@@ -14,18 +14,18 @@
 const (
 	// meanCellEngines is the mean size of a cell of a large pool.
 	meanCellEngines = 48
-	// MaxCellEngines is the largest size of a cell.
+	// MaxCellEngines is the maximum number of engines of a cell.
 	MaxCellEngines = maxSlots
 )
 
-// CellMembers is the part of a pool's engines that one host schedules.
+// CellMembers is a cell: the part of a pool's engines that one host schedules.
 type CellMembers struct {
-	// Name is the pool's scope and the number of the cell.
+	// Name consists of the pool's scope and the number of the cell.
 	Name    string
 	Engines []placer.Endpoint
 }
 
-// CellCount returns the number of cells of a pool with a number of engines.
+// CellCount returns the number of cells of a pool with the given number of engines.
 func CellCount(engines int) int {
 	if engines <= MaxCellEngines {
 		return 1
@@ -33,48 +33,48 @@
 	return (engines + meanCellEngines - 1) / meanCellEngines
 }
 
-// CellName returns the name of a numbered cell.
+// CellName returns the name of a cell from its pool's scope and its number.
 func CellName(scope string, number int) string { return scope + "/" + strconv.Itoa(number) }
 
-// Partition divides the engines of a pool into cells. Every host comes to the
-// same cells from the same list. An engine goes to the cell with the highest
-// hash that has room, so that few engines move when their number changes.
+// Partition divides the engines of a pool into cells. All hosts compute the same
+// cells from the same list. It uses rendezvous hashing: an engine goes to the cell
+// with the highest hash that has room, so that few engines move when their number
+// changes.
 func Partition(scope string, engines []placer.Endpoint) []CellMembers {
-	gros := make([]CellMembers, CellCount(len(engines)))
-	for ind := range gros {
-		gros[ind].Name = CellName(scope, ind)
+	cells := make([]CellMembers, CellCount(len(engines)))
+	for i := range cells {
+		cells[i].Name = CellName(scope, i)
 	}
 	for _, end := range sortedByID(engines) {
-		bes := -1
-		var hig uint64
-		for ind := range gros {
-			wei := weigh(gros[ind].Name, end.ID)
-			if len(gros[ind].Engines) < MaxCellEngines && (bes < 0 || wei > hig) {
-				bes, hig = ind, wei
+		best := -1
+		var highest uint64
+		for i := range cells {
+			weight := rendezvousWeight(cells[i].Name, end.ID)
+			if len(cells[i].Engines) < MaxCellEngines && (best < 0 || weight > highest) {
+				best, highest = i, weight
 			}
 		}
-		gros[bes].Engines = append(gros[bes].Engines, end)
+		cells[best].Engines = append(cells[best].Engines, end)
 	}
-	return gros
+	return cells
 }
 
 func sortedByID(engines []placer.Endpoint) []placer.Endpoint {
 	out := slices.Clone(engines)
-	slices.SortFunc(out, func(one, two placer.Endpoint) int { return cmp.Compare(one.ID, two.ID) })
+	slices.SortFunc(out, func(a, b placer.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
-// Candidates returns the hosts in the order in which they are to schedule a
-// cell.
+// Candidates returns the hosts in their order of preference for scheduling a cell.
 func Candidates(cell string, hosts []string) []string {
 	out := slices.Clone(hosts)
-	slices.SortFunc(out, func(one, two string) int {
-		return cmp.Or(cmp.Compare(weigh(cell, two), weigh(cell, one)), cmp.Compare(one, two))
+	slices.SortFunc(out, func(a, b string) int {
+		return cmp.Or(cmp.Compare(rendezvousWeight(cell, b), rendezvousWeight(cell, a)), cmp.Compare(a, b))
 	})
 	return out
 }
 
-func weigh(cell, id string) uint64 {
+func rendezvousWeight(cell, id string) uint64 {
 	var dig xxhash.Digest
 	dig.Reset()
 	_, _ = dig.WriteString(cell)
@@ -83,7 +83,7 @@
 	return dig.Sum64()
 }
 
-// CellScope returns the scope that a cell's name was made from.
+// CellScope returns the scope in a cell's name.
 func CellScope(cell string) string {
 	return cell[:max(0, strings.LastIndexByte(cell, '/'))]
 }
--- a/process/scheduler/prefixes.go
+++ b/process/scheduler/prefixes.go
@@ -8,78 +8,81 @@
 )
 
 const (
-	// maxSlots is the most engines that a cell has.
+	// maxSlots is the maximum number of engines of a cell, as a mask has one bit
+	// for each.
 	maxSlots = 64
-	// maxCacheBlocks bounds the blocks that are remembered of one engine.
+	// maxCacheBlocks bounds the blocks that are tracked for one engine.
 	maxCacheBlocks = 4096
 )
 
-// prefixes says which engines are believed to hold which blocks, a bit for each
-// engine. It rests on the cell's own grants: an engine holds the prompts that it
-// has prefilled until it needs the room, and then drops the blocks that were not
-// used for longest. A wrong belief costs one prefill. Its zero value is empty.
+// prefixes estimates which engines cache which blocks of prompts, with a mask of
+// engines for each block. It uses only the cell's own grants: it assumes that an
+// engine caches the prompts that it has prefilled until it needs the memory, and
+// then evicts the least recently used blocks. A wrong estimate costs one prefill.
+// Its zero value is empty.
 type prefixes struct {
 	masks  map[uint64]uint64
 	caches [maxSlots]blockCache
 }
 
-// blockCache lists the blocks of one engine, the one not used for longest first.
+// blockCache lists the blocks of one engine, the least recently used first.
 type blockCache struct {
-	places map[uint64]*list.Element
-	order  list.List
+	elements map[uint64]*list.Element
+	order    list.List
 }
 
-// store notes that the engine of a slot holds the blocks and has used them now.
+// store records that the engine of a slot caches the blocks and has just used them.
 func (pre *prefixes) store(slot int, blocks []uint64) {
 	cac := &pre.caches[slot]
 	if pre.masks == nil {
 		pre.masks = map[uint64]uint64{}
 	}
-	if cac.places == nil {
-		cac.places = map[uint64]*list.Element{}
+	if cac.elements == nil {
+		cac.elements = map[uint64]*list.Element{}
 	}
-	for _, blo := range blocks {
-		if pla := cac.places[blo]; pla != nil {
-			cac.order.MoveToBack(pla)
+	for _, block := range blocks {
+		if element := cac.elements[block]; element != nil {
+			cac.order.MoveToBack(element)
 			continue
 		}
-		cac.places[blo] = cac.order.PushBack(blo)
-		pre.masks[blo] |= 1 << slot
+		cac.elements[block] = cac.order.PushBack(block)
+		pre.masks[block] |= 1 << slot
 	}
 }
 
-// trim drops the blocks of an engine that has room for a number of them only.
+// trim evicts the least recently used blocks of an engine until the given number
+// is left.
 func (pre *prefixes) trim(slot int, room int64) {
 	cac := &pre.caches[slot]
-	lim := int(min(maxCacheBlocks, max(0, room)))
-	for cac.order.Len() > lim {
-		blo := cac.order.Remove(cac.order.Front()).(uint64)
-		delete(cac.places, blo)
-		pre.unmark(slot, blo)
+	maxBlocks := int(min(maxCacheBlocks, max(0, room)))
+	for cac.order.Len() > maxBlocks {
+		block := cac.order.Remove(cac.order.Front()).(uint64)
+		delete(cac.elements, block)
+		pre.unmark(slot, block)
 	}
 }
 
-// clear forgets all blocks of an engine.
+// clear drops all blocks of an engine.
 func (pre *prefixes) clear(slot int) { pre.trim(slot, 0) }
 
-func (pre *prefixes) unmark(slot int, blo uint64) {
-	mas := pre.masks[blo] &^ (1 << slot)
-	if mas == 0 {
-		delete(pre.masks, blo)
+func (pre *prefixes) unmark(slot int, block uint64) {
+	mask := pre.masks[block] &^ (1 << slot)
+	if mask == 0 {
+		delete(pre.masks, block)
 		return
 	}
-	pre.masks[blo] = mas
+	pre.masks[block] = mask
 }
 
-// match counts the leading blocks that each engine is believed to hold.
+// match counts the leading blocks that each engine is estimated to cache.
 func (pre *prefixes) match(blocks []uint64, out *[maxSlots]uint16) {
 	all := ^uint64(0)
-	for ind, blo := range blocks {
-		nex := all & pre.masks[blo]
-		for end := all &^ nex; end != 0 && ind > 0; end &= end - 1 {
-			out[bits.TrailingZeros64(end)] = uint16(min(ind, 1<<16-1))
+	for i, block := range blocks {
+		next := all & pre.masks[block]
+		for ended := all &^ next; ended != 0 && i > 0; ended &= ended - 1 {
+			out[bits.TrailingZeros64(ended)] = uint16(min(i, 1<<16-1))
 		}
-		if all = nex; all == 0 {
+		if all = next; all == 0 {
 			return
 		}
 	}
@@ -88,17 +91,17 @@
 	}
 }
 
-// cache notes that an engine holds the whole blocks of a prompt that it has
-// prefilled or taken over.
-func (cel *Cell) cache(par *part) {
-	pre := par.gra.ask.req.Prefix
-	par.shared = min(par.memory, int64(len(pre))*hasher.BlockTokens)
-	par.eng.shared += par.shared
-	cel.prefixes.store(par.eng.slot, pre)
-	cel.makeCacheRoom(par.eng)
+// recordCache records that an engine caches the complete blocks of a prompt, which
+// it has prefilled or received by a move.
+func (cel *Cell) recordCache(par *part) {
+	blocks := par.grant.entry.req.Prefix
+	par.shared = min(par.memory, int64(len(blocks))*hasher.BlockTokens)
+	par.engine.shared += par.shared
+	cel.prefixes.store(par.engine.slot, blocks)
+	cel.trimCache(par.engine)
 }
 
-// makeCacheRoom drops the blocks that had to give way to the engine's prompts.
-func (cel *Cell) makeCacheRoom(eng *engine) {
-	cel.prefixes.trim(eng.slot, (eng.free()+eng.shared)/hasher.BlockTokens)
+// trimCache drops the blocks that no longer fit beside the engine's prompts.
+func (cel *Cell) trimCache(eng *engine) {
+	cel.prefixes.trim(eng.slot, (eng.freeMemory()+eng.shared)/hasher.BlockTokens)
 }
--- a/process/scheduler/prefixes_test.go
+++ b/process/scheduler/prefixes_test.go
@@ -9,16 +9,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCachedPrefix sends a prompt where its prefix is cached, and elsewhere
-// once the engine needed the room or is another process.
+// TestCachedPrefix checks that a prompt goes to the engine that caches its prefix,
+// and elsewhere once the engine has evicted it or restarted.
 func TestCachedPrefix(t *testing.T) {
-	blos := make([]uint64, 10)
-	oth := make([]uint64, 2*maxCacheBlocks)
-	for ind := range oth {
-		oth[ind] = uint64(100 + ind)
+	blocks := make([]uint64, 10)
+	others := make([]uint64, 2*maxCacheBlocks)
+	for i := range others {
+		others[i] = uint64(100 + i)
 	}
-	for ind := range blos {
-		blos[ind] = uint64(11 + ind)
+	for i := range blocks {
+		blocks[i] = uint64(11 + i)
 	}
 	tts := []struct {
 		name string
@@ -27,36 +27,36 @@
 	}{
 		{"kept", func(*Cell, *engine) {}, "e1"},
 		{"used beside others", func(cel *Cell, eng *engine) {
-			cel.prefixes.store(eng.slot, oth[:20])
-			cel.makeCacheRoom(eng)
+			cel.prefixes.store(eng.slot, others[:20])
+			cel.trimCache(eng)
 		}, "e1"},
 		{"overwritten", func(cel *Cell, eng *engine) {
-			cel.prefixes.store(eng.slot, oth)
-			cel.makeCacheRoom(eng)
+			cel.prefixes.store(eng.slot, others)
+			cel.trimCache(eng)
 		}, "e0"},
 		{"no memory free for a while", func(cel *Cell, eng *engine) {
 			eng.foreign = eng.memory
-			cel.makeCacheRoom(eng)
+			cel.trimCache(eng)
 			eng.foreign = 0
 		}, "e0"},
 		{"restarted", func(cel *Cell, eng *engine) {
-			cel.Next(Report{"e1", invoker.Load{Incarnation: 7, MemoryTokens: eng.memory, PrefillRate: eng.rate, Models: eng.models, Partial: true}}, epoch)
+			cel.Next(Report{"e1", invoker.Load{Incarnation: 7, MemoryTokens: eng.memory, PrefillRate: eng.reportedRate, Models: eng.models, Partial: true}}, epoch)
 		}, "e0"},
 	}
 	for _, tt := range tts {
 		t.Run(tt.name, func(t *testing.T) {
 			cel := newCell(2, epoch)
 			eng := cel.byID["e1"]
-			cel.prefixes.store(eng.slot, blos)
+			cel.prefixes.store(eng.slot, blocks)
 			tt.do(cel, eng)
-			acts := cel.Next(Request{ID: "x", Request: placer.Request{ID: "x", Model: "m", PromptTokens: 12_000, Prefix: blos, Deadline: epoch.Add(stageLimit)}}, epoch)
+			acts := cel.Next(Request{ID: "x", Request: placer.Request{ID: "x", Model: "m", PromptTokens: 12_000, Prefix: blocks, Deadline: epoch.Add(requestLimit)}}, epoch)
 			require.Len(t, acts, 1)
 			require.Equal(t, tt.want, acts[0].(Grant).Endpoint)
 		})
 	}
 }
 
-// A block of one engine says nothing about another one that dropped it.
+// TestPrefixesByEngine checks that an evicted block is dropped for that engine only.
 func TestPrefixesByEngine(t *testing.T) {
 	var pre prefixes
 	pre.store(0, []uint64{1, 2, 3})
--- a/process/scheduler/property_test.go
+++ b/process/scheduler/property_test.go
@@ -15,37 +15,38 @@
 )
 
 const (
-	worldStep    = 25 * time.Millisecond
-	worldMemory  = 400_000
-	worldRate    = 200_000
-	reportEvery  = 250 * time.Millisecond
-	repeatEvery  = time.Second
-	worldArrival = 5 * time.Second
-	settleSteps  = 35 * 40
-	answerTime   = 200 * time.Millisecond
+	simStep         = 25 * time.Millisecond
+	simEngineMemory = 400_000
+	simPrefillRate  = 200_000
+	reportInterval  = 250 * time.Millisecond
+	repeatInterval  = time.Second
+	arrivalPeriod   = 5 * time.Second
+	settleSteps     = 35 * 40
+	answerTime      = 200 * time.Millisecond
 )
 
-// world runs a cell against engines that do what they are granted. Notices of
-// first tokens and of ends get lost at random.
-type world struct {
-	t    *rapid.T
-	cel  *Cell
-	now  time.Time
-	live []bool
-	asks map[string]*worldAsk
-	ids  []string
+// simulation runs a cell with engines that run what is granted. Notices of first
+// tokens and of ends are lost at random.
+type simulation struct {
+	t         *rapid.T
+	cell      *Cell
+	now       time.Time
+	reporting []bool
+	requests  map[string]*simRequest
+	ids       []string
 }
 
-type worldAsk struct {
-	eve      Request
-	asked    time.Time
-	parts    []placer.Part
-	group    []placer.Part
-	doneAt   time.Time
-	outcome  string
-	lost     bool
-	released bool
-	// move is whether the answer moves: "", "asked", "moved", "stayed" or "lost".
+type simRequest struct {
+	event        Request
+	submittedAt  time.Time
+	parts        []placer.Part
+	otherParts   []placer.Part
+	doneAt       time.Time
+	outcome      string
+	losesNotices bool
+	released     bool
+	// move is the state of the answer's move: "", "asked", "moved", "stayed" or
+	// "lost".
 	move string
 }
 
@@ -54,197 +55,198 @@
 		require.NoError(t, flag.Set("rapid.seed", "20260104"))
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		cou := rapid.IntRange(1, 6).Draw(t, "Engines")
-		wor := &world{t: t, cel: newCell(cou, epoch), now: epoch, live: make([]bool, cou), asks: map[string]*worldAsk{}}
-		for ind := range wor.live {
-			wor.live[ind] = true
+		engines := rapid.IntRange(1, 6).Draw(t, "Engines")
+		sim := &simulation{t: t, cell: newCell(engines, epoch), now: epoch, reporting: make([]bool, engines), requests: map[string]*simRequest{}}
+		for i := range sim.reporting {
+			sim.reporting[i] = true
 		}
-		for wor.now.Sub(epoch) < worldArrival {
-			wor.arrive()
+		for sim.now.Sub(epoch) < arrivalPeriod {
+			sim.arrive()
 			for range 2 {
-				wor.step()
+				sim.step()
 			}
 		}
 		for range settleSteps {
-			wor.step()
+			sim.step()
 		}
-		wor.settled()
+		sim.requireSettled()
 	})
 }
 
-func (wor *world) arrive() {
-	if rapid.IntRange(0, 9).Draw(wor.t, "Arrival") > 5 {
+func (sim *simulation) arrive() {
+	if rapid.IntRange(0, 9).Draw(sim.t, "Arrival") > 5 {
 		return
 	}
-	tok := rapid.SampledFrom([]int64{500, 1000, 4000, 20_000, 120_000, 380_000, 900_000}).Draw(wor.t, "Tokens")
-	id := fmt.Sprintf("a%d", len(wor.ids))
-	wor.ids = append(wor.ids, id)
-	wor.asks[id] = &worldAsk{lost: rapid.IntRange(0, 9).Draw(wor.t, "Lost") == 0, asked: wor.now, eve: Request{ID: id, Host: "h", Incarnation: 1, Request: placer.Request{
-		ID: "r" + id, Team: rapid.SampledFrom([]string{"t", "u"}).Draw(wor.t, "Team"), Model: "m", PromptTokens: tok, MaxTokens: 10,
-		Priority: rapid.IntRange(0, 2).Draw(wor.t, "Priority"), Deadline: wor.now.Add(time.Duration(rapid.IntRange(1, 30).Draw(wor.t, "Limit")) * time.Second),
+	tokens := rapid.SampledFrom([]int64{500, 1000, 4000, 20_000, 120_000, 380_000, 900_000}).Draw(sim.t, "Tokens")
+	id := fmt.Sprintf("a%d", len(sim.ids))
+	sim.ids = append(sim.ids, id)
+	sim.requests[id] = &simRequest{losesNotices: rapid.IntRange(0, 9).Draw(sim.t, "Lost") == 0, submittedAt: sim.now, event: Request{ID: id, Host: "h", Incarnation: 1, Request: placer.Request{
+		ID: "r" + id, Team: rapid.SampledFrom([]string{"t", "u"}).Draw(sim.t, "Team"), Model: "m", PromptTokens: tokens, MaxTokens: 10,
+		Priority: rapid.IntRange(0, 2).Draw(sim.t, "Priority"), Deadline: sim.now.Add(time.Duration(rapid.IntRange(1, 30).Draw(sim.t, "Limit")) * time.Second),
 	}}}
-	wor.take(wor.cel.Next(wor.asks[id].eve, wor.now))
+	sim.apply(sim.cell.Next(sim.requests[id].event, sim.now))
 }
 
-// fault stops the reports of an engine, or lets it report again.
-func (wor *world) fault() {
-	if rapid.IntRange(0, 9).Draw(wor.t, "Fault") == 0 {
-		ind := rapid.IntRange(0, len(wor.live)-1).Draw(wor.t, "Engine")
-		wor.live[ind] = !wor.live[ind]
+// fault stops or resumes the reports of a random engine.
+func (sim *simulation) fault() {
+	if rapid.IntRange(0, 9).Draw(sim.t, "Fault") == 0 {
+		i := rapid.IntRange(0, len(sim.reporting)-1).Draw(sim.t, "Engine")
+		sim.reporting[i] = !sim.reporting[i]
 	}
 }
 
-func (wor *world) step() {
-	wor.now = wor.now.Add(worldStep)
-	for _, id := range wor.ids {
-		one := wor.asks[id]
+func (sim *simulation) step() {
+	sim.now = sim.now.Add(simStep)
+	for _, id := range sim.ids {
+		req := sim.requests[id]
 		switch {
-		case one.outcome == "" && wor.now.Sub(one.asked) >= repeatEvery:
-			one.asked = wor.now
-			wor.take(wor.cel.Next(one.eve, wor.now))
-		case one.outcome == "granted" && !one.released && wor.now.Before(one.doneAt):
-			wor.move(one)
-		case one.outcome == "granted" && !one.released:
-			one.released = true
-			if !one.lost {
-				wor.take(wor.cel.Next(Prefilled{id}, wor.now))
-				wor.take(wor.cel.Next(Release{id}, wor.now))
+		case req.outcome == "" && sim.now.Sub(req.submittedAt) >= repeatInterval:
+			req.submittedAt = sim.now
+			sim.apply(sim.cell.Next(req.event, sim.now))
+		case req.outcome == "granted" && !req.released && sim.now.Before(req.doneAt):
+			sim.move(req)
+		case req.outcome == "granted" && !req.released:
+			req.released = true
+			if !req.losesNotices {
+				sim.apply(sim.cell.Next(Prefilled{id}, sim.now))
+				sim.apply(sim.cell.Next(Release{id}, sim.now))
 			}
 		}
 	}
-	if wor.now.Sub(epoch)%reportEvery == 0 {
-		if wor.now.Sub(epoch) < worldArrival {
-			wor.fault()
+	if sim.now.Sub(epoch)%reportInterval == 0 {
+		if sim.now.Sub(epoch) < arrivalPeriod {
+			sim.fault()
 		}
-		wor.report()
+		sim.report()
 	}
-	wor.take(wor.cel.Next(Tick{}, wor.now))
-	for _, id := range wor.ids {
-		one := wor.asks[id]
-		if one.outcome == "" && wor.now.After(one.eve.Request.Deadline.Add(sweepInterval)) {
-			wor.t.Fatalf("%s has no answer by its deadline", id)
+	sim.apply(sim.cell.Next(Tick{}, sim.now))
+	for _, id := range sim.ids {
+		req := sim.requests[id]
+		if req.outcome == "" && sim.now.After(req.event.Request.Deadline.Add(sweepInterval)) {
+			sim.t.Fatalf("request %s has no answer by its deadline", id)
 		}
 	}
 }
 
-// move asks, once the first token is there, and tells or loses the outcome a
-// step later. The request holds memory on both engines meanwhile.
-func (wor *world) move(one *worldAsk) {
+// move sends a Move event after the first token, and one step later reports or loses
+// the outcome. Meanwhile the request uses memory on both engines.
+func (sim *simulation) move(req *simRequest) {
 	switch {
-	case one.move == "" && wor.now.Add(answerTime).After(one.doneAt):
-		one.move = rapid.SampledFrom([]string{"asked", "stayed"}).Draw(wor.t, "Move")
-		if one.move == "asked" {
-			wor.take(wor.cel.Next(Move{one.eve.ID}, wor.now))
+	case req.move == "" && sim.now.Add(answerTime).After(req.doneAt):
+		req.move = rapid.SampledFrom([]string{"asked", "stayed"}).Draw(sim.t, "Move")
+		if req.move == "asked" {
+			sim.apply(sim.cell.Next(Move{req.event.ID}, sim.now))
 		}
-	case one.move == "asked":
-		one.move = rapid.SampledFrom([]string{"moved", "stayed", "lost"}).Draw(wor.t, "Outcome")
-		tar := one.parts[1:]
+	case req.move == "asked":
+		req.move = rapid.SampledFrom([]string{"moved", "stayed", "lost"}).Draw(sim.t, "Outcome")
+		target := req.parts[1:]
 		switch {
-		case len(one.group) > 0 || len(tar) == 0:
-		case one.move == "moved":
-			one.parts = tar
-			wor.take(wor.cel.Next(Moved{one.eve.ID}, wor.now))
-		case one.move == "stayed":
-			one.parts = one.parts[:1]
-			wor.take(wor.cel.Next(Stayed{one.eve.ID}, wor.now))
+		case len(req.otherParts) > 0 || len(target) == 0:
+		case req.move == "moved":
+			req.parts = target
+			sim.apply(sim.cell.Next(Moved{req.event.ID}, sim.now))
+		case req.move == "stayed":
+			req.parts = req.parts[:1]
+			sim.apply(sim.cell.Next(Stayed{req.event.ID}, sim.now))
 		}
 	}
 }
 
-func (wor *world) report() {
-	for ind, liv := range wor.live {
-		if !liv {
+func (sim *simulation) report() {
+	for i, reporting := range sim.reporting {
+		if !reporting {
 			continue
 		}
-		loa := invoker.Load{MemoryTokens: worldMemory, PrefillRate: worldRate, StepMs: 10}
-		for _, id := range wor.ids {
-			one := wor.asks[id]
-			if one.outcome != "granted" || one.released {
+		loa := invoker.Load{MemoryTokens: simEngineMemory, PrefillRate: simPrefillRate, StepMs: 10}
+		for _, id := range sim.ids {
+			req := sim.requests[id]
+			if req.outcome != "granted" || req.released {
 				continue
 			}
-			for _, par := range one.parts {
-				if par.Endpoint == fmt.Sprintf("e%d", ind) {
-					loa.Sequences = append(loa.Sequences, invoker.Sequence{RequestID: one.eve.Request.ID, Tokens: par.Tokens})
+			for _, par := range req.parts {
+				if par.Endpoint == fmt.Sprintf("e%d", i) {
+					loa.Sequences = append(loa.Sequences, invoker.Sequence{RequestID: req.event.Request.ID, Tokens: par.Tokens})
 				}
 			}
 		}
-		wor.take(wor.cel.Next(Report{fmt.Sprintf("e%d", ind), loa}, wor.now))
+		sim.apply(sim.cell.Next(Report{fmt.Sprintf("e%d", i), loa}, sim.now))
 	}
 }
 
-// take carries actions out and checks them against the engines' true memory.
-func (wor *world) take(acts []Action) {
+// apply carries out actions and checks that they do not exceed the memory of an
+// engine.
+func (sim *simulation) apply(acts []Action) {
 	for _, act := range slices.Clone(acts) {
 		switch act := act.(type) {
 		case MoveTo:
-			one := wor.asks[act.ID]
-			one.parts = append(one.parts, placer.Part{Endpoint: act.Endpoint, Tokens: one.parts[0].Tokens})
+			req := sim.requests[act.ID]
+			req.parts = append(req.parts, placer.Part{Endpoint: act.Endpoint, Tokens: req.parts[0].Tokens})
 			continue
 		case Stay:
 			continue
 		}
-		one := wor.asks[askOf(act)]
-		if one.outcome != "" {
-			wor.t.Fatalf("%s is answered again after %s", one.eve.ID, one.outcome)
+		req := sim.requests[requestIDOf(act)]
+		if req.outcome != "" {
+			sim.t.Fatalf("request %s is answered again after it was %s", req.event.ID, req.outcome)
 		}
 		switch act := act.(type) {
 		case Refuse:
-			one.outcome = "refused"
+			req.outcome = "refused"
 		case Grant:
-			one.grant(wor, []placer.Part{{Endpoint: act.Endpoint, Tokens: one.eve.Request.Need()}})
+			req.grant(sim, []placer.Part{{Endpoint: act.Endpoint, Tokens: req.event.Request.Need()}})
 		case GrantGroup:
-			one.grant(wor, act.Parts)
+			req.grant(sim, act.Parts)
 		}
 	}
 	if len(acts) > 0 {
-		wor.checkMemory()
+		sim.checkMemory()
 	}
 }
 
-func (wor *world) checkMemory() {
-	for _, eng := range wor.cel.engines {
-		var tru int64
-		for _, oth := range wor.asks {
-			for _, par := range oth.parts {
-				if par.Endpoint == eng.id && !oth.released {
-					tru += par.Tokens
+func (sim *simulation) checkMemory() {
+	for _, eng := range sim.cell.engines {
+		var actual int64
+		for _, req := range sim.requests {
+			for _, par := range req.parts {
+				if par.Endpoint == eng.id && !req.released {
+					actual += par.Tokens
 				}
 			}
 		}
-		if tru > worldMemory {
-			wor.t.Fatalf("%s holds %d tokens", eng.id, tru)
+		if actual > simEngineMemory {
+			sim.t.Fatalf("engine %s has %d tokens of memory in use", eng.id, actual)
 		}
 	}
 }
 
-func (one *worldAsk) grant(wor *world, pars []placer.Part) {
+func (req *simRequest) grant(sim *simulation, parts []placer.Part) {
 	var sum int64
-	for _, par := range pars {
+	for _, par := range parts {
 		sum += par.Tokens
 	}
-	if sum != one.eve.Request.Need() || wor.now.After(one.eve.Request.Deadline) {
-		wor.t.Fatalf("%s got %d tokens of %d at %s", one.eve.ID, sum, one.eve.Request.Need(), wor.now)
+	if sum != req.event.Request.Need() || sim.now.After(req.event.Request.Deadline) {
+		sim.t.Fatalf("request %s was granted %d of %d tokens at %s, want all by its deadline", req.event.ID, sum, req.event.Request.Need(), sim.now)
 	}
-	one.outcome = "granted"
-	one.parts = pars
-	one.group = pars[1:]
-	pre := time.Duration(one.eve.Request.PromptTokens) * time.Second / worldRate / time.Duration(len(pars))
-	one.doneAt = wor.now.Add(pre + answerTime)
-	if one.doneAt.After(one.eve.Request.Deadline) {
-		one.doneAt = one.eve.Request.Deadline
+	req.outcome = "granted"
+	req.parts = parts
+	req.otherParts = parts[1:]
+	prefill := time.Duration(req.event.Request.PromptTokens) * time.Second / simPrefillRate / time.Duration(len(parts))
+	req.doneAt = sim.now.Add(prefill + answerTime)
+	if req.doneAt.After(req.event.Request.Deadline) {
+		req.doneAt = req.event.Request.Deadline
 	}
 }
 
-// settled checks that nothing is left behind once all requests have ended.
-func (wor *world) settled() {
-	require.Zero(wor.t, wor.cel.Waiting())
-	require.Zero(wor.t, wor.cel.Granted())
-	require.Nil(wor.t, wor.cel.promise)
-	for _, eng := range wor.cel.engines {
-		require.Zero(wor.t, eng.used)
-		require.Zero(wor.t, eng.shortUsed)
-		require.Empty(wor.t, eng.prefills)
-		require.Zero(wor.t, eng.running)
-		require.Zero(wor.t, eng.moves)
+// requireSettled checks that no state is left once all requests have ended.
+func (sim *simulation) requireSettled() {
+	require.Zero(sim.t, sim.cell.Waiting())
+	require.Zero(sim.t, sim.cell.Granted())
+	require.Nil(sim.t, sim.cell.promise)
+	for _, eng := range sim.cell.engines {
+		require.Zero(sim.t, eng.used)
+		require.Zero(sim.t, eng.shortUsed)
+		require.Empty(sim.t, eng.prefills)
+		require.Zero(sim.t, eng.running)
+		require.Zero(sim.t, eng.incomingMoves)
 	}
 }
--- a/process/scheduler/queue.go
+++ b/process/scheduler/queue.go
@@ -9,56 +9,57 @@
 )
 
 const (
-	// stretch is the wait that a prompt may have for each second of its own
-	// prefill before prompts that came later go first.
-	stretch = 2.0
-	// priorityHeadStart is how much earlier than others a request counts for
-	// each step of priority.
-	priorityHeadStart = 100 * time.Millisecond
-	// longPrefill is the prefill time from which a prompt counts as long.
+	// prefillKeyFactor delays a prompt's key by this many times its prefill time,
+	// so that shorter prompts that arrive within this time are granted first.
+	prefillKeyFactor = 2.0
+	// priorityKeyStep is how much earlier a request's key is for each step of
+	// priority.
+	priorityKeyStep = 100 * time.Millisecond
+	// longPrefill is the minimum prefill time of a long prompt.
 	longPrefill = 25 * time.Millisecond
-	// answerWeight weighs an answer's tokens against a prompt's in a team's
-	// account.
+	// answerWeight is the cost of an answer token relative to a prompt token in a
+	// team's virtual time.
 	answerWeight = 1
 )
 
-// ask is a request that waits, or that has been granted.
-type ask struct {
-	id   string
-	host string
-	inc  uint64
-	req  placer.Request
-	team *team
-	// long asks are bound to a share of the engines; group asks need several
-	// engines.
+// entry is a request that waits in the queue or has been granted.
+type entry struct {
+	id          string
+	host        string
+	incarnation uint64
+	req         placer.Request
+	team        *team
+	// long requests may use only a share of the engines; group requests need the
+	// memory of several engines.
 	long  bool
 	group bool
-	// patient is when the ask may have a promise of memory again.
-	patient time.Time
-	// key orders the asks of a team: the arrival, later for long prompts and
-	// earlier for a higher priority. It does not change while the ask waits,
-	// so every ask is first at some time.
-	key         time.Time
-	arrived     time.Time
-	latestStart time.Time
-	cost        float64
-	cached      [maxSlots]uint16
-	index       int
-}
-
-// team is the account of one team in the cell.
+	// promiseAfter is the earliest time of another promise of memory.
+	promiseAfter time.Time
+	// key orders the requests of a team. It is the arrival time, moved later for
+	// a longer prefill and earlier for a higher priority. It does not change
+	// while the request waits, so every request becomes the first eventually.
+	key          time.Time
+	arrived      time.Time
+	latestStart  time.Time
+	cost         float64
+	cachedBlocks [maxSlots]uint16
+	heapIndex    int
+}
+
+// team has the waiting requests and the virtual time of one team in the cell.
 type team struct {
 	name  string
 	share float64
-	// served is the virtual time of the team: granted tokens by share.
-	served float64
-	// heaps and tokens hold the waiting asks and count their prompt tokens by
-	// class, so that an ask of one class does not hold up another.
-	heaps  [classes]askHeap
-	tokens [classes]float64
+	// virtualTime is the sum of the granted tokens divided by the team's share.
+	virtualTime float64
+	// heaps and promptTokens hold the waiting requests and the sum of their
+	// prompt tokens by class, so that a request of one class does not delay
+	// requests of another.
+	heaps        [classes]entryHeap
+	promptTokens [classes]float64
 }
 
-// class tells asks apart by what they wait for.
+// class is the kind of engines that a request waits for.
 type class int
 
 const (
@@ -68,11 +69,11 @@
 	classes
 )
 
-func (one *ask) class() class {
+func (ent *entry) class() class {
 	switch {
-	case one.group:
+	case ent.group:
 		return classGroup
-	case one.long:
+	case ent.long:
 		return classLong
 	default:
 		return classShort
@@ -87,61 +88,63 @@
 	return sum
 }
 
-// waitingTokens counts the prompt tokens that wait for engines of short or of
-// long prompts.
+// waitingTokens returns the waiting prompt tokens of short prompts, or of long
+// ones including groups.
 func (tea *team) waitingTokens(long bool) float64 {
 	if long {
-		return tea.tokens[classLong] + tea.tokens[classGroup]
+		return tea.promptTokens[classLong] + tea.promptTokens[classGroup]
 	}
-	return tea.tokens[classShort]
+	return tea.promptTokens[classShort]
 }
 
-// askHeap is a heap of asks, the lowest key first.
-type askHeap []*ask
+// entryHeap is a heap of requests with the lowest key first.
+type entryHeap []*entry
 
 // Len is part of heap.Interface.
-func (hea askHeap) Len() int { return len(hea) }
+func (hea entryHeap) Len() int { return len(hea) }
 
 // Less is part of heap.Interface.
-func (hea askHeap) Less(one, two int) bool {
-	if !hea[one].key.Equal(hea[two].key) {
-		return hea[one].key.Before(hea[two].key)
+func (hea entryHeap) Less(i, j int) bool {
+	if !hea[i].key.Equal(hea[j].key) {
+		return hea[i].key.Before(hea[j].key)
 	}
-	return hea[one].id < hea[two].id
+	return hea[i].id < hea[j].id
 }
 
 // Swap is part of heap.Interface.
-func (hea askHeap) Swap(one, two int) {
-	hea[one], hea[two] = hea[two], hea[one]
-	hea[one].index = one
-	hea[two].index = two
+func (hea entryHeap) Swap(i, j int) {
+	hea[i], hea[j] = hea[j], hea[i]
+	hea[i].heapIndex = i
+	hea[j].heapIndex = j
 }
 
 // Push is part of heap.Interface.
-func (hea *askHeap) Push(val any) {
-	one := val.(*ask)
-	one.index = len(*hea)
-	*hea = append(*hea, one)
+func (hea *entryHeap) Push(val any) {
+	ent := val.(*entry)
+	ent.heapIndex = len(*hea)
+	*hea = append(*hea, ent)
 }
 
 // Pop is part of heap.Interface.
-func (hea *askHeap) Pop() any {
-	las := len(*hea) - 1
-	one := (*hea)[las]
-	(*hea)[las] = nil
-	*hea = (*hea)[:las]
-	return one
+func (hea *entryHeap) Pop() any {
+	last := len(*hea) - 1
+	ent := (*hea)[last]
+	(*hea)[last] = nil
+	*hea = (*hea)[:last]
+	return ent
 }
 
-// queue holds the waiting asks by team. Teams with waiting asks are active.
+// queue holds the waiting requests by team. A team is active while it has waiting
+// requests.
 type queue struct {
-	teams  map[string]*team
-	active []*team
-	count  int
-	tokens int64
-	// floor is the lowest virtual time of an active team at the last grant. A
-	// team that comes back starts there and has no credit for its absence.
-	floor float64
+	teams        map[string]*team
+	active       []*team
+	count        int
+	promptTokens int64
+	// minVirtualTime is the lowest virtual time of an active team at the last
+	// grant. A team that becomes active again starts there at least, so that it
+	// has no credit for its inactive time.
+	minVirtualTime float64
 }
 
 func (que *queue) team(name string, share float64) *team {
@@ -160,87 +163,89 @@
 	return tea
 }
 
-func (que *queue) push(one *ask) {
-	tea := one.team
+func (que *queue) push(ent *entry) {
+	tea := ent.team
 	if tea.waiting() == 0 {
-		tea.served = max(tea.served, que.floor)
+		tea.virtualTime = max(tea.virtualTime, que.minVirtualTime)
 		que.active = append(que.active, tea)
 	}
-	heap.Push(&tea.heaps[one.class()], one)
-	tea.tokens[one.class()] += float64(one.req.PromptTokens)
+	heap.Push(&tea.heaps[ent.class()], ent)
+	tea.promptTokens[ent.class()] += float64(ent.req.PromptTokens)
 	que.count++
-	que.tokens += one.req.PromptTokens
+	que.promptTokens += ent.req.PromptTokens
 }
 
-func (que *queue) remove(one *ask) {
-	tea := one.team
-	heap.Remove(&tea.heaps[one.class()], one.index)
-	tea.tokens[one.class()] -= float64(one.req.PromptTokens)
+func (que *queue) remove(ent *entry) {
+	tea := ent.team
+	heap.Remove(&tea.heaps[ent.class()], ent.heapIndex)
+	tea.promptTokens[ent.class()] -= float64(ent.req.PromptTokens)
 	que.count--
-	que.tokens -= one.req.PromptTokens
+	que.promptTokens -= ent.req.PromptTokens
 	if tea.waiting() == 0 {
-		que.active = slices.DeleteFunc(que.active, func(oth *team) bool { return oth == tea })
+		que.active = slices.DeleteFunc(que.active, func(other *team) bool { return other == tea })
 	}
 }
 
-// charge adds a granted ask to its team's account.
-func (que *queue) charge(one *ask) {
-	que.floor = max(que.floor, que.lowest(one.team))
-	one.team.served += one.cost / one.team.share
+// charge adds the cost of a granted request to its team's virtual time.
+func (que *queue) charge(ent *entry) {
+	que.minVirtualTime = max(que.minVirtualTime, que.lowestVirtualTime(ent.team))
+	ent.team.virtualTime += ent.cost / ent.team.share
 }
 
-func (que *queue) lowest(tea *team) float64 {
-	low := tea.served
-	for _, oth := range que.active {
-		low = min(low, oth.served)
+func (que *queue) lowestVirtualTime(tea *team) float64 {
+	lowest := tea.virtualTime
+	for _, other := range que.active {
+		lowest = min(lowest, other.virtualTime)
 	}
-	return low
+	return lowest
 }
 
-// forget drops the accounts of teams that are behind the floor anyway.
-func (que *queue) forget() {
-	for nam, tea := range que.teams {
-		if tea.waiting() == 0 && tea.served <= que.floor {
-			delete(que.teams, nam)
+// dropIdleTeams drops inactive teams whose virtual time would be raised to
+// minVirtualTime anyway when they become active again.
+func (que *queue) dropIdleTeams() {
+	for name, tea := range que.teams {
+		if tea.waiting() == 0 && tea.virtualTime <= que.minVirtualTime {
+			delete(que.teams, name)
 		}
 	}
 }
 
-// next returns the team with the least service that has an ask of the class and
-// is not among those passed over.
-func (que *queue) next(cla class, over []*team) *team {
-	var bes *team
+// nextTeam returns the team with the lowest virtual time that has a request of
+// the class and is not among the skipped ones.
+func (que *queue) nextTeam(cla class, skipped []*team) *team {
+	var best *team
 	for _, tea := range que.active {
-		if len(tea.heaps[cla]) == 0 || slices.Contains(over, tea) {
+		if len(tea.heaps[cla]) == 0 || slices.Contains(skipped, tea) {
 			continue
 		}
-		if bes == nil || tea.served < bes.served {
-			bes = tea
+		if best == nil || tea.virtualTime < best.virtualTime {
+			best = tea
 		}
 	}
-	return bes
+	return best
 }
 
-// largest returns the team with the most waiting asks for its share.
-func (que *queue) largest() *team {
-	var bes *team
+// mostOverShare returns the team with the most waiting requests relative to its
+// share.
+func (que *queue) mostOverShare() *team {
+	var best *team
 	for _, tea := range que.active {
-		if bes == nil || float64(tea.waiting())/tea.share > float64(bes.waiting())/bes.share {
-			bes = tea
+		if best == nil || float64(tea.waiting())/tea.share > float64(best.waiting())/best.share {
+			best = tea
 		}
 	}
-	return bes
+	return best
 }
 
-// last returns the waiting ask of a team that would go last.
-func (tea *team) last() *ask {
-	var bes *ask
+// lastEntry returns the waiting request of the team with the highest key.
+func (tea *team) lastEntry() *entry {
+	var latest *entry
 	for _, hea := range tea.heaps {
-		for _, one := range hea {
-			if bes == nil || bes.key.Before(one.key) {
-				bes = one
+		for _, ent := range hea {
+			if latest == nil || latest.key.Before(ent.key) {
+				latest = ent
 			}
 		}
 	}
-	return bes
+	return latest
 }
--- a/process/scheduler/scheduler.go
+++ b/process/scheduler/scheduler.go
@@ -14,82 +14,85 @@
 )
 
 const (
-	// busyTick and idleTick are the intervals at which time passes for cells
-	// with and without waiting asks.
+	// busyTick and idleTick are the intervals of Tick events while any cell has
+	// waiting requests, and while none has.
 	busyTick = 5 * time.Millisecond
 	idleTick = 50 * time.Millisecond
-	// cellIdleTimeout is the time without an ask after which a cell is dropped.
+	// cellIdleTimeout is the time without a request after which a cell without
+	// grants is dropped.
 	cellIdleTimeout = 30 * time.Second
 	pollTimeout     = time.Second
 )
 
-// Loader reads what engines report.
+// Loader reads the load reports of engines.
 type Loader interface {
-	// Load reads the whole report, Summary leaves the holders of memory out.
+	// Load reads the full report. Summary reads the report without the list of
+	// sequences that occupy the engine's memory.
 	Load(ctx context.Context, address string) (invoker.Load, error)
 	Summary(ctx context.Context, address string) (invoker.Load, error)
 }
 
-// Scheduler runs the cells that a host is asked to schedule. All its fields
-// are needed.
+// Scheduler runs the cells that a host schedules. All exported fields are
+// required.
 type Scheduler struct {
 	Loader Loader
-	// Engines lists the engines of a pool as the host knows them.
+	// Engines returns the engines of a pool in the host's view.
 	Engines func(poo parser.Pool) []placer.Endpoint
-	// Pool finds a pool in the tables in force.
+	// Pool looks a pool up in the tables in force.
 	Pool func(name string) (parser.Pool, bool)
-	// Interval is the least interval of load reports.
+	// Interval is the minimum interval between two load reports of an engine.
 	Interval time.Duration
 	Clock    func() time.Time
 	Scope    tally.Scope
 
 	mu    sync.Mutex
-	cells map[string]*running
+	cells map[string]*runningCell
 }
 
-// running is one cell with those that wait for its actions.
-type running struct {
+// runningCell is one cell with the callers of Submit that wait for its actions.
+type runningCell struct {
 	name string
 	pool string
 
-	mu      sync.Mutex
-	cell    Cell
-	engines []placer.Endpoint
-	waiters map[string]chan Action
-	asked   time.Time
-	reads   readPace
-	holders holderPace
+	mu          sync.Mutex
+	cell        Cell
+	engines     []placer.Endpoint
+	waiters     map[string]chan Action
+	lastRequest time.Time
+	summaries   summaryPacer
+	fullReports fullReportPacer
 }
 
-// Submit queues a request in a cell and waits for the answer at most for hold. It
-// returns a nil action while the ask waits; the host then repeats it. With the
-// action comes the expected wait of a new request in the cell. When ctx
-// ends, the ask is cancelled, or its grant released.
-func (sch *Scheduler) Submit(ctx context.Context, cell, pool string, eve Request, hold time.Duration) (Action, time.Duration) {
-	run := sch.running(ctx, cell, pool)
+// Submit queues a request in a cell and waits for a Grant, GrantGroup or Refuse
+// for at most hold. The returned action is nil if the request is still queued;
+// the host then submits it again. The duration is the expected wait of a new
+// request in the cell. When ctx ends, Submit cancels the request or releases its
+// grant.
+func (sch *Scheduler) Submit(ctx context.Context, cell, pool string, req Request, hold time.Duration) (Action, time.Duration) {
+	run := sch.findOrStart(ctx, cell, pool)
 	if run == nil {
-		return Refuse{ID: eve.ID, Refuse: placer.Refuse{Code: CodeUnavailable, Message: "this host does not know the cell", RetryAfter: minRetryAfter}}, 0
+		return Refuse{ID: req.ID, Refuse: placer.Refuse{Code: CodeUnavailable, Message: "this host does not know the cell", RetryAfter: minRetryAfter}}, 0
 	}
-	act, wai := run.ask(eve, sch.Clock())
+	act, answer := run.submit(req, sch.Clock())
 	if act != nil {
-		sch.count(act)
-		return act, run.wait(sch.Clock())
+		sch.countAction(act)
+		return act, run.expectedWait(sch.Clock())
 	}
-	tim := time.NewTimer(hold)
-	defer tim.Stop()
+	timer := time.NewTimer(hold)
+	defer timer.Stop()
 	select {
-	case act = <-wai:
-		sch.count(act)
-	case <-tim.C:
-		act = run.leave(eve.ID, wai)
+	case act = <-answer:
+		sch.countAction(act)
+	case <-timer.C:
+		act = run.stopWaiting(req.ID, answer)
 	case <-ctx.Done():
-		_ = run.leave(eve.ID, wai)
-		run.next(Cancel{eve.ID}, sch.Clock())
+		_ = run.stopWaiting(req.ID, answer)
+		run.apply(Cancel{req.ID}, sch.Clock())
 	}
-	return act, run.wait(sch.Clock())
+	return act, run.expectedWait(sch.Clock())
 }
 
-func (sch *Scheduler) count(act Action) {
+func (sch *Scheduler) countAction(act Action) {
 	switch act := act.(type) {
 	case Refuse:
 		sch.Scope.Tagged(map[string]string{"code": act.Code}).Counter("cell_refusals").Inc(1)
@@ -98,8 +101,8 @@
 	}
 }
 
-// Move asks where the answer of a prefilled grant goes on. The action is MoveTo
-// or Stay; a host that does not schedule the cell answers Stay.
+// Move returns where the answer of a prefilled grant is decoded. The action is
+// MoveTo or Stay; a host that does not schedule the cell returns Stay.
 func (sch *Scheduler) Move(cell, id string) Action {
 	sch.mu.Lock()
 	run := sch.cells[cell]
@@ -110,48 +113,51 @@
 	return run.move(id, sch.Clock())
 }
 
-// Notify passes a notice of a grant on to its cell.
+// Notify passes a notice about a grant to its cell. It does nothing if the host
+// does not schedule the cell.
 func (sch *Scheduler) Notify(cell string, eve Event) {
 	sch.mu.Lock()
 	run := sch.cells[cell]
 	sch.mu.Unlock()
 	if run != nil {
-		run.next(eve, sch.Clock())
+		run.apply(eve, sch.Clock())
 	}
 }
 
-// OwnerRemoved ends what the incarnations of a host up to the given one hold.
+// OwnerRemoved drops the requests and releases the grants of a host's
+// incarnations up to the given one, in all cells.
 func (sch *Scheduler) OwnerRemoved(own OwnerRemoved) {
-	for _, run := range sch.all() {
-		run.next(own, sch.Clock())
+	for _, run := range sch.runningCells() {
+		run.apply(own, sch.Clock())
 	}
 }
 
-func (sch *Scheduler) all() []*running {
+func (sch *Scheduler) runningCells() []*runningCell {
 	sch.mu.Lock()
 	defer sch.mu.Unlock()
-	out := make([]*running, 0, len(sch.cells))
+	out := make([]*runningCell, 0, len(sch.cells))
 	for _, run := range sch.cells {
 		out = append(out, run)
 	}
 	return out
 }
 
-// running finds or starts a cell. A new one reads its engines' loads first.
-func (sch *Scheduler) running(ctx context.Context, cell, pool string) *running {
+// findOrStart returns a running cell, or starts it and reads the load reports of
+// its engines first. It returns nil if the cell does not exist.
+func (sch *Scheduler) findOrStart(ctx context.Context, cell, pool string) *runningCell {
 	sch.mu.Lock()
 	run := sch.cells[cell]
 	if run != nil {
 		sch.mu.Unlock()
 		return run
 	}
-	run = &running{name: cell, pool: pool, waiters: map[string]chan Action{}, asked: sch.Clock()}
+	run = &runningCell{name: cell, pool: pool, waiters: map[string]chan Action{}, lastRequest: sch.Clock()}
 	if !sch.refresh(run) {
 		sch.mu.Unlock()
 		return nil
 	}
 	if sch.cells == nil {
-		sch.cells = map[string]*running{}
+		sch.cells = map[string]*runningCell{}
 	}
 	sch.cells[cell] = run
 	sch.mu.Unlock()
@@ -159,53 +165,53 @@
 	return run
 }
 
-// refresh takes the pool's limits and the engines of the cell over. It reports
-// whether the cell exists.
-func (sch *Scheduler) refresh(run *running) bool {
+// refresh updates the cell with the pool's limits and the cell's engines. It
+// reports whether the cell exists.
+func (sch *Scheduler) refresh(run *runningCell) bool {
 	poo, ok := sch.Pool(run.pool)
 	if !ok {
 		return false
 	}
-	for _, gro := range Partition(CellScope(run.name), sch.Engines(poo)) {
-		if gro.Name != run.name {
+	for _, members := range Partition(CellScope(run.name), sch.Engines(poo)) {
+		if members.Name != run.name {
 			continue
 		}
-		run.next(Limits{MaxOutstanding: poo.MaxOutstanding, MaxWaiting: poo.MaxWaiting, LongShare: poo.LongShare}, sch.Clock())
-		run.next(Listing{gro.Engines}, sch.Clock())
+		run.apply(Limits{MaxOutstanding: poo.MaxOutstanding, MaxWaiting: poo.MaxWaiting, LongShare: poo.LongShare}, sch.Clock())
+		run.apply(Listing{members.Engines}, sch.Clock())
 		run.mu.Lock()
-		run.engines = gro.Engines
+		run.engines = members.Engines
 		run.mu.Unlock()
 		return true
 	}
 	return false
 }
 
-// Run reads loads and lets time pass until ctx ends.
+// Run reads load reports and sends Tick events to all cells until ctx ends.
 func (sch *Scheduler) Run(ctx context.Context) {
-	var gro sync.WaitGroup
-	gro.Go(func() { sch.runTicks(ctx) })
-	defer gro.Wait()
-	tic := time.NewTicker(sch.Interval)
-	defer tic.Stop()
+	var group sync.WaitGroup
+	group.Go(func() { sch.runTicks(ctx) })
+	defer group.Wait()
+	ticker := time.NewTicker(sch.Interval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tic.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		var pol sync.WaitGroup
-		for _, run := range sch.all() {
+		var polls sync.WaitGroup
+		for _, run := range sch.runningCells() {
 			if !sch.refresh(run) || run.idle(sch.Clock()) {
 				sch.remove(run)
 				continue
 			}
-			pol.Go(func() { sch.poll(ctx, run) })
+			polls.Go(func() { sch.poll(ctx, run) })
 		}
-		pol.Wait()
+		polls.Wait()
 	}
 }
 
-func (sch *Scheduler) remove(run *running) {
+func (sch *Scheduler) remove(run *runningCell) {
 	sch.mu.Lock()
 	defer sch.mu.Unlock()
 	delete(sch.cells, run.name)
@@ -213,102 +219,105 @@
 
 func (sch *Scheduler) runTicks(ctx context.Context) {
 	for {
-		dur := idleTick
-		for _, run := range sch.all() {
+		interval := idleTick
+		for _, run := range sch.runningCells() {
 			if run.tick(sch.Clock()) {
-				dur = busyTick
+				interval = busyTick
 			}
 		}
 		select {
-		case <-time.After(dur):
+		case <-time.After(interval):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// poll reads the engines of a cell that are due.
-func (sch *Scheduler) poll(ctx context.Context, run *running) {
-	var gro sync.WaitGroup
-	for _, end := range run.due(sch.readInterval(), sch.Clock()) {
-		gro.Go(func() {
+// poll reads the load reports that are due in a cell.
+func (sch *Scheduler) poll(ctx context.Context, run *runningCell) {
+	var group sync.WaitGroup
+	for _, end := range run.dueEngines(sch.summaryInterval(), sch.Clock()) {
+		group.Go(func() {
 			ctx, stop := context.WithTimeout(ctx, pollTimeout)
 			defer stop()
-			loa, err := sch.read(ctx, run, end)
+			loa, err := sch.readReport(ctx, run, end)
 			switch {
 			case err == nil:
-				run.next(Report{end.ID, loa}, sch.Clock())
+				run.apply(Report{end.ID, loa}, sch.Clock())
 			case !eris.Is(ctx.Err(), context.Canceled):
-				run.next(Unreachable{end.ID}, sch.Clock())
+				run.apply(Unreachable{end.ID}, sch.Clock())
 			}
 		})
 	}
-	gro.Wait()
+	group.Wait()
 }
 
-// readInterval follows the number of engines of all cells.
-func (sch *Scheduler) readInterval() time.Duration {
-	cou := 0
-	for _, run := range sch.all() {
-		cou += run.size()
+// summaryInterval is the interval between two reads of an engine. It grows with
+// the number of engines in all cells.
+func (sch *Scheduler) summaryInterval() time.Duration {
+	engines := 0
+	for _, run := range sch.runningCells() {
+		engines += run.engineCount()
 	}
-	return readInterval(cou, sch.Interval)
+	return summaryInterval(engines, sch.Interval)
 }
 
-// read takes the short report of an engine, and the whole one where its holders
-// are due and the traffic allows them.
-func (sch *Scheduler) read(ctx context.Context, run *running, end placer.Endpoint) (invoker.Load, error) {
+// readReport reads the summary of an engine's load report, then the full report
+// if it is due and the traffic limit allows it.
+func (sch *Scheduler) readReport(ctx context.Context, run *runningCell, end placer.Endpoint) (invoker.Load, error) {
 	loa, err := sch.Loader.Summary(ctx, end.Address)
-	if err != nil || !run.wantsHolders(end.ID, loa, sch.Clock()) {
+	if err != nil || !run.wantsFullReport(end.ID, loa, sch.Clock()) {
 		return loa, err
 	}
 	return sch.Loader.Load(ctx, end.Address)
 }
 
-func (run *running) idle(now time.Time) bool {
+func (run *runningCell) idle(now time.Time) bool {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	return now.Sub(run.asked) > cellIdleTimeout && run.cell.Granted() == 0 && run.cell.Waiting() == 0
+	return now.Sub(run.lastRequest) > cellIdleTimeout && run.cell.Granted() == 0 && run.cell.Waiting() == 0
 }
 
-func (run *running) wait(now time.Time) time.Duration {
+func (run *runningCell) expectedWait(now time.Time) time.Duration {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	return run.cell.ExpectedWait(now)
 }
 
-// ask returns the action for the ask, or the channel that will carry it.
-func (run *running) ask(eve Request, now time.Time) (Action, chan Action) {
+// submit returns the action for the request, or the channel on which it will
+// arrive.
+func (run *runningCell) submit(req Request, now time.Time) (Action, chan Action) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	run.asked = now
-	wai := make(chan Action, 1)
-	run.waiters[eve.ID] = wai
-	run.deliver(run.cell.Next(eve, now))
+	run.lastRequest = now
+	answer := make(chan Action, 1)
+	run.waiters[req.ID] = answer
+	run.deliver(run.cell.Next(req, now))
 	select {
-	case act := <-wai:
+	case act := <-answer:
 		return act, nil
 	default:
-		return nil, wai
+		return nil, answer
 	}
 }
 
-// leave ends the wait for an ask. It returns the action that came meanwhile.
-func (run *running) leave(id string, wai chan Action) Action {
+// stopWaiting ends the wait for an action. It returns the action if one has
+// arrived meanwhile, else nil.
+func (run *runningCell) stopWaiting(id string, answer chan Action) Action {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	if run.waiters[id] == wai {
+	if run.waiters[id] == answer {
 		delete(run.waiters, id)
 	}
 	select {
-	case act := <-wai:
+	case act := <-answer:
 		return act
 	default:
 		return nil
 	}
 }
 
-func (run *running) move(id string, now time.Time) Action {
+func (run *runningCell) move(id string, now time.Time) Action {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	var out Action = Stay{ID: id}
@@ -323,34 +332,34 @@
 	return out
 }
 
-func (run *running) next(eve Event, now time.Time) {
+func (run *runningCell) apply(eve Event, now time.Time) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	run.deliver(run.cell.Next(eve, now))
 }
 
-// tick reports whether asks wait.
-func (run *running) tick(now time.Time) bool {
+// tick reports whether requests wait in the cell.
+func (run *runningCell) tick(now time.Time) bool {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	run.deliver(run.cell.Next(Tick{}, now))
 	return run.cell.Waiting() > 0
 }
 
-// deliver hands actions to those that wait for them. The grant of an ask that
-// nobody waits for stays with the cell until the ask is repeated. The caller
-// holds the lock.
-func (run *running) deliver(acts []Action) {
+// deliver sends actions to the callers of Submit that wait for them. If none
+// waits for a grant, the cell keeps the grant until the host repeats the request.
+// The caller holds the lock.
+func (run *runningCell) deliver(acts []Action) {
 	for _, act := range acts {
-		id := askOf(act)
-		if wai := run.waiters[id]; wai != nil {
+		id := requestIDOf(act)
+		if waiter := run.waiters[id]; waiter != nil {
 			delete(run.waiters, id)
-			wai <- act
+			waiter <- act
 		}
 	}
 }
 
-func askOf(act Action) string {
+func requestIDOf(act Action) string {
 	switch act := act.(type) {
 	case Grant:
 		return act.ID
--- a/process/scheduler/starvation_test.go
+++ b/process/scheduler/starvation_test.go
@@ -11,19 +11,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// flood asks for short prompts faster than the engines' memory allows, and
-// returns when the ask named x was granted.
-func flood(cel *Cell, now time.Time, dur time.Duration, hold time.Duration, mix func(num int) placer.Request) map[string]int {
+// flood submits requests from mix for the period, one every 5 ms, and releases each
+// grant after hold. It returns the number of grants by team.
+func flood(cel *Cell, now time.Time, period time.Duration, hold time.Duration, mix func(n int) placer.Request) map[string]int {
 	type end struct {
 		at time.Time
 		id string
 	}
 	var ends []end
 	got := map[string]int{}
-	for num := 0; dur > 0; num++ {
-		req := mix(num)
+	for n := 0; period > 0; n++ {
+		req := mix(n)
 		req.Model = "m"
-		req.ID = fmt.Sprint(num)
+		req.ID = fmt.Sprint(n)
 		req.Deadline = now.Add(time.Minute)
 		acts := slices.Clone(cel.Next(Request{ID: req.ID, Request: req}, now))
 		for len(ends) > 0 && !now.Before(ends[0].at) {
@@ -35,43 +35,43 @@
 			if _, ok := act.(Refuse); ok {
 				continue
 			}
-			ends = append(ends, end{now.Add(hold), askOf(act)})
-			got[cel.grants[askOf(act)].ask.req.Team]++
+			ends = append(ends, end{now.Add(hold), requestIDOf(act)})
+			got[cel.grants[requestIDOf(act)].entry.req.Team]++
 		}
-		for id := range cel.asks {
-			cel.seen[id] = now
+		for id := range cel.pending {
+			cel.lastSeen[id] = now
 		}
 		for _, eng := range cel.engines {
 			eng.reportedAt = now
 		}
 		now = now.Add(5 * time.Millisecond)
-		dur -= 5 * time.Millisecond
+		period -= 5 * time.Millisecond
 	}
 	return got
 }
 
-// TestNoStarvation keeps the engines' memory full of short prompts. A group
-// and a long prompt still get theirs.
+// TestNoStarvation keeps the engines' memory full with short prompts. A long prompt
+// and a group must still be granted, which needs a promise of memory.
 func TestNoStarvation(t *testing.T) {
-	for _, tok := range []int64{300_000, 1_000_000} {
+	for _, tokens := range []int64{300_000, 1_000_000} {
 		cel := newCell(4, epoch)
-		got := flood(cel, epoch, 20*time.Second, time.Second, func(num int) placer.Request {
-			if num == 500 {
-				return placer.Request{Team: "ledger", PromptTokens: tok, MaxTokens: 10}
+		got := flood(cel, epoch, 20*time.Second, time.Second, func(n int) placer.Request {
+			if n == 500 {
+				return placer.Request{Team: "ledger", PromptTokens: tokens, MaxTokens: 10}
 			}
 			return placer.Request{Team: "short", PromptTokens: 1000, MaxTokens: 50_000}
 		})
-		require.Equal(t, 1, got["ledger"], "prompt of %d tokens", tok)
-		require.Greater(t, got["short"], 300, "short prompts go on")
+		require.Equal(t, 1, got["ledger"], "prompt of %d tokens", tokens)
+		require.Greater(t, got["short"], 300, "short prompts are granted meanwhile")
 	}
 }
 
-// TestFairShares lets one team ask for ten times what another does, on full
-// engines. The smaller one gets all that it asks for.
+// TestFairShares has one team send 21 times as many requests as another on full
+// engines. The smaller team must get nearly all that it requests.
 func TestFairShares(t *testing.T) {
 	cel := newCell(4, epoch)
-	got := flood(cel, epoch, 20*time.Second, time.Second, func(num int) placer.Request {
-		if num%22 == 0 {
+	got := flood(cel, epoch, 20*time.Second, time.Second, func(n int) placer.Request {
+		if n%22 == 0 {
 			return placer.Request{Team: "small", PromptTokens: 1000, MaxTokens: 50_000}
 		}
 		return placer.Request{Team: "large", PromptTokens: 1000, MaxTokens: 50_000}
@@ -80,22 +80,23 @@
 	require.Greater(t, got["large"], 200)
 }
 
-// TestPromiseIsBounded promises memory on every engine to a group and then
-// lets some of it never become free. Long prompts still go on.
+// TestPromiseIsBounded guards against a promise that blocks a cell for good: a group
+// has a promise on every engine, and a part of that memory never becomes free. Long
+// prompts must still be granted.
 func TestPromiseIsBounded(t *testing.T) {
 	cel := newCell(4, epoch)
 	promised := false
-	got := flood(cel, epoch, 50*time.Second, time.Second, func(num int) placer.Request {
+	got := flood(cel, epoch, 50*time.Second, time.Second, func(n int) placer.Request {
 		if cel.promise != nil && !promised {
 			promised = true
 			for _, eng := range cel.engines {
 				eng.foreign = 200_000
 			}
 		}
-		if num == 100 {
+		if n == 100 {
 			return placer.Request{Team: "ledger", PromptTokens: 1_200_000, MaxTokens: 10}
 		}
-		if num%40 == 0 {
+		if n%40 == 0 {
 			return placer.Request{Team: "history", PromptTokens: 20_000, MaxTokens: 10}
 		}
 		return placer.Request{Team: "short", PromptTokens: 1000, MaxTokens: 4000}
