--- a/process/allocator/allocator.go
+++ b/process/allocator/allocator.go
@@ -1,6 +1,6 @@
-// Package allocator places requests: it asks the scheduler of a cell, or places
-// from this host's own view, and keeps count of what the host has on each
-// endpoint.
+// Package allocator places requests on endpoints: by the scheduler of a cell, or
+// from this host's local view. It also counts this host's outstanding requests on
+// each endpoint.
 package allocator
 
 import (
@@ -21,44 +21,46 @@
 	"github.com/rotisserie/eris"
 )
 
-// Allocator places requests. Its maps are ready as zero values.
+// Allocator places requests. Its maps need no initialisation.
 type Allocator struct {
 	Policy  placer.Policy
 	Watcher *watcher.Watcher
 	Invoker *invoker.Invoker
 	Owner   invoker.Owner
-	// Ejector keeps failing endpoints out.
+	// Ejector excludes endpoints that fail from placement.
 	Ejector ejector.Ejector
-	// Cells reaches the schedulers; nil places from the own view only.
+	// Cells sends requests to the schedulers; nil places from the local view
+	// only.
 	Cells *Cells
 
-	mu    sync.Mutex
-	work  map[string]*usage
-	views map[string]*view
-	mix   placer.Mix
-	// waiting counts the requests placed from the own view that have no first
-	// token, by pool of engines.
+	mu              sync.Mutex
+	usageByEndpoint map[string]*usage
+	views           map[string]*view
+	mix             placer.Mix
+	// waiting is the number of requests placed from the local view that have no
+	// first token yet, by pool of engines.
 	waiting map[string]int
 
 	prefixes prefixes
 }
 
-// acquire places a request. With a scheduler it waits until it is granted or
-// refused; else waiting is left to the engines' queues.
-func (all *Allocator) acquire(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
+// place places a request. If a scheduler answers, place waits until the request is
+// granted or refused. Otherwise it places at once from the local view, and the
+// request waits in the engine's queue.
+func (all *Allocator) place(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
 	if all.Cells != nil && all.Policy == placer.PolicyCell && poo.Kind == parser.PoolEngine {
-		lea, err := all.fromCell(ctx, req, poo)
+		lea, err := all.placeFromCell(ctx, req, poo)
 		if !eris.Is(err, errNoScheduler) {
 			return lea, err
 		}
 		all.Cells.Scope.Counter("cell_fallbacks").Inc(1)
 	}
-	return all.fromView(ctx, req, poo)
+	return all.placeFromView(ctx, req, poo)
 }
 
-// fromView places by this host's own view, within the pool's limits as far as
-// that view shows them.
-func (all *Allocator) fromView(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
+// placeFromView places a request from this host's local view. It applies the pool's
+// limits to the requests that the view shows.
+func (all *Allocator) placeFromView(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
 	now := time.Now()
 	all.mu.Lock()
 	if poo.Kind == parser.PoolEngine && poo.MaxWaiting > 0 && all.waiting[poo.Name] >= poo.MaxWaiting {
@@ -69,22 +71,22 @@
 	}
 	vie := all.view(poo, now)
 	all.mix = all.mix.WithRequest(req.PromptTokens, now)
-	own := vie.view(all.mix, poo, all.prefixes.match(req.Prefix))
-	own.MaxOutstanding = poo.MaxOutstanding
-	dec := placer.Decide(all.Policy, req, own, now, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	localView := vie.placerView(all.mix, poo, all.prefixes.match(req.Prefix))
+	localView.MaxOutstanding = poo.MaxOutstanding
+	dec := placer.Decide(all.Policy, req, localView, now, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	switch dec := dec.(type) {
 	case placer.Place:
 		defer all.mu.Unlock()
-		return all.untilFirst(all.lease(dec.Endpoint, dec.Address, req.PromptTokens, now), poo), nil
+		return all.countUntilFirstToken(all.lease(dec.Endpoint, dec.Address, req.PromptTokens, now), poo), nil
 	case placer.PlaceGroup:
 		all.mu.Unlock()
-		lea, err := all.group(ctx, req, dec)
+		lea, err := all.reserveGroup(ctx, req, dec)
 		if err != nil {
 			return lea, err
 		}
 		all.mu.Lock()
 		defer all.mu.Unlock()
-		return all.untilFirst(lea, poo), nil
+		return all.countUntilFirstToken(lea, poo), nil
 	case placer.Refuse:
 		all.mu.Unlock()
 		return executor.Lease{}, &executor.RefusedError{Refuse: dec}
@@ -94,9 +96,9 @@
 	}
 }
 
-// untilFirst counts a request of a pool of engines as waiting until its first
-// token or its end. The caller holds the lock.
-func (all *Allocator) untilFirst(lea executor.Lease, poo parser.Pool) executor.Lease {
+// countUntilFirstToken counts a request of a pool of engines as waiting until its
+// first token or its end. The caller holds the lock.
+func (all *Allocator) countUntilFirstToken(lea executor.Lease, poo parser.Pool) executor.Lease {
 	if poo.Kind != parser.PoolEngine {
 		return lea
 	}
@@ -109,28 +111,29 @@
 		defer all.mu.Unlock()
 		all.waiting[poo.Name]--
 	})
-	pre, rel := lea.Prefilled, lea.Release
-	lea.Prefilled = func() { pre(); first() }
-	lea.Release = func() { rel(); first() }
+	onPrefilled, onRelease := lea.Prefilled, lea.Release
+	lea.Prefilled = func() { onPrefilled(); first() }
+	lea.Release = func() { onRelease(); first() }
 	return lea
 }
 
-// lease counts the request. The caller holds the lock.
+// lease returns a lease on an endpoint and counts the request as outstanding until
+// its release. The caller holds the lock.
 func (all *Allocator) lease(id, address string, tokens int64, now time.Time) executor.Lease {
-	all.add(id, 1, tokens, now)
-	var pre, rel sync.Once
-	prefilled := func() { pre.Do(func() { all.change(id, 0, -tokens) }) }
+	all.addWork(id, 1, tokens, now)
+	var prefilledOnce, releaseOnce sync.Once
+	prefilled := func() { prefilledOnce.Do(func() { all.changeWork(id, 0, -tokens) }) }
 	return executor.Lease{
 		Endpoint: id, Address: address, Prefilled: prefilled,
 		Release: func() {
 			prefilled()
-			rel.Do(func() { all.change(id, -1, 0) })
+			releaseOnce.Do(func() { all.changeWork(id, -1, 0) })
 		},
 	}
 }
 
-// group reserves memory on every engine of a group, or on none.
-func (all *Allocator) group(ctx context.Context, req placer.Request, dec placer.PlaceGroup) (executor.Lease, error) {
+// reserveGroup reserves memory on all engines of a group, or on none.
+func (all *Allocator) reserveGroup(ctx context.Context, req placer.Request, dec placer.PlaceGroup) (executor.Lease, error) {
 	gro, err := (&grouper.Runner{Invoker: all.Invoker, Owner: all.Owner}).Reserve(ctx, req, dec.Parts, time.Now())
 	if err != nil {
 		return executor.Lease{}, newGroupError(err)
@@ -140,7 +143,7 @@
 	lea := all.lease(gro.Parts[0].Endpoint, gro.Parts[0].Address, req.PromptTokens, time.Now())
 	lea.ReservationID = gro.ReservationID
 	lea.Group = gro.Parts
-	rel := lea.Release
-	lea.Release = sync.OnceFunc(func() { gro.Release(); rel() })
+	onRelease := lea.Release
+	lea.Release = sync.OnceFunc(func() { gro.Release(); onRelease() })
 	return lea, nil
 }
--- a/process/allocator/allocator_test.go
+++ b/process/allocator/allocator_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLimitsWithoutScheduler places from the own view until a limit of the pool
-// is reached, and again after the first token or the end of a request.
+// TestLimitsWithoutScheduler places from the local view until a limit of the pool is
+// reached. Another request must fit only after the first token or the end of one.
 func TestLimitsWithoutScheduler(t *testing.T) {
 	tts := []struct {
 		name  string
@@ -27,21 +27,21 @@
 	}
 	for _, tt := range tts {
 		t.Run(tt.name, func(t *testing.T) {
-			// The endpoint b has requests of other hosts, by its report.
+			// The endpoint b reports requests of other hosts.
 			vie := &view{endpoints: []placer.Endpoint{{ID: "a"}, {ID: "b", Running: 2}}, index: map[string]int{"a": 0, "b": 1}, pool: tt.pool, copied: time.Now().Add(time.Hour)}
 			all := &Allocator{Policy: placer.PolicyLeastOutstanding, views: map[string]*view{"p": vie}}
-			var las executor.Lease
+			var last executor.Lease
 			for range tt.fits {
-				lea, err := all.fromView(t.Context(), placer.Request{}, tt.pool)
+				lea, err := all.placeFromView(t.Context(), placer.Request{}, tt.pool)
 				require.NoError(t, err)
-				las = lea
+				last = lea
 			}
-			_, err := all.fromView(t.Context(), placer.Request{}, tt.pool)
+			_, err := all.placeFromView(t.Context(), placer.Request{}, tt.pool)
 			var ref *executor.RefusedError
 			require.ErrorAs(t, err, &ref)
 			require.Equal(t, "pool_full", ref.Refuse.Code)
-			tt.again(las)
-			_, err = all.fromView(t.Context(), placer.Request{}, tt.pool)
+			tt.again(last)
+			_, err = all.placeFromView(t.Context(), placer.Request{}, tt.pool)
 			require.NoError(t, err)
 		})
 	}
--- a/process/allocator/cells.go
+++ b/process/allocator/cells.go
@@ -22,46 +22,51 @@
 )
 
 const (
-	// firstHold is how long a scheduler may hold the first call of an ask. A
-	// host that has no reply within callGrace more turns to the next one.
+	// firstHold is the time for which a scheduler may hold the first call of a
+	// request. If no reply arrives within callGrace after it, the next scheduler
+	// gets the request.
 	firstHold = 100 * time.Millisecond
 	laterHold = time.Second
 	callGrace = 50 * time.Millisecond
-	// laterGrace is the same for an ask that the scheduler has confirmed.
+	// laterGrace replaces callGrace once the scheduler has replied that the
+	// request waits.
 	laterGrace = 250 * time.Millisecond
-	// suspectPeriod is how long a scheduler that did not answer is not asked.
+	// suspectPeriod is the time for which a scheduler that did not answer gets no
+	// requests.
 	suspectPeriod = 3 * time.Second
-	// maxSchedulers bounds the schedulers that one request tries.
+	// maxSchedulers bounds the schedulers that one request is sent to.
 	maxSchedulers = 2
-	// groupTries bounds the grants of a group whose memory could not be reserved.
-	groupTries           = 5
-	groupPause           = 200 * time.Millisecond
+	// maxGroupAttempts bounds the attempts to place a request whose group of
+	// engines could not reserve memory. groupRetryPause is the mean pause between
+	// them.
+	maxGroupAttempts     = 5
+	groupRetryPause      = 200 * time.Millisecond
 	codeGroupUnavailable = "group_unavailable"
-	// rankingLife is the time for which the order of schedulers is kept.
-	rankingLife = 250 * time.Millisecond
-	// digestLife is the age at which a cell's digest says nothing any more.
-	digestLife = 2 * time.Second
+	// rankingTimeout is the time for which the order of schedulers is cached.
+	rankingTimeout = 250 * time.Millisecond
+	// digestTimeout is the age at which a cell's digest is no longer used.
+	digestTimeout = 2 * time.Second
 )
 
-// errNoScheduler says that no scheduler of the cell answered.
-var errNoScheduler = eris.New("allocator: no scheduler answers")
+// errNoScheduler means that no scheduler of the cell answered.
+var errNoScheduler = eris.New("allocator: no scheduler of the cell answered")
 
-// Caller sends a message to another host and returns its reply.
+// Caller calls another host: it sends a message and returns the reply.
 type Caller interface {
 	Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
 
-// Cells reaches the schedulers of cells, on this host and on others. All its
-// exported fields are needed.
+// Cells sends requests to the schedulers of cells, on this host and on others, and
+// answers those of other hosts. All exported fields are required.
 type Cells struct {
 	Self        string
 	Incarnation uint64
 	Region      string
-	// Entries returns the platform's list.
+	// Entries returns the entries of the platform's list.
 	Entries   func() []persister.Entry
 	Caller    Caller
 	Scheduler *scheduler.Scheduler
-	// OtherRegions holds the digests of other regions' cells.
+	// OtherRegions has the digests of cells in other regions.
 	OtherRegions overflower.Digests
 	Scope        tally.Scope
 
@@ -76,68 +81,68 @@
 
 type digest struct {
 	wait time.Duration
-	// full says that the cell has no live engine or no place in its queue.
+	// full reports whether the cell has no live engine or a full queue.
 	full bool
 	at   time.Time
 }
 
-// grantor names the scheduler of a grant, its cell and the ask.
-type grantor struct {
-	host host
-	cell string
-	ask  string
+// grantRef identifies a grant: its scheduler, cell and request ID.
+type grantRef struct {
+	host      host
+	cell      string
+	requestID string
 }
 
-// fromOwnCell asks the scheduler of a cell of the own region. It fails with
-// errNoScheduler or errNoEngine where that can't place any request.
-func (all *Allocator) fromOwnCell(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
-	for try := 1; ; try++ {
-		lea, err := all.fromCellOnce(ctx, req, poo)
-		var gro *groupError
-		if try == groupTries || !errors.As(err, &gro) {
+// placeInOwnRegion places a request by the scheduler of a cell in this host's
+// region. It returns errNoScheduler if no scheduler answers and errNoEngine if the
+// cell has no live engine. It tries again if a group's memory is not available.
+func (all *Allocator) placeInOwnRegion(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
+	for attempt := 1; ; attempt++ {
+		lea, err := all.placeInOwnRegionOnce(ctx, req, poo)
+		var unavailable *groupError
+		if attempt == maxGroupAttempts || !errors.As(err, &unavailable) {
 			return lea, err
 		}
-		req = gro.without(req)
+		req = unavailable.excludeUnresponsive(req)
 		select {
-		case <-time.After(groupPause/2 + rand.N(groupPause)):
+		case <-time.After(groupRetryPause/2 + rand.N(groupRetryPause)):
 		case <-ctx.Done():
 			return lea, err
 		}
 	}
 }
 
-func (all *Allocator) fromCellOnce(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
+func (all *Allocator) placeInOwnRegionOnce(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
 	now := time.Now()
 	all.mu.Lock()
-	cou := scheduler.CellCount(len(all.view(poo, now).endpoints))
+	count := scheduler.CellCount(len(all.view(poo, now).endpoints))
 	all.mu.Unlock()
 	cells := all.Cells
-	nam := cells.choose(cells.Region+"/"+poo.Name, cou, req, now)
-	ask := cells.newAsk(req)
-	act, hos, err := cells.ask(ctx, nam, poo.Name, ask)
+	cell := cells.chooseCell(cells.Region+"/"+poo.Name, count, req, now)
+	cellReq := cells.newRequest(req)
+	act, hos, err := cells.request(ctx, cell, poo.Name, cellReq)
 	if err != nil {
 		return executor.Lease{}, err
 	}
-	return all.granted(ctx, req, act, grantor{hos, nam, ask.ID})
+	return all.leaseFromAction(ctx, req, act, grantRef{hos, cell, cellReq.ID})
 }
 
-func (cel *Cells) newAsk(req placer.Request) scheduler.Request {
+func (cel *Cells) newRequest(req placer.Request) scheduler.Request {
 	id := req.ID + "-" + strconv.FormatUint(cel.sequence.Add(1), 10)
 	return scheduler.Request{ID: id, Host: cel.Self, Incarnation: cel.Incarnation, Request: req}
 }
 
-// granted makes a lease of what a scheduler answered, or the error that says why
-// there is none.
-func (all *Allocator) granted(ctx context.Context, req placer.Request, act scheduler.Action, gra grantor) (executor.Lease, error) {
-	notify := func(kin messenger.GrantNotice_Kind) { all.Cells.notify(gra.host, gra.cell, gra.ask, kin) }
+// leaseFromAction turns a scheduler's reply into a lease or an error.
+func (all *Allocator) leaseFromAction(ctx context.Context, req placer.Request, act scheduler.Action, gra grantRef) (executor.Lease, error) {
+	notify := func(kind messenger.GrantNotice_Kind) { all.Cells.notify(gra.host, gra.cell, gra.requestID, kind) }
 	switch act := act.(type) {
 	case scheduler.Grant:
 		all.mu.Lock()
 		defer all.mu.Unlock()
 		lea := all.lease(act.Endpoint, act.Address, req.PromptTokens, time.Now())
-		return withNotices(all.withMove(lea, gra.host, gra.cell, gra.ask), notify), nil
+		return withNotices(all.withMove(lea, gra.host, gra.cell, gra.requestID), notify), nil
 	case scheduler.GrantGroup:
-		lea, err := all.group(ctx, req, placer.PlaceGroup{Parts: act.Parts})
+		lea, err := all.reserveGroup(ctx, req, placer.PlaceGroup{Parts: act.Parts})
 		if err != nil {
 			notify(messenger.GrantNotice_KIND_RELEASED)
 			return lea, err
@@ -153,58 +158,59 @@
 	}
 }
 
-// withNotices also tells the scheduler of the first token and of the end.
+// withNotices makes a lease notify its scheduler of the first token and of its end.
 func withNotices(lea executor.Lease, notify func(messenger.GrantNotice_Kind)) executor.Lease {
-	pre, rel := lea.Prefilled, lea.Release
+	onPrefilled, onRelease := lea.Prefilled, lea.Release
 	prefilled := sync.OnceFunc(func() { notify(messenger.GrantNotice_KIND_PREFILLED) })
 	released := sync.OnceFunc(func() { notify(messenger.GrantNotice_KIND_RELEASED) })
 	lea.Prefilled = func() {
-		pre()
+		onPrefilled()
 		prefilled()
 	}
 	lea.Release = func() {
-		rel()
+		onRelease()
 		released()
 	}
 	return lea
 }
 
-// choose takes the cell that the prompt's first block leads to, so that equal
-// prefixes meet, unless another one drawn at random waits clearly less.
-func (cel *Cells) choose(scope string, count int, req placer.Request, now time.Time) string {
+// chooseCell returns the cell given by the hash of the prompt's first block, so that
+// equal prefixes go to the same engines. It returns another, random cell if that has
+// a clearly shorter wait.
+func (cel *Cells) chooseCell(scope string, count int, req placer.Request, now time.Time) string {
 	if count == 1 {
 		return scheduler.CellName(scope, 0)
 	}
-	num := rand.IntN(count)
+	number := rand.IntN(count)
 	if len(req.Prefix) > 0 {
-		num = int(req.Prefix[0] % uint64(count))
+		number = int(req.Prefix[0] % uint64(count))
 	}
-	one, two := scheduler.CellName(scope, num), scheduler.CellName(scope, rand.IntN(count))
+	preferred, other := scheduler.CellName(scope, number), scheduler.CellName(scope, rand.IntN(count))
 	cel.mu.Lock()
 	defer cel.mu.Unlock()
-	if cel.wait(two, now)+prefixGain < cel.wait(one, now) {
-		return two
+	if cel.expectedWait(other, now)+prefixGain < cel.expectedWait(preferred, now) {
+		return other
 	}
-	return one
+	return preferred
 }
 
-// prefixGain is the wait that a cell may have more than another and still be
-// preferred.
+// prefixGain is how much longer the wait of the cell given by the prefix may be than
+// that of another cell. It allows for the prefill that a cached prefix saves.
 const prefixGain = 20 * time.Millisecond
 
-// wait is the last known wait of a cell. It fades as it grows old. The caller
-// holds the lock.
-func (cel *Cells) wait(nam string, now time.Time) time.Duration {
-	dig := cel.digests[nam]
+// expectedWait returns the last known wait of a cell, scaled down linearly to 0 at
+// digestTimeout. The caller holds the lock.
+func (cel *Cells) expectedWait(cell string, now time.Time) time.Duration {
+	dig := cel.digests[cell]
 	age := now.Sub(dig.at)
-	if age >= digestLife {
+	if age >= digestTimeout {
 		return 0
 	}
-	return time.Duration(float64(dig.wait) * (1 - age.Seconds()/digestLife.Seconds()))
+	return time.Duration(float64(dig.wait) * (1 - age.Seconds()/digestTimeout.Seconds()))
 }
 
-// learn notes the wait that the scheduler of a cell told with an answer.
-func (cel *Cells) learn(nam string, wait time.Duration, act scheduler.Action, now time.Time) {
+// recordDigest records the wait that the scheduler of a cell sent with a reply.
+func (cel *Cells) recordDigest(cell string, wait time.Duration, act scheduler.Action, now time.Time) {
 	ref, _ := act.(scheduler.Refuse)
 	full := ref.Code == scheduler.CodePoolFull || ref.Code == scheduler.CodeUnavailable
 	cel.mu.Lock()
@@ -212,18 +218,19 @@
 	if cel.digests == nil {
 		cel.digests = map[string]digest{}
 	}
-	cel.digests[nam] = digest{wait, full, now}
+	cel.digests[cell] = digest{wait, full, now}
 }
 
-// ask tries the hosts in the order of the cell's candidates.
-func (cel *Cells) ask(ctx context.Context, nam, pool string, ask scheduler.Request) (scheduler.Action, host, error) {
-	for _, hos := range cel.candidates(nam, cel.Region, time.Now()) {
-		act, err := cel.askHost(ctx, hos, nam, pool, ask, 0)
+// request sends a request to the cell's candidate hosts in their order, until one
+// grants or refuses it. It returns that host.
+func (cel *Cells) request(ctx context.Context, cell, pool string, req scheduler.Request) (scheduler.Action, host, error) {
+	for _, hos := range cel.candidates(cell, cel.Region, time.Now()) {
+		act, err := cel.requestFromHost(ctx, hos, cell, pool, req, 0)
 		if err == nil {
 			return act, hos, nil
 		}
 		if ctx.Err() != nil {
-			cel.notify(hos, nam, ask.ID, messenger.GrantNotice_KIND_RELEASED)
+			cel.notify(hos, cell, req.ID, messenger.GrantNotice_KIND_RELEASED)
 			return nil, hos, eris.Wrapf(ctx.Err(), "Cells.ask: scheduler %s", hos.id)
 		}
 		cel.suspect(hos.id, time.Now())
@@ -236,38 +243,38 @@
 	address string
 }
 
-// ranking is the order of the hosts for one cell at a time.
+// ranking is the cached order of the hosts for one cell.
 type ranking struct {
 	hosts []host
 	at    time.Time
 }
 
-// candidates returns the hosts of a region that may schedule a cell, the first
-// choice first. The order is kept for a short time, so that a request does not cost
-// what grows with the hosts.
-func (cel *Cells) candidates(nam, region string, now time.Time) []host {
+// candidates returns the hosts of a region that may schedule a cell, the preferred
+// one first. The order is cached for rankingTimeout, because the cost of computing
+// it grows with the number of hosts.
+func (cel *Cells) candidates(cell, region string, now time.Time) []host {
 	cel.mu.Lock()
-	ran, ok := cel.rankings[nam]
+	ran, ok := cel.rankings[cell]
 	cel.mu.Unlock()
-	if ok && now.Sub(ran.at) < rankingLife {
+	if ok && now.Sub(ran.at) < rankingTimeout {
 		return ran.hosts
 	}
-	ran = ranking{cel.rank(nam, region, now), now}
+	ran = ranking{cel.rankHosts(cell, region, now), now}
 	cel.mu.Lock()
 	defer cel.mu.Unlock()
 	if cel.rankings == nil {
 		cel.rankings = map[string]ranking{}
 	}
-	cel.rankings[nam] = ran
+	cel.rankings[cell] = ran
 	return ran.hosts
 }
 
-func (cel *Cells) rank(nam, region string, now time.Time) []host {
+func (cel *Cells) rankHosts(cell, region string, now time.Time) []host {
 	ents := cel.Entries()
-	adds := map[string]string{}
+	addresses := map[string]string{}
 	var ids []string
 	if region == cel.Region {
-		adds[cel.Self] = ""
+		addresses[cel.Self] = ""
 		ids = append(ids, cel.Self)
 	}
 	cel.mu.Lock()
@@ -278,13 +285,13 @@
 		if now.Before(cel.suspects[ent.ID]) {
 			continue
 		}
-		adds[ent.ID] = ent.Address
+		addresses[ent.ID] = ent.Address
 		ids = append(ids, ent.ID)
 	}
 	cel.mu.Unlock()
 	var out []host
-	for _, id := range scheduler.Candidates(nam, ids) {
-		out = append(out, host{id, adds[id]})
+	for _, id := range scheduler.Candidates(cell, ids) {
+		out = append(out, host{id, addresses[id]})
 		if len(out) == maxSchedulers {
 			break
 		}
--- a/process/allocator/explain.go
+++ b/process/allocator/explain.go
@@ -8,8 +8,8 @@
 	"hemlockpin/version/parser"
 )
 
-// SchedulerFor names the cell that a request would be queued in and the host that
-// schedules it. Both are empty if this host places by itself.
+// SchedulerFor returns the cell that a request would be queued in and the ID of the
+// host that schedules it. Both are empty if this host places the request itself.
 func (all *Allocator) SchedulerFor(req placer.Request, poo parser.Pool, now time.Time) (cell, id string) {
 	if all.Cells == nil || poo.Kind != parser.PoolEngine {
 		return "", ""
@@ -20,7 +20,7 @@
 	if len(ends) == 0 {
 		return "", ""
 	}
-	cell = all.Cells.choose(all.Cells.Region+"/"+poo.Name, scheduler.CellCount(len(ends)), req, now)
+	cell = all.Cells.chooseCell(all.Cells.Region+"/"+poo.Name, scheduler.CellCount(len(ends)), req, now)
 	for _, hos := range all.Cells.candidates(cell, all.Cells.Region, now) {
 		return cell, hos.id
 	}
--- a/process/allocator/group.go
+++ b/process/allocator/group.go
@@ -10,32 +10,34 @@
 	"hemlockpin/request/placer"
 )
 
-// groupError refuses a request whose group of engines could not be reserved.
+// groupError refuses a request for which a group of engines could not reserve
+// memory.
 type groupError struct {
 	*executor.RefusedError
-	// silent is the engine that did not answer; empty if all did.
-	silent string
+	// unresponsive is the engine that did not answer; empty if all did.
+	unresponsive string
 }
 
 func newGroupError(err error) *groupError {
-	gro := &groupError{RefusedError: &executor.RefusedError{Refuse: placer.Refuse{
+	out := &groupError{RefusedError: &executor.RefusedError{Refuse: placer.Refuse{
 		Code: codeGroupUnavailable, Message: "the engines cannot hold the prompt together now: " + err.Error(), RetryAfter: time.Second,
 	}}}
-	var una *grouper.UnavailableError
-	if errors.As(err, &una) && una.Lost {
-		gro.silent = una.Engine
+	var unavailable *grouper.UnavailableError
+	if errors.As(err, &unavailable) && unavailable.Lost {
+		out.unresponsive = unavailable.Engine
 	}
-	return gro
+	return out
 }
 
 // Unwrap returns the refusal.
 func (err *groupError) Unwrap() error { return err.RefusedError }
 
-// without returns the request for the next try: an engine that did not answer
-// would only use up the time again, while a busy one may have become free.
-func (err *groupError) without(req placer.Request) placer.Request {
-	if err.silent != "" {
-		req.Excluded = append(slices.Clip(req.Excluded), err.silent)
+// excludeUnresponsive returns the request for the next attempt. It excludes an engine
+// that did not answer, which would delay the next attempt as well, but not a busy
+// one, which may have become free.
+func (err *groupError) excludeUnresponsive(req placer.Request) placer.Request {
+	if err.unresponsive != "" {
+		req.Excluded = append(slices.Clip(req.Excluded), err.unresponsive)
 	}
 	return req
 }
--- a/process/allocator/group_test.go
+++ b/process/allocator/group_test.go
@@ -11,8 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An engine that did not answer is left out of the next group.
-func TestGroupWithoutSilentEngine(t *testing.T) {
+// TestGroupWithoutUnresponsiveEngine checks that the next attempt excludes an engine
+// that did not answer, and only such an engine.
+func TestGroupWithoutUnresponsiveEngine(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		err  error
@@ -24,7 +25,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			err := newGroupError(tt.err)
-			require.Equal(t, tt.want, err.without(placer.Request{Excluded: []string{"x"}}).Excluded)
+			require.Equal(t, tt.want, err.excludeUnresponsive(placer.Request{Excluded: []string{"x"}}).Excluded)
 			var ref *executor.RefusedError
 			require.ErrorAs(t, err, &ref)
 			require.Equal(t, codeGroupUnavailable, ref.Refuse.Code)
--- a/process/allocator/health.go
+++ b/process/allocator/health.go
@@ -11,33 +11,33 @@
 	"hemlockpin/version/parser"
 )
 
-// codeNoEndpoint refuses a request for which every endpoint is excluded.
+// codeNoEndpoint refuses a request if all endpoints are excluded.
 const codeNoEndpoint = "no_endpoint"
 
-// Acquire places a request on an endpoint that has not failed lately, or on
-// any if no other is left.
+// Acquire places a request on an endpoint that is not ejected, or on any if all the
+// others are excluded. errors.As finds an *executor.RefusedError in a refusal.
 func (all *Allocator) Acquire(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
-	out := all.ejected(req, poo, time.Now())
-	if len(out) == 0 {
-		return all.acquired(ctx, req, poo)
+	ejected := all.ejected(req, poo, time.Now())
+	if len(ejected) == 0 {
+		return all.placeAndRecord(ctx, req, poo)
 	}
-	sub := req
-	sub.Excluded = append(slices.Clip(req.Excluded), out...)
-	lea, err := all.acquired(ctx, sub, poo)
+	reduced := req
+	reduced.Excluded = append(slices.Clip(req.Excluded), ejected...)
+	lea, err := all.placeAndRecord(ctx, reduced, poo)
 	var ref *executor.RefusedError
 	if errors.As(err, &ref) && ref.Refuse.Code == codeNoEndpoint {
-		lea, err = all.acquired(ctx, req, poo)
+		lea, err = all.placeAndRecord(ctx, req, poo)
 	}
 	return lea, err
 }
 
-// acquired places a request and remembers where its prefix went.
-func (all *Allocator) acquired(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
-	lea, err := all.acquire(ctx, req, poo)
+// placeAndRecord places a request and records which endpoint got its prefix.
+func (all *Allocator) placeAndRecord(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
+	lea, err := all.place(ctx, req, poo)
 	if err == nil && len(lea.Group) == 0 {
-		all.prefixes.note(req.Prefix, lea.Endpoint)
+		all.prefixes.record(req.Prefix, lea.Endpoint)
 	}
-	return all.reported(lea, err)
+	return all.withReports(lea, err)
 }
 
 func (all *Allocator) ejected(req placer.Request, poo parser.Pool, now time.Time) []string {
@@ -51,24 +51,25 @@
 		_, ok := vie.index[id]
 		return ok
 	}
-	_, far := all.far(req, poo, now)
-	return all.Ejector.Excluded(len(vie.endpoints), far, has, now)
+	_, otherRegion := all.chooseOtherRegion(req, poo, now)
+	return all.Ejector.Excluded(len(vie.endpoints), otherRegion, has, now)
 }
 
-// reported makes the lease report how its endpoint did, and that of its move.
-func (all *Allocator) reported(lea executor.Lease, err error) (executor.Lease, error) {
-	lea.Report = all.reports(lea.Endpoint)
+// withReports makes the lease report successes and failures of its endpoint, and of
+// the endpoint that it moves to, to the ejector.
+func (all *Allocator) withReports(lea executor.Lease, err error) (executor.Lease, error) {
+	lea.Report = all.reporter(lea.Endpoint)
 	if mov := lea.Move; mov != nil {
 		lea.Move = func(ctx context.Context) (executor.Target, bool) {
 			tar, ok := mov(ctx)
-			tar.Report = all.reports(tar.Endpoint)
+			tar.Report = all.reporter(tar.Endpoint)
 			return tar, ok
 		}
 	}
 	return lea, err
 }
 
-func (all *Allocator) reports(id string) func(bool, time.Time) {
+func (all *Allocator) reporter(id string) func(bool, time.Time) {
 	return func(healthy bool, now time.Time) {
 		if healthy {
 			all.Ejector.Succeeded(id)
--- a/process/allocator/outstanding.go
+++ b/process/allocator/outstanding.go
@@ -1,12 +1,12 @@
 package allocator
 
-// Outstanding counts this host's requests on an endpoint.
+// Outstanding returns the number of this host's outstanding requests on an endpoint.
 func (all *Allocator) Outstanding(id string) int {
 	all.mu.Lock()
 	defer all.mu.Unlock()
-	use := all.work[id]
-	if use == nil {
+	usa := all.usageByEndpoint[id]
+	if usa == nil {
 		return 0
 	}
-	return use.requests
+	return usa.requests
 }
--- a/process/allocator/overflow.go
+++ b/process/allocator/overflow.go
@@ -14,21 +14,21 @@
 	"github.com/rotisserie/eris"
 )
 
-// farGrace is what a scheduler of another region gets beyond the time for one
-// of the own region.
-const farGrace = 250 * time.Millisecond
+// otherRegionGrace is the additional time to reply for a scheduler of another region.
+const otherRegionGrace = 250 * time.Millisecond
 
-// errNoEngine says that the own region's scheduler sees no live engine.
-var errNoEngine = eris.New("allocator: no engine of the cell reports")
+// errNoEngine means that the scheduler in this host's region has no live engine.
+var errNoEngine = eris.New("allocator: cell has no live engine")
 
-// fromCell asks the scheduler of a cell of the own region and, where that can't
-// serve the request in time and the pool allows it, one of another region.
-// errNoScheduler tells the caller to place by itself.
-func (all *Allocator) fromCell(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
-	lea, err := all.fromOwnCell(ctx, req, poo)
+// placeFromCell places a request by the scheduler of a cell in this host's region.
+// If that cannot serve the request in time and the pool allows it, it uses a cell
+// of another region. After errNoScheduler, the request is to be placed from the
+// local view.
+func (all *Allocator) placeFromCell(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
+	lea, err := all.placeInOwnRegion(ctx, req, poo)
 	if overflows(err) {
-		if far, ok := all.fromFarCell(ctx, req, poo); ok {
-			return far, nil
+		if other, ok := all.placeInOtherRegion(ctx, req, poo); ok {
+			return other, nil
 		}
 	}
 	if eris.Is(err, errNoEngine) {
@@ -37,8 +37,8 @@
 	return lea, err
 }
 
-// overflows reports whether another region may have room for what the own one
-// has turned away.
+// overflows reports whether another region may serve a request for which this host's
+// region has returned the error.
 func overflows(err error) bool {
 	var ref *executor.RefusedError
 	if !eris.As(err, &ref) {
@@ -52,39 +52,40 @@
 	}
 }
 
-// fromFarCell asks one cell of another region once. What it refuses is left to
-// the own region's refusal.
-func (all *Allocator) fromFarCell(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, bool) {
-	dig, ok := all.far(req, poo, time.Now())
+// placeInOtherRegion requests a grant once, from one cell of another region. If that
+// fails, the request keeps the refusal of this host's region.
+func (all *Allocator) placeInOtherRegion(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, bool) {
+	dig, ok := all.chooseOtherRegion(req, poo, time.Now())
 	if !ok {
 		return executor.Lease{}, false
 	}
-	lea, err := all.askFar(ctx, req, poo, dig)
-	all.Cells.countFar(dig.Region, err)
+	lea, err := all.requestFromRegion(ctx, req, poo, dig)
+	all.Cells.countOverflow(dig.Region, err)
 	return lea, err == nil
 }
 
-// far chooses a cell of another region that may serve the request, or none.
-func (all *Allocator) far(req placer.Request, poo parser.Pool, now time.Time) (overflower.Digest, bool) {
+// chooseOtherRegion returns a cell of another region that may serve the request, if
+// there is one.
+func (all *Allocator) chooseOtherRegion(req placer.Request, poo parser.Pool, now time.Time) (overflower.Digest, bool) {
 	if all.Cells == nil || len(poo.Overflow) == 0 {
 		return overflower.Digest{}, false
 	}
-	wan := overflower.Want{Pool: poo.Name, Own: all.Cells.Region, Takes: poo.Takes, Slack: req.Deadline.Sub(now)}
-	return all.Cells.OtherRegions.Choose(wan, now)
+	want := overflower.Want{Pool: poo.Name, Own: all.Cells.Region, Takes: poo.Takes, Slack: req.Deadline.Sub(now)}
+	return all.Cells.OtherRegions.Choose(want, now)
 }
 
-func (all *Allocator) askFar(ctx context.Context, req placer.Request, poo parser.Pool, dig overflower.Digest) (executor.Lease, error) {
+func (all *Allocator) requestFromRegion(ctx context.Context, req placer.Request, poo parser.Pool, dig overflower.Digest) (executor.Lease, error) {
 	cel := all.Cells
-	nam := scheduler.CellName(dig.Region+"/"+poo.Name, dig.Number)
-	hoss := cel.candidates(nam, dig.Region, time.Now())
-	if len(hoss) == 0 {
+	cell := scheduler.CellName(dig.Region+"/"+poo.Name, dig.Number)
+	hosts := cel.candidates(cell, dig.Region, time.Now())
+	if len(hosts) == 0 {
 		return executor.Lease{}, errNoScheduler
 	}
-	hos := hoss[0]
-	ask := cel.newAsk(req)
-	act, err := cel.askHost(ctx, hos, nam, poo.Name, ask, farGrace)
+	hos := hosts[0]
+	cellReq := cel.newRequest(req)
+	act, err := cel.requestFromHost(ctx, hos, cell, poo.Name, cellReq, otherRegionGrace)
 	if err != nil {
-		cel.notify(hos, nam, ask.ID, messenger.GrantNotice_KIND_RELEASED)
+		cel.notify(hos, cell, cellReq.ID, messenger.GrantNotice_KIND_RELEASED)
 		if ctx.Err() == nil {
 			cel.suspect(hos.id, time.Now())
 			cel.OtherRegions.Silent(dig.Region, time.Now())
@@ -94,38 +95,38 @@
 	if _, ok := act.(scheduler.Refuse); ok {
 		cel.OtherRegions.Refused(dig, time.Now())
 	}
-	return all.granted(ctx, req, act, grantor{hos, nam, ask.ID})
+	return all.leaseFromAction(ctx, req, act, grantRef{hos, cell, cellReq.ID})
 }
 
-func (cel *Cells) countFar(region string, err error) {
-	res := "granted"
+func (cel *Cells) countOverflow(region string, err error) {
+	result := "granted"
 	var ref *executor.RefusedError
 	switch {
 	case eris.As(err, &ref), eris.Is(err, errNoEngine):
-		res = "refused"
+		result = "refused"
 	case err != nil:
-		res = "unreached"
+		result = "unreached"
 	}
-	cel.Scope.Tagged(map[string]string{"region": region, "result": res}).Counter("cell_overflows").Inc(1)
+	cel.Scope.Tagged(map[string]string{"region": region, "result": result}).Counter("cell_overflows").Inc(1)
 }
 
-// RecordOwnDigests notes the digests of the cells of a pool that this host schedules,
-// for the hosts of other regions. engines is the number of the pool's engines
-// in the region.
+// RecordOwnDigests records the digests of a pool's cells that this host schedules, to
+// be sent to hosts of other regions. engines is the number of the pool's engines in
+// the region.
 func (cel *Cells) RecordOwnDigests(pool string, engines int, now time.Time) {
 	if cel.Region == "" || engines == 0 {
 		return
 	}
-	cou := scheduler.CellCount(engines)
-	for num := range cou {
-		nam := scheduler.CellName(cel.Region+"/"+pool, num)
-		if hoss := cel.candidates(nam, cel.Region, now); len(hoss) == 0 || hoss[0].id != cel.Self {
+	count := scheduler.CellCount(engines)
+	for number := range count {
+		cell := scheduler.CellName(cel.Region+"/"+pool, number)
+		if hosts := cel.candidates(cell, cel.Region, now); len(hosts) == 0 || hosts[0].id != cel.Self {
 			continue
 		}
-		dig := overflower.Digest{Region: cel.Region, Pool: pool, Number: num, Cells: cou, Engines: max(1, engines/cou), At: now}
+		dig := overflower.Digest{Region: cel.Region, Pool: pool, Number: number, Cells: count, Engines: max(1, engines/count), At: now}
 		cel.mu.Lock()
-		dig.Wait = cel.wait(nam, now)
-		dig.Full = cel.digests[nam].full && now.Sub(cel.digests[nam].at) < digestLife
+		dig.Wait = cel.expectedWait(cell, now)
+		dig.Full = cel.digests[cell].full && now.Sub(cel.digests[cell].at) < digestTimeout
 		cel.mu.Unlock()
 		cel.OtherRegions.Note(dig)
 	}
--- a/process/allocator/overflow_test.go
+++ b/process/allocator/overflow_test.go
@@ -17,9 +17,9 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// A request asks one scheduler of another region, and the region or the cell is
-// left alone after silence or a refusal.
-func TestFarCell(t *testing.T) {
+// TestOtherRegion sends a request to a scheduler of another region. If that refuses or
+// does not answer, the cell or the region must get no requests for some seconds.
+func TestOtherRegion(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		answer   *messenger.Grant
@@ -39,36 +39,37 @@
 			}
 			cel := &Cells{
 				Self: "self", Region: "near", Entries: func() []persister.Entry { return ents },
-				Caller: answers{"far": tt.answer, "near": {Endpoint: "near-engine"}}, Scope: tally.NoopScope,
+				Caller: grantReplies{"far": tt.answer, "near": {Endpoint: "near-engine"}}, Scope: tally.NoopScope,
 			}
 			all := &Allocator{Cells: cel}
 			req := placer.Request{ID: "r", Deadline: now.Add(time.Minute)}
 			poo := parser.Pool{Name: "p", Overflow: []string{"far"}}
 			cel.OtherRegions.Note(overflower.Digest{Region: "near", Pool: "p", Cells: 1, Engines: 4, At: now})
 			cel.OtherRegions.Note(overflower.Digest{Region: "far", Pool: "p", Cells: 1, Engines: 4, At: now})
-			_, ok := all.far(req, parser.Pool{Name: "p"}, now)
+			_, ok := all.chooseOtherRegion(req, parser.Pool{Name: "p"}, now)
 			require.False(t, ok, "the pool has no overflow")
-			lea, ok := all.fromFarCell(t.Context(), req, poo)
+			lea, ok := all.placeInOtherRegion(t.Context(), req, poo)
 			require.Equal(t, tt.endpoint != "", ok)
 			require.Equal(t, tt.endpoint, lea.Endpoint)
-			_, ok = all.far(req, poo, time.Now())
-			require.Equal(t, tt.again, ok, "left alone at once")
-			_, ok = all.far(req, poo, time.Now().Add(4*time.Second))
-			require.True(t, ok, "tried again later")
+			_, ok = all.chooseOtherRegion(req, poo, time.Now())
+			require.Equal(t, tt.again, ok, "not chosen right after a failure")
+			_, ok = all.chooseOtherRegion(req, poo, time.Now().Add(4*time.Second))
+			require.True(t, ok, "chosen again later")
 			if tt.answer == nil {
-				require.Equal(t, messenger.GrantNotice_KIND_RELEASED, cel.notices["far"][0].GetKind(), "what the silent scheduler may grant is given back")
+				require.Equal(t, messenger.GrantNotice_KIND_RELEASED, cel.notices["far"][0].GetKind(), "a grant of the unresponsive scheduler must be released")
 			}
 		})
 	}
 }
 
-// Only what another region can mend goes there.
+// TestOverflows checks that a request goes to another region only if another region
+// may be able to serve it.
 func TestOverflows(t *testing.T) {
-	for cod, want := range map[string]bool{
+	for code, want := range map[string]bool{
 		scheduler.CodeOverloaded: true, scheduler.CodePoolFull: true, scheduler.CodeNoEndpoint: true, codeGroupUnavailable: true,
 		scheduler.CodeInfeasible: false, scheduler.CodeTooLarge: false,
 	} {
-		require.Equal(t, want, overflows(&executor.RefusedError{Refuse: placer.Refuse{Code: cod}}), cod)
+		require.Equal(t, want, overflows(&executor.RefusedError{Refuse: placer.Refuse{Code: code}}), code)
 	}
 	require.True(t, overflows(errNoEngine))
 	require.False(t, overflows(errNoScheduler))
--- a/process/allocator/prefixes.go
+++ b/process/allocator/prefixes.go
@@ -7,63 +7,65 @@
 )
 
 const (
-	// maxPrefixBlocks bounds the blocks remembered, noteBlocks those of one
+	// maxPrefixBlocks bounds the recorded blocks, maxNotedBlocks those of one
 	// prompt.
 	maxPrefixBlocks = 2048
-	noteBlocks      = 64
+	maxNotedBlocks  = 64
 )
 
-// prefixes remembers which endpoint this host sent the leading blocks of its
-// recent prompts to. It is a belief: the engine may have evicted them. Its zero
-// value is empty.
+// prefixes records to which endpoint this host sent the leading blocks of its recent
+// prompts. It is an estimate of the engines' caches: an engine may have evicted the
+// blocks. Its zero value is empty.
 type prefixes struct {
-	mu   sync.Mutex
-	last map[uint64]string
-	// order lists the blocks as they came, in a ring.
+	mu        sync.Mutex
+	endpoints map[uint64]string
+	// order is a ring buffer of the blocks in the order of their insertion; next
+	// is the position of the oldest once the buffer is full.
 	order []uint64
 	next  int
 }
 
-// note remembers a prompt. The name of a block stands for all before it.
-func (pre *prefixes) note(blos []uint64, endpoint string) {
+// record records the blocks of a prompt. The hash of a block covers all blocks before
+// it.
+func (pre *prefixes) record(blocks []uint64, endpoint string) {
 	pre.mu.Lock()
 	defer pre.mu.Unlock()
-	if pre.last == nil {
-		pre.last = map[uint64]string{}
+	if pre.endpoints == nil {
+		pre.endpoints = map[uint64]string{}
 	}
-	for _, blo := range blos[:min(noteBlocks, len(blos))] {
-		if _, known := pre.last[blo]; !known {
-			pre.keep(blo)
+	for _, block := range blocks[:min(maxNotedBlocks, len(blocks))] {
+		if _, known := pre.endpoints[block]; !known {
+			pre.insert(block)
 		}
-		pre.last[blo] = endpoint
+		pre.endpoints[block] = endpoint
 	}
 }
 
-// keep gives a block the place of the one that came first.
-func (pre *prefixes) keep(blo uint64) {
+// insert adds a block. Once the buffer is full, the block replaces the oldest.
+func (pre *prefixes) insert(block uint64) {
 	if len(pre.order) < maxPrefixBlocks {
-		pre.order = append(pre.order, blo)
+		pre.order = append(pre.order, block)
 		return
 	}
-	delete(pre.last, pre.order[pre.next])
-	pre.order[pre.next] = blo
+	delete(pre.endpoints, pre.order[pre.next])
+	pre.order[pre.next] = block
 	pre.next = (pre.next + 1) % maxPrefixBlocks
 }
 
-// match returns the endpoint that got the longest prefix of a prompt.
-func (pre *prefixes) match(blos []uint64) []placer.Cached {
+// match returns the endpoint that got the longest recorded prefix of a prompt, or nil.
+func (pre *prefixes) match(blocks []uint64) []placer.Cached {
 	pre.mu.Lock()
 	defer pre.mu.Unlock()
-	var cac placer.Cached
-	for ind, blo := range blos {
-		end, ok := pre.last[blo]
+	var cached placer.Cached
+	for i, block := range blocks {
+		endpoint, ok := pre.endpoints[block]
 		if !ok {
 			break
 		}
-		cac = placer.Cached{Endpoint: end, Blocks: ind + 1}
+		cached = placer.Cached{Endpoint: endpoint, Blocks: i + 1}
 	}
-	if cac.Blocks == 0 {
+	if cached.Blocks == 0 {
 		return nil
 	}
-	return []placer.Cached{cac}
+	return []placer.Cached{cached}
 }
--- a/process/allocator/prefixes_test.go
+++ b/process/allocator/prefixes_test.go
@@ -11,14 +11,14 @@
 func TestPrefixes(t *testing.T) {
 	var pre prefixes
 	require.Empty(t, pre.match([]uint64{1}))
-	pre.note([]uint64{1, 2, 3}, "a")
-	pre.note([]uint64{1, 2, 4}, "b")
+	pre.record([]uint64{1, 2, 3}, "a")
+	pre.record([]uint64{1, 2, 4}, "b")
 	require.Equal(t, []placer.Cached{{Endpoint: "a", Blocks: 3}}, pre.match([]uint64{1, 2, 3, 9}))
 	require.Equal(t, []placer.Cached{{Endpoint: "b", Blocks: 2}}, pre.match([]uint64{1, 2, 9}))
-	for ind := range uint64(2 * maxPrefixBlocks) {
-		pre.note([]uint64{100 + ind}, "c")
+	for i := range uint64(2 * maxPrefixBlocks) {
+		pre.record([]uint64{100 + i}, "c")
 	}
 	require.Empty(t, pre.match([]uint64{1}))
-	require.Len(t, pre.last, maxPrefixBlocks)
+	require.Len(t, pre.endpoints, maxPrefixBlocks)
 	require.Len(t, pre.order, maxPrefixBlocks)
 }
--- a/process/allocator/remote.go
+++ b/process/allocator/remote.go
@@ -12,46 +12,48 @@
 )
 
 const (
-	// noticeInterval collects notices, so that many travel in one message.
+	// noticeInterval is the interval at which notices are sent, so that one
+	// message carries many of them.
 	noticeInterval = 10 * time.Millisecond
 	noticeTimeout  = time.Second
-	// repeatPause is the least time between two calls of an ask.
+	// repeatPause is the pause between two calls of a request.
 	repeatPause = time.Millisecond
-	// maxNotices bounds the notices kept for one host. What is lost beyond is
-	// made up for by load reports and by the grants' expiry.
+	// maxNotices bounds the notices that wait to be sent to one host. Further
+	// ones are dropped; the scheduler then ends the grants by the engines' load
+	// reports or by their expiry.
 	maxNotices = 4096
 )
 
-// askHost repeats an ask until it is granted or refused, or the host does not
-// answer. extra is added to the time that it has for that.
-func (cel *Cells) askHost(ctx context.Context, hos host, nam, pool string, ask scheduler.Request, extra time.Duration) (scheduler.Action, error) {
+// requestFromHost repeats a request to a host until the host grants or refuses it, or
+// does not answer in time. extra is added to the time to reply.
+func (cel *Cells) requestFromHost(ctx context.Context, hos host, cell, pool string, req scheduler.Request, extra time.Duration) (scheduler.Action, error) {
 	if hos.id == cel.Self {
-		return cel.askSelf(ctx, nam, pool, ask)
+		return cel.requestFromSelf(ctx, cell, pool, req)
 	}
 	hold, grace := firstHold, callGrace+extra
 	for {
-		gra, err := cel.call(ctx, hos, nam, pool, ask, hold, grace)
+		gra, err := cel.callScheduler(ctx, hos, cell, pool, req, hold, grace)
 		if err != nil {
 			return nil, err
 		}
-		act := actionOf(ask.ID, gra)
-		cel.learn(nam, time.Duration(gra.GetWaitMs())*time.Millisecond, act, time.Now())
+		act := decodeAction(req.ID, gra)
+		cel.recordDigest(cell, time.Duration(gra.GetWaitMs())*time.Millisecond, act, time.Now())
 		if act != nil {
 			return act, nil
 		}
 		if !pause(ctx, repeatPause) {
-			return nil, eris.Wrapf(ctx.Err(), "Cells.askHost: scheduler %s", hos.id)
+			return nil, eris.Wrapf(ctx.Err(), "Cells.requestFromHost: scheduler %s", hos.id)
 		}
 		hold, grace = laterHold, laterGrace+extra
 	}
 }
 
-func (cel *Cells) askSelf(ctx context.Context, nam, pool string, ask scheduler.Request) (scheduler.Action, error) {
+func (cel *Cells) requestFromSelf(ctx context.Context, cell, pool string, req scheduler.Request) (scheduler.Action, error) {
 	for {
-		act, wai := cel.Scheduler.Submit(ctx, nam, pool, ask, laterHold)
-		cel.learn(nam, wai, act, time.Now())
+		act, wait := cel.Scheduler.Submit(ctx, cell, pool, req, laterHold)
+		cel.recordDigest(cell, wait, act, time.Now())
 		if ctx.Err() != nil {
-			return nil, eris.Wrap(ctx.Err(), "Cells.askSelf")
+			return nil, eris.Wrap(ctx.Err(), "Cells.requestFromSelf")
 		}
 		if act != nil {
 			return act, nil
@@ -59,69 +61,70 @@
 	}
 }
 
-// pause keeps a scheduler that does not hold calls from being asked in a spin.
-// It reports whether the request goes on.
-func pause(ctx context.Context, dur time.Duration) bool {
+// pause waits between two calls, so that a scheduler that does not hold calls is not
+// called in a busy loop. It reports whether ctx is still active.
+func pause(ctx context.Context, period time.Duration) bool {
 	select {
-	case <-time.After(dur):
+	case <-time.After(period):
 		return ctx.Err() == nil
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// call places one call. The end of the request cancels it; only a host that
-// does not answer in time lets it time out, which condemns the session.
-func (cel *Cells) call(ctx context.Context, hos host, nam, pool string, ask scheduler.Request, hold, grace time.Duration) (*messenger.Grant, error) {
-	cal, cancel := context.WithTimeout(context.WithoutCancel(ctx), hold+grace)
+// callScheduler makes one call. If ctx ends, the call is cancelled; it times out only
+// if the host does not answer in time. The difference matters because a time-out
+// marks the session as unusable.
+func (cel *Cells) callScheduler(ctx context.Context, hos host, cell, pool string, cellReq scheduler.Request, hold, grace time.Duration) (*messenger.Grant, error) {
+	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), hold+grace)
 	defer cancel()
 	stop := context.AfterFunc(ctx, cancel)
 	defer stop()
-	req := ask.Request
-	env, err := cel.Caller.Call(cal, hos.address, &messenger.Envelope{Body: &messenger.Envelope_GrantRequest{GrantRequest: &messenger.GrantRequest{
-		RequestId: req.ID, Host: ask.Host, Incarnation: ask.Incarnation, Pool: pool, Team: req.Team, Model: req.Model,
+	req := cellReq.Request
+	env, err := cel.Caller.Call(callCtx, hos.address, &messenger.Envelope{Body: &messenger.Envelope_GrantRequest{GrantRequest: &messenger.GrantRequest{
+		RequestId: req.ID, Host: cellReq.Host, Incarnation: cellReq.Incarnation, Pool: pool, Team: req.Team, Model: req.Model,
 		PromptTokens: req.PromptTokens, MaxTokens: req.MaxTokens, Priority: int32(req.Priority),
 		BudgetMs: time.Until(req.Deadline).Milliseconds(), PrefixHashes: req.Prefix, Excluded: req.Excluded,
-		Cell: nam, AskId: ask.ID, Share: req.Share, HoldMs: hold.Milliseconds(),
+		Cell: cell, AskId: cellReq.ID, Share: req.Share, HoldMs: hold.Milliseconds(),
 	}}})
 	if err != nil {
-		return nil, eris.Wrapf(err, "Cells.call: scheduler %s", hos.id)
+		return nil, eris.Wrapf(err, "Cells.callScheduler: scheduler %s", hos.id)
 	}
 	if env.GetGrant() == nil {
-		return nil, eris.Errorf("Cells.call: scheduler %s: reply is not a grant", hos.id)
+		return nil, eris.Errorf("Cells.callScheduler: scheduler %s: reply is not a grant", hos.id)
 	}
 	return env.GetGrant(), nil
 }
 
-// HandleRequest answers another host's ask as the scheduler of the cell.
+// HandleRequest answers another host's request as the scheduler of the cell.
 func (cel *Cells) HandleRequest(ctx context.Context, req *messenger.GrantRequest, now time.Time) *messenger.Envelope {
 	if req.GetMove() {
-		gra := moveOf(cel.Scheduler.Move(req.GetCell(), req.GetAskId()))
+		gra := encodeMove(cel.Scheduler.Move(req.GetCell(), req.GetAskId()))
 		return &messenger.Envelope{Body: &messenger.Envelope_Grant{Grant: gra}}
 	}
-	ask := scheduler.Request{ID: req.GetAskId(), Host: req.GetHost(), Incarnation: req.GetIncarnation(), Request: placer.Request{
+	cellReq := scheduler.Request{ID: req.GetAskId(), Host: req.GetHost(), Incarnation: req.GetIncarnation(), Request: placer.Request{
 		ID: req.GetRequestId(), Team: req.GetTeam(), Share: req.GetShare(), Model: req.GetModel(), Pool: req.GetPool(),
 		PromptTokens: req.GetPromptTokens(), MaxTokens: req.GetMaxTokens(), Priority: int(req.GetPriority()),
 		Deadline: now.Add(time.Duration(req.GetBudgetMs()) * time.Millisecond), Prefix: req.GetPrefixHashes(), Excluded: req.GetExcluded(),
 	}}
-	act, wai := cel.Scheduler.Submit(ctx, req.GetCell(), req.GetPool(), ask, time.Duration(req.GetHoldMs())*time.Millisecond)
-	cel.learn(req.GetCell(), wai, act, now)
-	gra := grantOf(act)
-	gra.WaitMs = wai.Milliseconds()
+	act, wait := cel.Scheduler.Submit(ctx, req.GetCell(), req.GetPool(), cellReq, time.Duration(req.GetHoldMs())*time.Millisecond)
+	cel.recordDigest(req.GetCell(), wait, act, now)
+	gra := encodeGrant(act)
+	gra.WaitMs = wait.Milliseconds()
 	return &messenger.Envelope{Body: &messenger.Envelope_Grant{Grant: gra}}
 }
 
-// HandleNotices takes notices of grants.
-func (cel *Cells) HandleNotices(nos *messenger.GrantNotices) *messenger.Envelope {
-	for _, not := range nos.GetNotices() {
-		cel.apply(not)
+// HandleNotices applies another host's notices about grants.
+func (cel *Cells) HandleNotices(notices *messenger.GrantNotices) *messenger.Envelope {
+	for _, notice := range notices.GetNotices() {
+		cel.applyNotice(notice)
 	}
 	return &messenger.Envelope{Body: &messenger.Envelope_Done{Done: &messenger.Done{}}}
 }
 
-func (cel *Cells) apply(not *messenger.GrantNotice) {
+func (cel *Cells) applyNotice(notice *messenger.GrantNotice) {
 	var eve scheduler.Event
-	switch id := not.GetAskId(); not.GetKind() {
+	switch id := notice.GetAskId(); notice.GetKind() {
 	case messenger.GrantNotice_KIND_PREFILLED:
 		eve = scheduler.Prefilled{ID: id}
 	case messenger.GrantNotice_KIND_MOVED:
@@ -131,18 +134,18 @@
 	default:
 		eve = scheduler.Release{ID: id}
 	}
-	cel.Scheduler.Notify(not.GetCell(), eve)
+	cel.Scheduler.Notify(notice.GetCell(), eve)
 }
 
-// moveOf has no endpoint where the request stays.
-func moveOf(act scheduler.Action) *messenger.Grant {
+// encodeMove returns a grant without an endpoint if the request stays.
+func encodeMove(act scheduler.Action) *messenger.Grant {
 	if mov, ok := act.(scheduler.MoveTo); ok {
 		return &messenger.Grant{Endpoint: mov.Endpoint, Address: mov.Address}
 	}
 	return &messenger.Grant{}
 }
 
-func grantOf(act scheduler.Action) *messenger.Grant {
+func encodeGrant(act scheduler.Action) *messenger.Grant {
 	switch act := act.(type) {
 	case scheduler.Grant:
 		return &messenger.Grant{Endpoint: act.Endpoint, Address: act.Address}
@@ -159,8 +162,8 @@
 	}
 }
 
-// actionOf returns nil for an ask that waits.
-func actionOf(id string, gra *messenger.Grant) scheduler.Action {
+// decodeAction returns nil for a request that waits.
+func decodeAction(id string, gra *messenger.Grant) scheduler.Action {
 	if gra.GetWaiting() {
 		return nil
 	}
@@ -172,19 +175,19 @@
 	if len(gra.GetGroup()) == 0 {
 		return scheduler.Grant{ID: id, Endpoint: gra.GetEndpoint(), Address: gra.GetAddress()}
 	}
-	gro := scheduler.GrantGroup{ID: id}
+	group := scheduler.GrantGroup{ID: id}
 	for _, par := range gra.GetGroup() {
-		gro.Parts = append(gro.Parts, placer.Part{Endpoint: par.GetEndpoint(), Address: par.GetAddress(), Tokens: par.GetTokens()})
+		group.Parts = append(group.Parts, placer.Part{Endpoint: par.GetEndpoint(), Address: par.GetAddress(), Tokens: par.GetTokens()})
 	}
-	return gro
+	return group
 }
 
-// notify tells the scheduler of a grant's step, at once on this host and with
-// the next message on another.
-func (cel *Cells) notify(hos host, nam, id string, kin messenger.GrantNotice_Kind) {
-	not := &messenger.GrantNotice{Cell: nam, AskId: id, Kind: kin}
+// notify reports an event of a grant to its scheduler: at once if that is on this
+// host, else with the next message to its host.
+func (cel *Cells) notify(hos host, cell, id string, kind messenger.GrantNotice_Kind) {
+	notice := &messenger.GrantNotice{Cell: cell, AskId: id, Kind: kind}
 	if hos.id == cel.Self {
-		cel.apply(not)
+		cel.applyNotice(notice)
 		return
 	}
 	cel.mu.Lock()
@@ -193,17 +196,17 @@
 		cel.notices = map[string][]*messenger.GrantNotice{}
 	}
 	if len(cel.notices[hos.address]) < maxNotices {
-		cel.notices[hos.address] = append(cel.notices[hos.address], not)
+		cel.notices[hos.address] = append(cel.notices[hos.address], notice)
 	}
 }
 
 // Run sends notices until ctx ends.
 func (cel *Cells) Run(ctx context.Context) {
-	tic := time.NewTicker(noticeInterval)
-	defer tic.Stop()
+	ticker := time.NewTicker(noticeInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tic.C:
+		case <-ticker.C:
 			cel.flush(ctx)
 		case <-ctx.Done():
 			return
@@ -213,16 +216,16 @@
 
 func (cel *Cells) flush(ctx context.Context) {
 	cel.mu.Lock()
-	out := cel.notices
+	pending := cel.notices
 	cel.notices = nil
 	cel.mu.Unlock()
-	for add, nos := range out {
+	for address, notices := range pending {
 		go func() {
 			ctx, stop := context.WithTimeout(ctx, noticeTimeout)
 			defer stop()
-			env := &messenger.Envelope{Body: &messenger.Envelope_GrantNotices{GrantNotices: &messenger.GrantNotices{Notices: nos}}}
-			if _, err := cel.Caller.Call(ctx, add, env); err != nil {
-				cel.Scope.Counter("grant_notices_lost").Inc(int64(len(nos)))
+			env := &messenger.Envelope{Body: &messenger.Envelope_GrantNotices{GrantNotices: &messenger.GrantNotices{Notices: notices}}}
+			if _, err := cel.Caller.Call(ctx, address, env); err != nil {
+				cel.Scope.Counter("grant_notices_lost").Inc(int64(len(notices)))
 			}
 		}()
 	}
--- a/process/allocator/view.go
+++ b/process/allocator/view.go
@@ -9,40 +9,42 @@
 )
 
 const (
-	// viewRefresh is the least time between two copies of a pool's view.
+	// viewRefresh is the minimum time between two copies of a pool's view.
 	viewRefresh = 50 * time.Millisecond
-	// reportLag is the age that an engine's figures have when they are read.
+	// reportLag is the assumed age of an engine's figures when its load report is
+	// read.
 	reportLag = 250 * time.Millisecond
-	// maxStamps bounds the dispatches remembered for one endpoint.
-	maxStamps = 64
+	// maxRecentDispatches bounds the recorded dispatches of one endpoint.
+	maxRecentDispatches = 64
 )
 
-// usage counts this host's requests on one endpoint.
+// usage is what this host has outstanding on one endpoint.
 type usage struct {
 	requests int
 	tokens   int64
-	// recent are the latest dispatches, oldest first.
-	recent []stamp
+	// recent has the latest dispatches, the oldest first.
+	recent []dispatch
 }
 
-type stamp struct {
+type dispatch struct {
 	at     time.Time
 	tokens int64
 }
 
-// since sums up the dispatches that are too new for a report, up to what is
-// still outstanding.
-func (usa *usage) since(at time.Time) int64 {
+// tokensSince returns the sum of the tokens dispatched after a time, which a load
+// report of that time does not include, but at most the outstanding tokens.
+func (usa *usage) tokensSince(at time.Time) int64 {
 	var sum int64
-	for _, sta := range usa.recent {
-		if sta.at.After(at) {
-			sum += sta.tokens
+	for _, dis := range usa.recent {
+		if dis.at.After(at) {
+			sum += dis.tokens
 		}
 	}
 	return min(sum, usa.tokens)
 }
 
-// view is the copy of a pool's view that placement reads and counts in.
+// view is the allocator's copy of a pool's view. Placement reads it and adds its own
+// dispatches to it.
 type view struct {
 	endpoints []placer.Endpoint
 	index     map[string]int
@@ -51,12 +53,12 @@
 	copied    time.Time
 }
 
-func (vie *view) view(mix placer.Mix, poo parser.Pool, cac []placer.Cached) placer.View {
-	return placer.View{Endpoints: vie.endpoints, Cached: cac, Mix: mix, LongShare: poo.LongShare}
+func (vie *view) placerView(mix placer.Mix, poo parser.Pool, cached []placer.Cached) placer.View {
+	return placer.View{Endpoints: vie.endpoints, Cached: cached, Mix: mix, LongShare: poo.LongShare}
 }
 
-// view returns the pool's view with this host's own work. The caller holds the
-// lock.
+// view returns the pool's view with this host's outstanding requests. The caller
+// holds the lock.
 func (all *Allocator) view(poo parser.Pool, now time.Time) *view {
 	if all.views == nil {
 		all.views = map[string]*view{}
@@ -66,58 +68,59 @@
 		return vie
 	}
 	vie = &view{version: all.Watcher.Version(), endpoints: all.Watcher.Pool(poo).Endpoints, index: map[string]int{}, pool: poo, copied: now}
-	for ind := range vie.endpoints {
-		end := &vie.endpoints[ind]
-		vie.index[end.ID] = ind
-		if usa := all.work[end.ID]; usa != nil {
+	for i := range vie.endpoints {
+		end := &vie.endpoints[i]
+		vie.index[end.ID] = i
+		if usa := all.usageByEndpoint[end.ID]; usa != nil {
 			end.Outstanding = usa.requests
 			end.OutstandingTokens = usa.tokens
-			end.RecentTokens = usa.since(end.ReportedAt.Add(-reportLag))
+			end.RecentTokens = usa.tokensSince(end.ReportedAt.Add(-reportLag))
 		}
 	}
 	all.views[poo.Name] = vie
 	return vie
 }
 
-func samePool(one, two parser.Pool) bool {
-	return one.Kind == two.Kind && one.Selector.Service == two.Selector.Service && slices.Equal(one.Selector.DataCenters, two.Selector.DataCenters)
+func samePool(a, b parser.Pool) bool {
+	return a.Kind == b.Kind && a.Selector.Service == b.Selector.Service && slices.Equal(a.Selector.DataCenters, b.Selector.DataCenters)
 }
 
-func (all *Allocator) change(id string, requests int, tokens int64) {
+func (all *Allocator) changeWork(id string, requests int, tokens int64) {
 	all.mu.Lock()
 	defer all.mu.Unlock()
-	all.add(id, requests, tokens, time.Time{})
+	all.addWork(id, requests, tokens, time.Time{})
 }
 
-// add counts work, also in the views. The caller holds the lock.
-func (all *Allocator) add(id string, requests int, tokens int64, now time.Time) {
-	if all.work == nil {
-		all.work = map[string]*usage{}
+// addWork adds to the usage of an endpoint, also in the views. The caller holds the
+// lock.
+func (all *Allocator) addWork(id string, requests int, tokens int64, now time.Time) {
+	if all.usageByEndpoint == nil {
+		all.usageByEndpoint = map[string]*usage{}
 	}
-	usa := all.work[id]
+	usa := all.usageByEndpoint[id]
 	if usa == nil {
 		usa = &usage{}
-		all.work[id] = usa
+		all.usageByEndpoint[id] = usa
 	}
 	usa.requests += requests
 	usa.tokens += tokens
 	if tokens > 0 {
-		usa.recent = append(usa.recent, stamp{now, tokens})
-		if len(usa.recent) > maxStamps {
+		usa.recent = append(usa.recent, dispatch{now, tokens})
+		if len(usa.recent) > maxRecentDispatches {
 			usa.recent = slices.Delete(usa.recent, 0, 1)
 		}
 	}
 	for _, vie := range all.views {
-		ind, ok := vie.index[id]
+		i, ok := vie.index[id]
 		if !ok {
 			continue
 		}
-		end := &vie.endpoints[ind]
+		end := &vie.endpoints[i]
 		end.Outstanding += requests
 		end.OutstandingTokens += tokens
 		end.RecentTokens = min(end.OutstandingTokens, end.RecentTokens+max(0, tokens))
 	}
 	if usa.requests <= 0 {
-		delete(all.work, id)
+		delete(all.usageByEndpoint, id)
 	}
 }
