--- a/process/allocator/overflow.go
+++ b/process/allocator/overflow.go
@@ -22,8 +22,8 @@
 
 // placeFromCell places a request by the scheduler of a cell in this host's region.
 // If that cannot serve the request in time and the pool allows it, it uses a cell
-// of another region. After errNoScheduler, the request is to be placed from the
-// local view.
+// of another region. It returns errNoScheduler if the request has to be placed from
+// the local view.
 func (all *Allocator) placeFromCell(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
 	lea, err := all.placeInOwnRegion(ctx, req, poo)
 	if overflows(err) {
--- a/process/allocator/prefixes.go
+++ b/process/allocator/prefixes.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// maxPrefixBlocks bounds the recorded blocks, maxNotedBlocks those of one
+	// maxPrefixBlocks bounds the recorded blocks, maxRecordedBlocks those of one
 	// prompt.
-	maxPrefixBlocks = 2048
-	maxNotedBlocks  = 64
+	maxPrefixBlocks   = 2048
+	maxRecordedBlocks = 64
 )
 
 // prefixes records to which endpoint this host sent the leading blocks of its recent
@@ -33,7 +33,7 @@
 	if pre.endpoints == nil {
 		pre.endpoints = map[uint64]string{}
 	}
-	for _, block := range blocks[:min(maxNotedBlocks, len(blocks))] {
+	for _, block := range blocks[:min(maxRecordedBlocks, len(blocks))] {
 		if _, known := pre.endpoints[block]; !known {
 			pre.insert(block)
 		}
--- a/process/scheduler/engine.go
+++ b/process/scheduler/engine.go
@@ -44,13 +44,13 @@
 	address string
 	slot    int
 	models  []string
-	// listedLeaving says that the engine is listed as leaving or no longer listed,
-	// leaving that its own report says so.
+	// listedLeaving reports whether the engine is listed as leaving or no longer
+	// listed, leaving whether its own report says that it leaves.
 	listedLeaving bool
 	leaving       bool
 	incarnation   uint64
-	// unreachable says that the last read of a report failed; suspected says that
-	// since the last report a request has ended before its first token.
+	// unreachable reports whether the last read of a report failed, suspected
+	// whether a request has ended before its first token since the last report.
 	unreachable bool
 	suspected   bool
 
@@ -74,8 +74,8 @@
 	running    int
 	prefills   []*part
 	advancedAt time.Time
-	// decoder says that the engine is dedicated to answers that move;
-	// incomingMoves counts the unfinished moves to it.
+	// decoder reports whether the engine is dedicated to answers that move.
+	// incomingMoves is the number of unfinished moves to it.
 	decoder       bool
 	incomingMoves int
 }
--- a/process/scheduler/mover.go
+++ b/process/scheduler/mover.go
@@ -19,7 +19,7 @@
 	maxDecoderShare = 0.5
 	// minLongDemand is the prefill work of long prompts, in engines, from which
 	// a cell has decoders. With less, moving answers out of the way of long
-	// prompts is not worth while.
+	// prompts is not worthwhile.
 	minLongDemand = 0.5
 	// decoderTimeout is the time after the last Move event for which a cell has
 	// decoders. If hosts send no Move, all engines prefill prompts.
