--- a/process/assigner/held.go
+++ b/process/assigner/held.go
@@ -11,7 +11,7 @@
 // held is a grant of this host that has not ended.
 type held struct {
 	pool  string
-	ask   planner.Ask
+	ask   planner.Request
 	parts []planner.Part
 	since time.Time
 	begun bool
@@ -25,11 +25,11 @@
 
 // event tells another planner of the grant.
 func (hel *held) event(now time.Time) planner.Held {
-	return planner.Held{Ask: hel.ask, Parts: hel.parts, Age: now.Sub(hel.since), Begun: hel.begun}
+	return planner.Held{Request: hel.ask, Parts: hel.parts, Age: now.Sub(hel.since), Begun: hel.begun}
 }
 
 // keep notes a grant until it ends.
-func (pla *Planners) keep(pool string, ask planner.Ask, act planner.Assign, hos host) {
+func (pla *Planners) keep(pool string, ask planner.Request, act planner.Assign, hos host) {
 	pla.mu.Lock()
 	defer pla.mu.Unlock()
 	if pla.held == nil {
@@ -101,12 +101,12 @@
 // heldNotice converts a grant in progress. Times are left out of the ask's age.
 func heldNotice(eve planner.Held, now time.Time) *messenger.PlanNotice {
 	not := &messenger.PlanNotice{
-		Id: eve.Ask.ID, Kind: messenger.PlanNotice_KIND_HELD, Ask: request("", eve.Ask, 0, now), AgeMs: eve.Age.Milliseconds(), Begun: eve.Begun,
+		Id: eve.Request.ID, Kind: messenger.PlanNotice_KIND_HELD, Ask: request("", eve.Request, 0, now), AgeMs: eve.Age.Milliseconds(), Begun: eve.Begun,
 	}
 	not.Parts = partsTo(eve.Parts)
 	return not
 }
 
 func heldOf(not *messenger.PlanNotice, now time.Time) planner.Held {
-	return planner.Held{Ask: askOf(not.GetAsk(), now), Parts: partsOf(not.GetParts()), Age: millis(not.GetAgeMs()), Begun: not.GetBegun()}
+	return planner.Held{Request: askOf(not.GetAsk(), now), Parts: partsOf(not.GetParts()), Age: millis(not.GetAgeMs()), Begun: not.GetBegun()}
 }
--- a/process/assigner/message.go
+++ b/process/assigner/message.go
@@ -7,7 +7,7 @@
 	"hemlockpin/process/planner"
 )
 
-func request(pool string, ask planner.Ask, hold time.Duration, now time.Time) *messenger.PlanRequest {
+func request(pool string, ask planner.Request, hold time.Duration, now time.Time) *messenger.PlanRequest {
 	pro := ask.Prompt
 	return &messenger.PlanRequest{
 		Id: ask.ID, Host: ask.Host, Incarnation: ask.Incarnation, Pool: pool, PromptTokens: pro.Tokens, MaxTokens: pro.MaxTokens,
@@ -16,8 +16,8 @@
 	}
 }
 
-func askOf(req *messenger.PlanRequest, now time.Time) planner.Ask {
-	return planner.Ask{ID: req.GetId(), Host: req.GetHost(), Incarnation: req.GetIncarnation(), Prompt: planner.Prompt{
+func askOf(req *messenger.PlanRequest, now time.Time) planner.Request {
+	return planner.Request{ID: req.GetId(), Host: req.GetHost(), Incarnation: req.GetIncarnation(), Prompt: planner.Prompt{
 		Tokens: req.GetPromptTokens(), MaxTokens: req.GetMaxTokens(), AnswerTokens: req.GetAnswerTokens(), Priority: int(req.GetPriority()),
 		Target: now.Add(millis(req.GetTargetMs())), Deadline: now.Add(millis(req.GetBudgetMs())),
 		Objective: millis(req.GetObjectiveMs()), Pause: millis(req.GetPauseMs()), Excluded: req.GetExcluded(),
--- a/process/assigner/planners.go
+++ b/process/assigner/planners.go
@@ -141,7 +141,7 @@
 
 // ask asks the planner of a pool, or the one that takes its place.
 func (pla *Planners) ask(ctx context.Context, ask relayer.Ask) (planner.Action, error) {
-	one := planner.Ask{ID: pla.askID(ask), Host: pla.Self, Incarnation: pla.Incarnation, Prompt: promptOf(ask)}
+	one := planner.Request{ID: pla.askID(ask), Host: pla.Self, Incarnation: pla.Incarnation, Prompt: promptOf(ask)}
 	for _, hos := range pla.candidates(ask.Pool, pla.Clock()) {
 		act, by, err := pla.askHost(ctx, hos, ask.Pool, one)
 		if err == nil {
@@ -175,7 +175,7 @@
 
 // askHost asks one planner until it has decided. It also returns the planner that
 // has planned, which is another one when the host that was asked relays the ask.
-func (pla *Planners) askHost(ctx context.Context, hos host, pool string, ask planner.Ask) (planner.Action, host, error) {
+func (pla *Planners) askHost(ctx context.Context, hos host, pool string, ask planner.Request) (planner.Action, host, error) {
 	hold, grace := firstHold, firstGrace
 	for {
 		act, by, err := pla.askOnce(ctx, hos, pool, ask, hold, grace)
@@ -191,9 +191,9 @@
 	}
 }
 
-func (pla *Planners) askOnce(ctx context.Context, hos host, pool string, ask planner.Ask, hold, grace time.Duration) (planner.Action, host, error) {
+func (pla *Planners) askOnce(ctx context.Context, hos host, pool string, ask planner.Request, hold, grace time.Duration) (planner.Action, host, error) {
 	if hos.address == "" {
-		return pla.Runner.Ask(ctx, pool, ask, laterHold), hos, nil
+		return pla.Runner.Submit(ctx, pool, ask, laterHold), hos, nil
 	}
 	rep, err := pla.call(ctx, hos, request(pool, ask, hold, pla.Clock()), hold+grace)
 	if err != nil {
@@ -262,7 +262,7 @@
 			return &messenger.Envelope{Body: &messenger.Envelope_PlanReply{PlanReply: rep}}
 		}
 	}
-	act := pla.Runner.Ask(ctx, req.GetPool(), askOf(req, now), time.Duration(req.GetHoldMs())*time.Millisecond)
+	act := pla.Runner.Submit(ctx, req.GetPool(), askOf(req, now), time.Duration(req.GetHoldMs())*time.Millisecond)
 	rep := replyOf(act)
 	rep.PlannerId, rep.PlannerAddress = pla.Self, pla.Address
 	return &messenger.Envelope{Body: &messenger.Envelope_PlanReply{PlanReply: rep}}
--- a/process/forwarder/knowledge.go
+++ b/process/forwarder/knowledge.go
@@ -234,11 +234,11 @@
 	for _, per := range fwd.gossiper.Peers() {
 		old, ok := last[per.ID]
 		if ok && per.Started > old.Started {
-			fwd.runner.HostGone(planner.HostGone{Host: per.ID, Incarnation: old.Started})
+			fwd.runner.RemoveHost(planner.HostRemoved{Host: per.ID, Incarnation: old.Started})
 		}
 		known := ok && old.State == gossiper.StateDead && old.Started == per.Started
 		if per.State == gossiper.StateDead && !known {
-			fwd.runner.HostGone(planner.HostGone{Host: per.ID, Incarnation: per.Started})
+			fwd.runner.RemoveHost(planner.HostRemoved{Host: per.ID, Incarnation: per.Started})
 		}
 		last[per.ID] = per
 	}
--- a/process/orderer/giver.go
+++ b/process/orderer/giver.go
@@ -28,21 +28,21 @@
 	GiveOrder(ctx context.Context, address string, ord invoker.Order) error
 }
 
-// Giver gives orders to engines.
-type Giver struct {
+// Issuer gives orders to engines.
+type Issuer struct {
 	Store   leaser.ObjectStore
 	Weights WeightStore
 	Engine  Engine
 	Host    string
 }
 
-// Give gives one order to an engine and waits for its end until ctx ends. An
+// Issue gives one order to an engine and waits for its end until ctx ends. An
 // order that is given again under its ID has no second effect.
-func (giv *Giver) Give(ctx context.Context, endpoint, address string, ord invoker.Order) End {
+func (giv *Issuer) Issue(ctx context.Context, endpoint, address string, ord invoker.Order) End {
 	hol := &leaser.Holder{Store: giv.Store, Name: "orders-" + endpoint, Host: giv.Host}
 	defer giv.release(ctx, hol)
 	sta := State{Order: ord}
-	var eve Event = Begun{}
+	var eve Event = Started{}
 	for {
 		nex, act := sta.Next(eve, time.Now())
 		sta = nex
@@ -53,13 +53,13 @@
 	}
 }
 
-func (giv *Giver) release(ctx context.Context, hol *leaser.Holder) {
+func (giv *Issuer) release(ctx context.Context, hol *leaser.Holder) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer stop()
 	hol.Release(ctx)
 }
 
-func (giv *Giver) carryOut(ctx context.Context, hol *leaser.Holder, address string, ord invoker.Order, act Action) Event {
+func (giv *Issuer) carryOut(ctx context.Context, hol *leaser.Holder, address string, ord invoker.Order, act Action) Event {
 	switch act := act.(type) {
 	case Lease:
 		hld, err := hol.Acquire(ctx)
@@ -67,7 +67,7 @@
 			return Expired{err.Error()}
 		}
 		return Leased{Fence: hld.Fence, Until: hld.Until}
-	case Weigh:
+	case RequestWeights:
 		return giv.weigh(ctx, ord, act)
 	case ReadConfig:
 		return giv.read(ctx, address, act)
@@ -87,7 +87,7 @@
 	return ctx.Err() == nil
 }
 
-func (giv *Giver) weigh(ctx context.Context, ord invoker.Order, wei Weigh) Event {
+func (giv *Issuer) weigh(ctx context.Context, ord invoker.Order, wei RequestWeights) Event {
 	if !wait(ctx, wei.Pause) {
 		return Expired{"the weight store granted no read in time"}
 	}
@@ -96,15 +96,15 @@
 	_, err := giv.Weights.Weights(ctx, ord.Model, ord.Version)
 	switch {
 	case err == nil:
-		return Weighed{}
+		return WeightsGranted{}
 	case eris.Is(err, persister.ErrNotFound):
 		return Refused{Code: "weights_not_found", Message: err.Error()}
 	default:
-		return Busy{err.Error()}
+		return Unavailable{err.Error()}
 	}
 }
 
-func (giv *Giver) read(ctx context.Context, address string, rea ReadConfig) Event {
+func (giv *Issuer) read(ctx context.Context, address string, rea ReadConfig) Event {
 	if !wait(ctx, rea.Pause) {
 		return Expired{"the engine's configuration could not be read in time"}
 	}
@@ -112,24 +112,24 @@
 	defer stop()
 	cfg, err := giv.Engine.Config(ctx, address)
 	if err != nil {
-		return Busy{err.Error()}
+		return Unavailable{err.Error()}
 	}
-	return Read{cfg}
+	return ConfigRead{cfg}
 }
 
-func (giv *Giver) send(ctx context.Context, address string, sen Send) Event {
+func (giv *Issuer) send(ctx context.Context, address string, sen Send) Event {
 	ctx, stop := context.WithTimeout(ctx, OrderTimeout)
 	defer stop()
 	err := giv.Engine.GiveOrder(ctx, address, sen.Order)
 	var ine *invoker.Error
 	switch {
 	case err == nil:
-		return Carried{}
+		return CarriedOut{}
 	case errors.As(err, &ine) && ine.Ran == invoker.NotRun && ine.Code != "":
 		return Refused{Code: ine.Code, Message: ine.Err.Error()}
 	case errors.As(err, &ine) && ine.Ran == invoker.NotRun:
-		return Busy{eris.Wrap(err, "Giver.send").Error()}
+		return Unavailable{eris.Wrap(err, "Issuer.send").Error()}
 	default:
-		return Lost{err.Error()}
+		return NoAnswer{err.Error()}
 	}
 }
--- a/process/orderer/giver_test.go
+++ b/process/orderer/giver_test.go
@@ -41,11 +41,11 @@
 	defer eng.Close()
 	per := &persister.Persister{BaseURL: pla.URL}
 	inv := &unreachable{Invoker: &invoker.Invoker{}, left: tries}
-	giv := &Giver{Store: per, Weights: per, Engine: inv, Host: "host-0"}
+	giv := &Issuer{Store: per, Weights: per, Engine: inv, Host: "host-0"}
 	ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
 	defer stop()
 	for ind, id := range []string{"one", "two", "three", "four"} {
-		end := giv.Give(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: id, Kind: invoker.LoadVersion, Model: "m", Version: id})
+		end := giv.Issue(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: id, Kind: invoker.LoadVersion, Model: "m", Version: id})
 		require.Equal(t, Applied, end.Effect, end)
 		require.Equal(t, uint64(ind+1), end.Fence)
 	}
@@ -53,10 +53,10 @@
 	require.NoError(t, err)
 	require.Equal(t, []string{"one", "two", "three", "four"}, cfg.Orders)
 	require.Equal(t, "four", cfg.Versions["m"])
-	end := giv.Give(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: "bad", Kind: "NoKind", Model: "m"})
+	end := giv.Issue(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: "bad", Kind: "NoKind", Model: "m"})
 	require.Equal(t, End{Effect: NotApplied, Code: "bad_order", Message: "the order is not known", Fence: 5}, end)
-	end = giv.Give(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: "none", Kind: invoker.LoadModel})
+	end = giv.Issue(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: "none", Kind: invoker.LoadModel})
 	require.Equal(t, "weights_not_found", end.Code)
-	end = giv.Give(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: "five", Kind: invoker.LoadModel, Model: "other"})
+	end = giv.Issue(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: "five", Kind: invoker.LoadModel, Model: "other"})
 	require.Equal(t, Applied, end.Effect, "the current version")
 }
--- a/process/orderer/matrix_test.go
+++ b/process/orderer/matrix_test.go
@@ -169,7 +169,7 @@
 		}
 	}()
 	sta := State{Order: invoker.Order{ID: giv.id, Kind: invoker.LoadVersion, Model: "m", Version: giv.id}}
-	var eve Event = Begun{}
+	var eve Event = Started{}
 	for {
 		nex, act := sta.Next(eve, giv.wor.now)
 		sta = nex
@@ -191,15 +191,15 @@
 	switch act := act.(type) {
 	case Lease:
 		return giv.acquire()
-	case Weigh:
+	case RequestWeights:
 		fau := giv.fault("weigh")
 		giv.delay(fau, func() {})
 		giv.wor.advance(act.Pause)
 		giv.after(fau)
 		if fau == "down" || unanswered(fau) {
-			return Busy{fau}
+			return Unavailable{fau}
 		}
-		return Weighed{}
+		return WeightsGranted{}
 	case ReadConfig:
 		fau := giv.fault("config")
 		giv.delay(fau, func() {})
@@ -210,9 +210,9 @@
 		}
 		giv.after(fau)
 		if fau == "down" || unanswered(fau) {
-			return Busy{fau}
+			return Unavailable{fau}
 		}
-		return Read{cfg}
+		return ConfigRead{cfg}
 	case Send:
 		return giv.send(act.Order)
 	}
@@ -222,20 +222,20 @@
 func (giv *giving) send(ord invoker.Order) Event {
 	fau := giv.fault("send")
 	if fau == "down" {
-		return Busy{fau}
+		return Unavailable{fau}
 	}
 	if giv.delay(fau, func() { giv.wor.take(ord) }) {
-		return Lost{fau}
+		return NoAnswer{fau}
 	}
 	cod := giv.wor.take(ord)
 	giv.after(fau)
 	switch {
 	case unanswered(fau):
-		return Lost{fau}
+		return NoAnswer{fau}
 	case cod != "":
 		return Refused{Code: cod}
 	default:
-		return Carried{}
+		return CarriedOut{}
 	}
 }
 
--- a/process/orderer/orderer.go
+++ b/process/orderer/orderer.go
@@ -58,8 +58,8 @@
 // Event is a step of an order.
 type Event interface{ event() }
 
-// Begun starts the order.
-type Begun struct{}
+// Started starts the order.
+type Started struct{}
 
 // Leased reports that the lease of the engine is held.
 type Leased struct {
@@ -67,45 +67,45 @@
 	Until time.Time
 }
 
-// Weighed reports that the weight store granted a read.
-type Weighed struct{}
+// WeightsGranted reports that the weight store granted a read.
+type WeightsGranted struct{}
 
-// Busy reports that the weight store or the engine could not be asked now.
-type Busy struct{ Message string }
+// Unavailable reports that the weight store or the engine could not be asked now.
+type Unavailable struct{ Message string }
 
-// Read reports the configuration of the engine.
-type Read struct{ Config invoker.EngineConfig }
+// ConfigRead reports the configuration of the engine.
+type ConfigRead struct{ Config invoker.EngineConfig }
 
-// Carried reports that the engine carried out the order.
-type Carried struct{}
+// CarriedOut reports that the engine carried out the order.
+type CarriedOut struct{}
 
 // Refused reports that the engine refused the order without effect.
 type Refused struct{ Code, Message string }
 
-// Lost reports an order without an answer.
-type Lost struct{ Message string }
+// NoAnswer reports an order without an answer.
+type NoAnswer struct{ Message string }
 
 // Expired reports that the time for the order has passed.
 type Expired struct{ Message string }
 
-func (Begun) event()   {}
-func (Leased) event()  {}
-func (Weighed) event() {}
-func (Busy) event()    {}
-func (Read) event()    {}
-func (Carried) event() {}
-func (Refused) event() {}
-func (Lost) event()    {}
-func (Expired) event() {}
-
-// Action is what to do next: Lease, Weigh, ReadConfig, Send or End.
+func (Started) event()        {}
+func (Leased) event()         {}
+func (WeightsGranted) event() {}
+func (Unavailable) event()    {}
+func (ConfigRead) event()     {}
+func (CarriedOut) event()     {}
+func (Refused) event()        {}
+func (NoAnswer) event()       {}
+func (Expired) event()        {}
+
+// Action is what to do next: Lease, RequestWeights, ReadConfig, Send or End.
 type Action interface{ action() }
 
 // Lease acquires the lease of the engine or prolongs it.
 type Lease struct{}
 
-// Weigh asks the weight store for a read, after a pause if Pause is set.
-type Weigh struct{ Pause time.Duration }
+// RequestWeights asks the weight store for a read, after a pause if Pause is set.
+type RequestWeights struct{ Pause time.Duration }
 
 // ReadConfig reads the configuration of the engine, after a pause.
 type ReadConfig struct{ Pause time.Duration }
@@ -122,37 +122,37 @@
 	Fence uint64 `json:",omitempty"`
 }
 
-func (Lease) action()      {}
-func (Weigh) action()      {}
-func (ReadConfig) action() {}
-func (Send) action()       {}
-func (End) action()        {}
+func (Lease) action()          {}
+func (RequestWeights) action() {}
+func (ReadConfig) action()     {}
+func (Send) action()           {}
+func (End) action()            {}
 
 // Next decides on an event.
 func (sta State) Next(eve Event, now time.Time) (State, Action) {
 	sent := sta.sending
 	sta.sending = false
 	switch eve := eve.(type) {
-	case Begun:
+	case Started:
 		return sta, Lease{}
 	case Leased:
 		return sta.leased(eve)
-	case Weighed:
+	case WeightsGranted:
 		sta.weighed = true
 		return sta, ReadConfig{}
-	case Busy:
+	case Unavailable:
 		if sent {
 			// The engine was not reached, so the send does not count.
 			sta.sends--
 		}
 		return sta.busy()
-	case Read:
+	case ConfigRead:
 		return sta.read(eve.Config, now)
-	case Carried:
+	case CarriedOut:
 		return sta, End{Effect: Applied, Fence: sta.Order.Fence}
 	case Refused:
 		return sta.refused(eve)
-	case Lost:
+	case NoAnswer:
 		sta.lost = true
 		return sta, ReadConfig{Pause: retryPause}
 	case Expired:
@@ -175,14 +175,14 @@
 	sta.Order.Fence = lea.Fence
 	sta.until = lea.Until
 	if sta.Order.Kind != invoker.ChangeRole && !sta.weighed {
-		return sta, Weigh{}
+		return sta, RequestWeights{}
 	}
 	return sta, ReadConfig{}
 }
 
 func (sta State) busy() (State, Action) {
 	if sta.Order.Kind != invoker.ChangeRole && !sta.weighed {
-		return sta, Weigh{Pause: retryPause}
+		return sta, RequestWeights{Pause: retryPause}
 	}
 	return sta, ReadConfig{Pause: retryPause}
 }
--- a/process/planner/backlog_test.go
+++ b/process/planner/backlog_test.go
@@ -15,8 +15,8 @@
 	const engines, asks = 20, 400
 	wor := newWorld(engines, 1)
 	now := epoch
-	ask := func(ind int) Ask {
-		return Ask{ID: fmt.Sprint(ind), Host: "h", Prompt: Prompt{
+	ask := func(ind int) Request {
+		return Request{ID: fmt.Sprint(ind), Host: "h", Prompt: Prompt{
 			Tokens: 150_000, MaxTokens: 1000, Objective: 60 * time.Second, Pause: time.Second,
 			Target: now.Add(60 * time.Second), Deadline: now.Add(120 * time.Second),
 		}}
--- a/process/planner/choose.go
+++ b/process/planner/choose.go
@@ -82,10 +82,10 @@
 	return pat
 }
 
-func (one *ask) long() bool { return one.read >= longRead }
+func (one *pending) long() bool { return one.read >= longRead }
 
 // slack is the time until the first event is due.
-func (one *ask) slack(now time.Time) ms { return msOf(one.prompt.Target.Sub(now)) }
+func (one *pending) slack(now time.Time) ms { return msOf(one.prompt.Target.Sub(now)) }
 
 // choice is a way to serve an ask.
 type choice struct {
@@ -115,7 +115,7 @@
 	pla.fresh, pla.dispatched = false, now
 	pla.sort(now)
 	var before [2]int
-	var left []*ask
+	var left []*pending
 	for _, one := range pla.waiting {
 		num := &before[one.kind()]
 		if !one.due(*num, now) {
@@ -138,7 +138,7 @@
 }
 
 // kind is 1 for asks of long prompts, and 0 for the others.
-func (one *ask) kind() int {
+func (one *pending) kind() int {
 	if one.long() {
 		return 1
 	}
@@ -146,7 +146,7 @@
 }
 
 // due reports whether an ask with a number of others of its kind before it is looked at.
-func (one *ask) due(before int, now time.Time) bool {
+func (one *pending) due(before int, now time.Time) bool {
 	if one.tried.IsZero() {
 		return before == 0 || now.Sub(one.arrived) >= retryInterval
 	}
@@ -154,7 +154,7 @@
 }
 
 // best is the least time to the first event of an ask, on idle engines.
-func (pla *Plan) best(one *ask) ms {
+func (pla *Plan) best(one *pending) ms {
 	num := max(1, min(maxParts, len(pla.order), int(one.read/leastPart)))
 	return one.read/ms(num) + pla.fig.pass(1, one.prompt.Tokens) + network
 }
@@ -165,7 +165,7 @@
 	for _, one := range pla.waiting {
 		one.latest = one.prompt.Target.Add(-pla.best(one).duration())
 	}
-	slices.SortStableFunc(pla.waiting, func(one, two *ask) int {
+	slices.SortStableFunc(pla.waiting, func(one, two *pending) int {
 		if lat := one.latest.Before(now); lat != two.latest.Before(now) {
 			if lat {
 				return 1
@@ -178,7 +178,7 @@
 
 // starts reports whether an ask takes a choice now rather than wait. What may be
 // lost by it grows as the time runs out in which the ask could wait.
-func (pla *Plan) starts(one *ask, cho choice, now time.Time) bool {
+func (pla *Plan) starts(one *pending, cho choice, now time.Time) bool {
 	wei := pla.weight(one)
 	if cho.first > msOf(one.patience.Sub(now)) {
 		return false
@@ -205,14 +205,14 @@
 
 // opportunity is the expected loss of the requests that will come while engines
 // read a late prompt. It grows with the share of the engines that others take up.
-func (pla *Plan) opportunity(one *ask, now time.Time) float64 {
+func (pla *Plan) opportunity(one *pending, now time.Time) float64 {
 	cou := float64(max(1, len(pla.order)))
 	loa := min(1, pla.longShare(now)+pla.short.value(now)/(shortsPerEngine*cou))
 	return opportunityRate * loa * loa * float64(one.read) / 1000
 }
 
 // choose finds the best way to serve an ask now.
-func (pla *Plan) choose(one *ask, now time.Time) (choice, bool) {
+func (pla *Plan) choose(one *pending, now time.Time) (choice, bool) {
 	if one.long() {
 		return pla.chooseMany(one, now)
 	}
@@ -220,7 +220,7 @@
 }
 
 // chooseOne finds an engine for a short prompt.
-func (pla *Plan) chooseOne(one *ask, now time.Time) (choice, bool) {
+func (pla *Plan) chooseOne(one *pending, now time.Time) (choice, bool) {
 	var bes choice
 	found := false
 	for _, eng := range pla.order {
@@ -252,7 +252,7 @@
 
 // chooseMany divides a long prompt over engines so that its first event comes
 // early and others lose little.
-func (pla *Plan) chooseMany(one *ask, now time.Time) (choice, bool) {
+func (pla *Plan) chooseMany(one *pending, now time.Time) (choice, bool) {
 	var cans []candidate
 	for _, eng := range pla.order {
 		if !eng.usable(one, now) || len(eng.grants)+eng.foreign >= pla.fig.Slots {
@@ -275,7 +275,7 @@
 
 // divide finds a number of engines for a prompt. shorts is the number of engines that
 // serve short prompts.
-func (pla *Plan) divide(one *ask, cans []candidate, num, shorts int, now time.Time) (choice, bool) {
+func (pla *Plan) divide(one *pending, cans []candidate, num, shorts int, now time.Time) (choice, bool) {
 	rea := one.read / ms(num)
 	for ind := range cans {
 		can := &cans[ind]
@@ -313,7 +313,7 @@
 // leader returns the engine that holds the prompt and writes the answer; -1 if
 // none has the memory. Answers are kept together, so that long parts find engines
 // without answers.
-func (pla *Plan) leader(one *ask, cans []candidate, read ms, now time.Time) int {
+func (pla *Plan) leader(one *pending, cans []candidate, read ms, now time.Time) int {
 	lea := -1
 	var bes ms
 	for ind, can := range cans {
@@ -331,7 +331,7 @@
 
 // spread divides the memory of a prompt that no engine holds alone. The first
 // engine gets what the others leave.
-func (pla *Plan) spread(one *ask, cans []candidate) ([]int64, bool) {
+func (pla *Plan) spread(one *pending, cans []candidate) ([]int64, bool) {
 	if one.need <= int64(memoryFill*float64(pla.fig.MemoryTokens)) {
 		// It fits into one engine once that has ended other requests.
 		return nil, false
@@ -346,7 +346,7 @@
 	return res, lef <= 0
 }
 
-func (pla *Plan) grant(one *ask, cho choice, now time.Time) {
+func (pla *Plan) grant(one *pending, cho choice, now time.Time) {
 	gra := &grant{ask: one, lead: cho.lead, since: now, need: one.need, expected: now.Add(cho.first.duration()), unread: len(cho.parts)}
 	cho.lead.lead(gra)
 	for ind, eng := range cho.parts {
@@ -406,7 +406,7 @@
 
 // refuses turns away an ask that can't be served in time, and reports so. The
 // choice is the best one now, if there is any.
-func (pla *Plan) refuses(one *ask, cho choice, found bool, now time.Time) bool {
+func (pla *Plan) refuses(one *pending, cho choice, found bool, now time.Time) bool {
 	usa := 0
 	for _, eng := range pla.order {
 		if eng.usable(one, now) {
@@ -434,7 +434,7 @@
 }
 
 // wait estimates how long the asks before one take the engines.
-func (pla *Plan) wait(one *ask, usable int) ms {
+func (pla *Plan) wait(one *pending, usable int) ms {
 	if !one.long() {
 		return pla.waitForSlot(one, usable)
 	}
@@ -449,7 +449,7 @@
 }
 
 // waitForSlot estimates how long the short prompts before an ask take the slots.
-func (pla *Plan) waitForSlot(one *ask, usable int) ms {
+func (pla *Plan) waitForSlot(one *pending, usable int) ms {
 	before := 0
 	for _, oth := range pla.waiting {
 		if oth == one {
@@ -463,6 +463,6 @@
 	return tim * ms(before) / ms(max(1, usable*pla.fig.Slots))
 }
 
-func (pla *Plan) refuse(one *ask, code, message string, retry time.Duration) {
+func (pla *Plan) refuse(one *pending, code, message string, retry time.Duration) {
 	pla.acts = append(pla.acts, Refuse{ID: one.ID, Code: code, Message: message, RetryAfter: min(mostRetry, max(leastRetry, retry))})
 }
--- a/process/planner/engine.go
+++ b/process/planner/engine.go
@@ -84,7 +84,7 @@
 
 // grant is an ask that has engines.
 type grant struct {
-	ask   *ask
+	ask   *pending
 	lead  *engine
 	parts []*part
 	// unread counts the parts that are not read, as far as is estimated.
@@ -123,7 +123,7 @@
 }
 
 // usable reports whether the engine may get work for a request.
-func (eng *engine) usable(one *ask, now time.Time) bool {
+func (eng *engine) usable(one *pending, now time.Time) bool {
 	if eng.gone || eng.misses >= lostReports || now.Before(eng.suspect) {
 		return false
 	}
--- a/process/planner/event.go
+++ b/process/planner/event.go
@@ -57,12 +57,12 @@
 	Started time.Time
 }
 
-// Event is what a plan decides on: Ask, Cancel, Began, Ended, Held, Failed, Listing,
-// Report, Unreachable, HostGone, Figures or Tick.
+// Event is what a plan decides on: Request, Cancel, Began, Ended, Held, Failed, Listing,
+// Report, Unreachable, HostRemoved, Parameters or Tick.
 type Event interface{ event() }
 
-// Ask wants engines for a prompt. A repeated ask with the same ID is the same.
-type Ask struct {
+// Request asks for engines for a prompt. A repeated request with the same ID is the same.
+type Request struct {
 	ID          string
 	Host        string
 	Incarnation uint64
@@ -81,10 +81,10 @@
 // Held tells of a grant that another planner has made and that has not ended. Age
 // is the time since then, Begun whether its first event has arrived.
 type Held struct {
-	Ask   Ask
-	Parts []Part
-	Age   time.Duration
-	Begun bool
+	Request Request
+	Parts   []Part
+	Age     time.Duration
+	Begun   bool
 }
 
 // Failed reports that an endpoint failed a request; Endpoint is its ID or its
@@ -106,19 +106,19 @@
 // Unreachable reports that an engine did not answer the read of its report.
 type Unreachable struct{ Endpoint string }
 
-// HostGone reports that a host's process, or those up to an incarnation, ended.
-type HostGone struct {
+// HostRemoved reports that a host's process, or those up to an incarnation, ended.
+type HostRemoved struct {
 	Host        string
 	Incarnation uint64
 }
 
-// Figures are the figures of the pool's engines.
-type Figures struct{ Batching parser.Batching }
+// Parameters are the performance parameters of the engines of the pool.
+type Parameters struct{ Batching parser.Batching }
 
 // Tick lets time pass.
 type Tick struct{}
 
-func (Ask) event()         {}
+func (Request) event()     {}
 func (Cancel) event()      {}
 func (Began) event()       {}
 func (Ended) event()       {}
@@ -127,8 +127,8 @@
 func (Listing) event()     {}
 func (Report) event()      {}
 func (Unreachable) event() {}
-func (HostGone) event()    {}
-func (Figures) event()     {}
+func (HostRemoved) event() {}
+func (Parameters) event()  {}
 func (Tick) event()        {}
 
 // Action answers an ask: Assign or Refuse.
--- a/process/planner/helper_test.go
+++ b/process/planner/helper_test.go
@@ -14,7 +14,7 @@
 	for _, num := range []int{14, 17, 40, 112} {
 		for tokens := int64(100_000); tokens <= 1_200_000; tokens += 50_000 {
 			wor := newWorld(num, 1)
-			acts := wor.plan.Next(Ask{ID: "a", Prompt: Prompt{
+			acts := wor.plan.Next(Request{ID: "a", Prompt: Prompt{
 				Tokens: tokens, MaxTokens: 1000, Target: epoch.Add(4 * time.Second), Deadline: epoch.Add(15 * time.Second), Objective: 4 * time.Second, Pause: time.Second,
 			}}, epoch)
 			if len(acts) == 0 && tokens > 700_000 {
--- a/process/planner/loss.go
+++ b/process/planner/loss.go
@@ -28,7 +28,7 @@
 
 // weight says how much a request counts against others. Callers with longer
 // prompts are fewer and wait for more.
-func (pla *Plan) weight(one *ask) float64 {
+func (pla *Plan) weight(one *pending) float64 {
 	usu := pla.fig.UsualPrompt
 	if usu <= 0 {
 		usu = assumedUsual
@@ -37,7 +37,7 @@
 }
 
 // late is the expected loss of a request whose first event comes after a time.
-func (pla *Plan) late(one *ask, first ms, now time.Time) float64 {
+func (pla *Plan) late(one *pending, first ms, now time.Time) float64 {
 	wei := pla.weight(one)
 	if first > msOf(one.patience.Sub(now)) {
 		return wei
--- a/process/planner/plan.go
+++ b/process/planner/plan.go
@@ -19,8 +19,8 @@
 )
 
 // ask is a request that waits.
-type ask struct {
-	Ask
+type pending struct {
+	Request
 	prompt  Prompt
 	read    ms
 	need    int64
@@ -40,7 +40,7 @@
 	fig     figures
 	engines map[string]*engine
 	order   []*engine
-	waiting []*ask
+	waiting []*pending
 	grants  map[string]*grant
 	acts    []Action
 	// fresh says that an ask came since the plan looked at those that wait, dispatched
@@ -72,10 +72,10 @@
 
 func (pla *Plan) take(eve Event, now time.Time) {
 	switch eve := eve.(type) {
-	case Ask:
+	case Request:
 		pla.ask(eve, now)
 	case Cancel:
-		pla.waiting = slices.DeleteFunc(pla.waiting, func(one *ask) bool { return one.ID == eve.ID })
+		pla.waiting = slices.DeleteFunc(pla.waiting, func(one *pending) bool { return one.ID == eve.ID })
 		pla.end(eve.ID, now)
 	case Began:
 		pla.began(eve.ID, now)
@@ -93,9 +93,9 @@
 		if eng := pla.engines[eve.Endpoint]; eng != nil {
 			eng.misses++
 		}
-	case HostGone:
+	case HostRemoved:
 		pla.hostGone(eve, now)
-	case Figures:
+	case Parameters:
 		pla.fig = newFigures(eve.Batching)
 	}
 }
@@ -106,7 +106,7 @@
 // Granted counts the grants that have not ended.
 func (pla *Plan) Granted() int { return len(pla.grants) }
 
-func (pla *Plan) ask(eve Ask, now time.Time) {
+func (pla *Plan) ask(eve Request, now time.Time) {
 	if gra := pla.grants[eve.ID]; gra != nil {
 		pla.assign(gra, now)
 		return
@@ -127,9 +127,9 @@
 	}
 }
 
-func (pla *Plan) newAsk(eve Ask, now time.Time) *ask {
+func (pla *Plan) newAsk(eve Request, now time.Time) *pending {
 	pro := eve.Prompt
-	one := &ask{Ask: eve, prompt: pro, read: pla.fig.read(pro.Tokens), arrived: now, seen: now}
+	one := &pending{Request: eve, prompt: pro, read: pla.fig.read(pro.Tokens), arrived: now, seen: now}
 	one.need = pro.Tokens + pla.answerTokens(pro)
 	one.patience = patience(pro)
 	return one
@@ -138,11 +138,11 @@
 // hold takes a grant of another planner into the account. What its engines have
 // read since then is taken as read.
 func (pla *Plan) hold(eve Held, now time.Time) {
-	pla.waiting = slices.DeleteFunc(pla.waiting, func(one *ask) bool { return one.ID == eve.Ask.ID })
-	if pla.grants[eve.Ask.ID] != nil || len(eve.Parts) == 0 || pla.engines[eve.Parts[0].Endpoint] == nil {
+	pla.waiting = slices.DeleteFunc(pla.waiting, func(one *pending) bool { return one.ID == eve.Request.ID })
+	if pla.grants[eve.Request.ID] != nil || len(eve.Parts) == 0 || pla.engines[eve.Parts[0].Endpoint] == nil {
 		return
 	}
-	one := pla.newAsk(eve.Ask, now)
+	one := pla.newAsk(eve.Request, now)
 	gra := &grant{ask: one, lead: pla.engines[eve.Parts[0].Endpoint], since: now.Add(-eve.Age), need: one.need, expected: now, began: eve.Begun}
 	whole := eve.Parts[0].Reserve == 0
 	for ind, out := range eve.Parts {
@@ -302,8 +302,8 @@
 	eng.foreignMemory = max(0, min(max(eng.foreignMemory, mem), mem+freshMemory))
 }
 
-func (pla *Plan) hostGone(eve HostGone, now time.Time) {
-	gone := func(one *ask) bool { return one.Host == eve.Host && one.Incarnation <= eve.Incarnation }
+func (pla *Plan) hostGone(eve HostRemoved, now time.Time) {
+	gone := func(one *pending) bool { return one.Host == eve.Host && one.Incarnation <= eve.Incarnation }
 	pla.waiting = slices.DeleteFunc(pla.waiting, gone)
 	for id, gra := range pla.grants {
 		if gone(gra.ask) {
@@ -319,5 +319,5 @@
 			pla.end(id, now)
 		}
 	}
-	pla.waiting = slices.DeleteFunc(pla.waiting, func(one *ask) bool { return now.Sub(one.seen) > askTimeout })
+	pla.waiting = slices.DeleteFunc(pla.waiting, func(one *pending) bool { return now.Sub(one.seen) > askTimeout })
 }
--- a/process/planner/report_test.go
+++ b/process/planner/report_test.go
@@ -35,13 +35,13 @@
 	for _, tt := range tts {
 		t.Run(tt.name, func(t *testing.T) {
 			var pla Plan
-			pla.Next(Figures{batching}, epoch)
+			pla.Next(Parameters{batching}, epoch)
 			pla.Next(Listing{[]Engine{{ID: "e", Address: "e"}}}, epoch)
 			now := epoch
 			grant := func(num int) {
 				for range num {
 					id := fmt.Sprint(len(pla.grants))
-					acts := pla.Next(Ask{ID: id, Prompt: Prompt{Tokens: 1000, MaxTokens: 500, Objective: 10 * time.Second, Target: now.Add(10 * time.Second), Deadline: now.Add(time.Minute)}}, now)
+					acts := pla.Next(Request{ID: id, Prompt: Prompt{Tokens: 1000, MaxTokens: 500, Objective: 10 * time.Second, Target: now.Add(10 * time.Second), Deadline: now.Add(time.Minute)}}, now)
 					require.Len(t, acts, 1)
 				}
 			}
--- a/process/planner/runner.go
+++ b/process/planner/runner.go
@@ -70,10 +70,10 @@
 	polled time.Time
 }
 
-// Ask queues a prompt and waits for an answer at most for hold. It returns nil
+// Submit queues a prompt and waits for an answer at most for hold. It returns nil
 // while the prompt waits; the host then repeats its ask. When ctx ends the ask is
 // cancelled.
-func (run *Runner) Ask(ctx context.Context, pool string, ask Ask, hold time.Duration) Action {
+func (run *Runner) Submit(ctx context.Context, pool string, ask Request, hold time.Duration) Action {
 	one := run.running(pool)
 	if one == nil {
 		return Refuse{ID: ask.ID, Code: CodeNoEngine, Message: "this host does not know the pool", RetryAfter: leastRetry}
@@ -121,8 +121,8 @@
 	}
 }
 
-// HostGone ends what a host's process, up to an incarnation, holds.
-func (run *Runner) HostGone(eve HostGone) {
+// RemoveHost ends what a host's process, up to an incarnation, holds.
+func (run *Runner) RemoveHost(eve HostRemoved) {
 	for _, one := range run.all() {
 		one.next(eve, run.Clock())
 	}
@@ -181,7 +181,7 @@
 	}
 	now := run.Clock()
 	ends := run.Engines(poo, now)
-	one.next(Figures{*poo.Batching}, now)
+	one.next(Parameters{*poo.Batching}, now)
 	one.next(Listing{ends}, now)
 	one.mu.Lock()
 	one.engines = ends
@@ -261,7 +261,7 @@
 	return now.Sub(one.asked)
 }
 
-func (one *running) ask(ask Ask, now time.Time) chan Action {
+func (one *running) ask(ask Request, now time.Time) chan Action {
 	one.mu.Lock()
 	defer one.mu.Unlock()
 	one.asked = now
--- a/process/planner/runner_test.go
+++ b/process/planner/runner_test.go
@@ -38,8 +38,8 @@
 	}()
 	now := time.Now()
 	run.Notify("llm", Held{
-		Ask:   Ask{ID: "a", Host: "h", Prompt: Prompt{Tokens: 1000, MaxTokens: 1000, Target: now.Add(time.Second), Deadline: now.Add(time.Minute)}},
-		Parts: []Part{{Endpoint: "e1"}}, Begun: true,
+		Request: Request{ID: "a", Host: "h", Prompt: Prompt{Tokens: 1000, MaxTokens: 1000, Target: now.Add(time.Second), Deadline: now.Add(time.Minute)}},
+		Parts:   []Part{{Endpoint: "e1"}}, Begun: true,
 	})
 	time.Sleep(10 * interval)
 	require.Equal(t, 1, run.Granted("llm"))
@@ -76,7 +76,7 @@
 				go run.Run(ctx)
 				for range 10 {
 					now := time.Now()
-					run.Ask(ctx, "llm", Ask{ID: fmt.Sprint(now.UnixNano()), Host: "h", Prompt: Prompt{Tokens: 1000, Target: now.Add(time.Second), Deadline: now.Add(10 * time.Second), Objective: time.Second}}, time.Millisecond)
+					run.Submit(ctx, "llm", Request{ID: fmt.Sprint(now.UnixNano()), Host: "h", Prompt: Prompt{Tokens: 1000, Target: now.Add(time.Second), Deadline: now.Add(10 * time.Second), Objective: time.Second}}, time.Millisecond)
 					time.Sleep(time.Second)
 				}
 				require.GreaterOrEqual(t, int(cou.num.Load()), tt.least)
--- a/process/planner/world_test.go
+++ b/process/planner/world_test.go
@@ -187,7 +187,7 @@
 		wor.engines[id] = &simEngine{id: id, slow: 1}
 		lis = append(lis, Engine{ID: id, Address: id})
 	}
-	wor.plan.Next(Figures{batching}, epoch)
+	wor.plan.Next(Parameters{batching}, epoch)
 	wor.plan.Next(Listing{lis}, epoch)
 	return wor
 }
@@ -233,7 +233,7 @@
 
 func (wor *world) ask(req *simRequest, now time.Time) {
 	cla := classes[req.class]
-	wor.next(Ask{ID: req.id, Host: "h", Prompt: Prompt{
+	wor.next(Request{ID: req.id, Host: "h", Prompt: Prompt{
 		Tokens: req.tokens, MaxTokens: int64(req.events*batching.Stride) + 200, Target: req.arrived.Add(cla.objective),
 		Deadline: req.arrived.Add(cla.deadline), Objective: cla.objective, Pause: cla.pause,
 	}}, now)
--- a/process/server/orders.go
+++ b/process/server/orders.go
@@ -104,8 +104,8 @@
 	}
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), dur)
 	defer stop()
-	giv := &orderer.Giver{Store: ser.persister, Weights: ser.persister, Engine: ser.invoker, Host: ser.Settings.HostID}
-	end := giv.Give(ctx, ent.ID, ent.Address, invoker.Order{
+	giv := &orderer.Issuer{Store: ser.persister, Weights: ser.persister, Engine: ser.invoker, Host: ser.Settings.HostID}
+	end := giv.Issue(ctx, ent.ID, ent.Address, invoker.Order{
 		ID: ord.ID, Kind: ord.Kind, Model: ord.Model, Adapter: ord.Adapter, Version: ord.Version, Role: ord.Role,
 	})
 	ser.scope.Tagged(map[string]string{"effect": string(end.Effect)}).Counter("orders").Inc(1)
