--- a/process/planner/backlog_test.go
+++ b/process/planner/backlog_test.go
@@ -8,48 +8,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBacklogIsBounded fills the engines with long prompts until hundreds of asks wait:
-// a step of the plan looks at some of them only, the most urgent ones the most often,
-// and at each of them within two seconds.
+// TestBacklogIsBounded fills the engines with long prompts until hundreds of requests
+// wait. A step of the plan must evaluate only some of them, the most urgent ones most
+// often, and each within two seconds; otherwise the work of a step grows with the backlog.
 func TestBacklogIsBounded(t *testing.T) {
-	const engines, asks = 20, 400
-	wor := newWorld(engines, 1)
+	const engines, requests = 20, 400
+	sim := newSimulation(engines, 1)
 	now := epoch
-	ask := func(ind int) Request {
-		return Request{ID: fmt.Sprint(ind), Host: "h", Prompt: Prompt{
+	request := func(i int) Request {
+		return Request{ID: fmt.Sprint(i), Host: "h", Prompt: Prompt{
 			Tokens: 150_000, MaxTokens: 1000, Objective: 60 * time.Second, Pause: time.Second,
 			Target: now.Add(60 * time.Second), Deadline: now.Add(120 * time.Second),
 		}}
 	}
-	for ind := range asks {
-		wor.plan.Next(ask(ind), now)
+	for i := range requests {
+		sim.plan.Next(request(i), now)
 		now = now.Add(time.Millisecond)
 	}
-	require.Greater(t, wor.plan.Waiting(), asks/2)
-	most := 0
+	require.Greater(t, sim.plan.Waiting(), requests/2)
+	highest := 0
 	for range 200 {
-		now = now.Add(tick)
-		for _, one := range wor.plan.waiting {
-			one.seen = now
+		now = now.Add(tickInterval)
+		for _, pen := range sim.plan.waiting {
+			pen.lastSeen = now
 		}
-		wor.plan.Next(Tick{}, now)
-		looked := 0
-		for _, one := range wor.plan.waiting {
-			if one.tried.Equal(now) {
-				looked++
+		sim.plan.Next(Tick{}, now)
+		evaluated := 0
+		for _, pen := range sim.plan.waiting {
+			if pen.evaluated.Equal(now) {
+				evaluated++
 			}
-			require.LessOrEqual(t, now.Sub(one.tried), 2*time.Second)
+			require.LessOrEqual(t, now.Sub(pen.evaluated), 2*time.Second)
 		}
-		most = max(most, looked)
+		highest = max(highest, evaluated)
 	}
-	require.LessOrEqual(t, most, 40, "a look takes up to a millisecond at a hundred engines")
-	// The steps between ticks look at none, and a new ask waits its turn.
-	for ind := range 20 {
-		wor.plan.Next(Ended{fmt.Sprint("none", ind)}, now)
-		wor.plan.Next(ask(asks+ind), now)
+	require.LessOrEqual(t, highest, 40, "an evaluation takes up to a millisecond with a hundred engines")
+	// The steps between ticks evaluate none, and a new request waits its turn.
+	for i := range 20 {
+		sim.plan.Next(Ended{fmt.Sprint("none", i)}, now)
+		sim.plan.Next(request(requests+i), now)
 	}
-	for _, one := range wor.plan.waiting {
-		require.False(t, one.tried.After(now))
+	for _, pen := range sim.plan.waiting {
+		require.False(t, pen.evaluated.After(now))
 	}
-	require.True(t, wor.plan.waiting[len(wor.plan.waiting)-1].tried.IsZero())
+	require.True(t, sim.plan.waiting[len(sim.plan.waiting)-1].evaluated.IsZero())
 }
--- a/process/planner/bench_test.go
+++ b/process/planner/bench_test.go
@@ -6,40 +6,41 @@
 	"time"
 )
 
-// BenchmarkStep gives the time of a step of the plan while long prompts come at 2.8
-// times their rate and, after them, short ones at 2.5 times theirs, for as many engines
-// as deployments have. With a backlog long prompts come at seven times their rate.
+// BenchmarkStep measures the time of a step of the plan with the numbers of engines that
+// deployments have. Long prompts arrive at 2.8 times their usual rate, followed by short
+// ones at 2.5 times theirs. With a backlog, long prompts arrive at seven times their usual
+// rate.
 func BenchmarkStep(b *testing.B) {
-	for _, num := range []int{14, 45, 112, 300} {
-		b.Run(fmt.Sprint(num), func(b *testing.B) { benchmarkStep(b, num, 2.8) })
-		b.Run(fmt.Sprintf("%d/backlog", num), func(b *testing.B) { benchmarkStep(b, num, 7) })
+	for _, engines := range []int{14, 45, 112, 300} {
+		b.Run(fmt.Sprint(engines), func(b *testing.B) { benchmarkStep(b, engines, 2.8) })
+		b.Run(fmt.Sprintf("%d/backlog", engines), func(b *testing.B) { benchmarkStep(b, engines, 7) })
 	}
 }
 
-func benchmarkStep(b *testing.B, num int, long float64) {
-	var spent, most time.Duration
+func benchmarkStep(b *testing.B, engines int, long float64) {
+	var spent, longest time.Duration
 	steps, waiting := 0, 0
 	for b.Loop() {
-		wor := newWorld(num, 1)
-		wor.timed = func(dur time.Duration) {
+		sim := newSimulation(engines, 1)
+		sim.timed = func(dur time.Duration) {
 			spent += dur
-			most = max(most, dur)
+			longest = max(longest, dur)
 			steps++
-			waiting = max(waiting, wor.plan.Waiting())
+			waiting = max(waiting, sim.plan.Waiting())
 		}
-		sca := float64(num) / 14
+		scale := float64(engines) / 14
 		const phase = 3 * time.Second
-		for cla, mul := range []float64{0.35, 1.3, long} {
-			wor.arrive(cla, classes[cla].rate*mul*sca, epoch, phase)
+		for index, factor := range []float64{0.35, 1.3, long} {
+			sim.addArrivals(index, classes[index].rate*factor*scale, epoch, phase)
 		}
-		for cla, mul := range []float64{2.5, 0.5, 0.05} {
-			wor.arrive(cla, classes[cla].rate*mul*sca, epoch.Add(phase), phase)
+		for index, factor := range []float64{2.5, 0.5, 0.05} {
+			sim.addArrivals(index, classes[index].rate*factor*scale, epoch.Add(phase), phase)
 		}
-		wor.run()
+		sim.run()
 	}
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(float64(spent.Microseconds())/float64(steps), "us/step")
-	b.ReportMetric(float64(most.Microseconds())/1000, "ms/longest")
+	b.ReportMetric(float64(longest.Microseconds())/1000, "ms/longest")
 	b.ReportMetric(float64(steps)/float64(b.N)/6, "steps/s")
 	b.ReportMetric(float64(waiting), "waiting")
 	b.ReportMetric(spent.Seconds()/float64(b.N)/6, "cores")
--- a/process/planner/choose.go
+++ b/process/planner/choose.go
@@ -7,462 +7,472 @@
 )
 
 const (
-	// retryInterval is the shortest time between two looks at an ask that waits; parts of
-	// a read take some tens of milliseconds. retryAtOnce asks of a kind are looked at that
-	// often, as many more half as often, and so on.
+	// retryInterval is the shortest time between two evaluations of a waiting request; the
+	// prefill of a part takes some tens of milliseconds. The first retryBatch requests of
+	// a kind are evaluated at this interval, the next retryBatch at twice the interval,
+	// and so on.
 	retryInterval = 8 * time.Millisecond
-	retryAtOnce   = 3
-	// longRead is the time of a read on one engine, in ms, from which a prompt
-	// counts as long and may be divided.
-	longRead = 90
-	// leastPart is the least time of a part in ms; smaller ones gain nothing.
-	leastPart = 40
-	// maxHelpers is the number of engines that a call may name; the engines refuse
-	// calls that name more. The lead is named only where it holds reserved memory.
+	retryBatch    = 3
+	// longPrefill is the prefill time on one engine, in ms, from which a prompt counts as
+	// long and may be divided.
+	longPrefill = 90
+	// minPart is the shortest prefill time of a part in ms; smaller parts gain nothing.
+	minPart = 40
+	// maxHelpers is the number of engines that a call may name; the engines refuse calls
+	// that name more. The lead engine is named only if it holds reserved memory.
 	maxHelpers = 16
-	// maxParts is the number of engines that may read one prompt.
+	// maxParts is the number of engines that may prefill one prompt.
 	maxParts = maxHelpers + 1
-	// acceptLoss is the share of its weight that a request may be expected to
-	// lose and still start, when it could also wait.
-	acceptLoss = 0.06
-	// waitShare is the share of its objective that a request must have left to wait
-	// for a choice that loses nothing.
+	// acceptableLoss is the share of its weight that a request may be expected to lose and
+	// still start although it could wait.
+	acceptableLoss = 0.06
+	// waitShare is the share of its objective that must be left for a request to wait for
+	// a choice without loss.
 	waitShare = 0.5
-	// waitMargin is the time in ms beyond that on idle engines that a late choice
-	// must have left to wait for a better one.
+	// waitMargin is the time in ms: a request whose best choice is late waits for a better
+	// one while the time left exceeds the time to its first event on idle engines by more
+	// than this.
 	waitMargin = 40
-	// shortsPerEngine is the rate of short prompts a second at which an engine
-	// counts as taken up: its passes then read for a third of their time.
+	// shortsPerEngine is the rate of short prompts per second at which an engine counts as
+	// fully occupied: its passes then spend a third of their time on prefill.
 	shortsPerEngine = 9
-	// lastChance is the time in ms before a caller gives up at which a late prompt
-	// is read although others could use the engines.
-	lastChance = 500
-	// opportunityRate is the weight that is lost for each second of an engine that
-	// is not free for a prompt which could still meet its objective.
+	// finalWindow is the time in ms before the caller gives up in which a late prompt is
+	// prefilled even though other requests could use the engines.
+	finalWindow = 500
+	// opportunityRate is the weight lost for each second in which an engine is not free
+	// for a prompt that could still meet its objective.
 	opportunityRate = 2.0
-	// lateAhead is the backlog in ms up to which an engine gets a prompt that
-	// misses its objective anyway.
-	lateAhead = 80
-	// openCost weighs an engine that long prompts could use as a whole, when
-	// these take up half of the engines, against the loss of requests.
-	openCost = 0.3
-	// tieCost weighs the time to the first event, as a share of the objective.
-	tieCost = 0.1
-	// tieWeight does the same for long prompts, as a share of their weight.
-	tieWeight = 0.05
-	// harmTime is the time in ms for which an engine is chosen that is later to
-	// begin but loses a unit of weight less.
-	harmTime = 200
-	// leadTime is the delay in ms for which an answer is kept away from an engine
-	// that writes none whose pauses are bound as tightly.
-	leadTime = 300
-	// network is the time in ms that a request and its first event spend between
+	// maxLateBacklog is the greatest backlog in ms of an engine that may get a long prompt
+	// which misses its objective anyway.
+	maxLateBacklog = 80
+	// idleEngineCost is the cost, in units of loss, of placing a short prompt on an engine
+	// that leads no answer with as tight a limit on pauses. Long prompts could use such an
+	// engine as a whole; the value holds where they occupy half of the engines.
+	idleEngineCost = 0.3
+	// shortTieCost is the cost of a short prompt's time to the first event, as a share of
+	// the objective. It decides between choices of equal loss.
+	shortTieCost = 0.1
+	// longTieCost is that of long prompts, relative to their weight.
+	longTieCost = 0.05
+	// interferenceTime is the delay in ms that is accepted to avoid one unit of loss to
+	// other requests.
+	interferenceTime = 200
+	// leadSeparation is the delay in ms that is accepted to keep an answer away from an
+	// engine that leads no answers with as tight a limit on pauses.
+	leadSeparation = 300
+	// networkTime is the time in ms that a request and its first event spend between
 	// hosts.
-	network = 8
+	networkTime = 8
 
-	// Callers give a stream up after the longest of these; see the platform's
-	// contract of streams. patienceShare leaves time for the answer to get there.
-	patienceFloor      = 2 * time.Second
-	patienceObjectives = 4
-	patiencePauses     = 8
-	patienceShare      = 0.85
+	// Callers abandon a stream after the longest of timeoutFloor, timeoutObjectives
+	// objectives and timeoutPauses limits on pauses, as the platform's contract of streams
+	// says. timeoutShare leaves time for the answer to reach them.
+	timeoutFloor      = 2 * time.Second
+	timeoutObjectives = 4
+	timeoutPauses     = 8
+	timeoutShare      = 0.85
 
-	// leastRetry and mostRetry bound the time told to refused callers.
-	leastRetry = 200 * time.Millisecond
-	mostRetry  = 5 * time.Second
+	// minRetryAfter and maxRetryAfter bound the time that refused callers are asked to
+	// wait.
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
 )
 
-// patience returns when the caller of a prompt gives up waiting.
-func patience(pro Prompt) time.Time {
-	dur := max(patienceFloor, patienceObjectives*pro.Objective, patiencePauses*pro.Pause)
-	pat := pro.Target.Add(-pro.Objective).Add(time.Duration(patienceShare * float64(dur)))
-	if pat.After(pro.Deadline) {
+// callerDeadline returns the time at which the caller of a prompt gives up.
+func callerDeadline(pro Prompt) time.Time {
+	timeout := max(timeoutFloor, timeoutObjectives*pro.Objective, timeoutPauses*pro.Pause)
+	deadline := pro.Target.Add(-pro.Objective).Add(time.Duration(timeoutShare * float64(timeout)))
+	if deadline.After(pro.Deadline) {
 		return pro.Deadline
 	}
-	return pat
+	return deadline
 }
 
-func (one *pending) long() bool { return one.read >= longRead }
+func (pen *pending) long() bool { return pen.prefill >= longPrefill }
 
 // slack is the time until the first event is due.
-func (one *pending) slack(now time.Time) ms { return msOf(one.prompt.Target.Sub(now)) }
+func (pen *pending) slack(now time.Time) ms { return msOf(pen.prompt.Target.Sub(now)) }
 
-// choice is a way to serve an ask.
+// choice is a way to serve a request.
 type choice struct {
 	lead  *engine
 	parts []*engine
 	// first is the expected time to the first event.
 	first ms
-	// loss is the expected loss of this and other requests, in weights; cost adds
-	// what tells equal choices apart.
+	// loss is the expected loss of this and other requests, in units of weight; cost adds
+	// terms that decide between choices of equal loss.
 	loss float64
 	cost float64
-	// ahead is the longest backlog of its engines.
-	ahead ms
-	// reserve is the memory to reserve on each engine; nil if the first one holds
-	// the whole prompt.
+	// backlog is the longest backlog of the choice's engines.
+	backlog ms
+	// reserve is the memory to reserve on each engine; nil if the lead engine holds the
+	// whole prompt.
 	reserve []int64
 }
 
-// dispatch grants what can be granted, the most urgent asks first. A new ask is looked at
-// at once if none of its kind waits before it. Those that wait are looked at again after
-// retryInterval, and later the more of their kind are before them, so that the work of a
-// step hardly grows with the backlog.
+// dispatch grants engines to waiting requests, the most urgent first. A new request is
+// evaluated at once if no request of its kind waits ahead of it. Waiting requests are
+// evaluated again after retryInterval, and less often the more of their kind are ahead of
+// them, so that the work of a step hardly grows with the backlog.
 func (pla *Plan) dispatch(now time.Time) {
-	if len(pla.waiting) == 0 || !pla.fresh && now.Sub(pla.dispatched) < retryInterval {
+	if len(pla.waiting) == 0 || !pla.hasNew && now.Sub(pla.lastDispatch) < retryInterval {
 		return
 	}
-	pla.fresh, pla.dispatched = false, now
-	pla.sort(now)
+	pla.hasNew, pla.lastDispatch = false, now
+	pla.sortWaiting(now)
 	var before [2]int
 	var left []*pending
-	for _, one := range pla.waiting {
-		num := &before[one.kind()]
-		if !one.due(*num, now) {
-			left = append(left, one)
-			*num++
+	for _, pen := range pla.waiting {
+		ahead := &before[pen.kind()]
+		if !pen.due(*ahead, now) {
+			left = append(left, pen)
+			*ahead++
 			continue
 		}
-		one.tried = now
-		cho, ok := pla.choose(one, now)
+		pen.evaluated = now
+		cho, ok := pla.choose(pen, now)
 		switch {
-		case ok && pla.starts(one, cho, now):
-			pla.grant(one, cho, now)
-		case pla.refuses(one, cho, ok, now):
+		case ok && pla.shouldStart(pen, cho, now):
+			pla.grant(pen, cho, now)
+		case pla.refuseIfInfeasible(pen, cho, ok, now):
 		default:
-			left = append(left, one)
-			*num++
+			left = append(left, pen)
+			*ahead++
 		}
 	}
 	pla.waiting = left
 }
 
-// kind is 1 for asks of long prompts, and 0 for the others.
-func (one *pending) kind() int {
-	if one.long() {
+// kind is 1 for requests with long prompts and 0 for the others.
+func (pen *pending) kind() int {
+	if pen.long() {
 		return 1
 	}
 	return 0
 }
 
-// due reports whether an ask with a number of others of its kind before it is looked at.
-func (one *pending) due(before int, now time.Time) bool {
-	if one.tried.IsZero() {
-		return before == 0 || now.Sub(one.arrived) >= retryInterval
+// due reports whether a request is to be evaluated, given the number of requests of its
+// kind ahead of it.
+func (pen *pending) due(before int, now time.Time) bool {
+	if pen.evaluated.IsZero() {
+		return before == 0 || now.Sub(pen.arrived) >= retryInterval
 	}
-	return now.Sub(one.tried) >= retryInterval*time.Duration(1+before/retryAtOnce)
+	return now.Sub(pen.evaluated) >= retryInterval*time.Duration(1+before/retryBatch)
 }
 
-// best is the least time to the first event of an ask, on idle engines.
-func (pla *Plan) best(one *pending) ms {
-	num := max(1, min(maxParts, len(pla.order), int(one.read/leastPart)))
-	return one.read/ms(num) + pla.fig.pass(1, one.prompt.Tokens) + network
+// idleFirst is the shortest time to the first event of a request, on idle engines.
+func (pla *Plan) idleFirst(pen *pending) ms {
+	parts := max(1, min(maxParts, len(pla.order), int(pen.prefill/minPart)))
+	return pen.prefill/ms(parts) + pla.costs.decodePass(1, pen.prompt.Tokens) + networkTime
 }
 
-// sort orders the asks: those that can still meet their objective first, by
-// priority, and by the time at which they must start.
-func (pla *Plan) sort(now time.Time) {
-	for _, one := range pla.waiting {
-		one.latest = one.prompt.Target.Add(-pla.best(one).duration())
-	}
-	slices.SortStableFunc(pla.waiting, func(one, two *pending) int {
-		if lat := one.latest.Before(now); lat != two.latest.Before(now) {
-			if lat {
+// sortWaiting orders the waiting requests: those that can still meet their objective come
+// first, then by priority and by the latest time at which they must start.
+func (pla *Plan) sortWaiting(now time.Time) {
+	for _, pen := range pla.waiting {
+		pen.latestStart = pen.prompt.Target.Add(-pla.idleFirst(pen).duration())
+	}
+	slices.SortStableFunc(pla.waiting, func(a, b *pending) int {
+		if late := a.latestStart.Before(now); late != b.latestStart.Before(now) {
+			if late {
 				return 1
 			}
 			return -1
 		}
-		return cmp.Or(cmp.Compare(two.prompt.Priority, one.prompt.Priority), one.latest.Compare(two.latest))
+		return cmp.Or(cmp.Compare(b.prompt.Priority, a.prompt.Priority), a.latestStart.Compare(b.latestStart))
 	})
 }
 
-// starts reports whether an ask takes a choice now rather than wait. What may be
-// lost by it grows as the time runs out in which the ask could wait.
-func (pla *Plan) starts(one *pending, cho choice, now time.Time) bool {
-	wei := pla.weight(one)
-	if cho.first > msOf(one.patience.Sub(now)) {
+// shouldStart reports whether a request takes a choice now rather than wait for a better
+// one. The loss that it accepts grows as the time in which it could wait runs out.
+func (pla *Plan) shouldStart(pen *pending, cho choice, now time.Time) bool {
+	weight := pla.weight(pen)
+	if cho.first > msOf(pen.callerDeadline.Sub(now)) {
 		return false
 	}
-	own := pla.late(one, cho.first, now)
-	room := earlyShare*one.slack(now) - cho.first
-	if own < lateLoss*wei {
-		urg := 1 - float64(room)/(waitShare*float64(max(1, msOf(one.prompt.Objective))))
-		return cho.loss <= wei*(acceptLoss+(lateLoss-acceptLoss)*min(1, max(0, urg)))
+	own := pla.lateness(pen, cho.first, now)
+	room := earlyShare*pen.slack(now) - cho.first
+	if own < lateLoss*weight {
+		urgency := 1 - float64(room)/(waitShare*float64(max(1, msOf(pen.prompt.Objective))))
+		return cho.loss <= weight*(acceptableLoss+(lateLoss-acceptableLoss)*min(1, max(0, urgency)))
 	}
-	if one.slack(now)-pla.best(one) > waitMargin {
+	if pen.slack(now)-pla.idleFirst(pen) > waitMargin {
 		// Engines that become idle in time could still meet the objective.
 		return false
 	}
-	left := (1 - lateLoss) * wei
-	if msOf(one.patience.Sub(now))-cho.first > lastChance {
-		left -= pla.opportunity(one, now)
+	left := (1 - lateLoss) * weight
+	if msOf(pen.callerDeadline.Sub(now))-cho.first > finalWindow {
+		left -= pla.opportunityLoss(pen, now)
 	}
-	if one.long() && cho.ahead > lateAhead {
+	if pen.long() && cho.backlog > maxLateBacklog {
 		return false
 	}
 	return cho.loss-own < left
 }
 
-// opportunity is the expected loss of the requests that will come while engines
-// read a late prompt. It grows with the share of the engines that others take up.
-func (pla *Plan) opportunity(one *pending, now time.Time) float64 {
-	cou := float64(max(1, len(pla.order)))
-	loa := min(1, pla.longShare(now)+pla.short.value(now)/(shortsPerEngine*cou))
-	return opportunityRate * loa * loa * float64(one.read) / 1000
+// opportunityLoss is the expected loss of the requests that will arrive while engines
+// prefill a late prompt. It grows with the share of the engines that other requests
+// occupy.
+func (pla *Plan) opportunityLoss(pen *pending, now time.Time) float64 {
+	engines := float64(max(1, len(pla.order)))
+	busy := min(1, pla.longShare(now)+pla.shortDemand.value(now)/(shortsPerEngine*engines))
+	return opportunityRate * busy * busy * float64(pen.prefill) / 1000
 }
 
-// choose finds the best way to serve an ask now.
-func (pla *Plan) choose(one *pending, now time.Time) (choice, bool) {
-	if one.long() {
-		return pla.chooseMany(one, now)
+// choose finds the best way to serve a request now.
+func (pla *Plan) choose(pen *pending, now time.Time) (choice, bool) {
+	if pen.long() {
+		return pla.chooseMany(pen, now)
 	}
-	return pla.chooseOne(one, now)
+	return pla.chooseOne(pen, now)
 }
 
 // chooseOne finds an engine for a short prompt.
-func (pla *Plan) chooseOne(one *pending, now time.Time) (choice, bool) {
-	var bes choice
+func (pla *Plan) chooseOne(pen *pending, now time.Time) (choice, bool) {
+	var best choice
 	found := false
 	for _, eng := range pla.order {
-		if !eng.usable(one, now) || eng.free(pla.fig.MemoryTokens) < one.need || len(eng.grants)+eng.foreign >= pla.fig.Slots {
+		if !eng.usable(pen, now) || eng.freeMemory(pla.costs.MemoryTokens) < pen.need || len(eng.grants)+eng.foreign >= pla.costs.Slots {
 			continue
 		}
-		cho := choice{lead: eng, parts: []*engine{eng}, ahead: eng.backlog(now)}
-		cho.first = eng.ready(false, now) + eng.nextWriteTime(pla.fig, one.prompt.Tokens) + one.read*eng.pace + network
-		cho.loss = pla.late(one, cho.first, now) + pla.harm(eng, one.read, one.prompt.Tokens, false, now)
-		cho.cost = cho.loss + tieCost*float64(cho.first/max(1, msOf(one.prompt.Objective)))
-		cho.cost += openCost / float64(1+eng.tight(one.prompt.Pause))
-		if !found || cho.cost < bes.cost {
-			bes, found = cho, true
+		cho := choice{lead: eng, parts: []*engine{eng}, backlog: eng.backlog(now)}
+		cho.first = eng.startDelay(false, now) + eng.nextDecodeTime(pla.costs, pen.prompt.Tokens) + pen.prefill*eng.pace + networkTime
+		cho.loss = pla.lateness(pen, cho.first, now) + pla.interference(eng, pen.prefill, pen.prompt.Tokens, false, now)
+		cho.cost = cho.loss + shortTieCost*float64(cho.first/max(1, msOf(pen.prompt.Objective)))
+		cho.cost += idleEngineCost / float64(1+eng.tightAnswers(pen.prompt.Pause))
+		if !found || cho.cost < best.cost {
+			best, found = cho, true
 		}
 	}
-	return bes, found
+	return best, found
 }
 
-// candidate is an engine that could read a part of a prompt.
+// candidate is an engine that could prefill a part of a prompt.
 type candidate struct {
 	eng *engine
-	// ready is the time until the engine could have read nothing more, harm what
-	// a part would cost the engine's other requests.
-	ready ms
-	harm  float64
-	free  int64
-	key   ms
+	// startDelay is the time until the engine would start the part, interference the
+	// expected loss of the engine's other requests, free the memory left for grants, and
+	// key the sort key.
+	startDelay   ms
+	interference float64
+	free         int64
+	key          ms
 }
 
-// chooseMany divides a long prompt over engines so that its first event comes
-// early and others lose little.
-func (pla *Plan) chooseMany(one *pending, now time.Time) (choice, bool) {
+// chooseMany divides a long prompt over engines so that its first event arrives early and
+// other requests lose little.
+func (pla *Plan) chooseMany(pen *pending, now time.Time) (choice, bool) {
 	var cans []candidate
 	for _, eng := range pla.order {
-		if !eng.usable(one, now) || len(eng.grants)+eng.foreign >= pla.fig.Slots {
+		if !eng.usable(pen, now) || len(eng.grants)+eng.foreign >= pla.costs.Slots {
 			continue
 		}
-		cans = append(cans, candidate{eng: eng, free: eng.free(pla.fig.MemoryTokens)})
+		cans = append(cans, candidate{eng: eng, free: eng.freeMemory(pla.costs.MemoryTokens)})
 	}
-	var bes choice
+	var best choice
 	found := false
-	sho := pla.shortEngines()
-	most := min(maxParts, len(cans), max(1, int(one.read/leastPart)))
-	for num := most; num >= 1; num = min(num-1, num*4/5) {
-		cho, ok := pla.divide(one, cans, num, sho, now)
-		if ok && (!found || cho.cost < bes.cost) {
-			bes, found = cho, true
+	shorts := pla.shortEngines()
+	limit := min(maxParts, len(cans), max(1, int(pen.prefill/minPart)))
+	for parts := limit; parts >= 1; parts = min(parts-1, parts*4/5) {
+		cho, ok := pla.divide(pen, cans, parts, shorts, now)
+		if ok && (!found || cho.cost < best.cost) {
+			best, found = cho, true
 		}
 	}
-	return bes, found
+	return best, found
 }
 
-// divide finds a number of engines for a prompt. shorts is the number of engines that
-// serve short prompts.
-func (pla *Plan) divide(one *pending, cans []candidate, num, shorts int, now time.Time) (choice, bool) {
-	rea := one.read / ms(num)
-	for ind := range cans {
-		can := &cans[ind]
-		can.ready = can.eng.ready(num > 1, now)
-		can.harm = pla.harm(can.eng, rea, 0, num > 1, now) + pla.block(can.eng, rea, shorts, now)
-		can.key = can.ready + rea*can.eng.pace + harmTime*ms(can.harm)
+// divide chooses engines for a prompt in a given number of parts. shorts is the number of
+// engines that lead short prompts.
+func (pla *Plan) divide(pen *pending, cans []candidate, parts, shorts int, now time.Time) (choice, bool) {
+	prefill := pen.prefill / ms(parts)
+	for i := range cans {
+		can := &cans[i]
+		can.startDelay = can.eng.startDelay(parts > 1, now)
+		can.interference = pla.interference(can.eng, prefill, 0, parts > 1, now) + pla.blockingLoss(can.eng, prefill, shorts, now)
+		can.key = can.startDelay + prefill*can.eng.pace + interferenceTime*ms(can.interference)
 	}
 	slices.SortStableFunc(cans, func(a, b candidate) int { return cmp.Compare(a.key, b.key) })
 	cho := choice{}
-	lea := pla.leader(one, cans, rea, now)
-	if lea < 0 {
+	lead := pla.chooseLead(pen, cans, prefill, now)
+	if lead < 0 {
 		var ok bool
-		if num > maxHelpers {
+		if parts > maxHelpers {
 			return choice{}, false
 		}
-		if cho.reserve, ok = pla.spread(one, cans[:num]); !ok {
+		if cho.reserve, ok = pla.splitMemory(pen, cans[:parts]); !ok {
 			return choice{}, false
 		}
-		lea = 0
+		lead = 0
 	}
-	tak := append([]candidate{cans[lea]}, slices.Delete(slices.Clone(cans), lea, lea+1)[:num-1]...)
-	for _, can := range tak {
+	chosen := append([]candidate{cans[lead]}, slices.Delete(slices.Clone(cans), lead, lead+1)[:parts-1]...)
+	for _, can := range chosen {
 		cho.parts = append(cho.parts, can.eng)
-		cho.ahead = max(cho.ahead, can.eng.backlog(now))
-		cho.first = max(cho.first, can.ready+rea*can.eng.pace)
-		cho.loss += can.harm
+		cho.backlog = max(cho.backlog, can.eng.backlog(now))
+		cho.first = max(cho.first, can.startDelay+prefill*can.eng.pace)
+		cho.loss += can.interference
 	}
 	cho.lead = cho.parts[0]
-	cho.first += cho.lead.nextWriteTime(pla.fig, one.prompt.Tokens) + network
-	cho.loss += pla.late(one, cho.first, now)
-	cho.cost = cho.loss + tieWeight*pla.weight(one)*float64(cho.first/max(1, msOf(one.prompt.Objective)))
+	cho.first += cho.lead.nextDecodeTime(pla.costs, pen.prompt.Tokens) + networkTime
+	cho.loss += pla.lateness(pen, cho.first, now)
+	cho.cost = cho.loss + longTieCost*pla.weight(pen)*float64(cho.first/max(1, msOf(pen.prompt.Objective)))
 	return cho, true
 }
 
-// leader returns the engine that holds the prompt and writes the answer; -1 if
-// none has the memory. Answers are kept together, so that long parts find engines
-// without answers.
-func (pla *Plan) leader(one *pending, cans []candidate, read ms, now time.Time) int {
-	lea := -1
-	var bes ms
-	for ind, can := range cans {
-		if can.free < one.need {
+// chooseLead returns the index of the engine that holds the prompt and generates the answer;
+// -1 if none has the memory. It concentrates answers on few engines, so that other engines
+// can take long parts without delaying answers.
+func (pla *Plan) chooseLead(pen *pending, cans []candidate, prefill ms, now time.Time) int {
+	lead := -1
+	var best ms
+	for i, can := range cans {
+		if can.free < pen.need {
 			continue
 		}
-		har := pla.harm(can.eng, read, one.prompt.Tokens, true, now)
-		key := can.key + harmTime*ms(har-can.harm) + leadTime/ms(1+can.eng.tight(one.prompt.Pause))
-		if lea < 0 || key < bes {
-			lea, bes = ind, key
+		interference := pla.interference(can.eng, prefill, pen.prompt.Tokens, true, now)
+		key := can.key + interferenceTime*ms(interference-can.interference) + leadSeparation/ms(1+can.eng.tightAnswers(pen.prompt.Pause))
+		if lead < 0 || key < best {
+			lead, best = i, key
 		}
 	}
-	return lea
+	return lead
 }
 
-// spread divides the memory of a prompt that no engine holds alone. The first
-// engine gets what the others leave.
-func (pla *Plan) spread(one *pending, cans []candidate) ([]int64, bool) {
-	if one.need <= int64(memoryFill*float64(pla.fig.MemoryTokens)) {
-		// It fits into one engine once that has ended other requests.
+// splitMemory divides the memory of a prompt that no single engine can hold over the
+// candidates, those with the most free memory first.
+func (pla *Plan) splitMemory(pen *pending, cans []candidate) ([]int64, bool) {
+	if pen.need <= int64(memoryFill*float64(pla.costs.MemoryTokens)) {
+		// It fits into one engine once that engine's other requests have ended.
 		return nil, false
 	}
-	lef := one.need
-	res := make([]int64, len(cans))
+	left := pen.need
+	reserve := make([]int64, len(cans))
 	slices.SortStableFunc(cans, func(a, b candidate) int { return cmp.Compare(b.free, a.free) })
-	for ind, can := range cans {
-		res[ind] = max(0, min(lef, can.free))
-		lef -= res[ind]
+	for i, can := range cans {
+		reserve[i] = max(0, min(left, can.free))
+		left -= reserve[i]
 	}
-	return res, lef <= 0
+	return reserve, left <= 0
 }
 
-func (pla *Plan) grant(one *pending, cho choice, now time.Time) {
-	gra := &grant{ask: one, lead: cho.lead, since: now, need: one.need, expected: now.Add(cho.first.duration()), unread: len(cho.parts)}
-	cho.lead.lead(gra)
-	for ind, eng := range cho.parts {
-		num := len(cho.parts)
-		par := &part{gra: gra, eng: eng, read: one.read / ms(num) * eng.pace, tokens: float64(one.prompt.Tokens) / float64(num)}
+func (pla *Plan) grant(pen *pending, cho choice, now time.Time) {
+	gra := &grant{req: pen, lead: cho.lead, grantedAt: now, leadMemory: pen.need, expectedFirst: now.Add(cho.first.duration()), pendingParts: len(cho.parts)}
+	cho.lead.addGrant(gra)
+	for i, eng := range cho.parts {
+		n := len(cho.parts)
+		par := &part{gra: gra, eng: eng, prefill: pen.prefill / ms(n) * eng.pace, tokens: float64(pen.prompt.Tokens) / float64(n)}
 		switch {
 		case cho.reserve != nil:
-			par.memory = cho.reserve[ind]
-		case ind == 0:
-			par.memory = one.need
+			par.memory = cho.reserve[i]
+		case i == 0:
+			par.memory = pen.need
 		}
-		par.size = par.read
+		par.fullPrefill = par.prefill
 		gra.parts = append(gra.parts, par)
 	}
 	if len(gra.parts) == 1 {
-		for _, oth := range cho.lead.joined() {
-			if oth != gra {
-				oth.expected = oth.expected.Add(gra.parts[0].read.duration())
+		for _, other := range cho.lead.awaitingFirst() {
+			if other != gra {
+				other.expectedFirst = other.expectedFirst.Add(gra.parts[0].prefill.duration())
 			}
 		}
 	}
 	for _, par := range gra.parts {
-		par.eng.add(pla.fig, par, now)
-		par.eng.spoil(pla.fig)
-		pla.delay(par.eng, now)
+		par.eng.addPart(pla.costs, par, now)
+		par.eng.markMissedPauses(pla.costs)
+		pla.postponeExpected(par.eng, now)
 	}
 	if cho.reserve != nil {
-		gra.need = gra.parts[0].memory
+		gra.leadMemory = gra.parts[0].memory
 	}
-	pla.grants[one.ID] = gra
+	pla.grants[pen.ID] = gra
 	pla.assign(gra, now)
 }
 
-// delay moves the expected first events of what an engine reads later.
-func (pla *Plan) delay(eng *engine, now time.Time) {
-	for _, pars := range [][]*part{eng.divided, eng.whole} {
+// postponeExpected postpones the expected first events of the grants whose parts wait on
+// an engine.
+func (pla *Plan) postponeExpected(eng *engine, now time.Time) {
+	for _, pars := range [][]*part{eng.divided, eng.undivided} {
 		for _, par := range pars {
-			if exp := now.Add(pla.firstAfter(par, now).duration()); exp.After(par.gra.expected) {
-				par.gra.expected = exp
+			if expected := now.Add(pla.firstEventDelay(par, now).duration()); expected.After(par.gra.expectedFirst) {
+				par.gra.expectedFirst = expected
 			}
 		}
 	}
 }
 
 func (pla *Plan) assign(gra *grant, now time.Time) {
-	act := Assign{ID: gra.ask.ID, First: gra.expected.Sub(now), Waited: gra.since.Sub(gra.ask.arrived)}
-	whole := len(gra.parts) > 0 && gra.parts[0].memory >= gra.ask.need
+	act := Assign{ID: gra.req.ID, First: gra.expectedFirst.Sub(now), Waited: gra.grantedAt.Sub(gra.req.arrived)}
+	leadHoldsAll := len(gra.parts) > 0 && gra.parts[0].memory >= gra.req.need
 	for _, par := range gra.parts {
-		out := Part{Endpoint: par.eng.ID, Address: par.eng.Address}
-		if !whole {
-			out.Reserve = par.memory
+		assigned := Part{Endpoint: par.eng.ID, Address: par.eng.Address}
+		if !leadHoldsAll {
+			assigned.Reserve = par.memory
 		}
-		act.Parts = append(act.Parts, out)
+		act.Parts = append(act.Parts, assigned)
 	}
-	pla.acts = append(pla.acts, act)
+	pla.actions = append(pla.actions, act)
 }
 
-// refuses turns away an ask that can't be served in time, and reports so. The
-// choice is the best one now, if there is any.
-func (pla *Plan) refuses(one *pending, cho choice, found bool, now time.Time) bool {
-	usa := 0
+// refuseIfInfeasible refuses a request that cannot be served in time and reports whether it
+// did. cho is the best choice now if found is true.
+func (pla *Plan) refuseIfInfeasible(pen *pending, cho choice, found bool, now time.Time) bool {
+	usable := 0
 	for _, eng := range pla.order {
-		if eng.usable(one, now) {
-			usa++
+		if eng.usable(pen, now) {
+			usable++
 		}
 	}
-	lef := msOf(min(one.patience.Sub(now), one.prompt.Deadline.Sub(now)))
-	wai := pla.wait(one, usa)
+	left := msOf(min(pen.callerDeadline.Sub(now), pen.prompt.Deadline.Sub(now)))
+	wait := pla.queueWait(pen, usable)
 	if found {
-		wai += max(0, cho.first-pla.best(one))
+		wait += max(0, cho.first-pla.idleFirst(pen))
 	}
 	switch {
-	case usa == 0:
-		pla.refuse(one, CodeNoEngine, "no engine of the pool can take the request", leastRetry)
-	case one.need > int64(usa)*int64(memoryFill*float64(pla.fig.MemoryTokens)) && usa == len(pla.order):
-		pla.refuse(one, CodeTooLarge, "the prompt exceeds the memory of the engines together", 0)
-	case pla.best(one) > lef:
-		pla.refuse(one, CodeTooLate, "the prompt can't be read in the time left", leastRetry)
-	case wai+pla.best(one) > lef:
-		pla.refuse(one, CodeOverloaded, "the engines are busy for longer than the time left", wai.duration())
+	case usable == 0:
+		pla.refuse(pen, CodeNoEngine, "no engine of the pool can take the request", minRetryAfter)
+	case pen.need > int64(usable)*int64(memoryFill*float64(pla.costs.MemoryTokens)) && usable == len(pla.order):
+		pla.refuse(pen, CodeTooLarge, "the prompt exceeds the memory of the engines together", 0)
+	case pla.idleFirst(pen) > left:
+		pla.refuse(pen, CodeTooLate, "the prompt can't be read in the time left", minRetryAfter)
+	case wait+pla.idleFirst(pen) > left:
+		pla.refuse(pen, CodeOverloaded, "the engines are busy for longer than the time left", wait.duration())
 	default:
 		return false
 	}
 	return true
 }
 
-// wait estimates how long the asks before one take the engines.
-func (pla *Plan) wait(one *pending, usable int) ms {
-	if !one.long() {
-		return pla.waitForSlot(one, usable)
-	}
-	var tot ms
-	for _, oth := range pla.waiting {
-		if oth == one {
+// queueWait estimates how long the requests ahead of one occupy the engines.
+func (pla *Plan) queueWait(pen *pending, usable int) ms {
+	if !pen.long() {
+		return pla.slotWait(pen, usable)
+	}
+	var total ms
+	for _, other := range pla.waiting {
+		if other == pen {
 			break
 		}
-		tot += oth.read
+		total += other.prefill
 	}
-	return tot / ms(max(1, usable))
+	return total / ms(max(1, usable))
 }
 
-// waitForSlot estimates how long the short prompts before an ask take the slots.
-func (pla *Plan) waitForSlot(one *pending, usable int) ms {
+// slotWait estimates how long the short prompts ahead of a request occupy the slots.
+func (pla *Plan) slotWait(pen *pending, usable int) ms {
 	before := 0
-	for _, oth := range pla.waiting {
-		if oth == one {
+	for _, other := range pla.waiting {
+		if other == pen {
 			break
 		}
-		if !oth.long() {
+		if !other.long() {
 			before++
 		}
 	}
-	tim := pla.fig.answer(pla.fig.UsualAnswer, one.prompt.Tokens)
-	return tim * ms(before) / ms(max(1, usable*pla.fig.Slots))
+	answerTime := pla.costs.decodeAnswer(pla.costs.UsualAnswer, pen.prompt.Tokens)
+	return answerTime * ms(before) / ms(max(1, usable*pla.costs.Slots))
 }
 
-func (pla *Plan) refuse(one *pending, code, message string, retry time.Duration) {
-	pla.acts = append(pla.acts, Refuse{ID: one.ID, Code: code, Message: message, RetryAfter: min(mostRetry, max(leastRetry, retry))})
+func (pla *Plan) refuse(pen *pending, code, message string, retry time.Duration) {
+	pla.actions = append(pla.actions, Refuse{ID: pen.ID, Code: code, Message: message, RetryAfter: min(maxRetryAfter, max(minRetryAfter, retry))})
 }
--- a/process/planner/cost.go
+++ b/process/planner/cost.go
@@ -6,7 +6,7 @@
 	"hemlockpin/version/parser"
 )
 
-// ms is a time in milliseconds, as engines' figures are.
+// ms is a time in milliseconds, the unit of the engines' parameters.
 type ms float64
 
 func (dur ms) duration() time.Duration {
@@ -15,55 +15,58 @@
 
 func msOf(dur time.Duration) ms { return ms(dur.Seconds() * 1000) }
 
-// figures are an engine's figures with the defaults of those left out.
-type figures struct{ parser.Batching }
+// costModel estimates how long engines take, from the pool's parameters with defaults for
+// those that are left out.
+type costModel struct{ parser.Batching }
 
-// Defaults of an engine that gives no figures.
+// Defaults of parameters that are left out.
 const (
-	assumedReadRate = 100_000
-	assumedStride   = 1
-	assumedSlots    = 8
-	assumedAnswer   = 256
-	assumedChunk    = 2048
+	defaultPrefillRate = 100_000
+	defaultStride      = 1
+	defaultSlots       = 8
+	defaultAnswer      = 256
+	defaultChunk       = 2048
 )
 
-func newFigures(bat parser.Batching) figures {
+func newCostModel(bat parser.Batching) costModel {
 	if bat.ReadRate <= 0 {
-		bat.ReadRate = assumedReadRate
+		bat.ReadRate = defaultPrefillRate
 	}
 	if bat.Stride <= 0 {
-		bat.Stride = assumedStride
+		bat.Stride = defaultStride
 	}
 	if bat.Slots <= 0 {
-		bat.Slots = assumedSlots
+		bat.Slots = defaultSlots
 	}
 	if bat.UsualAnswer <= 0 {
-		bat.UsualAnswer = assumedAnswer
+		bat.UsualAnswer = defaultAnswer
 	}
 	if bat.ChunkTokens <= 0 {
-		bat.ChunkTokens = assumedChunk
+		bat.ChunkTokens = defaultChunk
 	}
-	return figures{bat}
+	return costModel{bat}
 }
 
-// passTokens is the most that a pass reads beside the answers that it writes.
-func (fig figures) passTokens() float64 { return float64(fig.ChunkTokens) * float64(fig.Stride) }
+// passTokens is the greatest number of prompt tokens that a pass prefills while it
+// generates answers.
+func (cos costModel) passTokens() float64 { return float64(cos.ChunkTokens) * float64(cos.Stride) }
 
-// read is the time in which one engine alone reads a prompt.
-func (fig figures) read(tokens int64) ms {
-	num := float64(tokens)
-	return ms(num/fig.ReadRate*1000 + fig.PairsMs*num*num/2/1e6)
+// prefill is the time that one engine alone takes to prefill a prompt.
+func (cos costModel) prefill(tokens int64) ms {
+	n := float64(tokens)
+	return ms(n/cos.ReadRate*1000 + cos.PairsMs*n*n/2/1e6)
 }
 
-// pass is the time of a pass that writes answers, without what it reads.
-func (fig figures) pass(answers int, context int64) ms {
+// decodePass is the time of a pass that generates a number of answers, without prefill.
+func (cos costModel) decodePass(answers int, context int64) ms {
 	if answers == 0 {
 		return 0
 	}
-	return ms(float64(fig.Stride) * (fig.StepMs + fig.SequenceMs*float64(answers) + fig.ContextMs*float64(context)/1000))
+	return ms(float64(cos.Stride) * (cos.StepMs + cos.SequenceMs*float64(answers) + cos.ContextMs*float64(context)/1000))
 }
 
-// answer is the expected time to write an answer.
-func (fig figures) answer(tokens, context int64) ms {
-	return ms(float64(tokens) * (fig.StepMs + fig.SequenceMs + fig.ContextMs*float64(context)/1000))
+// decodeAnswer is the expected time to generate an answer on an engine that generates no
+// other.
+func (cos costModel) decodeAnswer(tokens, context int64) ms {
+	return ms(float64(tokens) * (cos.StepMs + cos.SequenceMs + cos.ContextMs*float64(context)/1000))
 }
--- a/process/planner/engine.go
+++ b/process/planner/engine.go
@@ -6,337 +6,342 @@
 )
 
 const (
-	// suspectTime is how long an engine that failed a request is avoided. It is
-	// the time for which work that depends on a dead engine stalls.
+	// suspectTime is how long an engine is avoided after it failed a request. Work that
+	// depends on a dead engine stalls for this long.
 	suspectTime = 1500 * time.Millisecond
-	// lostReports is the number of reports in a row that must fail before an
-	// engine counts as lost.
-	lostReports = 2
-	// memoryFill is the share of an engine's memory that grants may take; answers
-	// can be longer than expected.
+	// maxMissedReports is the number of successive reports that must fail before an engine
+	// is no longer used.
+	maxMissedReports = 2
+	// memoryFill is the share of an engine's memory that grants may use, since answers can
+	// be longer than expected.
 	memoryFill = 0.97
-	// arrivalDelay is the time from a grant until its request is at the engine.
+	// arrivalDelay is the time from a grant until its request reaches the engine.
 	arrivalDelay = 3 * time.Millisecond
-	// noticeDelay is the time from an event until the plan hears of it.
+	// noticeDelay is the time from an event until the plan receives notice of it.
 	noticeDelay = 4 * time.Millisecond
-	// stepDelay is the time in ms until an engine turns to a new part: half a step,
-	// which reads 2,048 tokens in some 25 ms.
+	// stepDelay is the time in ms until an engine starts the part of a divided prompt:
+	// half a step, as a step that prefills 2,048 tokens takes about 25 ms.
 	stepDelay = 12
-	// doubtDelay is the time after its expected first event from which a grant's
-	// parts count as not read, each with the probability doubtShare.
-	doubtDelay = 60 * time.Millisecond
-	doubtShare = 0.4
-	// leastPass keeps the account of passes from going on in tiny steps.
-	leastPass = 1
+	// overdueDelay is how long the first event of a grant may be late before its parts
+	// count as possibly not prefilled, each with the probability overdueShare.
+	overdueDelay = 60 * time.Millisecond
+	overdueShare = 0.4
+	// minPass is the least duration of a pass, and of a part's remaining prefill, in ms.
+	// It keeps the model from advancing in tiny steps.
+	minPass = 1
 )
 
-// engine is the account of one engine. An engine that writes answers works in
-// passes: each one reads up to a bound, writes a stride of every answer, and ends
-// with the first events of what it has read. Parts of divided prompts go ahead of
-// whole prompts, the newest first, and interrupt older reads; a pass of the account
-// reads one of them, or the whole prompts that wait.
+// engine models the work of one engine. An engine that generates answers works in passes:
+// each pass prefills up to a bound, generates a stride of every answer, and ends with the
+// first events of the prompts that it has prefilled. Parts of divided prompts take
+// precedence over undivided prompts, the newest first, and interrupt older prefills. A
+// pass of the model prefills either one such part or the undivided prompts that wait.
 type engine struct {
 	Engine
-	gone   bool
-	pace   ms
-	misses int
-	// suspect is until when the engine is avoided after a failure.
-	suspect time.Time
-	// passEnd is when the pass in progress ends, which takes passTime; zero for an
-	// idle engine.
+	removed       bool
+	pace          ms
+	missedReports int
+	// suspectUntil is the time until which the engine is avoided after a failure.
+	suspectUntil time.Time
+	// passEnd is the time at which the pass in progress, which lasts passTime, ends; zero
+	// for an idle engine.
 	passEnd  time.Time
 	passTime ms
-	// reading are the parts of the pass in progress; divided and whole are those of
-	// later ones, the oldest first.
-	reading []*part
-	divided []*part
-	whole   []*part
-	// unconfirmed are divided parts that should have been read, of grants whose first
-	// event has not arrived.
+	// inPass are the parts that the pass in progress prefills; divided and undivided are
+	// those that later passes prefill, the oldest first.
+	inPass    []*part
+	divided   []*part
+	undivided []*part
+	// unconfirmed are parts of divided prompts whose prefill should have ended, of grants
+	// whose first event has not arrived.
 	unconfirmed []*part
-	// grants are those that the engine leads, shorts the number of short prompts among
-	// them, and context their tokens.
-	grants  []*grant
-	shorts  int
-	context int64
-	memory  int64
-	// foreign counts requests, and foreignMemory tokens, of others.
+	// grants are those that the engine leads, shortPrompts is the number of short prompts
+	// among them, and contextTokens the sum of their prompts' lengths.
+	grants        []*grant
+	shortPrompts  int
+	contextTokens int64
+	memory        int64
+	// foreign counts requests on the engine that the plan has not granted, and
+	// foreignMemory the tokens of memory that they use.
 	foreign       int
 	foreignMemory int64
 }
 
-// part is the read of one engine for a grant.
+// part is the prefill that one engine does for a grant.
 type part struct {
 	gra *grant
 	eng *engine
-	// read is the time of what is left to read, at the engine's pace, and tokens
-	// their number. taken is what the pass in progress reads of it, and size the time
-	// of the whole part.
-	read   ms
-	size   ms
-	tokens float64
-	taken  ms
-	memory int64
+	// prefill is the time left to prefill at the engine's pace, fullPrefill that of the
+	// part as a whole, tokens the number of tokens left, and passPrefill the share of
+	// prefill that belongs to the pass in progress.
+	prefill     ms
+	fullPrefill ms
+	tokens      float64
+	passPrefill ms
+	memory      int64
 }
 
-// divided reports whether other engines read parts of the same prompt.
+// divided reports whether other engines prefill parts of the same prompt.
 func (par *part) divided() bool { return len(par.gra.parts) > 1 }
 
-// grant is an ask that has engines.
+// grant is a request with the engines that serve it.
 type grant struct {
-	ask   *pending
+	req   *pending
 	lead  *engine
 	parts []*part
-	// unread counts the parts that are not read, as far as is estimated.
-	unread int
-	began  bool
-	// spoiled answers have paused for too long, or will have.
-	spoiled bool
-	since   time.Time
-	// expected is when the first event should arrive.
-	expected time.Time
-	need     int64
-}
-
-// writing reports whether the engine that leads writes the answer.
-func (gra *grant) writing() bool { return gra.began || gra.unread == 0 }
-
-// lead counts a grant that the engine leads; leave takes it back.
-func (eng *engine) lead(gra *grant) {
+	// pendingParts is the estimated number of parts whose prefill has not ended.
+	pendingParts int
+	began        bool
+	// pauseMissed reports that the answer has paused, or will pause, for longer than its
+	// objective allows.
+	pauseMissed bool
+	grantedAt   time.Time
+	// expectedFirst is the time at which the first event should arrive.
+	expectedFirst time.Time
+	leadMemory    int64
+}
+
+// decoding reports whether the lead engine generates the answer.
+func (gra *grant) decoding() bool { return gra.began || gra.pendingParts == 0 }
+
+// addGrant adds a grant that the engine leads; removeGrant removes it.
+func (eng *engine) addGrant(gra *grant) {
 	eng.grants = append(eng.grants, gra)
-	eng.context += gra.ask.prompt.Tokens
-	if !gra.ask.long() {
-		eng.shorts++
+	eng.contextTokens += gra.req.prompt.Tokens
+	if !gra.req.long() {
+		eng.shortPrompts++
 	}
 }
 
-func (eng *engine) leave(gra *grant) {
-	ind := slices.Index(eng.grants, gra)
-	if ind < 0 {
+func (eng *engine) removeGrant(gra *grant) {
+	i := slices.Index(eng.grants, gra)
+	if i < 0 {
 		return
 	}
-	eng.grants = slices.Delete(eng.grants, ind, ind+1)
-	eng.context -= gra.ask.prompt.Tokens
-	if !gra.ask.long() {
-		eng.shorts--
+	eng.grants = slices.Delete(eng.grants, i, i+1)
+	eng.contextTokens -= gra.req.prompt.Tokens
+	if !gra.req.long() {
+		eng.shortPrompts--
 	}
 }
 
 // usable reports whether the engine may get work for a request.
-func (eng *engine) usable(one *pending, now time.Time) bool {
-	if eng.gone || eng.misses >= lostReports || now.Before(eng.suspect) {
+func (eng *engine) usable(pen *pending, now time.Time) bool {
+	if eng.removed || eng.missedReports >= maxMissedReports || now.Before(eng.suspectUntil) {
 		return false
 	}
-	return !slices.Contains(one.prompt.Excluded, eng.ID)
+	return !slices.Contains(pen.prompt.Excluded, eng.ID)
 }
 
-// advance lets passes end that should have.
-func (eng *engine) advance(fig figures, now time.Time) {
+// advance ends the passes that should have ended by now.
+func (eng *engine) advance(cos costModel, now time.Time) {
 	for !eng.passEnd.IsZero() && !now.Before(eng.passEnd) {
-		eng.turn(fig, eng.passEnd)
+		eng.startPass(cos, eng.passEnd)
 	}
 }
 
-// turn ends the pass in progress and begins the next one.
-func (eng *engine) turn(fig figures, at time.Time) {
-	for _, par := range eng.reading {
-		if par.read -= par.taken; par.read <= 0 {
-			par.gra.unread--
+// startPass ends the pass in progress and begins the next one.
+func (eng *engine) startPass(cos costModel, at time.Time) {
+	for _, par := range eng.inPass {
+		if par.prefill -= par.passPrefill; par.prefill <= 0 {
+			par.gra.pendingParts--
 			if par.divided() && !par.gra.began {
 				eng.unconfirmed = append(eng.unconfirmed, par)
 			}
 		} else {
-			eng.putBack(par)
+			eng.requeue(par)
 		}
 	}
-	eng.reading = nil
-	dur := eng.writeTime(fig)
-	dur += eng.take(dur > 0, fig)
-	if dur <= 0 {
+	eng.inPass = nil
+	passTime := eng.decodeTime(cos)
+	passTime += eng.fillPass(passTime > 0, cos)
+	if passTime <= 0 {
 		eng.passEnd = time.Time{}
 		return
 	}
-	eng.passTime = max(leastPass, dur)
+	eng.passTime = max(minPass, passTime)
 	eng.passEnd = at.Add(eng.passTime.duration())
 }
 
-// putBack queues a part that is not read to its end.
-func (eng *engine) putBack(par *part) {
-	par.taken = 0
+// requeue queues a part whose prefill has not ended.
+func (eng *engine) requeue(par *part) {
+	par.passPrefill = 0
 	if par.divided() {
 		eng.divided = append(eng.divided, par)
 	} else {
-		eng.whole = slices.Insert(eng.whole, 0, par)
+		eng.undivided = slices.Insert(eng.undivided, 0, par)
 	}
 }
 
-// take chooses what the next pass reads and returns the time for it.
-func (eng *engine) take(writes bool, fig figures) ms {
-	if las := len(eng.divided) - 1; las >= 0 {
-		par := eng.divided[las]
-		eng.divided = eng.divided[:las]
-		return eng.begin(par, 1)
+// fillPass chooses what the next pass prefills and returns the time for it.
+func (eng *engine) fillPass(decoding bool, cos costModel) ms {
+	if last := len(eng.divided) - 1; last >= 0 {
+		par := eng.divided[last]
+		eng.divided = eng.divided[:last]
+		return eng.startPart(par, 1)
 	}
-	var tot ms
-	bud := fig.passTokens()
-	for bud > 0 && len(eng.whole) > 0 {
-		par := eng.whole[0]
-		eng.whole = eng.whole[1:]
-		sha := 1.0
-		if writes {
-			sha = min(1, bud/par.tokens)
+	var total ms
+	budget := cos.passTokens()
+	for budget > 0 && len(eng.undivided) > 0 {
+		par := eng.undivided[0]
+		eng.undivided = eng.undivided[1:]
+		share := 1.0
+		if decoding {
+			share = min(1, budget/par.tokens)
 		}
-		bud -= par.tokens * sha
-		if tot += eng.begin(par, sha); !writes {
+		budget -= par.tokens * share
+		if total += eng.startPart(par, share); !decoding {
 			break
 		}
 	}
-	return tot
+	return total
 }
 
-// begin lets the pass in progress read a share of what is left of a part.
-func (eng *engine) begin(par *part, share float64) ms {
-	eng.reading = append(eng.reading, par)
-	par.taken = par.read * ms(share)
+// startPart adds a share of the rest of a part to the pass in progress.
+func (eng *engine) startPart(par *part, share float64) ms {
+	eng.inPass = append(eng.inPass, par)
+	par.passPrefill = par.prefill * ms(share)
 	par.tokens *= 1 - share
-	return par.taken
+	return par.passPrefill
 }
 
-// ended notes that a pass of the engine ended, with the first event of a part
+// passEnded records that a pass of the engine has ended with the first event of a part
 // that it led.
-func (eng *engine) ended(fig figures, par *part, at time.Time) {
-	if eng.has(par) {
-		eng.remove(par, at)
-		eng.turn(fig, at)
+func (eng *engine) passEnded(cos costModel, par *part, at time.Time) {
+	if eng.hasPart(par) {
+		eng.removePart(par, at)
+		eng.startPass(cos, at)
 		return
 	}
-	// The pass in progress was thought to have begun earlier.
+	// The model had the pass in progress begin too early.
 	if end := at.Add(eng.passTime.duration()); !eng.passEnd.IsZero() && end.After(eng.passEnd) {
 		eng.passEnd = end
 	}
 }
 
-// has reports whether the engine has still to read a part.
-func (eng *engine) has(par *part) bool {
-	return slices.Contains(eng.reading, par) || slices.Contains(eng.divided, par) || slices.Contains(eng.whole, par)
+// hasPart reports whether the engine has yet to finish the prefill of a part.
+func (eng *engine) hasPart(par *part) bool {
+	return slices.Contains(eng.inPass, par) || slices.Contains(eng.divided, par) || slices.Contains(eng.undivided, par)
 }
 
-// queued is the time of the reads that wait for later passes.
-func (eng *engine) queued() ms { return sum(eng.divided) + sum(eng.whole) }
+// queuedPrefill is the prefill time of the parts that wait for later passes.
+func (eng *engine) queuedPrefill() ms { return totalPrefill(eng.divided) + totalPrefill(eng.undivided) }
 
-func taken(pars []*part) ms {
-	var tot ms
+func passPrefill(pars []*part) ms {
+	var total ms
 	for _, par := range pars {
-		tot += par.taken
+		total += par.passPrefill
 	}
-	return tot
+	return total
 }
 
-func sum(pars []*part) ms {
-	var tot ms
+func totalPrefill(pars []*part) ms {
+	var total ms
 	for _, par := range pars {
-		tot += par.read
+		total += par.prefill
 	}
-	return tot
+	return total
 }
 
-// writeTime is the time in which the pass in progress writes answers.
-func (eng *engine) writeTime(fig figures) ms {
+// decodeTime is the time that the pass in progress spends on generating answers.
+func (eng *engine) decodeTime(cos costModel) ms {
 	answers, context := eng.foreign, int64(0)
 	for _, gra := range eng.grants {
-		if gra.writing() {
+		if gra.decoding() {
 			answers++
-			context += gra.ask.prompt.Tokens
+			context += gra.req.prompt.Tokens
 		}
 	}
-	return fig.pass(answers, context) * eng.pace
+	return cos.decodePass(answers, context) * eng.pace
 }
 
-// nextWriteTime is that of the next pass, when what is read now is written too,
-// with some more tokens of context.
-func (eng *engine) nextWriteTime(fig figures, more int64) ms {
-	answers, context := eng.foreign+len(eng.grants), more+eng.context
+// nextDecodeTime is the time that the next pass spends on generating answers, with the
+// answers to the prompts being prefilled and, if more is positive, one to a further prompt
+// of that many tokens.
+func (eng *engine) nextDecodeTime(cos costModel, more int64) ms {
+	answers, context := eng.foreign+len(eng.grants), more+eng.contextTokens
 	if more > 0 {
 		answers++
 	}
-	return fig.pass(answers, context) * eng.pace
+	return cos.decodePass(answers, context) * eng.pace
 }
 
-// add gives the engine a part to read.
-func (eng *engine) add(fig figures, par *part, now time.Time) {
+// addPart queues a part for prefill.
+func (eng *engine) addPart(cos costModel, par *part, now time.Time) {
 	eng.memory += par.memory
 	if !par.divided() {
-		eng.whole = append(eng.whole, par)
+		eng.undivided = append(eng.undivided, par)
 	} else {
 		eng.interrupt(now)
 		eng.divided = append(eng.divided, par)
 	}
 	if eng.passEnd.IsZero() {
-		eng.turn(fig, now.Add(arrivalDelay))
+		eng.startPass(cos, now.Add(arrivalDelay))
 	}
 }
 
-// interrupt ends the reads of the pass in progress.
+// interrupt ends the prefills of the pass in progress and requeues their rest.
 func (eng *engine) interrupt(now time.Time) {
-	tak := taken(eng.reading)
-	if tak <= 0 {
+	inPass := passPrefill(eng.inPass)
+	if inPass <= 0 {
 		return
 	}
-	res := eng.residual(now)
-	lef := min(res, tak)
-	for _, par := range eng.reading {
-		par.read = max(leastPass, par.read-par.taken*(1-lef/tak))
-		eng.putBack(par)
+	residual := eng.residual(now)
+	left := min(residual, inPass)
+	for _, par := range eng.inPass {
+		par.prefill = max(minPass, par.prefill-par.passPrefill*(1-left/inPass))
+		eng.requeue(par)
 	}
-	eng.reading = nil
-	if eng.passTime -= lef; res > lef {
-		eng.passEnd = now.Add((res - lef).duration())
+	eng.inPass = nil
+	if eng.passTime -= left; residual > left {
+		eng.passEnd = now.Add((residual - left).duration())
 	} else {
 		eng.passEnd = time.Time{}
 	}
 }
 
-// remove takes a part back. A pass that reads it ends sooner.
-func (eng *engine) remove(par *part, now time.Time) {
-	is := func(oth *part) bool { return oth == par }
-	if slices.ContainsFunc(eng.reading, is) {
-		eng.passTime = max(leastPass, eng.passTime-par.taken)
-		if end := eng.passEnd.Add(-par.taken.duration()); end.After(now) {
+// removePart removes a part. The pass in progress ends earlier if it prefills the part.
+func (eng *engine) removePart(par *part, now time.Time) {
+	match := func(other *part) bool { return other == par }
+	if slices.ContainsFunc(eng.inPass, match) {
+		eng.passTime = max(minPass, eng.passTime-par.passPrefill)
+		if end := eng.passEnd.Add(-par.passPrefill.duration()); end.After(now) {
 			eng.passEnd = end
 		} else {
 			eng.passEnd = now
 		}
 	}
-	eng.reading = slices.DeleteFunc(eng.reading, is)
-	eng.divided = slices.DeleteFunc(eng.divided, is)
-	eng.whole = slices.DeleteFunc(eng.whole, is)
-	eng.unconfirmed = slices.DeleteFunc(eng.unconfirmed, is)
+	eng.inPass = slices.DeleteFunc(eng.inPass, match)
+	eng.divided = slices.DeleteFunc(eng.divided, match)
+	eng.undivided = slices.DeleteFunc(eng.undivided, match)
+	eng.unconfirmed = slices.DeleteFunc(eng.unconfirmed, match)
 }
 
-// confirm notes that a part has been read.
+// confirm records that the prefill of a part has ended.
 func (eng *engine) confirm(par *part) {
-	eng.unconfirmed = slices.DeleteFunc(eng.unconfirmed, func(oth *part) bool { return oth == par })
+	eng.unconfirmed = slices.DeleteFunc(eng.unconfirmed, func(other *part) bool { return other == par })
 }
 
-// overdue returns the parts that the engine may still have to read although the
-// account says otherwise: their first events have not come when they should have.
-func (eng *engine) overdue(now time.Time) []*part {
+// overdueParts returns the parts that the engine may still have to prefill although the
+// model has them done: the first events of their grants are overdue.
+func (eng *engine) overdueParts(now time.Time) []*part {
 	var out []*part
 	for _, par := range eng.unconfirmed {
-		if now.Sub(par.gra.expected) > doubtDelay {
+		if now.Sub(par.gra.expectedFirst) > overdueDelay {
 			out = append(out, par)
 		}
 	}
 	return out
 }
 
-// doubt is the expected time of reads that the account has missed.
-func (eng *engine) doubt(now time.Time) ms {
-	var tot ms
-	for _, par := range eng.overdue(now) {
-		tot += doubtShare * par.size
+// overduePrefill is the expected time of prefills that the model counts as done although
+// they may not be.
+func (eng *engine) overduePrefill(now time.Time) ms {
+	var total ms
+	for _, par := range eng.overdueParts(now) {
+		total += overdueShare * par.fullPrefill
 	}
-	return tot
+	return total
 }
 
 // residual is the time left of the pass in progress.
@@ -347,52 +352,54 @@
 	return max(0, msOf(eng.passEnd.Sub(now)))
 }
 
-// backlog is the time until the engine has read what it was given.
+// backlog is the time until the engine has prefilled all parts that it has; zero if there
+// are none.
 func (eng *engine) backlog(now time.Time) ms {
-	if len(eng.reading) == 0 && len(eng.divided) == 0 && len(eng.whole) == 0 {
+	if len(eng.inPass) == 0 && len(eng.divided) == 0 && len(eng.undivided) == 0 {
 		return 0
 	}
-	return eng.residual(now) + eng.queued()
+	return eng.residual(now) + eng.queuedPrefill()
 }
 
-// ready is the time until the engine turns to a new part.
-func (eng *engine) ready(divided bool, now time.Time) ms {
+// startDelay is the time until the engine starts the prefill of a new part.
+func (eng *engine) startDelay(divided bool, now time.Time) ms {
 	if divided {
 		return min(eng.residual(now), stepDelay)
 	}
-	return eng.residual(now) + eng.queued() + eng.doubt(now)
+	return eng.residual(now) + eng.queuedPrefill() + eng.overduePrefill(now)
 }
 
-// finish is the time until the engine has read a part that it was given.
-func (eng *engine) finish(par *part, now time.Time) ms {
-	tot := eng.residual(now)
-	if slices.Contains(eng.reading, par) && par.taken >= par.read {
-		return tot
+// finishDelay is the time until the engine has prefilled a part that it has.
+func (eng *engine) finishDelay(par *part, now time.Time) ms {
+	total := eng.residual(now)
+	if slices.Contains(eng.inPass, par) && par.passPrefill >= par.prefill {
+		return total
 	}
-	for _, oth := range slices.Backward(eng.divided) {
-		if tot += oth.read; oth == par {
-			return tot
+	for _, other := range slices.Backward(eng.divided) {
+		if total += other.prefill; other == par {
+			return total
 		}
 	}
-	for _, oth := range eng.whole {
-		if tot += oth.read; oth == par {
+	for _, other := range eng.undivided {
+		if total += other.prefill; other == par {
 			break
 		}
 	}
-	return tot
+	return total
 }
 
-// behind returns the parts that a new part would delay.
-func (eng *engine) behind(divided bool) []*part {
+// delayedParts returns the parts that a new part would delay.
+func (eng *engine) delayedParts(divided bool) []*part {
 	if !divided {
 		return nil
 	}
-	return slices.Concat(eng.reading, eng.divided, eng.whole)
+	return slices.Concat(eng.inPass, eng.divided, eng.undivided)
 }
 
-// joined returns the whole prompts that the engine leads whose first events have not come.
-// An engine reads on within a pass, and the first events come with its end.
-func (eng *engine) joined() []*grant {
+// awaitingFirst returns the grants with undivided prompts that the engine leads and whose
+// first events have not arrived. An engine continues to prefill within a pass, and the
+// first events come at its end.
+func (eng *engine) awaitingFirst() []*grant {
 	var out []*grant
 	for _, gra := range eng.grants {
 		if !gra.began && len(gra.parts) == 1 {
@@ -402,25 +409,25 @@
 	return out
 }
 
-// tight counts the answers that the engine leads whose pauses are bound as
-// tightly as those of a request.
-func (eng *engine) tight(pause time.Duration) int {
-	num := 0
+// tightAnswers counts the answers that the engine leads whose limit on pauses is no longer
+// than that of a request.
+func (eng *engine) tightAnswers(pause time.Duration) int {
+	n := 0
 	for _, gra := range eng.grants {
-		if gra.ask.prompt.Pause > 0 && gra.ask.prompt.Pause <= pause {
-			num++
+		if gra.req.prompt.Pause > 0 && gra.req.prompt.Pause <= pause {
+			n++
 		}
 	}
-	return num
+	return n
 }
 
-// free is the memory for further grants.
-func (eng *engine) free(total int64) int64 {
+// freeMemory is the number of tokens of memory that is left for further grants.
+func (eng *engine) freeMemory(total int64) int64 {
 	return int64(memoryFill*float64(total)) - eng.memory - eng.foreignMemory
 }
 
-// accept takes a report.
-func (eng *engine) accept(loa Load) {
-	eng.misses = 0
+// applyLoad records a report of the engine.
+func (eng *engine) applyLoad(loa Load) {
+	eng.missedReports = 0
 	eng.pace = ms(max(1, loa.Pace))
 }
--- a/process/planner/event.go
+++ b/process/planner/event.go
@@ -1,13 +1,13 @@
-// Package planner decides which engines of a pool read and hold the prompts that
-// hosts forward.
+// Package planner decides which engines of a pool prefill and hold the prompts that hosts
+// forward.
 //
-// Engines read prompts between the steps of the answers that they write, so a
-// long read holds up the answers beside it. Plan keeps an account of the reads,
-// the answers and the memory of each engine, gives short prompts engines whose
-// passes are short, and divides long prompts over engines without such answers.
+// Engines prefill prompts between the decode steps of the answers that they generate, so a
+// long prefill delays the other answers of the engine. Plan models the prefills, the
+// answers and the memory of each engine, gives short prompts engines whose passes are
+// short, and divides long prompts over engines without such answers.
 //
-// Plan is a state machine without input, output or a clock. Runner carries its
-// decisions out.
+// Plan is a state machine without input, output or a clock. Runner carries out its
+// decisions.
 package planner
 
 import (
@@ -18,20 +18,22 @@
 
 // Prompt is what a plan knows of a request.
 type Prompt struct {
-	// Tokens is the length of the prompt, MaxTokens the bound of its answer and
-	// AnswerTokens the expected length; 0 if unknown.
+	// Tokens is the length of the prompt, MaxTokens the limit on the length of its answer
+	// and AnswerTokens the expected length of the answer; 0 if unknown.
 	Tokens       int64
 	MaxTokens    int64
 	AnswerTokens int64
-	// Priority orders requests; higher goes first.
+	// Priority orders requests; higher values go first.
 	Priority int
-	// Target is when the first event is due, Deadline when the answer is.
+	// Target is the time at which the first event is due, Deadline that at which the
+	// answer must be complete.
 	Target   time.Time
 	Deadline time.Time
-	// Objective is the whole latency objective, Pause that of pauses.
+	// Objective is the latency objective for the first event, Pause the longest allowed
+	// pause between events.
 	Objective time.Duration
 	Pause     time.Duration
-	// Excluded endpoints have failed the request.
+	// Excluded are the endpoints that have failed the request.
 	Excluded []string
 }
 
@@ -39,29 +41,30 @@
 type Engine struct {
 	ID      string
 	Address string
-	// Started tells processes of an engine apart; zero if unknown.
+	// Started distinguishes successive processes of an engine; zero if unknown.
 	Started time.Time
 }
 
-// Load is what an engine reports of itself.
+// Load is an engine's report of its own load.
 type Load struct {
 	Waiting int
 	Running int
-	// MemoryUsed and MemoryTotal are in tokens; Reserved is the part of
-	// reservations.
+	// MemoryUsed and MemoryTotal are in tokens; Reserved is the part of MemoryUsed that
+	// reservations hold.
 	MemoryUsed  int64
 	MemoryTotal int64
 	Reserved    int64
-	// Pace is by how much the engine's work takes longer than its figures say.
+	// Pace is the factor by which the engine's work takes longer than its pool's
+	// parameters say.
 	Pace    float64
 	Started time.Time
 }
 
-// Event is what a plan decides on: Request, Cancel, Began, Ended, Held, Failed, Listing,
+// Event is the input of a plan: Request, Cancel, Began, Ended, Held, Failed, Listing,
 // Report, Unreachable, HostRemoved, Parameters or Tick.
 type Event interface{ event() }
 
-// Request asks for engines for a prompt. A repeated request with the same ID is the same.
+// Request asks for engines for a prompt. Requests with the same ID are repetitions.
 type Request struct {
 	ID          string
 	Host        string
@@ -69,7 +72,7 @@
 	Prompt      Prompt
 }
 
-// Cancel takes a waiting ask back, or ends its grant.
+// Cancel withdraws a waiting request, or ends its grant.
 type Cancel struct{ ID string }
 
 // Began reports that the first event of a grant has arrived.
@@ -78,8 +81,8 @@
 // Ended reports that a grant's request has ended.
 type Ended struct{ ID string }
 
-// Held tells of a grant that another planner has made and that has not ended. Age
-// is the time since then, Begun whether its first event has arrived.
+// Held reports a grant that another planner has made and that has not ended. Age is the
+// time since the grant, Begun reports whether its first event has arrived.
 type Held struct {
 	Request Request
 	Parts   []Part
@@ -87,35 +90,34 @@
 	Begun   bool
 }
 
-// Failed reports that an endpoint failed a request; Endpoint is its ID or its
-// address.
+// Failed reports that an endpoint failed a request; Endpoint is its ID or its address.
 type Failed struct {
 	ID       string
 	Endpoint string
 }
 
-// Listing names the engines of the pool.
+// Listing lists the engines of the pool.
 type Listing struct{ Engines []Engine }
 
-// Report is an engine's own report.
+// Report is a report of an engine's load.
 type Report struct {
 	Endpoint string
 	Load     Load
 }
 
-// Unreachable reports that an engine did not answer the read of its report.
+// Unreachable reports that an engine did not answer a request for its report.
 type Unreachable struct{ Endpoint string }
 
-// HostRemoved reports that a host's process, or those up to an incarnation, ended.
+// HostRemoved reports that a host's processes up to an incarnation have ended.
 type HostRemoved struct {
 	Host        string
 	Incarnation uint64
 }
 
-// Parameters are the performance parameters of the engines of the pool.
+// Parameters are the performance parameters of the pool's engines.
 type Parameters struct{ Batching parser.Batching }
 
-// Tick lets time pass.
+// Tick only advances the time.
 type Tick struct{}
 
 func (Request) event()     {}
@@ -131,10 +133,10 @@
 func (Parameters) event()  {}
 func (Tick) event()        {}
 
-// Action answers an ask: Assign or Refuse.
+// Action is the answer to a request: Assign or Refuse.
 type Action interface{ action() }
 
-// Part is the part of one engine in a grant.
+// Part is one engine's part of a grant.
 type Part struct {
 	Endpoint string
 	Address  string
@@ -142,26 +144,26 @@
 	Reserve int64
 }
 
-// Assign gives engines to an ask; the first one leads.
+// Assign grants engines to a request; the first one leads.
 type Assign struct {
 	ID    string
 	Parts []Part
 	// First is the expected time to the first event.
 	First time.Duration
-	// Waited is how long the ask was in the queue.
+	// Waited is how long the request waited.
 	Waited time.Duration
 }
 
-// endpoints names the engines, the lead first.
+// endpoints returns the IDs of the engines, the lead engine first.
 func (act Assign) endpoints() []string {
 	out := make([]string, len(act.Parts))
-	for ind, par := range act.Parts {
-		out[ind] = par.Endpoint
+	for i, par := range act.Parts {
+		out[i] = par.Endpoint
 	}
 	return out
 }
 
-// Refuse turns an ask away. Nothing has run for it.
+// Refuse refuses a request. No engine has worked on it.
 type Refuse struct {
 	ID         string
 	Code       string
--- a/process/planner/helper_test.go
+++ b/process/planner/helper_test.go
@@ -7,28 +7,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHelpersAreFew asks for prompts of all lengths on many idle engines: a call never
-// names more engines than these accept, and one with reserved memory names its lead,
-// too.
+// TestHelpersAreFew requests engines for prompts of all lengths on many idle engines: a
+// call must not name more engines than the engines accept. A call with reserved memory
+// also names its lead engine.
 func TestHelpersAreFew(t *testing.T) {
-	for _, num := range []int{14, 17, 40, 112} {
+	for _, engines := range []int{14, 17, 40, 112} {
 		for tokens := int64(100_000); tokens <= 1_200_000; tokens += 50_000 {
-			wor := newWorld(num, 1)
-			acts := wor.plan.Next(Request{ID: "a", Prompt: Prompt{
+			sim := newSimulation(engines, 1)
+			acts := sim.plan.Next(Request{ID: "a", Prompt: Prompt{
 				Tokens: tokens, MaxTokens: 1000, Target: epoch.Add(4 * time.Second), Deadline: epoch.Add(15 * time.Second), Objective: 4 * time.Second, Pause: time.Second,
 			}}, epoch)
 			if len(acts) == 0 && tokens > 700_000 {
-				// It waits for a choice that is better.
+				// It waits for a better choice.
 				continue
 			}
-			require.Len(t, acts, 1, "%d tokens on %d engines", tokens, num)
+			require.Len(t, acts, 1, "%d tokens on %d engines", tokens, engines)
 			act, ok := acts[0].(Assign)
-			require.True(t, ok, "%d tokens on %d engines: %v", tokens, num, acts[0])
+			require.True(t, ok, "%d tokens on %d engines: %v", tokens, engines, acts[0])
 			named := len(act.Parts) - 1
 			if act.Parts[0].Reserve > 0 {
 				named++
 			}
-			require.LessOrEqual(t, named, 16, "%d tokens on %d engines", tokens, num)
+			require.LessOrEqual(t, named, 16, "%d tokens on %d engines", tokens, engines)
 		}
 	}
 }
--- a/process/planner/load_test.go
+++ b/process/planner/load_test.go
@@ -10,92 +10,91 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLoad plays patterns of load against simulated engines. Each pattern states
-// the share of each kind of request that has to be in time; the shares come from
-// what callers are to get, not from what was measured. A line of a pattern is a
-// phase: its seconds, and by how much each kind is above its usual rate. With seeds
-// the shares are those of several plays.
+// TestLoad runs patterns of load against simulated engines. Each pattern states the least
+// share of each class of requests that has to be in time, or served; these bounds are what
+// callers are to get. Each line of a pattern is a phase: its seconds, and the factor on
+// the usual rate of each class. With seeds, the shares are those of several runs.
 func TestLoad(t *testing.T) {
 	datadriven.Walk(t, "testdata/load", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, dat *datadriven.TestData) string {
 			require.Equal(t, "load", dat.Cmd)
-			seed, num := 1, 1
+			seed, seeds := 1, 1
 			dat.MaybeScanArgs(t, "seed", &seed)
-			dat.MaybeScanArgs(t, "seeds", &num)
-			var all world
-			for ind := range num {
-				all.order = append(all.order, play(t, dat, uint64(seed+ind)).order...)
+			dat.MaybeScanArgs(t, "seeds", &seeds)
+			var all simulation
+			for i := range seeds {
+				all.ordered = append(all.ordered, simulate(t, dat, uint64(seed+i)).ordered...)
 			}
-			return verdict(t, &all, dat)
+			return compareShares(t, &all, dat)
 		})
 	})
 }
 
-// play plays a pattern once.
-func play(t *testing.T, dat *datadriven.TestData, seed uint64) *world {
-	engs := 14
-	dat.MaybeScanArgs(t, "engines", &engs)
+// simulate runs a pattern once.
+func simulate(t *testing.T, dat *datadriven.TestData, seed uint64) *simulation {
+	engines := 14
+	dat.MaybeScanArgs(t, "engines", &engines)
 	// The usual rates are those of 14 engines; scale multiplies them.
-	sca := 1
-	dat.MaybeScanArgs(t, "scale", &sca)
-	wor := newWorld(engs, seed)
-	slowEngines(t, wor, dat)
+	scale := 1
+	dat.MaybeScanArgs(t, "scale", &scale)
+	sim := newSimulation(engines, seed)
+	slowEngines(t, sim, dat)
 	at := epoch
-	for lin := range strings.SplitSeq(strings.TrimSpace(dat.Input), "\n") {
-		var sec, sho, mid, lon float64
-		_, err := fmt.Sscanf(lin, "seconds=%g short=%g middle=%g long=%g", &sec, &sho, &mid, &lon)
-		require.NoError(t, err, lin)
-		dur := time.Duration(sec * float64(time.Second))
-		for cla, mul := range []float64{sho, mid, lon} {
-			wor.arrive(cla, classes[cla].rate*mul*float64(sca), at, dur)
+	for line := range strings.SplitSeq(strings.TrimSpace(dat.Input), "\n") {
+		var seconds, short, middle, long float64
+		_, err := fmt.Sscanf(line, "seconds=%g short=%g middle=%g long=%g", &seconds, &short, &middle, &long)
+		require.NoError(t, err, line)
+		length := time.Duration(seconds * float64(time.Second))
+		for index, factor := range []float64{short, middle, long} {
+			sim.addArrivals(index, classes[index].rate*factor*float64(scale), at, length)
 		}
-		at = at.Add(dur)
+		at = at.Add(length)
 	}
-	wor.run()
-	return wor
+	sim.run()
+	return sim
 }
 
-// slowEngines makes some engines work more slowly than their figures say, and
-// reports it.
-func slowEngines(t *testing.T, wor *world, dat *datadriven.TestData) {
-	num, by := 0, 1.0
-	dat.MaybeScanArgs(t, "slow", &num)
-	var txt string
-	if dat.MaybeScanArgs(t, "by", &txt); txt != "" {
-		_, err := fmt.Sscan(txt, &by)
+// slowEngines makes some engines slower than their parameters say and reports their pace
+// to the plan.
+func slowEngines(t *testing.T, sim *simulation, dat *datadriven.TestData) {
+	n, by := 0, 1.0
+	dat.MaybeScanArgs(t, "slow", &n)
+	var text string
+	if dat.MaybeScanArgs(t, "by", &text); text != "" {
+		_, err := fmt.Sscan(text, &by)
 		require.NoError(t, err)
 	}
-	for ind := range num {
-		id := fmt.Sprintf("e%02d", ind)
-		wor.engines[id].slow = by
-		wor.next(Report{Endpoint: id, Load: Load{Pace: by}}, epoch)
+	for i := range n {
+		id := fmt.Sprintf("e%02d", i)
+		sim.engines[id].slowdown = by
+		sim.next(Report{Endpoint: id, Load: Load{Pace: by}}, epoch)
 	}
 }
 
-// verdict compares the shares with the bounds.
-func verdict(t *testing.T, wor *world, dat *datadriven.TestData) string {
-	var bui strings.Builder
-	for cla, one := range classes {
+// compareShares compares the shares with the bounds.
+func compareShares(t *testing.T, sim *simulation, dat *datadriven.TestData) string {
+	var sb strings.Builder
+	for index, cla := range classes {
 		for _, what := range []string{"intime", "served"} {
-			var txt string
-			if dat.MaybeScanArgs(t, one.name+"-"+what, &txt); txt == "" {
+			var text string
+			if dat.MaybeScanArgs(t, cla.name+"-"+what, &text); text == "" {
 				continue
 			}
-			var bou float64
-			_, err := fmt.Sscan(txt, &bou)
+			var bound float64
+			_, err := fmt.Sscan(text, &bound)
 			require.NoError(t, err)
-			got := wor.share(cla, func(req *simRequest) bool {
+			got := sim.share(index, func(req *simRequest) bool {
 				if what == "served" {
 					return req.finished
 				}
 				return req.inTime()
 			})
-			if got >= bou {
-				fmt.Fprintf(&bui, "%s %s: at least %g\n", one.name, what, bou)
+			if got >= bound {
+				fmt.Fprintf(&sb, "%s %s: at least %g\n", cla.name, what, bound)
 			} else {
-				fmt.Fprintf(&bui, "%s %s: %.3f is under %g\n", one.name, what, got, bou)
+				fmt.Fprintf(&sb, "%s %s: %.3f is under %g\n", cla.name, what, got, bound)
 			}
 		}
 	}
-	return bui.String()
+	return sb.String()
 }
--- a/process/planner/loss.go
+++ b/process/planner/loss.go
@@ -3,154 +3,163 @@
 import "time"
 
 const (
-	// lateLoss is the part of a request's weight that is lost when its answer is
-	// late: callers still use it, but have waited.
+	// lateLoss is the share of a request's weight that is lost when its answer is late:
+	// callers still use it, but have waited.
 	lateLoss = 0.75
-	// earlyShare and lateShare of the time left bound the estimates between which
-	// a request may be late: estimates are off by some ten per cent.
+	// earlyShare and lateShare, as shares of the time left, bound the estimates of the
+	// first event between which a request may be late: estimates are off by some ten per
+	// cent.
 	earlyShare = 0.55
 	lateShare  = 1.05
-	// delayWeight is the share of a request's weight that a delay by its whole
-	// objective costs even where it should still be in time.
+	// delayWeight is the share of a request's weight that a delay by its full objective
+	// costs even if it should still be in time.
 	delayWeight = 0.3
-	// pauseShare is the share of an objective of pauses that a pass may take.
+	// pauseShare is the share of the limit on pauses that a pass may take.
 	pauseShare = 0.85
-	// blockRead is the time in ms of a read from which short prompts that come
+	// blockingPrefill is the prefill time in ms from which short prompts that arrive
 	// meanwhile are late.
-	blockRead = 120
-	// blockShare is the share of these prompts that finds no other engine.
-	blockShare = 0.25
-	// shortWeight is the weight of a short prompt that is not known yet.
+	blockingPrefill = 120
+	// blockedShare is the share of these short prompts that finds no other engine.
+	blockedShare = 0.25
+	// shortWeight is the weight of a short prompt that has not arrived yet.
 	shortWeight = 1.4
-	// assumedUsual stands in for the usual length of a prompt.
-	assumedUsual = 10_000
+	// defaultUsualPrompt is the usual length of a prompt in tokens if the pool's
+	// parameters do not give it.
+	defaultUsualPrompt = 10_000
 )
 
-// weight says how much a request counts against others. Callers with longer
-// prompts are fewer and wait for more.
-func (pla *Plan) weight(one *pending) float64 {
-	usu := pla.fig.UsualPrompt
-	if usu <= 0 {
-		usu = assumedUsual
+// weight is the importance of a request relative to others. Callers with longer prompts
+// are fewer and wait for more.
+func (pla *Plan) weight(pen *pending) float64 {
+	usual := pla.costs.UsualPrompt
+	if usual <= 0 {
+		usual = defaultUsualPrompt
 	}
-	return 1 + float64(one.prompt.Tokens)/float64(usu)
+	return 1 + float64(pen.prompt.Tokens)/float64(usual)
 }
 
-// late is the expected loss of a request whose first event comes after a time.
-func (pla *Plan) late(one *pending, first ms, now time.Time) float64 {
-	wei := pla.weight(one)
-	if first > msOf(one.patience.Sub(now)) {
-		return wei
+// lateness is the expected loss of a request whose first event arrives after the time
+// first.
+func (pla *Plan) lateness(pen *pending, first ms, now time.Time) float64 {
+	weight := pla.weight(pen)
+	if first > msOf(pen.callerDeadline.Sub(now)) {
+		return weight
 	}
-	sla := one.slack(now)
-	low, hig := earlyShare*sla, lateShare*sla
+	slack := pen.slack(now)
+	low, high := earlyShare*slack, lateShare*slack
 	switch {
-	case sla <= 0 || first >= hig:
-		return lateLoss * wei
+	case slack <= 0 || first >= high:
+		return lateLoss * weight
 	case first <= low:
 		return 0
 	default:
-		return lateLoss * wei * float64((first-low)/(hig-low))
+		return lateLoss * weight * float64((first-low)/(high-low))
 	}
 }
 
-// harm is the expected loss of the requests that an engine has when it gets a
-// further read. A lead also gets the context of the answer.
-func (pla *Plan) harm(eng *engine, read ms, context int64, divided bool, now time.Time) float64 {
+// interference is the expected loss of the requests on an engine when it gets a further
+// prefill. context is the length of the prompt if the engine also generates its answer,
+// and otherwise 0.
+func (pla *Plan) interference(eng *engine, prefill ms, context int64, divided bool, now time.Time) float64 {
 	if len(eng.grants) == 0 && len(eng.unconfirmed) == 0 && eng.passEnd.IsZero() {
 		return 0
 	}
-	old := eng.nextWriteTime(pla.fig, 0) + eng.queued()
-	nex := eng.nextWriteTime(pla.fig, context) + eng.queued() + read*eng.pace
-	var tot float64
-	// The pass in progress grows, too.
-	var cur ms
+	old := eng.nextDecodeTime(pla.costs, 0) + eng.queuedPrefill()
+	next := eng.nextDecodeTime(pla.costs, context) + eng.queuedPrefill() + prefill*eng.pace
+	var total float64
+	// The pass in progress becomes longer, too.
+	var current ms
 	if !eng.passEnd.IsZero() {
-		cur = eng.passTime
+		current = eng.passTime
 	}
 	for _, gra := range eng.grants {
-		tot += pla.pauseHarm(gra, max(old, cur), max(nex, cur+read*eng.pace))
+		total += pla.pauseLoss(gra, max(old, current), max(next, current+prefill*eng.pace))
 	}
-	for _, par := range eng.behind(divided) {
-		tot += pla.delayHarm(par, nex-old, now)
+	for _, par := range eng.delayedParts(divided) {
+		total += pla.delayLoss(par, next-old, now)
 	}
 	if !divided {
-		for _, gra := range eng.joined() {
-			tot += pla.joinHarm(gra, nex-old, now)
+		for _, gra := range eng.awaitingFirst() {
+			total += pla.joinLoss(gra, next-old, now)
 		}
 	}
-	for _, par := range eng.overdue(now) {
-		tot += doubtShare * pla.overdueHarm(par, nex-old, now)
+	for _, par := range eng.overdueParts(now) {
+		total += overdueShare * pla.overdueLoss(par, next-old, now)
 	}
-	return tot
+	return total
 }
 
-// block is the expected loss of the short prompts that will come while an engine
-// which serves such prompts reads a long part. Those engines share them.
-func (pla *Plan) block(eng *engine, read ms, shorts int, now time.Time) float64 {
-	if read < blockRead || eng.shorts == 0 {
+// blockingLoss is the expected loss of the short prompts that will arrive while an engine
+// which leads short prompts prefills a long part. shorts is the number of such engines,
+// over which these prompts are divided.
+func (pla *Plan) blockingLoss(eng *engine, prefill ms, shorts int, now time.Time) float64 {
+	if prefill < blockingPrefill || eng.shortPrompts == 0 {
 		return 0
 	}
-	return blockShare * lateLoss * shortWeight * pla.short.value(now) * float64(read) / 1000 / float64(max(1, shorts))
+	return blockedShare * lateLoss * shortWeight * pla.shortDemand.value(now) * float64(prefill) / 1000 / float64(max(1, shorts))
 }
 
 // shortEngines counts the engines that lead short prompts.
 func (pla *Plan) shortEngines() int {
-	num := 0
+	n := 0
 	for _, eng := range pla.order {
-		if eng.shorts > 0 {
-			num++
+		if eng.shortPrompts > 0 {
+			n++
 		}
 	}
-	return num
+	return n
 }
 
-// pauseHarm is the loss of an answer whose pass takes longer than it may pause.
-func (pla *Plan) pauseHarm(gra *grant, old, nex ms) float64 {
-	lim := pauseShare * msOf(gra.ask.prompt.Pause)
-	if lim <= 0 || gra.spoiled || old > lim || nex <= lim {
+// pauseLoss is the loss of a request if the next pass makes its answer pause for longer
+// than its limit.
+func (pla *Plan) pauseLoss(gra *grant, old, next ms) float64 {
+	limit := pauseShare * msOf(gra.req.prompt.Pause)
+	if limit <= 0 || gra.pauseMissed || old > limit || next <= limit {
 		return 0
 	}
-	return lateLoss * pla.weight(gra.ask)
+	return lateLoss * pla.weight(gra.req)
 }
 
-// delayHarm is the loss of a request one of whose parts is read later.
-func (pla *Plan) delayHarm(par *part, delay ms, now time.Time) float64 {
+// delayLoss is the loss of a request if the prefill of one of its parts is delayed.
+func (pla *Plan) delayLoss(par *part, delay ms, now time.Time) float64 {
 	gra := par.gra
 	if gra.began {
 		return 0
 	}
-	exp := msOf(gra.expected.Sub(now))
-	nex := max(exp, pla.firstAfter(par, now)+delay)
-	risk := delayWeight * pla.weight(gra.ask) * float64((nex-exp)/max(1, msOf(gra.ask.prompt.Objective)))
-	return max(0, pla.late(gra.ask, nex, now)-pla.late(gra.ask, exp, now)) + risk
+	expected := msOf(gra.expectedFirst.Sub(now))
+	next := max(expected, pla.firstEventDelay(par, now)+delay)
+	risk := delayWeight * pla.weight(gra.req) * float64((next-expected)/max(1, msOf(gra.req.prompt.Objective)))
+	return max(0, pla.lateness(gra.req, next, now)-pla.lateness(gra.req, expected, now)) + risk
 }
 
-// joinHarm is the loss of a request whose first event comes with the pass that a further
-// read prolongs.
-func (pla *Plan) joinHarm(gra *grant, delay ms, now time.Time) float64 {
-	exp := msOf(gra.expected.Sub(now))
-	return max(0, pla.late(gra.ask, exp+delay, now)-pla.late(gra.ask, exp, now))
+// joinLoss is the loss of a request whose first event arrives at the end of a pass that a
+// further prefill prolongs.
+func (pla *Plan) joinLoss(gra *grant, delay ms, now time.Time) float64 {
+	expected := msOf(gra.expectedFirst.Sub(now))
+	return max(0, pla.lateness(gra.req, expected+delay, now)-pla.lateness(gra.req, expected, now))
 }
 
-// overdueHarm is the loss of an overdue request if a part of it is read later.
-func (pla *Plan) overdueHarm(par *part, delay ms, now time.Time) float64 {
-	exp := par.eng.residual(now) + par.size + par.gra.lead.nextWriteTime(pla.fig, 0) + network
-	return max(0, pla.late(par.gra.ask, exp+delay, now)-pla.late(par.gra.ask, exp, now))
+// overdueLoss is the loss of an overdue request if the prefill of one of its parts is
+// delayed.
+func (pla *Plan) overdueLoss(par *part, delay ms, now time.Time) float64 {
+	expected := par.eng.residual(now) + par.fullPrefill + par.gra.lead.nextDecodeTime(pla.costs, 0) + networkTime
+	return max(0, pla.lateness(par.gra.req, expected+delay, now)-pla.lateness(par.gra.req, expected, now))
 }
 
-// firstAfter is the time to the first event of a grant that waits for a part.
-func (pla *Plan) firstAfter(par *part, now time.Time) ms {
-	return par.eng.finish(par, now) + par.gra.lead.nextWriteTime(pla.fig, 0) + network
+// firstEventDelay is the time to the first event of a grant that waits for the prefill of
+// a part.
+func (pla *Plan) firstEventDelay(par *part, now time.Time) ms {
+	return par.eng.finishDelay(par, now) + par.gra.lead.nextDecodeTime(pla.costs, 0) + networkTime
 }
 
-// spoil notes which answers a pass of an engine makes pause for too long.
-func (eng *engine) spoil(fig figures) {
-	pas := eng.nextWriteTime(fig, 0) + eng.queued()
+// markMissedPauses records which answers the next pass of an engine makes pause for longer
+// than their limit.
+func (eng *engine) markMissedPauses(cos costModel) {
+	pass := eng.nextDecodeTime(cos, 0) + eng.queuedPrefill()
 	for _, gra := range eng.grants {
-		lim := pauseShare * msOf(gra.ask.prompt.Pause)
-		if lim > 0 && pas > lim && gra.writing() {
-			gra.spoiled = true
+		limit := pauseShare * msOf(gra.req.prompt.Pause)
+		if limit > 0 && pass > limit && gra.decoding() {
+			gra.pauseMissed = true
 		}
 	}
 }
--- a/process/planner/plan.go
+++ b/process/planner/plan.go
@@ -9,48 +9,51 @@
 )
 
 const (
-	// grantGrace is the time after its deadline at which a grant ends.
+	// grantGrace is the time after its request's deadline at which a grant ends.
 	grantGrace = time.Second
-	// askTimeout is the time after which an ask that its host does not repeat is
-	// dropped. Hosts repeat theirs every second.
-	askTimeout = 2500 * time.Millisecond
-	// demandPeriod is the time over which the requests are averaged.
+	// requestTimeout is the time after which a waiting request that its host has not
+	// repeated is dropped. Hosts repeat their requests every second.
+	requestTimeout = 2500 * time.Millisecond
+	// demandPeriod is the period over which the demand for long and short prompts is
+	// averaged.
 	demandPeriod = 3 * time.Second
 )
 
-// ask is a request that waits.
+// pending is a request that waits for engines, or for which they have been granted.
 type pending struct {
 	Request
-	prompt  Prompt
-	read    ms
-	need    int64
-	arrived time.Time
-	seen    time.Time
-	// patience is when the caller gives up without an event.
-	patience time.Time
-	// tried is when the plan looked at it last; zero if it has not yet.
-	tried time.Time
-	// latest is when it must start to meet its objective on idle engines.
-	latest time.Time
+	prompt   Prompt
+	prefill  ms
+	need     int64
+	arrived  time.Time
+	lastSeen time.Time
+	// callerDeadline is the time at which the caller gives up if no event has arrived.
+	callerDeadline time.Time
+	// evaluated is the time at which dispatch last evaluated the request; zero if it has
+	// not yet.
+	evaluated time.Time
+	// latestStart is the latest time at which the request can start and still meet its
+	// objective on idle engines.
+	latestStart time.Time
 }
 
 // Plan is the state of one pool. Next changes it; it must not be used by two
 // goroutines at a time. Its zero value is an empty pool.
 type Plan struct {
-	fig     figures
+	costs   costModel
 	engines map[string]*engine
 	order   []*engine
 	waiting []*pending
 	grants  map[string]*grant
-	acts    []Action
-	// fresh says that an ask came since the plan looked at those that wait, dispatched
-	// when that was.
-	fresh      bool
-	dispatched time.Time
-	// long is the recent work of long prompts, in engines; short the recent rate of
-	// short ones, a second.
-	long  average
-	short average
+	actions []Action
+	// hasNew reports that a request has arrived since lastDispatch, the time of the last
+	// dispatch.
+	hasNew       bool
+	lastDispatch time.Time
+	// longDemand is the average work of long prompts in seconds of prefill per second,
+	// that is in engines; shortDemand is the average rate of short prompts per second.
+	longDemand  average
+	shortDemand average
 }
 
 // Next takes an event and returns the actions that follow.
@@ -58,140 +61,140 @@
 	if pla.engines == nil {
 		pla.engines = map[string]*engine{}
 		pla.grants = map[string]*grant{}
-		pla.fig = newFigures(parser.Batching{})
+		pla.costs = newCostModel(parser.Batching{})
 	}
-	pla.acts = nil
+	pla.actions = nil
 	for _, eng := range pla.order {
-		eng.advance(pla.fig, now)
+		eng.advance(pla.costs, now)
 	}
-	pla.take(eve, now)
+	pla.apply(eve, now)
 	pla.expire(now)
 	pla.dispatch(now)
-	return pla.acts
+	return pla.actions
 }
 
-func (pla *Plan) take(eve Event, now time.Time) {
+func (pla *Plan) apply(eve Event, now time.Time) {
 	switch eve := eve.(type) {
 	case Request:
-		pla.ask(eve, now)
+		pla.enqueue(eve, now)
 	case Cancel:
-		pla.waiting = slices.DeleteFunc(pla.waiting, func(one *pending) bool { return one.ID == eve.ID })
+		pla.waiting = slices.DeleteFunc(pla.waiting, func(pen *pending) bool { return pen.ID == eve.ID })
 		pla.end(eve.ID, now)
 	case Began:
-		pla.began(eve.ID, now)
+		pla.markBegan(eve.ID, now)
 	case Ended:
 		pla.end(eve.ID, now)
 	case Held:
-		pla.hold(eve, now)
+		pla.adopt(eve, now)
 	case Failed:
-		pla.failed(eve, now)
+		pla.markFailed(eve, now)
 	case Listing:
-		pla.list(eve.Engines)
+		pla.setEngines(eve.Engines)
 	case Report:
-		pla.report(eve, now)
+		pla.applyReport(eve, now)
 	case Unreachable:
 		if eng := pla.engines[eve.Endpoint]; eng != nil {
-			eng.misses++
+			eng.missedReports++
 		}
 	case HostRemoved:
-		pla.hostGone(eve, now)
+		pla.removeHost(eve, now)
 	case Parameters:
-		pla.fig = newFigures(eve.Batching)
+		pla.costs = newCostModel(eve.Batching)
 	}
 }
 
-// Waiting counts the asks that wait.
+// Waiting counts the requests that wait.
 func (pla *Plan) Waiting() int { return len(pla.waiting) }
 
 // Granted counts the grants that have not ended.
 func (pla *Plan) Granted() int { return len(pla.grants) }
 
-func (pla *Plan) ask(eve Request, now time.Time) {
+func (pla *Plan) enqueue(eve Request, now time.Time) {
 	if gra := pla.grants[eve.ID]; gra != nil {
 		pla.assign(gra, now)
 		return
 	}
-	for _, one := range pla.waiting {
-		if one.ID == eve.ID {
-			one.seen = now
+	for _, pen := range pla.waiting {
+		if pen.ID == eve.ID {
+			pen.lastSeen = now
 			return
 		}
 	}
-	one := pla.newAsk(eve, now)
-	pla.waiting = append(pla.waiting, one)
-	pla.fresh = true
-	if one.long() {
-		pla.long = pla.long.with(float64(one.read)/1000, now)
+	pen := pla.newPending(eve, now)
+	pla.waiting = append(pla.waiting, pen)
+	pla.hasNew = true
+	if pen.long() {
+		pla.longDemand = pla.longDemand.plus(float64(pen.prefill)/1000, now)
 	} else {
-		pla.short = pla.short.with(1, now)
+		pla.shortDemand = pla.shortDemand.plus(1, now)
 	}
 }
 
-func (pla *Plan) newAsk(eve Request, now time.Time) *pending {
+func (pla *Plan) newPending(eve Request, now time.Time) *pending {
 	pro := eve.Prompt
-	one := &pending{Request: eve, prompt: pro, read: pla.fig.read(pro.Tokens), arrived: now, seen: now}
-	one.need = pro.Tokens + pla.answerTokens(pro)
-	one.patience = patience(pro)
-	return one
+	pen := &pending{Request: eve, prompt: pro, prefill: pla.costs.prefill(pro.Tokens), arrived: now, lastSeen: now}
+	pen.need = pro.Tokens + pla.answerTokens(pro)
+	pen.callerDeadline = callerDeadline(pro)
+	return pen
 }
 
-// hold takes a grant of another planner into the account. What its engines have
-// read since then is taken as read.
-func (pla *Plan) hold(eve Held, now time.Time) {
-	pla.waiting = slices.DeleteFunc(pla.waiting, func(one *pending) bool { return one.ID == eve.Request.ID })
+// adopt adds a grant that another planner has made. Prefill that its engines should have
+// done since then counts as done.
+func (pla *Plan) adopt(eve Held, now time.Time) {
+	pla.waiting = slices.DeleteFunc(pla.waiting, func(pen *pending) bool { return pen.ID == eve.Request.ID })
 	if pla.grants[eve.Request.ID] != nil || len(eve.Parts) == 0 || pla.engines[eve.Parts[0].Endpoint] == nil {
 		return
 	}
-	one := pla.newAsk(eve.Request, now)
-	gra := &grant{ask: one, lead: pla.engines[eve.Parts[0].Endpoint], since: now.Add(-eve.Age), need: one.need, expected: now, began: eve.Begun}
-	whole := eve.Parts[0].Reserve == 0
-	for ind, out := range eve.Parts {
-		eng := pla.engines[out.Endpoint]
+	pen := pla.newPending(eve.Request, now)
+	gra := &grant{req: pen, lead: pla.engines[eve.Parts[0].Endpoint], grantedAt: now.Add(-eve.Age), leadMemory: pen.need, expectedFirst: now, began: eve.Begun}
+	leadHoldsAll := eve.Parts[0].Reserve == 0
+	for i, assigned := range eve.Parts {
+		eng := pla.engines[assigned.Endpoint]
 		if eng == nil {
 			continue
 		}
-		num := ms(len(eve.Parts))
-		par := &part{gra: gra, eng: eng, read: one.read / num * eng.pace, tokens: float64(one.prompt.Tokens) / float64(num), memory: out.Reserve}
-		if ind == 0 && whole {
-			par.memory = one.need
+		n := ms(len(eve.Parts))
+		par := &part{gra: gra, eng: eng, prefill: pen.prefill / n * eng.pace, tokens: float64(pen.prompt.Tokens) / float64(n), memory: assigned.Reserve}
+		if i == 0 && leadHoldsAll {
+			par.memory = pen.need
 		}
-		par.size = par.read
+		par.fullPrefill = par.prefill
 		gra.parts = append(gra.parts, par)
 	}
-	gra.need = gra.parts[0].memory
-	gra.lead.lead(gra)
-	pla.grants[one.ID] = gra
+	gra.leadMemory = gra.parts[0].memory
+	gra.lead.addGrant(gra)
+	pla.grants[pen.ID] = gra
 	for _, par := range gra.parts {
-		pla.holdPart(par, eve, now)
+		pla.adoptPart(par, eve, now)
 	}
 }
 
-// holdPart gives an engine what it has not read of a part.
-func (pla *Plan) holdPart(par *part, eve Held, now time.Time) {
-	lef := par.read - msOf(eve.Age)
-	if eve.Begun || lef <= 0 {
+// adoptPart queues on its engine what is left of the prefill of an adopted part.
+func (pla *Plan) adoptPart(par *part, eve Held, now time.Time) {
+	left := par.prefill - msOf(eve.Age)
+	if eve.Begun || left <= 0 {
 		par.eng.memory += par.memory
 		return
 	}
-	par.tokens *= float64(lef / par.read)
-	par.read = lef
-	par.gra.unread++
-	par.eng.add(pla.fig, par, now)
-	if exp := now.Add(pla.firstAfter(par, now).duration()); exp.After(par.gra.expected) {
-		par.gra.expected = exp
+	par.tokens *= float64(left / par.prefill)
+	par.prefill = left
+	par.gra.pendingParts++
+	par.eng.addPart(pla.costs, par, now)
+	if expected := now.Add(pla.firstEventDelay(par, now).duration()); expected.After(par.gra.expectedFirst) {
+		par.gra.expectedFirst = expected
 	}
 }
 
-// answerTokens is the memory set aside for an answer.
+// answerTokens is the number of tokens of memory that is set aside for an answer.
 func (pla *Plan) answerTokens(pro Prompt) int64 {
 	if pro.MaxTokens > 0 {
 		return pro.MaxTokens
 	}
-	return 2 * cmp.Or(pro.AnswerTokens, pla.fig.UsualAnswer)
+	return 2 * cmp.Or(pro.AnswerTokens, pla.costs.UsualAnswer)
 }
 
-// average is the mean of what came in the last time. It falls in a straight line
-// to nothing when nothing comes.
+// average is a moving average. It falls linearly to zero over twice demandPeriod when
+// nothing is added.
 type average struct {
 	sum float64
 	at  time.Time
@@ -201,30 +204,30 @@
 	return ave.sum * max(0, 1-now.Sub(ave.at).Seconds()/demandPeriod.Seconds()/2)
 }
 
-// with adds an amount to the average a second.
-func (ave average) with(amount float64, now time.Time) average {
+// plus returns the average after an amount has been added, as a rate per second.
+func (ave average) plus(amount float64, now time.Time) average {
 	return average{ave.value(now) + amount/demandPeriod.Seconds(), now}
 }
 
-// longShare is the share of the engines that long prompts took up lately.
+// longShare is the share of the engines that long prompts have recently occupied.
 func (pla *Plan) longShare(now time.Time) float64 {
-	return min(1, pla.long.value(now)/float64(max(1, len(pla.order))))
+	return min(1, pla.longDemand.value(now)/float64(max(1, len(pla.order))))
 }
 
-// began notes the first event of a grant. It also shows where the lead's passes
-// end.
-func (pla *Plan) began(id string, now time.Time) {
+// markBegan records the first event of a grant. The event also shows when a pass of the
+// lead engine ended.
+func (pla *Plan) markBegan(id string, now time.Time) {
 	gra := pla.grants[id]
 	if gra == nil || gra.began {
 		return
 	}
 	gra.began = true
-	gra.unread = 0
+	gra.pendingParts = 0
 	for _, par := range gra.parts[1:] {
-		par.eng.remove(par, now)
+		par.eng.removePart(par, now)
 	}
 	gra.lead.confirm(gra.parts[0])
-	gra.lead.ended(pla.fig, gra.parts[0], now.Add(-noticeDelay))
+	gra.lead.passEnded(pla.costs, gra.parts[0], now.Add(-noticeDelay))
 }
 
 func (pla *Plan) end(id string, now time.Time) {
@@ -233,35 +236,35 @@
 		return
 	}
 	delete(pla.grants, id)
-	gra.lead.leave(gra)
+	gra.lead.removeGrant(gra)
 	for _, par := range gra.parts {
-		par.eng.remove(par, now)
+		par.eng.removePart(par, now)
 		par.eng.memory -= par.memory
 	}
 }
 
-func (pla *Plan) failed(eve Failed, now time.Time) {
+func (pla *Plan) markFailed(eve Failed, now time.Time) {
 	for _, eng := range pla.order {
 		if eng.ID == eve.Endpoint || eng.Address == eve.Endpoint {
-			eng.suspect = now.Add(suspectTime)
+			eng.suspectUntil = now.Add(suspectTime)
 		}
 	}
 }
 
-func (pla *Plan) list(ends []Engine) {
-	see := map[string]bool{}
-	for _, end := range ends {
-		see[end.ID] = true
-		eng := pla.engines[end.ID]
-		if eng == nil || !eng.Started.Equal(end.Started) && !end.Started.IsZero() {
-			eng = &engine{Engine: end, pace: 1}
-			pla.engines[end.ID] = eng
+func (pla *Plan) setEngines(engines []Engine) {
+	listed := map[string]bool{}
+	for _, info := range engines {
+		listed[info.ID] = true
+		eng := pla.engines[info.ID]
+		if eng == nil || !eng.Started.Equal(info.Started) && !info.Started.IsZero() {
+			eng = &engine{Engine: info, pace: 1}
+			pla.engines[info.ID] = eng
 		}
-		eng.Engine, eng.gone = end, false
+		eng.Engine, eng.removed = info, false
 	}
 	for id, eng := range pla.engines {
-		if !see[id] {
-			eng.gone = true
+		if !listed[id] {
+			eng.removed = true
 			if len(eng.grants) == 0 {
 				delete(pla.engines, id)
 			}
@@ -271,53 +274,56 @@
 	for _, eng := range pla.engines {
 		pla.order = append(pla.order, eng)
 	}
-	slices.SortFunc(pla.order, func(one, two *engine) int { return cmp.Compare(one.ID, two.ID) })
+	slices.SortFunc(pla.order, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-func (pla *Plan) report(eve Report, now time.Time) {
+func (pla *Plan) applyReport(eve Report, now time.Time) {
 	eng := pla.engines[eve.Endpoint]
 	if eng == nil {
 		return
 	}
 	if !eve.Load.Started.IsZero() && !eng.Started.IsZero() && !eve.Load.Started.Equal(eng.Started) {
-		// Another process answers at the address; the listing will name it.
-		eng.misses++
+		// The report comes from another process at the address, which the next Listing
+		// will name.
+		eng.missedReports++
 		return
 	}
-	eng.accept(eve.Load)
-	lag := time.Duration(pla.fig.ReportLagMs * float64(time.Millisecond))
-	// The report may be older than the newest grants, and contain them or not.
-	var own, fresh int
-	var freshMemory int64
+	eng.applyLoad(eve.Load)
+	lag := time.Duration(pla.costs.ReportLagMs * float64(time.Millisecond))
+	// The report may be older than the newest grants, so that it may or may not include
+	// them.
+	var own, recent int
+	var recentMemory int64
 	for _, gra := range eng.grants {
 		own++
-		if now.Sub(gra.since) < 2*lag {
-			fresh++
-			freshMemory += gra.need
+		if now.Sub(gra.grantedAt) < 2*lag {
+			recent++
+			recentMemory += gra.leadMemory
 		}
 	}
-	oth := eve.Load.Running + eve.Load.Waiting - own
-	eng.foreign = max(0, min(max(eng.foreign, oth), oth+fresh))
-	mem := eve.Load.MemoryUsed - eng.memory
-	eng.foreignMemory = max(0, min(max(eng.foreignMemory, mem), mem+freshMemory))
+	others := eve.Load.Running + eve.Load.Waiting - own
+	eng.foreign = max(0, min(max(eng.foreign, others), others+recent))
+	memory := eve.Load.MemoryUsed - eng.memory
+	eng.foreignMemory = max(0, min(max(eng.foreignMemory, memory), memory+recentMemory))
 }
 
-func (pla *Plan) hostGone(eve HostRemoved, now time.Time) {
-	gone := func(one *pending) bool { return one.Host == eve.Host && one.Incarnation <= eve.Incarnation }
-	pla.waiting = slices.DeleteFunc(pla.waiting, gone)
+func (pla *Plan) removeHost(eve HostRemoved, now time.Time) {
+	match := func(pen *pending) bool { return pen.Host == eve.Host && pen.Incarnation <= eve.Incarnation }
+	pla.waiting = slices.DeleteFunc(pla.waiting, match)
 	for id, gra := range pla.grants {
-		if gone(gra.ask) {
+		if match(gra.req) {
 			pla.end(id, now)
 		}
 	}
 }
 
-// expire ends what nobody waits for any more.
+// expire ends the grants whose deadline has passed and drops the requests that their hosts
+// no longer repeat.
 func (pla *Plan) expire(now time.Time) {
 	for id, gra := range pla.grants {
-		if now.After(gra.ask.prompt.Deadline.Add(grantGrace)) {
+		if now.After(gra.req.prompt.Deadline.Add(grantGrace)) {
 			pla.end(id, now)
 		}
 	}
-	pla.waiting = slices.DeleteFunc(pla.waiting, func(one *pending) bool { return now.Sub(one.seen) > askTimeout })
+	pla.waiting = slices.DeleteFunc(pla.waiting, func(pen *pending) bool { return now.Sub(pen.lastSeen) > requestTimeout })
 }
--- a/process/planner/report_test.go
+++ b/process/planner/report_test.go
@@ -8,15 +8,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestForeignWork reads the reports of an engine that works on requests of a plan that
-// is lost, while new grants are made: what the report shows for certain counts at once,
-// and what may be a new grant counts once that is clear.
+// TestForeignWork reports the load of an engine that still works on requests of a lost
+// plan while new grants are made. What the report shows for certain must count as foreign
+// at once; what may be a new grant counts only once that is clear.
 func TestForeignWork(t *testing.T) {
 	tts := []struct {
 		name string
-		// old grants are in every report, fresh ones may be.
-		old, fresh int
-		// before is what was known to be foreign.
+		// Every report includes the old grants; it may or may not include the recent ones.
+		old, recent int
+		// before is the foreign work that was known before the report.
 		before  int
 		running int
 		want    int
@@ -38,8 +38,8 @@
 			pla.Next(Parameters{batching}, epoch)
 			pla.Next(Listing{[]Engine{{ID: "e", Address: "e"}}}, epoch)
 			now := epoch
-			grant := func(num int) {
-				for range num {
+			grant := func(n int) {
+				for range n {
 					id := fmt.Sprint(len(pla.grants))
 					acts := pla.Next(Request{ID: id, Prompt: Prompt{Tokens: 1000, MaxTokens: 500, Objective: 10 * time.Second, Target: now.Add(10 * time.Second), Deadline: now.Add(time.Minute)}}, now)
 					require.Len(t, acts, 1)
@@ -47,7 +47,7 @@
 			}
 			grant(tt.old)
 			now = now.Add(10 * time.Second)
-			grant(tt.fresh)
+			grant(tt.recent)
 			pla.engines["e"].foreign, pla.engines["e"].foreignMemory = tt.before, int64(tt.before)*1500
 			pla.Next(Report{"e", Load{Running: tt.running, MemoryUsed: int64(tt.running) * 1500, Pace: 1}}, now)
 			require.Equal(t, tt.want, pla.engines["e"].foreign)
--- a/process/planner/runner.go
+++ b/process/planner/runner.go
@@ -13,48 +13,48 @@
 )
 
 const (
-	// tick is the interval at which time passes for a plan with waiting asks; a
-	// part of a read takes some tens of milliseconds.
-	tick = 8 * time.Millisecond
-	// idleTime is the time without an ask after which reports are no longer read;
-	// forgetTime that after which a plan is dropped.
-	idleTime   = 3 * time.Second
-	forgetTime = 30 * time.Second
-	// firstPoll is the time over which the first reports of a plan are read.
-	firstPoll = 100 * time.Millisecond
-	// maxReports bounds the reports that a plan reads a second, and firstReports those of
-	// a plan that begins: they must leave the host time for asks, however many engines
-	// the pool has.
-	maxReports   = 256
-	firstReports = 1024
-	// loadTimeout bounds the read of one report.
+	// tickInterval is the interval of the Tick events of a plan with waiting requests; the
+	// prefill of a part takes some tens of milliseconds.
+	tickInterval = 8 * time.Millisecond
+	// pollIdleLimit is the time without a request after which the reports of a pool's
+	// engines are no longer read, planIdleLimit that after which its plan is dropped.
+	pollIdleLimit = 3 * time.Second
+	planIdleLimit = 30 * time.Second
+	// firstPollTime is the time over which the first reports of a plan are read.
+	firstPollTime = 100 * time.Millisecond
+	// maxReports is the greatest number of reports that a plan reads per second, and
+	// firstMaxReports that of a new plan. They leave the host time for requests, however
+	// many engines the pool has.
+	maxReports      = 256
+	firstMaxReports = 1024
+	// loadTimeout is the time limit for reading one report.
 	loadTimeout = 400 * time.Millisecond
 )
 
-// Loader reads what engines report.
+// Loader reads the engines' reports.
 type Loader interface {
 	Load(ctx context.Context, address string) (Load, error)
 }
 
-// Runner runs the plans of the pools that this host is asked to plan. All its
-// fields are needed.
+// Runner runs the plans of the pools for which this host is the planner. All its exported
+// fields are required.
 type Runner struct {
 	Loader Loader
 	// Engines lists the engines of a pool, Pool finds a pool by its name.
 	Engines func(poo parser.Pool, now time.Time) []Engine
 	Pool    func(name string) (parser.Pool, bool)
-	// Interval is that of reading reports.
+	// Interval is the interval at which reports are read.
 	Interval time.Duration
 	Clock    func() time.Time
 	Log      zerolog.Logger
 	Scope    tally.Scope
 
 	mu    sync.Mutex
-	plans map[string]*running
+	plans map[string]*poolPlan
 }
 
-// running is one plan with those that wait for its actions.
-type running struct {
+// poolPlan is the plan of one pool with the callers that wait for its actions.
+type poolPlan struct {
 	pool string
 	log  zerolog.Logger
 
@@ -62,35 +62,34 @@
 	plan    Plan
 	engines []Engine
 	waiters map[string]chan Action
-	// asked is when the last ask came, or when the plan began: grants that are announced
-	// come before the first one.
-	asked   time.Time
-	ticking bool
-	// polled is until when the last reading of the reports goes on.
-	polled time.Time
+	// lastRequest is the time of the last request, initially that at which the plan began:
+	// grants of other planners are announced before the first request.
+	lastRequest time.Time
+	ticking     bool
+	// pollEnd is the time until which the last poll of the reports is in progress.
+	pollEnd time.Time
 }
 
-// Submit queues a prompt and waits for an answer at most for hold. It returns nil
-// while the prompt waits; the host then repeats its ask. When ctx ends the ask is
-// cancelled.
-func (run *Runner) Submit(ctx context.Context, pool string, ask Request, hold time.Duration) Action {
-	one := run.running(pool)
-	if one == nil {
-		return Refuse{ID: ask.ID, Code: CodeNoEngine, Message: "this host does not know the pool", RetryAfter: leastRetry}
+// Submit queues a request and waits at most hold for an action. It returns nil while the
+// request waits; the host then submits it again. If ctx ends, the request is cancelled.
+func (run *Runner) Submit(ctx context.Context, pool string, req Request, hold time.Duration) Action {
+	pp := run.planFor(pool)
+	if pp == nil {
+		return Refuse{ID: req.ID, Code: CodeNoEngine, Message: "this host does not know the pool", RetryAfter: minRetryAfter}
 	}
-	wai := one.ask(ask, run.Clock())
-	one.keepTicking(run.Clock)
-	tim := time.NewTimer(hold)
-	defer tim.Stop()
+	answer := pp.submit(req, run.Clock())
+	pp.startTicking(run.Clock)
+	timer := time.NewTimer(hold)
+	defer timer.Stop()
 	select {
-	case act := <-wai:
+	case act := <-answer:
 		run.count(act)
 		return act
-	case <-tim.C:
-		return one.leave(ask.ID, wai)
+	case <-timer.C:
+		return pp.stopWaiting(req.ID, answer)
 	case <-ctx.Done():
-		_ = one.leave(ask.ID, wai)
-		one.next(Cancel{ask.ID}, run.Clock())
+		_ = pp.stopWaiting(req.ID, answer)
+		pp.apply(Cancel{req.ID}, run.Clock())
 		return nil
 	}
 }
@@ -105,35 +104,37 @@
 	}
 }
 
-// Notify passes events of grants on to the plan of a pool, if it is run here.
+// Notify passes events of grants to the plan of a pool, if this host has one. A Held event
+// starts a plan.
 func (run *Runner) Notify(pool string, eves ...Event) {
 	run.mu.Lock()
-	one := run.plans[pool]
+	pp := run.plans[pool]
 	run.mu.Unlock()
-	if one == nil && slices.ContainsFunc(eves, func(eve Event) bool { _, ok := eve.(Held); return ok }) {
-		one = run.running(pool)
+	if pp == nil && slices.ContainsFunc(eves, func(eve Event) bool { _, ok := eve.(Held); return ok }) {
+		pp = run.planFor(pool)
 	}
-	if one == nil {
+	if pp == nil {
 		return
 	}
 	for _, eve := range eves {
-		one.next(eve, run.Clock())
+		pp.apply(eve, run.Clock())
 	}
 }
 
-// RemoveHost ends what a host's process, up to an incarnation, holds.
+// RemoveHost ends the waiting requests and the grants of a host's processes up to an
+// incarnation.
 func (run *Runner) RemoveHost(eve HostRemoved) {
-	for _, one := range run.all() {
-		one.next(eve, run.Clock())
+	for _, pp := range run.allPlans() {
+		pp.apply(eve, run.Clock())
 	}
 }
 
-func (run *Runner) all() []*running {
+func (run *Runner) allPlans() []*poolPlan {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	out := make([]*running, 0, len(run.plans))
-	for _, one := range run.plans {
-		out = append(out, one)
+	out := make([]*poolPlan, 0, len(run.plans))
+	for _, pp := range run.plans {
+		out = append(out, pp)
 	}
 	return out
 }
@@ -141,195 +142,197 @@
 // Granted counts the grants of a pool that have not ended.
 func (run *Runner) Granted(pool string) int {
 	run.mu.Lock()
-	one := run.plans[pool]
+	pp := run.plans[pool]
 	run.mu.Unlock()
-	if one == nil {
+	if pp == nil {
 		return 0
 	}
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	return one.plan.Granted()
+	pp.mu.Lock()
+	defer pp.mu.Unlock()
+	return pp.plan.Granted()
 }
 
-func (run *Runner) running(pool string) *running {
+func (run *Runner) planFor(pool string) *poolPlan {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	if one := run.plans[pool]; one != nil {
-		return one
+	if pp := run.plans[pool]; pp != nil {
+		return pp
 	}
 	poo, ok := run.Pool(pool)
 	if !ok || poo.Batching == nil {
 		return nil
 	}
-	one := &running{pool: pool, log: run.Log, waiters: map[string]chan Action{}, asked: run.Clock()}
+	pp := &poolPlan{pool: pool, log: run.Log, waiters: map[string]chan Action{}, lastRequest: run.Clock()}
 	if run.plans == nil {
-		run.plans = map[string]*running{}
+		run.plans = map[string]*poolPlan{}
 	}
-	run.plans[pool] = one
-	run.refresh(one)
-	run.Log.Info().Str("Pool", pool).Int("Engines", len(one.engines)).Msg("planning of a pool begins")
-	// The plan before this one may be lost, and with it the account of the engines.
-	run.poll(context.Background(), one, firstPoll, firstReports)
-	return one
+	run.plans[pool] = pp
+	run.refresh(pp)
+	run.Log.Info().Str("Pool", pool).Int("Engines", len(pp.engines)).Msg("started planning for pool")
+	// A previous planner of the pool may have failed, and its knowledge of the engines'
+	// load with it.
+	run.poll(context.Background(), pp, firstPollTime, firstMaxReports)
+	return pp
 }
 
-// refresh takes the pool's figures and engines over.
-func (run *Runner) refresh(one *running) {
-	poo, ok := run.Pool(one.pool)
+// refresh updates the parameters and the engines of a plan.
+func (run *Runner) refresh(pp *poolPlan) {
+	poo, ok := run.Pool(pp.pool)
 	if !ok || poo.Batching == nil {
 		return
 	}
 	now := run.Clock()
-	ends := run.Engines(poo, now)
-	one.next(Parameters{*poo.Batching}, now)
-	one.next(Listing{ends}, now)
-	one.mu.Lock()
-	one.engines = ends
-	one.mu.Unlock()
+	engines := run.Engines(poo, now)
+	pp.apply(Parameters{*poo.Batching}, now)
+	pp.apply(Listing{engines}, now)
+	pp.mu.Lock()
+	pp.engines = engines
+	pp.mu.Unlock()
 }
 
-// Refresh takes changes of the tables and of the endpoints over at once.
+// Refresh applies changes of the tables and of the endpoints at once.
 func (run *Runner) Refresh() {
-	for _, one := range run.all() {
-		run.refresh(one)
+	for _, pp := range run.allPlans() {
+		run.refresh(pp)
 	}
 }
 
-// Run reads reports until ctx ends.
+// Run reads reports and drops idle plans until ctx ends.
 func (run *Runner) Run(ctx context.Context) {
-	tic := time.NewTicker(run.Interval)
-	defer tic.Stop()
+	ticker := time.NewTicker(run.Interval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tic.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		for _, one := range run.all() {
-			idl := one.idle(run.Clock())
-			if idl > forgetTime {
+		for _, pp := range run.allPlans() {
+			idle := pp.idle(run.Clock())
+			if idle > planIdleLimit {
 				run.mu.Lock()
-				delete(run.plans, one.pool)
+				delete(run.plans, pp.pool)
 				run.mu.Unlock()
-				run.Log.Info().Str("Pool", one.pool).Msg("planning of a pool ends")
+				run.Log.Info().Str("Pool", pp.pool).Msg("dropped idle plan of pool")
 				continue
 			}
-			run.refresh(one)
-			if idl < idleTime {
-				run.poll(ctx, one, run.Interval, maxReports)
+			run.refresh(pp)
+			if idle < pollIdleLimit {
+				run.poll(ctx, pp, run.Interval, maxReports)
 			}
 		}
 	}
 }
 
-// poll reads the reports of all engines, unless the last reading of them goes on. They are
-// spread over a time, or a longer one at the rate that bounds them: those of a hundred
-// engines at once would hold asks up.
-func (run *Runner) poll(ctx context.Context, one *running, over time.Duration, rate int) {
+// poll reads the reports of all engines, unless the previous poll is still in progress. It
+// spreads the reads over a time, or over a longer one if the rate requires it: reading the
+// reports of a hundred engines at once would delay requests.
+func (run *Runner) poll(ctx context.Context, pp *poolPlan, over time.Duration, rate int) {
 	now := run.Clock()
-	one.mu.Lock()
-	ends := one.engines
-	over = max(over, time.Duration(len(ends))*time.Second/time.Duration(rate))
-	if now.Before(one.polled) {
-		one.mu.Unlock()
+	pp.mu.Lock()
+	engines := pp.engines
+	over = max(over, time.Duration(len(engines))*time.Second/time.Duration(rate))
+	if now.Before(pp.pollEnd) {
+		pp.mu.Unlock()
 		return
 	}
-	// The ticker may come a little early.
-	one.polled = now.Add(over - over/8)
-	one.mu.Unlock()
-	for ind, end := range ends {
-		time.AfterFunc(over*time.Duration(ind)/time.Duration(len(ends)), func() {
+	// The ticker may fire slightly early.
+	pp.pollEnd = now.Add(over - over/8)
+	pp.mu.Unlock()
+	for i, eng := range engines {
+		time.AfterFunc(over*time.Duration(i)/time.Duration(len(engines)), func() {
 			if ctx.Err() != nil {
 				return
 			}
 			ctx, stop := context.WithTimeout(ctx, loadTimeout)
 			defer stop()
-			loa, err := run.Loader.Load(ctx, end.Address)
+			loa, err := run.Loader.Load(ctx, eng.Address)
 			if err != nil {
-				run.Log.Debug().Str("Endpoint", end.ID).Err(err).Msg("report not read")
-				one.next(Unreachable{end.ID}, run.Clock())
+				run.Log.Debug().Str("Endpoint", eng.ID).Err(err).Msg("engine report could not be read; counting a missed report")
+				pp.apply(Unreachable{eng.ID}, run.Clock())
 				return
 			}
-			one.next(Report{end.ID, loa}, run.Clock())
+			pp.apply(Report{eng.ID, loa}, run.Clock())
 		})
 	}
 }
 
-func (one *running) idle(now time.Time) time.Duration {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	return now.Sub(one.asked)
+func (pp *poolPlan) idle(now time.Time) time.Duration {
+	pp.mu.Lock()
+	defer pp.mu.Unlock()
+	return now.Sub(pp.lastRequest)
 }
 
-func (one *running) ask(ask Request, now time.Time) chan Action {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	one.asked = now
-	wai := make(chan Action, 1)
-	one.waiters[ask.ID] = wai
-	one.deliver(one.plan.Next(ask, now))
-	return wai
+func (pp *poolPlan) submit(req Request, now time.Time) chan Action {
+	pp.mu.Lock()
+	defer pp.mu.Unlock()
+	pp.lastRequest = now
+	answer := make(chan Action, 1)
+	pp.waiters[req.ID] = answer
+	pp.deliver(pp.plan.Next(req, now))
+	return answer
 }
 
-// leave ends the wait for an ask and returns the action that came meanwhile.
-func (one *running) leave(id string, wai chan Action) Action {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	if one.waiters[id] == wai {
-		delete(one.waiters, id)
+// stopWaiting stops waiting for a request and returns the action that has arrived
+// meanwhile, if any.
+func (pp *poolPlan) stopWaiting(id string, answer chan Action) Action {
+	pp.mu.Lock()
+	defer pp.mu.Unlock()
+	if pp.waiters[id] == answer {
+		delete(pp.waiters, id)
 	}
 	select {
-	case act := <-wai:
+	case act := <-answer:
 		return act
 	default:
 		return nil
 	}
 }
 
-func (one *running) next(eve Event, now time.Time) {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	one.deliver(one.plan.Next(eve, now))
+func (pp *poolPlan) apply(eve Event, now time.Time) {
+	pp.mu.Lock()
+	defer pp.mu.Unlock()
+	pp.deliver(pp.plan.Next(eve, now))
 }
 
-// keepTicking lets time pass while asks wait.
-func (one *running) keepTicking(clock func() time.Time) {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	if one.ticking || one.plan.Waiting() == 0 {
+// startTicking sends Tick events to the plan while requests wait.
+func (pp *poolPlan) startTicking(clock func() time.Time) {
+	pp.mu.Lock()
+	defer pp.mu.Unlock()
+	if pp.ticking || pp.plan.Waiting() == 0 {
 		return
 	}
-	one.ticking = true
-	time.AfterFunc(tick, func() { one.tick(clock) })
+	pp.ticking = true
+	time.AfterFunc(tickInterval, func() { pp.tick(clock) })
 }
 
-func (one *running) tick(clock func() time.Time) {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	one.deliver(one.plan.Next(Tick{}, clock()))
-	if one.ticking = one.plan.Waiting() > 0; one.ticking {
-		time.AfterFunc(tick, func() { one.tick(clock) })
+func (pp *poolPlan) tick(clock func() time.Time) {
+	pp.mu.Lock()
+	defer pp.mu.Unlock()
+	pp.deliver(pp.plan.Next(Tick{}, clock()))
+	if pp.ticking = pp.plan.Waiting() > 0; pp.ticking {
+		time.AfterFunc(tickInterval, func() { pp.tick(clock) })
 	}
 }
 
-// deliver hands actions to those that wait for them and logs them. A grant that
-// nobody waits for stays until its ask is repeated. The caller holds the lock.
-func (one *running) deliver(acts []Action) {
+// deliver logs actions and sends them to their waiting callers. A grant for which nobody
+// waits stays until its request is repeated. The caller holds the lock.
+func (pp *poolPlan) deliver(acts []Action) {
 	for _, act := range acts {
 		var id string
 		switch act := act.(type) {
 		case Assign:
 			id = act.ID
-			one.log.Info().Str("RequestID", id).Str("Pool", one.pool).Strs("Endpoints", act.endpoints()).
-				Dur("FirstMs", act.First).Dur("WaitedMs", act.Waited).Int("Waiting", one.plan.Waiting()).Int("Granted", one.plan.Granted()).Msg("plan granted")
+			pp.log.Info().Str("RequestID", id).Str("Pool", pp.pool).Strs("Endpoints", act.endpoints()).
+				Dur("FirstMs", act.First).Dur("WaitedMs", act.Waited).Int("Waiting", pp.plan.Waiting()).Int("Granted", pp.plan.Granted()).Msg("plan granted")
 		case Refuse:
 			id = act.ID
-			one.log.Warn().Str("RequestID", id).Str("Pool", one.pool).Str("Code", act.Code).Dur("RetryAfterMs", act.RetryAfter).
-				Int("Waiting", one.plan.Waiting()).Int("Granted", one.plan.Granted()).Msg("plan refused")
+			pp.log.Warn().Str("RequestID", id).Str("Pool", pp.pool).Str("Code", act.Code).Dur("RetryAfterMs", act.RetryAfter).
+				Int("Waiting", pp.plan.Waiting()).Int("Granted", pp.plan.Granted()).Msg("plan refused")
 		}
-		if wai := one.waiters[id]; wai != nil {
-			delete(one.waiters, id)
-			wai <- act
+		if answer := pp.waiters[id]; answer != nil {
+			delete(pp.waiters, id)
+			answer <- act
 		}
 	}
 }
--- a/process/planner/runner_test.go
+++ b/process/planner/runner_test.go
@@ -15,13 +15,13 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// idleEngines report no work.
+// idleEngines report no load.
 type idleEngines struct{}
 
 func (idleEngines) Load(context.Context, string) (Load, error) { return Load{Pace: 1}, nil }
 
-// TestAnnouncedPlanStays announces a grant to a host that nobody has asked yet: its plan
-// keeps the grant until the first ask comes.
+// TestAnnouncedPlanStays announces a grant to a host that has received no request yet: its
+// plan must keep the grant until the first request arrives.
 func TestAnnouncedPlanStays(t *testing.T) {
 	const interval = 5 * time.Millisecond
 	run := &Runner{
@@ -47,28 +47,28 @@
 	<-done
 }
 
-// counted counts the reports that are read.
-type counted struct{ num atomic.Int64 }
+// countingLoader counts the reports that are read.
+type countingLoader struct{ count atomic.Int64 }
 
-func (cou *counted) Load(context.Context, string) (Load, error) {
-	cou.num.Add(1)
+func (loa *countingLoader) Load(context.Context, string) (Load, error) {
+	loa.count.Add(1)
 	return Load{Pace: 1}, nil
 }
 
-// TestReportsAreBounded plans pools of many engines: the reports that are read a second
-// follow the engines up to a bound.
+// TestReportsAreBounded checks that the rate at which reports are read grows with the
+// number of engines only up to a bound.
 func TestReportsAreBounded(t *testing.T) {
 	tts := []struct{ engines, least, most int }{{14, 14 * 18, 14 * 23}, {112, 112 * 18, 112 * 23}, {3000, 10 * 200, 3000 + 10*maxReports}}
 	for _, tt := range tts {
 		t.Run(fmt.Sprint(tt.engines), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var ends []Engine
-				for ind := range tt.engines {
-					ends = append(ends, Engine{ID: fmt.Sprint(ind), Address: fmt.Sprint(ind)})
+				var engines []Engine
+				for i := range tt.engines {
+					engines = append(engines, Engine{ID: fmt.Sprint(i), Address: fmt.Sprint(i)})
 				}
-				var cou counted
+				var loader countingLoader
 				run := &Runner{
-					Loader: &cou, Engines: func(parser.Pool, time.Time) []Engine { return ends },
+					Loader: &loader, Engines: func(parser.Pool, time.Time) []Engine { return engines },
 					Pool:     func(string) (parser.Pool, bool) { return parser.Pool{Name: "llm", Batching: &batching}, true },
 					Interval: 500 * time.Millisecond, Clock: time.Now, Log: zerolog.Nop(), Scope: tally.NoopScope,
 				}
@@ -79,8 +79,8 @@
 					run.Submit(ctx, "llm", Request{ID: fmt.Sprint(now.UnixNano()), Host: "h", Prompt: Prompt{Tokens: 1000, Target: now.Add(time.Second), Deadline: now.Add(10 * time.Second), Objective: time.Second}}, time.Millisecond)
 					time.Sleep(time.Second)
 				}
-				require.GreaterOrEqual(t, int(cou.num.Load()), tt.least)
-				require.LessOrEqual(t, int(cou.num.Load()), tt.most)
+				require.GreaterOrEqual(t, int(loader.count.Load()), tt.least)
+				require.LessOrEqual(t, int(loader.count.Load()), tt.most)
 				stop()
 				synctest.Wait()
 			})
--- a/process/planner/world_test.go
+++ b/process/planner/world_test.go
@@ -13,19 +13,21 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// batching are the figures of the engines in the tests.
+// batching are the parameters of the engines in the tests.
 var batching = parser.Batching{
 	Slots: 16, MemoryTokens: 315_000, StepMs: 0.85, SequenceMs: 0.00425, ContextMs: 0.00285, Stride: 51,
 	ReadRate: 177_000, PairsMs: 0.184, ChunkTokens: 2048, HopMs: 0.05, ReportLagMs: 200, UsualPrompt: 11_108, UsualAnswer: 1622,
 }
 
-// class is a kind of request.
+// class is a class of requests: its usual rate per second, the lognormal distribution of
+// its prompts' lengths (mean, sigma, maxTokens), the mean number of events of an answer,
+// and its objectives.
 type class struct {
 	name      string
 	rate      float64
 	mean      float64
-	spread    float64
-	most      float64
+	sigma     float64
+	maxTokens float64
 	events    float64
 	objective time.Duration
 	pause     time.Duration
@@ -38,139 +40,142 @@
 	{"long", 0.88, 154_000, 0.55, 700_000, 16, 3 * time.Second, time.Second, 15 * time.Second},
 }
 
-// simRequest is a request in the simulated world.
+// simRequest is a simulated request.
 type simRequest struct {
-	id       string
-	class    int
-	tokens   int64
-	events   int
-	arrived  time.Time
-	first    time.Time
-	last     time.Time
-	longest  time.Duration
-	sent     int
-	unread   int
-	lead     *simEngine
-	left     bool
-	refused  bool
-	finished bool
+	id           string
+	class        int
+	tokens       int64
+	events       int
+	arrived      time.Time
+	first        time.Time
+	last         time.Time
+	longestPause time.Duration
+	sent         int
+	pendingParts int
+	lead         *simEngine
+	gaveUp       bool
+	refused      bool
+	finished     bool
 }
 
 func (req *simRequest) inTime() bool {
 	cla := classes[req.class]
-	return req.finished && req.first.Sub(req.arrived) <= cla.objective && req.longest <= cla.pause
+	return req.finished && req.first.Sub(req.arrived) <= cla.objective && req.longestPause <= cla.pause
 }
 
-// simPart is a read of one engine. Tokens and read are what is left of it.
+// simPart is the prefill of one engine for a request. tokens and prefill are what is left
+// of it.
 type simPart struct {
-	req    *simRequest
-	tokens float64
-	read   float64
+	req     *simRequest
+	tokens  float64
+	prefill float64
 }
 
-// take takes the tokens that fit into a budget, and returns their time.
-func (par *simPart) take(budget *float64) float64 {
+// consume prefills the tokens that fit into a budget and returns the time that it takes.
+func (par *simPart) consume(budget *float64) float64 {
 	if par.tokens <= *budget {
 		*budget -= par.tokens
-		dur := par.read
-		par.tokens, par.read = 0, 0
+		dur := par.prefill
+		par.tokens, par.prefill = 0, 0
 		return dur
 	}
-	sha := *budget / par.tokens
-	dur := sha * par.read
+	share := *budget / par.tokens
+	dur := share * par.prefill
 	par.tokens -= *budget
-	par.read -= dur
+	par.prefill -= dur
 	*budget = 0
 	return dur
 }
 
-// simEngine works in steps, as the platform's contract of engines says: each one
-// reads up to a chunk, and a stride of them writes an event of every answer. Parts
-// of divided prompts go ahead of other reads, the newest first: the bench's engines
-// were seen to do so on quiet-1 of solepost-mu, where a replay of that order gave
-// the first events of 41 divided prompts within 0.1 s in the median.
+// simEngine works in steps, as the platform's contract of engines says: each step prefills
+// up to a chunk, and a stride of steps generates an event of every answer. Parts of
+// divided prompts take precedence over other prefills, the newest first. Engines of the
+// test bench (quiet-1 of solepost-mu) do the same: a replay of that order gave the first
+// events of 41 divided prompts within 0.1 s in the median.
 type simEngine struct {
-	id      string
-	slow    float64
-	divided []*simPart
-	whole   []*simPart
-	// read are own prompts whose first event comes with the end of the pass.
-	read    []*simRequest
-	writing []*simRequest
-	// left counts the steps of the pass, since is when the slice in progress began,
-	// of steps at stepMs each. Slice tells its end from those that were cut.
-	left   int
-	since  time.Time
-	stepMs float64
-	slice  int
-	idle   bool
-}
-
-// next returns the reads in the order in which the engine takes them.
-func (eng *simEngine) next() []*simPart {
+	id        string
+	slowdown  float64
+	divided   []*simPart
+	undivided []*simPart
+	// prefilled are the prompts that the engine leads whose first event comes at the end
+	// of the pass.
+	prefilled []*simRequest
+	decoding  []*simRequest
+	// stepsLeft is the number of steps left of the pass. sliceStart is when the slice in
+	// progress began, whose steps take stepMs each. sliceID distinguishes its end from the
+	// ends of slices that were interrupted.
+	stepsLeft  int
+	sliceStart time.Time
+	stepMs     float64
+	sliceID    int
+	idle       bool
+}
+
+// queue returns the parts in the order in which the engine prefills them.
+func (eng *simEngine) queue() []*simPart {
 	out := slices.Clone(eng.divided)
 	slices.Reverse(out)
-	return append(out, eng.whole...)
+	return append(out, eng.undivided...)
 }
 
-// remove takes out the parts that a report holds for.
-func (eng *simEngine) remove(is func(*simPart) bool) {
-	eng.divided = slices.DeleteFunc(eng.divided, is)
-	eng.whole = slices.DeleteFunc(eng.whole, is)
+// remove removes the parts for which match holds.
+func (eng *simEngine) remove(match func(*simPart) bool) {
+	eng.divided = slices.DeleteFunc(eng.divided, match)
+	eng.undivided = slices.DeleteFunc(eng.undivided, match)
 }
 
 func (eng *simEngine) drop(req *simRequest) {
 	eng.remove(func(par *simPart) bool { return par.req == req })
-	is := func(oth *simRequest) bool { return oth == req }
-	eng.writing = slices.DeleteFunc(eng.writing, is)
-	eng.read = slices.DeleteFunc(eng.read, is)
+	match := func(other *simRequest) bool { return other == req }
+	eng.decoding = slices.DeleteFunc(eng.decoding, match)
+	eng.prefilled = slices.DeleteFunc(eng.prefilled, match)
 }
 
-// step is the time of one step without what it reads.
-func (eng *simEngine) step() float64 {
-	var con int64
-	for _, req := range append(slices.Clone(eng.writing), eng.read...) {
-		con += req.tokens
+// stepTime is the time of one step without prefill, in ms.
+func (eng *simEngine) stepTime() float64 {
+	var contextTokens int64
+	for _, req := range append(slices.Clone(eng.decoding), eng.prefilled...) {
+		contextTokens += req.tokens
 	}
-	ans := len(eng.writing) + len(eng.read)
-	return float64(newFigures(batching).pass(ans, con)) / float64(batching.Stride)
+	answers := len(eng.decoding) + len(eng.prefilled)
+	return float64(newCostModel(batching).decodePass(answers, contextTokens)) / float64(batching.Stride)
 }
 
-// simEvent is something that happens at a time.
+// simEvent is a function that runs at a given time.
 type simEvent struct {
-	at  time.Time
-	num int
-	run func(now time.Time)
+	at       time.Time
+	sequence int
+	run      func(now time.Time)
 }
 
 type simQueue []simEvent
 
 func (que simQueue) Len() int { return len(que) }
-func (que simQueue) Less(one, two int) bool {
-	if !que[one].at.Equal(que[two].at) {
-		return que[one].at.Before(que[two].at)
+func (que simQueue) Less(i, j int) bool {
+	if !que[i].at.Equal(que[j].at) {
+		return que[i].at.Before(que[j].at)
 	}
-	return que[one].num < que[two].num
+	return que[i].sequence < que[j].sequence
 }
-func (que simQueue) Swap(one, two int) { que[one], que[two] = que[two], que[one] }
-func (que *simQueue) Push(val any)     { *que = append(*que, val.(simEvent)) }
+func (que simQueue) Swap(i, j int) { que[i], que[j] = que[j], que[i] }
+func (que *simQueue) Push(val any) { *que = append(*que, val.(simEvent)) }
 func (que *simQueue) Pop() any {
-	las := (*que)[len(*que)-1]
+	last := (*que)[len(*que)-1]
 	*que = (*que)[:len(*que)-1]
-	return las
+	return last
 }
 
-// world drives a plan with simulated callers and engines.
-type world struct {
+// simulation drives a plan with simulated callers and engines.
+type simulation struct {
 	plan     Plan
 	engines  map[string]*simEngine
 	requests map[string]*simRequest
-	order    []*simRequest
+	ordered  []*simRequest
 	queue    simQueue
-	num      int
+	sequence int
 	random   *rand.Rand
 	ticking  bool
-	// timed, if not nil, is told how long each step of the plan took.
+	// timed, if not nil, receives the duration of each step of the plan.
 	timed func(dur time.Duration)
 }
 
@@ -179,247 +184,247 @@
 	simTick = 8 * time.Millisecond
 )
 
-func newWorld(engines int, seed uint64) *world {
-	wor := &world{engines: map[string]*simEngine{}, requests: map[string]*simRequest{}, random: rand.New(rand.NewPCG(seed, 1))}
-	var lis []Engine
-	for ind := range engines {
-		id := fmt.Sprintf("e%02d", ind)
-		wor.engines[id] = &simEngine{id: id, slow: 1}
-		lis = append(lis, Engine{ID: id, Address: id})
+func newSimulation(engines int, seed uint64) *simulation {
+	sim := &simulation{engines: map[string]*simEngine{}, requests: map[string]*simRequest{}, random: rand.New(rand.NewPCG(seed, 1))}
+	var listed []Engine
+	for i := range engines {
+		id := fmt.Sprintf("e%02d", i)
+		sim.engines[id] = &simEngine{id: id, slowdown: 1}
+		listed = append(listed, Engine{ID: id, Address: id})
 	}
-	wor.plan.Next(Parameters{batching}, epoch)
-	wor.plan.Next(Listing{lis}, epoch)
-	return wor
+	sim.plan.Next(Parameters{batching}, epoch)
+	sim.plan.Next(Listing{listed}, epoch)
+	return sim
 }
 
-func (wor *world) at(at time.Time, run func(now time.Time)) {
-	wor.num++
-	heap.Push(&wor.queue, simEvent{at, wor.num, run})
+func (sim *simulation) at(at time.Time, run func(now time.Time)) {
+	sim.sequence++
+	heap.Push(&sim.queue, simEvent{at, sim.sequence, run})
 }
 
-func (wor *world) run() {
-	for len(wor.queue) > 0 {
-		eve := heap.Pop(&wor.queue).(simEvent)
+func (sim *simulation) run() {
+	for len(sim.queue) > 0 {
+		eve := heap.Pop(&sim.queue).(simEvent)
 		eve.run(eve.at)
 	}
 }
 
-// arrive makes the requests of a class at a rate for a time.
-func (wor *world) arrive(cla int, rate float64, from time.Time, dur time.Duration) {
+// addArrivals adds the requests of a class that arrive at a rate over a time.
+func (sim *simulation) addArrivals(index int, rate float64, from time.Time, dur time.Duration) {
 	at := from
 	for rate > 0 {
-		at = at.Add(time.Duration(wor.random.ExpFloat64() / rate * float64(time.Second)))
+		at = at.Add(time.Duration(sim.random.ExpFloat64() / rate * float64(time.Second)))
 		if at.Sub(from) >= dur {
 			return
 		}
-		wor.request(cla, wor.length(classes[cla]), at)
+		sim.addRequest(index, sim.drawLength(classes[index]), at)
 	}
 }
 
-// length draws the length of a prompt.
-func (wor *world) length(cla class) int64 {
-	med := cla.mean / math.Exp(cla.spread*cla.spread/2)
-	return int64(min(cla.most, max(200, med*math.Exp(cla.spread*wor.random.NormFloat64()))))
+// drawLength draws the length of a prompt.
+func (sim *simulation) drawLength(cla class) int64 {
+	median := cla.mean / math.Exp(cla.sigma*cla.sigma/2)
+	return int64(min(cla.maxTokens, max(200, median*math.Exp(cla.sigma*sim.random.NormFloat64()))))
 }
 
-func (wor *world) request(cla int, tokens int64, at time.Time) *simRequest {
-	req := &simRequest{id: fmt.Sprintf("r%05d", len(wor.order)), class: cla, tokens: tokens, arrived: at}
-	req.events = max(1, int(classes[cla].events*math.Exp(0.5*wor.random.NormFloat64()-0.125)))
-	wor.requests[req.id] = req
-	wor.order = append(wor.order, req)
-	wor.at(at.Add(simHop), func(now time.Time) { wor.ask(req, now) })
+func (sim *simulation) addRequest(index int, tokens int64, at time.Time) *simRequest {
+	req := &simRequest{id: fmt.Sprintf("r%05d", len(sim.ordered)), class: index, tokens: tokens, arrived: at}
+	req.events = max(1, int(classes[index].events*math.Exp(0.5*sim.random.NormFloat64()-0.125)))
+	sim.requests[req.id] = req
+	sim.ordered = append(sim.ordered, req)
+	sim.at(at.Add(simHop), func(now time.Time) { sim.submit(req, now) })
 	return req
 }
 
-func (wor *world) ask(req *simRequest, now time.Time) {
+func (sim *simulation) submit(req *simRequest, now time.Time) {
 	cla := classes[req.class]
-	wor.next(Request{ID: req.id, Host: "h", Prompt: Prompt{
+	sim.next(Request{ID: req.id, Host: "h", Prompt: Prompt{
 		Tokens: req.tokens, MaxTokens: int64(req.events*batching.Stride) + 200, Target: req.arrived.Add(cla.objective),
 		Deadline: req.arrived.Add(cla.deadline), Objective: cla.objective, Pause: cla.pause,
 	}}, now)
-	wor.tick(now)
+	sim.tick(now)
 }
 
-// tick lets time pass while asks wait, and repeats them as hosts do.
-func (wor *world) tick(now time.Time) {
-	if wor.ticking || wor.plan.Waiting() == 0 {
+// tick sends Tick events while requests wait, and repeats the requests as hosts do.
+func (sim *simulation) tick(now time.Time) {
+	if sim.ticking || sim.plan.Waiting() == 0 {
 		return
 	}
-	wor.ticking = true
-	wor.at(now.Add(simTick), func(now time.Time) {
-		wor.ticking = false
-		for _, one := range wor.plan.waiting {
-			one.seen = now
+	sim.ticking = true
+	sim.at(now.Add(simTick), func(now time.Time) {
+		sim.ticking = false
+		for _, pen := range sim.plan.waiting {
+			pen.lastSeen = now
 		}
-		wor.next(Tick{}, now)
-		wor.tick(now)
+		sim.next(Tick{}, now)
+		sim.tick(now)
 	})
 }
 
-func (wor *world) next(eve Event, now time.Time) {
-	beg := time.Now()
-	acts := wor.plan.Next(eve, now)
-	if wor.timed != nil {
-		wor.timed(time.Since(beg))
+func (sim *simulation) next(eve Event, now time.Time) {
+	start := time.Now()
+	acts := sim.plan.Next(eve, now)
+	if sim.timed != nil {
+		sim.timed(time.Since(start))
 	}
 	for _, act := range acts {
 		switch act := act.(type) {
 		case Assign:
-			wor.at(now.Add(2*simHop), func(now time.Time) { wor.send(wor.requests[act.ID], act, now) })
+			sim.at(now.Add(2*simHop), func(now time.Time) { sim.send(sim.requests[act.ID], act, now) })
 		case Refuse:
-			wor.requests[act.ID].refused = true
+			sim.requests[act.ID].refused = true
 		}
 	}
 }
 
-func (wor *world) send(req *simRequest, act Assign, now time.Time) {
+func (sim *simulation) send(req *simRequest, act Assign, now time.Time) {
 	req.sent++
-	req.unread = len(act.Parts)
-	req.lead = wor.engines[act.Parts[0].Endpoint]
-	rea := float64(newFigures(batching).read(req.tokens)) / float64(len(act.Parts))
+	req.pendingParts = len(act.Parts)
+	req.lead = sim.engines[act.Parts[0].Endpoint]
+	prefill := float64(newCostModel(batching).prefill(req.tokens)) / float64(len(act.Parts))
 	for _, par := range act.Parts {
-		eng := wor.engines[par.Endpoint]
-		one := &simPart{req, float64(req.tokens) / float64(len(act.Parts)), rea}
+		eng := sim.engines[par.Endpoint]
+		work := &simPart{req, float64(req.tokens) / float64(len(act.Parts)), prefill}
 		if len(act.Parts) > 1 {
-			eng.divided = append(eng.divided, one)
+			eng.divided = append(eng.divided, work)
 		} else {
-			eng.whole = append(eng.whole, one)
+			eng.undivided = append(eng.undivided, work)
 		}
-		wor.interrupt(eng, now)
+		sim.interrupt(eng, now)
 	}
-	pat := patience(Prompt{Target: req.arrived.Add(classes[req.class].objective), Objective: classes[req.class].objective, Pause: classes[req.class].pause, Deadline: req.arrived.Add(classes[req.class].deadline)})
-	wor.at(pat, func(now time.Time) {
+	deadline := callerDeadline(Prompt{Target: req.arrived.Add(classes[req.class].objective), Objective: classes[req.class].objective, Pause: classes[req.class].pause, Deadline: req.arrived.Add(classes[req.class].deadline)})
+	sim.at(deadline, func(now time.Time) {
 		if req.first.IsZero() {
-			wor.leave(req, now)
+			sim.giveUp(req, now)
 		}
 	})
 }
 
-// leave ends a request whose caller has given it up.
-func (wor *world) leave(req *simRequest, now time.Time) {
-	req.left = true
-	for _, eng := range wor.engines {
+// giveUp ends a request whose caller has given up.
+func (sim *simulation) giveUp(req *simRequest, now time.Time) {
+	req.gaveUp = true
+	for _, eng := range sim.engines {
 		eng.drop(req)
 	}
-	wor.next(Ended{req.id}, now)
+	sim.next(Ended{req.id}, now)
 }
 
-// interrupt cuts the slice in progress, so that new reads count.
-func (wor *world) interrupt(eng *simEngine, now time.Time) {
+// interrupt interrupts the slice in progress, so that the engine considers new parts.
+func (sim *simulation) interrupt(eng *simEngine, now time.Time) {
 	if eng.stepMs > 0 {
-		don := min(eng.left, int(now.Sub(eng.since).Seconds()*1000/eng.stepMs))
-		eng.left -= don
+		done := min(eng.stepsLeft, int(now.Sub(eng.sliceStart).Seconds()*1000/eng.stepMs))
+		eng.stepsLeft -= done
 		eng.stepMs = 0
-		wor.proceed(eng, now)
+		sim.proceed(eng, now)
 		return
 	}
-	if eng.idle || eng.slice == 0 {
-		wor.proceed(eng, now)
+	if eng.idle || eng.sliceID == 0 {
+		sim.proceed(eng, now)
 	}
 }
 
-// proceed starts the next slice: one step that reads, or what is left of the pass.
-func (wor *world) proceed(eng *simEngine, now time.Time) {
-	eng.slice++
-	que := eng.next()
-	if eng.idle = len(que) == 0 && len(eng.writing) == 0 && len(eng.read) == 0; eng.idle {
-		eng.left, eng.stepMs = 0, 0
+// proceed starts the next slice: one step with prefill, or the rest of the pass.
+func (sim *simulation) proceed(eng *simEngine, now time.Time) {
+	eng.sliceID++
+	queue := eng.queue()
+	if eng.idle = len(queue) == 0 && len(eng.decoding) == 0 && len(eng.prefilled) == 0; eng.idle {
+		eng.stepsLeft, eng.stepMs = 0, 0
 		return
 	}
-	if eng.left <= 0 {
-		eng.left = batching.Stride
+	if eng.stepsLeft <= 0 {
+		eng.stepsLeft = batching.Stride
 	}
-	num, sli := 1, eng.slice
-	dur := eng.step()
-	if len(que) == 0 {
-		num = eng.left
-		eng.since, eng.stepMs = now, eng.slow*dur
+	steps, id := 1, eng.sliceID
+	took := eng.stepTime()
+	if len(queue) == 0 {
+		steps = eng.stepsLeft
+		eng.sliceStart, eng.stepMs = now, eng.slowdown*took
 	} else {
 		eng.stepMs = 0
-		bud := float64(batching.ChunkTokens)
-		for _, par := range que {
-			dur += par.take(&bud)
+		budget := float64(batching.ChunkTokens)
+		for _, par := range queue {
+			took += par.consume(&budget)
 		}
 	}
-	end := time.Duration(eng.slow * max(0.1, dur*float64(num)) * float64(time.Millisecond))
-	wor.at(now.Add(end), func(now time.Time) { wor.stepped(eng, sli, num, now) })
+	end := time.Duration(eng.slowdown * max(0.1, took*float64(steps)) * float64(time.Millisecond))
+	sim.at(now.Add(end), func(now time.Time) { sim.endSlice(eng, id, steps, now) })
 }
 
-// stepped ends a slice.
-func (wor *world) stepped(eng *simEngine, slice, num int, now time.Time) {
-	if slice != eng.slice {
+// endSlice ends a slice.
+func (sim *simulation) endSlice(eng *simEngine, slice, steps int, now time.Time) {
+	if slice != eng.sliceID {
 		return
 	}
 	eng.stepMs = 0
-	for _, par := range eng.next() {
+	for _, par := range eng.queue() {
 		if par.tokens <= 0 {
-			wor.isRead(par.req, now)
+			sim.partPrefilled(par.req, now)
 		}
 	}
 	eng.remove(func(par *simPart) bool { return par.tokens <= 0 })
-	wri := len(eng.writing) > 0 || len(eng.read) > 0
-	if eng.left -= num; eng.left <= 0 && wri {
-		wor.endPass(eng, now)
+	decoding := len(eng.decoding) > 0 || len(eng.prefilled) > 0
+	if eng.stepsLeft -= steps; eng.stepsLeft <= 0 && decoding {
+		sim.endPass(eng, now)
 	}
-	wor.proceed(eng, now)
+	sim.proceed(eng, now)
 }
 
-// isRead notes that an engine has read its part of a prompt. With the last one the
-// lead begins to write, with the steps that are left of its pass.
-func (wor *world) isRead(req *simRequest, now time.Time) {
-	if req.unread--; req.unread > 0 || req.left {
+// partPrefilled records that an engine has prefilled its part of a prompt. After the last
+// part the lead engine begins to generate the answer, with the steps left of its pass.
+func (sim *simulation) partPrefilled(req *simRequest, now time.Time) {
+	if req.pendingParts--; req.pendingParts > 0 || req.gaveUp {
 		return
 	}
-	led := req.lead
-	if len(led.writing) == 0 && len(led.read) == 0 {
-		led.left = batching.Stride + 1
+	lead := req.lead
+	if len(lead.decoding) == 0 && len(lead.prefilled) == 0 {
+		lead.stepsLeft = batching.Stride + 1
 	}
-	led.read = append(led.read, req)
-	if led.idle {
-		wor.proceed(led, now)
+	lead.prefilled = append(lead.prefilled, req)
+	if lead.idle {
+		sim.proceed(lead, now)
 	}
 }
 
 // endPass sends an event of every answer.
-func (wor *world) endPass(eng *simEngine, now time.Time) {
-	for _, req := range eng.writing {
-		wor.event(req, now)
+func (sim *simulation) endPass(eng *simEngine, now time.Time) {
+	for _, req := range eng.decoding {
+		sim.sendEvent(req, now)
 	}
-	for _, req := range eng.read {
-		wor.event(req, now)
+	for _, req := range eng.prefilled {
+		sim.sendEvent(req, now)
 	}
-	eng.writing = append(eng.writing, eng.read...)
-	eng.read = nil
-	eng.writing = slices.DeleteFunc(eng.writing, func(req *simRequest) bool { return req.finished })
+	eng.decoding = append(eng.decoding, eng.prefilled...)
+	eng.prefilled = nil
+	eng.decoding = slices.DeleteFunc(eng.decoding, func(req *simRequest) bool { return req.finished })
 }
 
-func (wor *world) event(req *simRequest, now time.Time) {
+func (sim *simulation) sendEvent(req *simRequest, now time.Time) {
 	if req.first.IsZero() {
 		req.first = now
-		wor.at(now.Add(4*time.Millisecond), func(now time.Time) { wor.next(Began{req.id}, now) })
+		sim.at(now.Add(4*time.Millisecond), func(now time.Time) { sim.next(Began{req.id}, now) })
 	} else {
-		req.longest = max(req.longest, now.Sub(req.last))
+		req.longestPause = max(req.longestPause, now.Sub(req.last))
 	}
 	req.last = now
 	if req.events--; req.events == 0 {
 		req.finished = true
-		wor.at(now.Add(4*time.Millisecond), func(now time.Time) { wor.next(Ended{req.id}, now) })
+		sim.at(now.Add(4*time.Millisecond), func(now time.Time) { sim.next(Ended{req.id}, now) })
 	}
 }
 
-// share is the part of a class's requests for which a report holds.
-func (wor *world) share(cla int, has func(*simRequest) bool) float64 {
-	all, num := 0, 0
-	for _, req := range wor.order {
-		if req.class == cla {
-			all++
-			if has(req) {
-				num++
+// share is the share of a class's requests for which match holds.
+func (sim *simulation) share(index int, match func(*simRequest) bool) float64 {
+	total, n := 0, 0
+	for _, req := range sim.ordered {
+		if req.class == index {
+			total++
+			if match(req) {
+				n++
 			}
 		}
 	}
-	if all == 0 {
+	if total == 0 {
 		return 1
 	}
-	return float64(num) / float64(all)
+	return float64(n) / float64(total)
 }
