--- a/process/assigner/assigner.go
+++ b/process/assigner/assigner.go
@@ -1,6 +1,6 @@
-// Package assigner finds endpoints for forwarded calls: engines by the plan of
-// their pool, which one host keeps for all, and endpoints of plain services by
-// this host's own view.
+// Package assigner finds endpoints for forwarded calls. Engines are assigned by the plan
+// of their pool, which one host keeps for all hosts; endpoints of plain services are
+// chosen by this host's view alone.
 package assigner
 
 import (
@@ -20,8 +20,8 @@
 	"github.com/rs/zerolog"
 )
 
-// noEndpointRetry is told to callers when no endpoint can be used. Endpoints
-// come back within seconds.
+// noEndpointRetry is the time after which callers are asked to try again if no endpoint
+// can be used. Endpoints become usable again within seconds.
 const noEndpointRetry = 300 * time.Millisecond
 
 // Codes of refusals.
@@ -30,90 +30,92 @@
 	codeReserve    = "memory_not_reserved"
 )
 
-// errNoPlanner says that no host answered for the plan of a pool.
-var errNoPlanner = errors.New("assigner: no planner answers")
+// errNoPlanner reports that no host answered a request for the plan of a pool.
+var errNoPlanner = errors.New("assigner: no planner answered")
 
-// Assigner places calls. All its exported fields but Ejector are needed.
+// Assigner assigns endpoints to calls. All its exported fields except Ejector are
+// required.
 type Assigner struct {
 	Registry *registrar.Registry
 	Pool     func(name string) (parser.Pool, bool)
 	Planners *Planners
 	Reserver Reserver
-	// DataCenter is that of this host.
+	// DataCenter is the data centre of this host.
 	DataCenter string
 	Ejector    ejector.Ejector
 	Clock      func() time.Time
 	Log        zerolog.Logger
 
-	mu  sync.Mutex
-	out map[string]int
+	mu          sync.Mutex
+	activeCalls map[string]int
 }
 
 // Place finds an endpoint for a call.
-func (ass *Assigner) Place(ctx context.Context, ask relayer.Ask) (relayer.Lease, error) {
-	poo, ok := ass.Pool(ask.Pool)
-	if ok && poo.Batching != nil && ask.PromptTokens > 0 {
-		lea, err := ass.fromPlan(ctx, ask)
+func (ass *Assigner) Place(ctx context.Context, req relayer.Ask) (relayer.Lease, error) {
+	poo, ok := ass.Pool(req.Pool)
+	if ok && poo.Batching != nil && req.PromptTokens > 0 {
+		lea, err := ass.placeByPlan(ctx, req)
 		if !errors.Is(err, errNoPlanner) {
 			return lea, err
 		}
-		ass.Log.Warn().Str("RequestID", ask.ID).Str("Pool", ask.Pool).Msg("no planner answers; placing by the own view")
+		ass.Log.Warn().Str("RequestID", req.ID).Str("Pool", req.Pool).Msg("no planner answered; choosing an endpoint by the local view")
 	}
-	return ass.fromView(ask)
+	return ass.placeByView(req)
 }
 
-// fromView takes the endpoint that has the fewest calls of this host.
-func (ass *Assigner) fromView(ask relayer.Ask) (relayer.Lease, error) {
+// placeByView chooses the endpoint that has the fewest calls of this host, among equals
+// one of this host's data centre. It avoids ejected endpoints if any others are left.
+func (ass *Assigner) placeByView(req relayer.Ask) (relayer.Lease, error) {
 	now := ass.Clock()
-	ends := slices.DeleteFunc(ass.Registry.Usable(ask.Pool, now), func(end registrar.Endpoint) bool { return slices.Contains(ask.Excluded, end.ID) })
+	ends := slices.DeleteFunc(ass.Registry.Usable(req.Pool, now), func(end registrar.Endpoint) bool { return slices.Contains(req.Excluded, end.ID) })
 	if len(ends) == 0 {
 		return relayer.Lease{}, &relayer.RefusedError{Code: codeNoEndpoint, Message: "no endpoint of the pool can take the call", RetryAfter: noEndpointRetry}
 	}
-	out := ass.Ejector.Excluded(len(ends), false, func(id string) bool {
+	ejected := ass.Ejector.Excluded(len(ends), false, func(id string) bool {
 		return slices.ContainsFunc(ends, func(end registrar.Endpoint) bool { return end.ID == id })
 	}, now)
-	if fit := slices.DeleteFunc(slices.Clone(ends), func(end registrar.Endpoint) bool { return slices.Contains(out, end.ID) }); len(fit) > 0 {
-		ends = fit
+	if healthy := slices.DeleteFunc(slices.Clone(ends), func(end registrar.Endpoint) bool { return slices.Contains(ejected, end.ID) }); len(healthy) > 0 {
+		ends = healthy
 	}
-	rand.Shuffle(len(ends), func(one, two int) { ends[one], ends[two] = ends[two], ends[one] })
+	rand.Shuffle(len(ends), func(a, b int) { ends[a], ends[b] = ends[b], ends[a] })
 	ass.mu.Lock()
 	defer ass.mu.Unlock()
-	end := slices.MinFunc(ends, func(one, two registrar.Endpoint) int {
-		return cmp.Or(cmp.Compare(ass.out[one.ID], ass.out[two.ID]), cmp.Compare(ass.far(one), ass.far(two)))
+	end := slices.MinFunc(ends, func(a, b registrar.Endpoint) int {
+		return cmp.Or(cmp.Compare(ass.activeCalls[a.ID], ass.activeCalls[b.ID]), cmp.Compare(ass.distance(a), ass.distance(b)))
 	})
-	return ass.lease(end), nil
+	return ass.newLease(end), nil
 }
 
-// far is 0 for the endpoints of the own data centre.
-func (ass *Assigner) far(end registrar.Endpoint) int {
+// distance is 0 for the endpoints in this host's data centre and 1 for others.
+func (ass *Assigner) distance(end registrar.Endpoint) int {
 	if end.DataCenter == ass.DataCenter {
 		return 0
 	}
 	return 1
 }
 
-// lease counts a call on an endpoint. The caller holds the lock.
-func (ass *Assigner) lease(end registrar.Endpoint) relayer.Lease {
-	if ass.out == nil {
-		ass.out = map[string]int{}
+// newLease counts a call on an endpoint and returns its lease. The caller holds the lock.
+func (ass *Assigner) newLease(end registrar.Endpoint) relayer.Lease {
+	if ass.activeCalls == nil {
+		ass.activeCalls = map[string]int{}
 	}
-	ass.out[end.ID]++
-	bad := false
+	ass.activeCalls[end.ID]++
+	failed := false
 	return relayer.Lease{
 		Endpoint: end,
 		Began:    func() {},
 		Failed: func(string) {
-			bad = true
+			failed = true
 			ass.Ejector.Failed(end.ID, ass.Clock())
 		},
 		End: sync.OnceFunc(func() {
-			if !bad {
+			if !failed {
 				ass.Ejector.Succeeded(end.ID)
 			}
 			ass.mu.Lock()
 			defer ass.mu.Unlock()
-			if ass.out[end.ID]--; ass.out[end.ID] <= 0 {
-				delete(ass.out, end.ID)
+			if ass.activeCalls[end.ID]--; ass.activeCalls[end.ID] <= 0 {
+				delete(ass.activeCalls, end.ID)
 			}
 		}),
 	}
--- a/process/assigner/assigner_test.go
+++ b/process/assigner/assigner_test.go
@@ -26,24 +26,24 @@
 	"llm":  {Name: "llm", Selector: parser.Selector{Service: "llm"}, Batching: &parser.Batching{Slots: 16, MemoryTokens: 300_000, StepMs: 1, Stride: 50, ReadRate: 177_000, PairsMs: 0.184}},
 }
 
-func pool(nam string) (parser.Pool, bool) {
-	poo, ok := pools[nam]
+func pool(name string) (parser.Pool, bool) {
+	poo, ok := pools[name]
 	return poo, ok
 }
 
-// fleet joins hosts whose calls are carried in memory. Dead hosts don't answer.
+// fleet connects hosts whose calls are carried in memory. Dead hosts do not answer.
 type fleet struct {
 	mu      sync.Mutex
 	hosts   map[string]*Planners
 	dead    map[string]bool
 	leaving map[string]bool
-	// refuse lets dead hosts refuse connections at once; noticed counts the messages
-	// with notices to each host.
-	refuse  bool
-	noticed map[string]int
-	asked   map[string]int
-	// cut are the pairs of hosts, as from>to, that do not reach each other.
-	cut map[string]bool
+	// refuseDead makes dead hosts refuse connections at once. noticeMessages counts the
+	// messages with notices to each host, messages those other than relayed plan requests.
+	refuseDead     bool
+	noticeMessages map[string]int
+	messages       map[string]int
+	// unreachable are the pairs of hosts, as from>to, between which calls time out.
+	unreachable map[string]bool
 }
 
 // link is the network as one host sees it.
@@ -53,7 +53,7 @@
 }
 
 func (lin link) Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error) {
-	if lin.cut[lin.from+">"+address] {
+	if lin.unreachable[lin.from+">"+address] {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -64,13 +64,13 @@
 	fle.mu.Lock()
 	hos, dead := fle.hosts[address], fle.dead[address]
 	if !env.GetPlanRequest().GetRelayed() {
-		fle.asked[address]++
+		fle.messages[address]++
 	}
 	if env.GetPlanNotices() != nil {
-		fle.noticed[address]++
+		fle.noticeMessages[address]++
 	}
 	fle.mu.Unlock()
-	if dead && fle.refuse {
+	if dead && fle.refuseDead {
 		return nil, errors.New("connection refused")
 	}
 	if dead {
@@ -86,21 +86,23 @@
 	return nil, errors.New("unknown message")
 }
 
-// idle loads the reports of engines without work.
-type idle struct{}
+// idleEngines reports engines without load.
+type idleEngines struct{}
 
-func (idle) Load(context.Context, string) (planner.Load, error) { return planner.Load{Pace: 1}, nil }
+func (idleEngines) Load(context.Context, string) (planner.Load, error) {
+	return planner.Load{Pace: 1}, nil
+}
 
-func newFleet(num int) *fleet {
-	fle := &fleet{hosts: map[string]*Planners{}, dead: map[string]bool{}, leaving: map[string]bool{}, noticed: map[string]int{}, asked: map[string]int{}, cut: map[string]bool{}}
+func newFleet(hosts int) *fleet {
+	fle := &fleet{hosts: map[string]*Planners{}, dead: map[string]bool{}, leaving: map[string]bool{}, noticeMessages: map[string]int{}, messages: map[string]int{}, unreachable: map[string]bool{}}
 	var pers []gossiper.Peer
-	for ind := range num {
-		id := fmt.Sprintf("host-%d", ind)
+	for i := range hosts {
+		id := fmt.Sprintf("host-%d", i)
 		pers = append(pers, gossiper.Peer{ID: id, Address: id, Started: 1})
 	}
 	for _, per := range pers {
 		run := &planner.Runner{
-			Loader: idle{},
+			Loader: idleEngines{},
 			Engines: func(parser.Pool, time.Time) []planner.Engine {
 				return []planner.Engine{{ID: "e1", Address: "10.0.0.1:1"}, {ID: "e2", Address: "10.0.0.2:1"}, {ID: "e3", Address: "10.0.0.3:1"}}
 			},
@@ -110,9 +112,9 @@
 			Self: per.ID, Incarnation: 1, Address: per.ID, Leaving: func() bool { return fle.leaving[per.ID] }, Caller: link{fle, per.ID}, Runner: run, Clock: time.Now, Log: zerolog.Nop(),
 			Live: func(time.Time) []gossiper.Peer {
 				var out []gossiper.Peer
-				for _, oth := range pers {
-					if oth.ID != per.ID && !fle.leaving[oth.ID] {
-						out = append(out, oth)
+				for _, other := range pers {
+					if other.ID != per.ID && !fle.leaving[other.ID] {
+						out = append(out, other)
 					}
 				}
 				return out
@@ -122,7 +124,7 @@
 	return fle
 }
 
-// reserver notes reservations, and refuses those of one address.
+// reserver records reservations, and refuses those at one address.
 type reserver struct {
 	mu      sync.Mutex
 	held    map[string]int64
@@ -155,36 +157,37 @@
 func (fle *fleet) assigner(self string, res *reserver) *Assigner {
 	ass := &Assigner{Registry: &registrar.Registry{}, Pool: pool, Planners: fle.hosts[self], Reserver: res, DataCenter: "a", Clock: time.Now, Log: zerolog.Nop()}
 	var ends []registrar.Endpoint
-	for ind := range 3 {
+	for i := range 3 {
 		ends = append(ends,
-			registrar.Endpoint{ID: fmt.Sprintf("e%d", ind+1), Service: "llm", Address: fmt.Sprintf("10.0.0.%d:1", ind+1), Revision: 1},
-			registrar.Endpoint{ID: fmt.Sprintf("d%d", ind+1), Service: "desk", Address: "10.0.1.1:1", DataCenter: string(rune('a' + ind)), Revision: 1})
+			registrar.Endpoint{ID: fmt.Sprintf("e%d", i+1), Service: "llm", Address: fmt.Sprintf("10.0.0.%d:1", i+1), Revision: 1},
+			registrar.Endpoint{ID: fmt.Sprintf("d%d", i+1), Service: "desk", Address: "10.0.1.1:1", DataCenter: string(rune('a' + i)), Revision: 1})
 	}
 	ass.Registry.Replace(ends, 1, time.Now())
 	return ass
 }
 
-func ask(id string, tokens int64) relayer.Ask {
+func callFor(id string, tokens int64) relayer.Ask {
 	now := time.Now()
 	return relayer.Ask{ID: id, Pool: "llm", PromptTokens: tokens, MaxTokens: 1000, Arrived: now, Objective: 3 * time.Second, Pause: time.Second, Deadline: now.Add(15 * time.Second)}
 }
 
-// TestOnePlan has several hosts ask: all of them are planned by one.
+// TestOnePlan places calls from several hosts: a single host must plan them all.
 func TestOnePlan(t *testing.T) {
 	fle := newFleet(4)
-	see := map[string]int{}
-	for ind := range 48 {
-		lea, err := fle.assigner(fmt.Sprintf("host-%d", ind%4), &reserver{}).Place(t.Context(), ask(fmt.Sprint(ind), 1000))
+	seen := map[string]int{}
+	for i := range 48 {
+		lea, err := fle.assigner(fmt.Sprintf("host-%d", i%4), &reserver{}).Place(t.Context(), callFor(fmt.Sprint(i), 1000))
 		require.NoError(t, err)
-		see[lea.Endpoint.ID]++
+		seen[lea.Endpoint.ID]++
 	}
-	require.Equal(t, map[string]int{"e1": 16, "e2": 16, "e3": 16}, see, "one account fills the slots of all engines and no more")
-	require.LessOrEqual(t, len(fle.asked), 1)
+	require.Equal(t, map[string]int{"e1": 16, "e2": 16, "e3": 16}, seen, "a single plan fills the slots of all engines and no more")
+	require.LessOrEqual(t, len(fle.messages), 1)
 }
 
-// TestPlannerSilent loses the planner: the next host plans within a fraction of a
-// second, and with that one lost, too, the own view places.
-func TestPlannerSilent(t *testing.T) {
+// TestPlannerUnresponsive makes the planner unresponsive: the next host must plan within a
+// fraction of a second. If that host is unresponsive, too, the call is placed by the local
+// view.
+func TestPlannerUnresponsive(t *testing.T) {
 	fle := newFleet(4)
 	first := fle.hosts["host-0"].candidates("llm", time.Now())
 	var self string
@@ -195,23 +198,23 @@
 	}
 	ass := fle.assigner(self, &reserver{})
 	fle.dead[first[0].id] = true
-	beg := time.Now()
-	_, err := ass.Place(t.Context(), ask("1", 1000))
+	start := time.Now()
+	_, err := ass.Place(t.Context(), callFor("1", 1000))
 	require.NoError(t, err)
-	require.Less(t, time.Since(beg), time.Second)
-	require.Positive(t, fle.asked[first[1].id])
+	require.Less(t, time.Since(start), time.Second)
+	require.Positive(t, fle.messages[first[1].id])
 	for id := range fle.hosts {
 		fle.dead[id] = true
 	}
-	lea, err := ass.Place(t.Context(), ask("2", 1000))
+	lea, err := ass.Place(t.Context(), callFor("2", 1000))
 	require.NoError(t, err)
 	require.Equal(t, "llm", lea.Endpoint.Service)
 }
 
-// TestPlannerStaysSilent loses the planner for long: one reply that stays out may be this
-// host's own delay; after the next one the planner is not asked for a time, which doubles
-// with each failure in a row, and an answer ends that.
-func TestPlannerStaysSilent(t *testing.T) {
+// TestPlannerStaysUnresponsive keeps the planner unresponsive. One missed reply may be due
+// to a delay of this host itself. After the next one the planner gets no requests for a
+// period that doubles with each successive failure, until it answers.
+func TestPlannerStaysUnresponsive(t *testing.T) {
 	fle := newFleet(3)
 	first := fle.hosts["host-0"].candidates("llm", time.Now())
 	var pla *Planners
@@ -223,28 +226,28 @@
 	var ahead time.Duration
 	pla.Clock = func() time.Time { return time.Now().Add(ahead) }
 	place := func() int {
-		bef := fle.asked[first[0].id]
-		_, err := pla.ask(t.Context(), ask(fmt.Sprint(ahead), 1000))
+		before := fle.messages[first[0].id]
+		_, err := pla.requestPlan(t.Context(), callFor(fmt.Sprint(ahead), 1000))
 		require.NoError(t, err)
-		return fle.asked[first[0].id] - bef
+		return fle.messages[first[0].id] - before
 	}
 	fle.dead[first[0].id] = true
 	require.Equal(t, 1, place())
 	ahead = missPeriod
-	require.Equal(t, 1, place(), "one reply proves nothing")
-	require.Zero(t, place(), "two do")
+	require.Equal(t, 1, place(), "one missed reply does not make it suspect")
+	require.Zero(t, place(), "two missed replies do")
 	ahead += suspectPeriod + time.Second
-	require.Equal(t, 1, place(), "it is tried again")
+	require.Equal(t, 1, place(), "it gets requests again")
 	ahead += suspectPeriod + time.Second
-	require.Zero(t, place(), "now it is left alone for longer")
+	require.Zero(t, place(), "the period has doubled")
 	fle.dead[first[0].id] = false
 	ahead += 2 * suspectPeriod
 	require.Positive(t, place())
 	require.Empty(t, pla.suspects)
 }
 
-// other returns a host that is none of the candidates.
-func (fle *fleet) other(cans []host) string {
+// otherThan returns a host that is none of the candidates.
+func (fle *fleet) otherThan(cans []host) string {
 	for id := range fle.hosts {
 		if !slices.ContainsFunc(cans, func(hos host) bool { return hos.id == id }) {
 			return id
@@ -256,32 +259,32 @@
 // granted counts the grants in the plan of a host.
 func (fle *fleet) granted(id string) int { return fle.hosts[id].Runner.Granted("llm") }
 
-// TestRelay cuts a host from the planner: the second candidate relays, so that one
-// account holds all grants, and the end of the grant gets there as well.
+// TestRelay makes the planner unreachable from one host: the second candidate must relay
+// the request and the end of the grant, so that one plan holds all grants.
 func TestRelay(t *testing.T) {
 	fle := newFleet(3)
 	cans := fle.hosts["host-0"].candidates("llm", time.Now())
-	self := fle.other(cans)
-	fle.cut[self+">"+cans[0].id] = true
+	self := fle.otherThan(cans)
+	fle.unreachable[self+">"+cans[0].id] = true
 	ass := fle.assigner(self, &reserver{})
-	lea, err := ass.Place(t.Context(), ask("1", 1000))
+	lea, err := ass.Place(t.Context(), callFor("1", 1000))
 	require.NoError(t, err)
 	require.Equal(t, 1, fle.granted(cans[0].id))
-	require.Zero(t, fle.granted(cans[1].id), "the host that relays has no account of its own")
+	require.Zero(t, fle.granted(cans[1].id), "the relaying host has no plan of its own")
 	lea.End()
 	require.Eventually(t, func() bool { return fle.granted(cans[0].id) == 0 }, 3*time.Second, 5*time.Millisecond)
 }
 
-// TestDetourEnds loses the planner for good: notices for it are passed on once, and
-// not to and fro between the hosts that are left.
-func TestDetourEnds(t *testing.T) {
+// TestRerouteEnds removes the planner for good: notices for it must be rerouted once only,
+// and not sent to and fro between the remaining hosts.
+func TestRerouteEnds(t *testing.T) {
 	fle := newFleet(3)
 	cans := fle.hosts["host-0"].candidates("llm", time.Now())
-	self := fle.other(cans)
-	lea, err := fle.assigner(self, &reserver{}).Place(t.Context(), ask("1", 1000))
+	self := fle.otherThan(cans)
+	lea, err := fle.assigner(self, &reserver{}).Place(t.Context(), callFor("1", 1000))
 	require.NoError(t, err)
 	fle.mu.Lock()
-	fle.refuse, fle.dead[cans[0].id] = true, true
+	fle.refuseDead, fle.dead[cans[0].id] = true, true
 	fle.mu.Unlock()
 	for _, id := range []string{self, cans[1].id} {
 		fle.hosts[id].suspect(cans[0].id, errors.New("connection refused"))
@@ -290,17 +293,17 @@
 	time.Sleep(300 * time.Millisecond)
 	fle.mu.Lock()
 	defer fle.mu.Unlock()
-	require.Equal(t, map[string]int{cans[0].id: 2, cans[1].id: 1}, fle.noticed)
+	require.Equal(t, map[string]int{cans[0].id: 2, cans[1].id: 1}, fle.noticeMessages)
 }
 
-// TestAnnounce ends the planner: its successor learns of the grants in progress
-// before it plans, and of their end.
+// TestAnnounce replaces the planner: its successor must receive the grants in progress
+// before it plans, and their ends.
 func TestAnnounce(t *testing.T) {
 	fle := newFleet(3)
 	cans := fle.hosts["host-0"].candidates("llm", time.Now())
-	self := fle.other(cans)
+	self := fle.otherThan(cans)
 	ass := fle.assigner(self, &reserver{})
-	lea, err := ass.Place(t.Context(), ask("1", 140_000))
+	lea, err := ass.Place(t.Context(), callFor("1", 140_000))
 	require.NoError(t, err)
 	lea.Began()
 	fle.leaving[cans[0].id] = true
@@ -309,11 +312,11 @@
 	fle.hosts[self].Announce(time.Now())
 	lea.End()
 	require.Eventually(t, func() bool { return fle.granted(cans[1].id) == 0 }, time.Second, 5*time.Millisecond)
-	require.Empty(t, fle.hosts[self].held)
+	require.Empty(t, fle.hosts[self].grants)
 }
 
-// TestCandidates chooses planners: hosts with little processor time and those that
-// have just started again plan for nobody.
+// TestCandidates checks that hosts with little processor time and hosts that have just
+// restarted are not chosen as planners.
 func TestCandidates(t *testing.T) {
 	pers := []gossiper.Peer{
 		{ID: "weak", Address: "weak", Started: 1, CapacityMilli: 134},
@@ -322,52 +325,52 @@
 	}
 	pla := &Planners{Self: "self", Incarnation: 6, CapacityMilli: 800, Leaving: func() bool { return false }, Clock: time.Now,
 		Live: func(time.Time) []gossiper.Peer { return pers }}
-	bef := pla.candidates("llm", time.Now())
-	require.Len(t, bef, maxPlanners)
-	for ind := range pers {
-		if pers[ind].ID == bef[0].id {
-			pers[ind].Started = 9
+	before := pla.candidates("llm", time.Now())
+	require.Len(t, before, maxPlanners)
+	for i := range pers {
+		if pers[i].ID == before[0].id {
+			pers[i].Started = 9
 		}
 	}
-	aft := pla.candidates("llm", time.Now())
-	for _, hos := range append(bef, aft...) {
+	after := pla.candidates("llm", time.Now())
+	for _, hos := range append(before, after...) {
 		require.NotContains(t, []string{"weak"}, hos.id)
 	}
-	require.NotContains(t, aft, bef[0], "it has started again")
+	require.NotContains(t, after, before[0], "it has started again")
 }
 
-// TestReserves places a prompt over one engine's memory: all engines reserve, or
-// none keeps anything.
+// TestReserves places a prompt that exceeds the memory of one engine: either all engines
+// reserve memory or none keeps a reservation.
 func TestReserves(t *testing.T) {
 	fle, res := newFleet(1), &reserver{held: map[string]int64{}}
 	ass := fle.assigner("host-0", res)
-	lea, err := ass.Place(t.Context(), ask("1", 500_000))
+	lea, err := ass.Place(t.Context(), callFor("1", 500_000))
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, len(lea.Helpers), 2)
 	require.GreaterOrEqual(t, res.count(), 2)
 	lea.End()
 	require.Eventually(t, func() bool { return res.count() == 0 }, 5*time.Second, time.Millisecond)
 	res.refuses = "10.0.0.2:1"
-	_, err = ass.Place(t.Context(), ask("2", 800_000))
+	_, err = ass.Place(t.Context(), callFor("2", 800_000))
 	var ref *relayer.RefusedError
 	require.ErrorAs(t, err, &ref)
 	require.Zero(t, res.count())
 }
 
-// TestPlannerBehind has the planner grant an engine that this host knows to be leaving: the
-// host asks again, and the planner leaves the engine alone.
+// TestPlannerBehind makes the planner grant an engine that this host knows to be leaving:
+// the host must request another plan, and the planner must avoid the engine.
 func TestPlannerBehind(t *testing.T) {
-	for nam, end := range map[string]registrar.Endpoint{
+	for name, end := range map[string]registrar.Endpoint{
 		"leaving": {ID: "e1", Service: "llm", Address: "10.0.0.1:1", Revision: 2, Leaving: true},
 		"gone":    {ID: "e1", Service: "llm", Address: "10.0.0.1:1", Revision: 2, Gone: true},
 	} {
-		t.Run(nam, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			ass := newFleet(1).assigner("host-0", &reserver{})
 			now := time.Now()
 			ass.Registry.Confirm(1, now)
 			ass.Registry.Merge([]registrar.Endpoint{end}, 2, now)
-			for ind := range 20 {
-				lea, err := ass.Place(t.Context(), ask(fmt.Sprint(ind), 1000))
+			for i := range 20 {
+				lea, err := ass.Place(t.Context(), callFor(fmt.Sprint(i), 1000))
 				require.NoError(t, err)
 				require.NotEqual(t, "e1", lea.Endpoint.ID)
 			}
@@ -375,23 +378,23 @@
 	}
 }
 
-func TestOwnView(t *testing.T) {
+func TestLocalView(t *testing.T) {
 	ass := newFleet(1).assigner("host-0", &reserver{})
-	one, err := ass.Place(t.Context(), relayer.Ask{Pool: "desk"})
+	first, err := ass.Place(t.Context(), relayer.Ask{Pool: "desk"})
 	require.NoError(t, err)
-	require.Equal(t, "d1", one.Endpoint.ID, "the own data centre goes first among equals")
-	two, err := ass.Place(t.Context(), relayer.Ask{Pool: "desk"})
+	require.Equal(t, "d1", first.Endpoint.ID, "the local data centre comes first among equals")
+	second, err := ass.Place(t.Context(), relayer.Ask{Pool: "desk"})
 	require.NoError(t, err)
-	require.NotEqual(t, "d1", two.Endpoint.ID, "then those with fewer calls")
-	one.End()
-	one.End()
-	require.Len(t, ass.out, 1)
-	two.Failed("")
-	two.End()
+	require.NotEqual(t, "d1", second.Endpoint.ID, "endpoints with fewer calls come next")
+	first.End()
+	first.End()
+	require.Len(t, ass.activeCalls, 1)
+	second.Failed("")
+	second.End()
 	for range 20 {
 		lea, err := ass.Place(t.Context(), relayer.Ask{Pool: "desk"})
 		require.NoError(t, err)
-		require.NotEqual(t, two.Endpoint.ID, lea.Endpoint.ID, "one that has just failed is left alone")
+		require.NotEqual(t, second.Endpoint.ID, lea.Endpoint.ID, "an endpoint that has just failed is avoided")
 		lea.End()
 	}
 	_, err = ass.Place(t.Context(), relayer.Ask{Pool: "desk", Excluded: []string{"d1", "d2", "d3"}})
--- a/process/assigner/held.go
+++ b/process/assigner/held.go
@@ -8,105 +8,106 @@
 	"hemlockpin/process/planner"
 )
 
-// held is a grant of this host that has not ended.
-type held struct {
-	pool  string
-	ask   planner.Request
-	parts []planner.Part
-	since time.Time
-	begun bool
-	// hosts are the planners that have it in their accounts.
-	hosts []host
+// activeGrant is a grant to this host that has not ended.
+type activeGrant struct {
+	pool      string
+	req       planner.Request
+	parts     []planner.Part
+	grantedAt time.Time
+	begun     bool
+	// planners are the planners that know of the grant.
+	planners []host
 }
 
-func (hel *held) knows(id string) bool {
-	return slices.ContainsFunc(hel.hosts, func(hos host) bool { return hos.id == id })
+func (gra *activeGrant) knownTo(id string) bool {
+	return slices.ContainsFunc(gra.planners, func(hos host) bool { return hos.id == id })
 }
 
-// event tells another planner of the grant.
-func (hel *held) event(now time.Time) planner.Held {
-	return planner.Held{Request: hel.ask, Parts: hel.parts, Age: now.Sub(hel.since), Begun: hel.begun}
+// event reports the grant to another planner.
+func (gra *activeGrant) event(now time.Time) planner.Held {
+	return planner.Held{Request: gra.req, Parts: gra.parts, Age: now.Sub(gra.grantedAt), Begun: gra.begun}
 }
 
-// keep notes a grant until it ends.
-func (pla *Planners) keep(pool string, ask planner.Request, act planner.Assign, hos host) {
+// addGrant records a grant until it ends.
+func (pla *Planners) addGrant(pool string, req planner.Request, act planner.Assign, hos host) {
 	pla.mu.Lock()
 	defer pla.mu.Unlock()
-	if pla.held == nil {
-		pla.held = map[string]*held{}
+	if pla.grants == nil {
+		pla.grants = map[string]*activeGrant{}
 	}
-	pla.held[act.ID] = &held{pool: pool, ask: ask, parts: act.Parts, since: pla.Clock(), hosts: []host{hos}}
+	pla.grants[act.ID] = &activeGrant{pool: pool, req: req, parts: act.Parts, grantedAt: pla.Clock(), planners: []host{hos}}
 }
 
-// tell passes an event of a grant on to all planners that have it.
-func (pla *Planners) tell(id string, eve planner.Event) {
+// report sends an event of a grant to all planners that know of the grant.
+func (pla *Planners) report(id string, eve planner.Event) {
 	pla.mu.Lock()
-	hel := pla.held[id]
-	if hel == nil {
+	gra := pla.grants[id]
+	if gra == nil {
 		pla.mu.Unlock()
 		return
 	}
 	switch eve.(type) {
 	case planner.Began:
-		hel.begun = true
+		gra.begun = true
 	case planner.Ended:
-		delete(pla.held, id)
+		delete(pla.grants, id)
 	}
-	hoss := slices.Clone(hel.hosts)
+	hosts := slices.Clone(gra.planners)
 	pla.mu.Unlock()
-	for _, hos := range hoss {
-		pla.notify(hos, hel.pool, eve)
+	for _, hos := range hosts {
+		pla.notify(hos, gra.pool, eve)
 	}
 }
 
-// Announce tells planners that are new of the grants of this host, so that their
-// accounts begin whole. It is called at intervals and when the planner changes.
+// Announce reports the grants of this host to new planners, so that their plans begin with
+// a complete view of the engines. It is called at intervals and when the planner changes.
 func (pla *Planners) Announce(now time.Time) {
-	type news struct {
+	type announcement struct {
 		hos  host
 		pool string
 		eve  planner.Held
 	}
-	lead := map[string]host{}
-	var out []news
+	planners := map[string]host{}
+	var out []announcement
 	pla.mu.Lock()
 	pools := map[string]bool{}
-	for _, hel := range pla.held {
-		pools[hel.pool] = true
+	for _, gra := range pla.grants {
+		pools[gra.pool] = true
 	}
 	pla.mu.Unlock()
 	for poo := range pools {
 		if cans := pla.candidates(poo, now); len(cans) > 0 {
-			lead[poo] = cans[0]
+			planners[poo] = cans[0]
 		}
 	}
 	pla.mu.Lock()
-	for _, hel := range pla.held {
-		hos, ok := lead[hel.pool]
-		if !ok || hel.knows(hos.id) {
+	for _, gra := range pla.grants {
+		hos, ok := planners[gra.pool]
+		if !ok || gra.knownTo(hos.id) {
 			continue
 		}
-		hel.hosts = append(hel.hosts, hos)
-		out = append(out, news{hos, hel.pool, hel.event(now)})
+		gra.planners = append(gra.planners, hos)
+		out = append(out, announcement{hos, gra.pool, gra.event(now)})
 	}
 	pla.mu.Unlock()
-	for _, one := range out {
-		pla.notify(one.hos, one.pool, one.eve)
+	for _, ann := range out {
+		pla.notify(ann.hos, ann.pool, ann.eve)
 	}
 	if len(out) > 0 {
-		pla.Log.Info().Str("Peer", out[0].hos.id).Int("Grants", len(out)).Msg("grants announced to a new planner")
+		pla.Log.Info().Str("Peer", out[0].hos.id).Int("Grants", len(out)).Msg("announced grants to new planner")
 	}
 }
 
-// heldNotice converts a grant in progress. Times are left out of the ask's age.
+// heldNotice converts a grant in progress to a notice. The times of its request are
+// relative to now, not to the time of the grant.
 func heldNotice(eve planner.Held, now time.Time) *messenger.PlanNotice {
 	not := &messenger.PlanNotice{
-		Id: eve.Request.ID, Kind: messenger.PlanNotice_KIND_HELD, Ask: request("", eve.Request, 0, now), AgeMs: eve.Age.Milliseconds(), Begun: eve.Begun,
+		Id: eve.Request.ID, Kind: messenger.PlanNotice_KIND_HELD, Ask: planRequest("", eve.Request, 0, now), AgeMs: eve.Age.Milliseconds(), Begun: eve.Begun,
 	}
-	not.Parts = partsTo(eve.Parts)
+	not.Parts = partMessages(eve.Parts)
 	return not
 }
 
 func heldOf(not *messenger.PlanNotice, now time.Time) planner.Held {
-	return planner.Held{Request: askOf(not.GetAsk(), now), Parts: partsOf(not.GetParts()), Age: millis(not.GetAgeMs()), Begun: not.GetBegun()}
+	return planner.Held{Request: requestOf(not.GetAsk(), now), Parts: partsOf(not.GetParts()), Age: fromMillis(not.GetAgeMs()), Begun: not.GetBegun()}
 }
--- a/process/assigner/message.go
+++ b/process/assigner/message.go
@@ -7,31 +7,31 @@
 	"hemlockpin/process/planner"
 )
 
-func request(pool string, ask planner.Request, hold time.Duration, now time.Time) *messenger.PlanRequest {
-	pro := ask.Prompt
+func planRequest(pool string, req planner.Request, hold time.Duration, now time.Time) *messenger.PlanRequest {
+	pro := req.Prompt
 	return &messenger.PlanRequest{
-		Id: ask.ID, Host: ask.Host, Incarnation: ask.Incarnation, Pool: pool, PromptTokens: pro.Tokens, MaxTokens: pro.MaxTokens,
+		Id: req.ID, Host: req.Host, Incarnation: req.Incarnation, Pool: pool, PromptTokens: pro.Tokens, MaxTokens: pro.MaxTokens,
 		AnswerTokens: pro.AnswerTokens, Priority: int32(pro.Priority), TargetMs: pro.Target.Sub(now).Milliseconds(), BudgetMs: pro.Deadline.Sub(now).Milliseconds(),
 		ObjectiveMs: pro.Objective.Milliseconds(), PauseMs: pro.Pause.Milliseconds(), Excluded: pro.Excluded, HoldMs: hold.Milliseconds(),
 	}
 }
 
-func askOf(req *messenger.PlanRequest, now time.Time) planner.Request {
+func requestOf(req *messenger.PlanRequest, now time.Time) planner.Request {
 	return planner.Request{ID: req.GetId(), Host: req.GetHost(), Incarnation: req.GetIncarnation(), Prompt: planner.Prompt{
 		Tokens: req.GetPromptTokens(), MaxTokens: req.GetMaxTokens(), AnswerTokens: req.GetAnswerTokens(), Priority: int(req.GetPriority()),
-		Target: now.Add(millis(req.GetTargetMs())), Deadline: now.Add(millis(req.GetBudgetMs())),
-		Objective: millis(req.GetObjectiveMs()), Pause: millis(req.GetPauseMs()), Excluded: req.GetExcluded(),
+		Target: now.Add(fromMillis(req.GetTargetMs())), Deadline: now.Add(fromMillis(req.GetBudgetMs())),
+		Objective: fromMillis(req.GetObjectiveMs()), Pause: fromMillis(req.GetPauseMs()), Excluded: req.GetExcluded(),
 	}}
 }
 
-func millis(num int64) time.Duration { return time.Duration(num) * time.Millisecond }
+func fromMillis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// replyOf returns an empty reply for an ask that waits.
+// replyOf returns an empty reply for a request that waits.
 func replyOf(act planner.Action) *messenger.PlanReply {
 	switch act := act.(type) {
 	case planner.Assign:
 		rep := &messenger.PlanReply{FirstMs: act.First.Milliseconds()}
-		rep.Parts = partsTo(act.Parts)
+		rep.Parts = partMessages(act.Parts)
 		return rep
 	case planner.Refuse:
 		return &messenger.PlanReply{Refusal: act.Code, Message: act.Message, RetryAfterMs: act.RetryAfter.Milliseconds()}
@@ -40,18 +40,18 @@
 	}
 }
 
-// actionOf returns nil for an ask that waits.
+// actionOf returns nil for a request that waits.
 func actionOf(id string, rep *messenger.PlanReply) planner.Action {
 	if rep.GetRefusal() != "" {
-		return planner.Refuse{ID: id, Code: rep.GetRefusal(), Message: rep.GetMessage(), RetryAfter: millis(rep.GetRetryAfterMs())}
+		return planner.Refuse{ID: id, Code: rep.GetRefusal(), Message: rep.GetMessage(), RetryAfter: fromMillis(rep.GetRetryAfterMs())}
 	}
 	if len(rep.GetParts()) == 0 {
 		return nil
 	}
-	return planner.Assign{ID: id, First: millis(rep.GetFirstMs()), Parts: partsOf(rep.GetParts())}
+	return planner.Assign{ID: id, First: fromMillis(rep.GetFirstMs()), Parts: partsOf(rep.GetParts())}
 }
 
-func partsTo(pars []planner.Part) []*messenger.PlanPart {
+func partMessages(pars []planner.Part) []*messenger.PlanPart {
 	out := make([]*messenger.PlanPart, 0, len(pars))
 	for _, par := range pars {
 		out = append(out, &messenger.PlanPart{Endpoint: par.Endpoint, Address: par.Address, ReserveTokens: par.Reserve})
--- a/process/assigner/planners.go
+++ b/process/assigner/planners.go
@@ -23,34 +23,36 @@
 )
 
 const (
-	// firstHold is how long a planner may hold the first call of an ask, and
-	// firstGrace how much later its reply may come. A host that has no reply by
-	// then turns to the next planner.
+	// firstHold is how long a planner may hold the first call of a request, and firstGrace
+	// how much later its reply may arrive. A host that has no reply by then turns to the
+	// next planner.
 	firstHold  = 80 * time.Millisecond
 	firstGrace = 120 * time.Millisecond
-	// laterHold and laterGrace are those of an ask that the planner has confirmed.
+	// laterHold and laterGrace are those of the calls after the planner's first reply.
 	laterHold  = time.Second
 	laterGrace = 250 * time.Millisecond
-	// suspectPeriod is how long a planner that did not answer is not asked. It
-	// doubles with each failure in a row up to maxSuspect, since membership takes
-	// some seconds to find a silent host dead.
+	// suspectPeriod is how long a planner that did not answer receives no requests. It
+	// doubles with each successive failure up to maxSuspect, since membership takes some
+	// seconds to declare an unresponsive host dead.
 	suspectPeriod = 2 * time.Second
 	maxSuspect    = 16 * time.Second
-	// missPeriod is the time after a planner's first reply that did not come in time at
-	// which the next one makes it suspect. Until then others are asked in its place, and
-	// they relay to it: a host with little processor time may be late itself, and each
-	// suspicion leads to a second plan.
+	// missPeriod is the least time between the first missed reply of a planner and the one
+	// that makes the planner suspect. Until then requests go to other hosts, which relay
+	// them to the planner: this host may itself be late if it has little processor time,
+	// and each suspicion leads to a second plan of the pool.
 	missPeriod = 300 * time.Millisecond
-	// maxPlanners bounds the planners that one call tries.
+	// maxPlanners is the number of planners that one call tries.
 	maxPlanners = 2
-	// relayHold and relayGrace are those of a request that is relayed. Together they
-	// are below firstHold and firstGrace, so that the host that relays can still plan
-	// itself.
+	// relayHold and relayGrace are those of a relayed request. They are shorter than
+	// firstHold and firstGrace, so that the relaying host can still plan itself if the
+	// planner does not answer.
 	relayHold  = 60 * time.Millisecond
 	relayGrace = 60 * time.Millisecond
-	// eldestHosts of the hosts that are fit to plan share the pools.
-	eldestHosts = 4
-	// noticeDelay collects notices, so that many travel in one message.
+	// longestRunningHosts is the number of hosts, among those with enough processor time,
+	// that share the planning of the pools.
+	longestRunningHosts = 4
+	// noticeDelay is the time for which notices are collected, so that many are sent in
+	// one message.
 	noticeDelay   = 4 * time.Millisecond
 	noticeTimeout = time.Second
 )
@@ -60,15 +62,17 @@
 	Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
 
-// Planners reaches the hosts that plan pools. All its exported fields are needed.
+// Planners is the client of the hosts that plan pools. All its exported fields are
+// required.
 type Planners struct {
 	Self        string
 	Incarnation uint64
-	// Address is that at which peers call this host.
+	// Address is the address at which peers call this host.
 	Address string
 	// CapacityMilli is the host's processor time in thousandths of a core.
 	CapacityMilli uint32
-	// Live returns the live peers; Leaving whether this host takes no duties.
+	// Live returns the live peers; Leaving reports whether this host takes on no further
+	// duties.
 	Live    func(now time.Time) []gossiper.Peer
 	Leaving func() bool
 	Caller  Caller
@@ -80,38 +84,38 @@
 
 	mu       sync.Mutex
 	suspects map[string]suspicion
-	held     map[string]*held
+	grants   map[string]*activeGrant
 	notices  map[destination][]*messenger.PlanNotice
 }
 
-// suspicion is that of a planner that did not answer.
+// suspicion records the failures of a planner to answer.
 type suspicion struct {
-	// missed is when its first reply since the last one in time stayed out.
-	missed time.Time
-	until  time.Time
-	period time.Duration
+	// firstMissed is the time of the first missed reply since the last answer.
+	firstMissed time.Time
+	until       time.Time
+	period      time.Duration
 }
 
-// host is one that may plan a pool; the address of this host is empty.
+// host is a host that may plan a pool; the address is empty for this host.
 type host struct{ id, address string }
 
 type destination struct{ address, pool string }
 
-// candidates returns the hosts that plan a pool, the first one before those that
-// take its place. Of the hosts with the most processor time the ones that have run
-// longest are chosen, so that a host that starts again does not take the plan back;
-// rendezvous spreads the pools over them.
+// candidates returns the hosts that plan a pool, the first one followed by those that
+// replace it if it fails. They are chosen among the longest-running hosts with enough
+// processor time, so that a host that restarts does not take the plan back; rendezvous
+// hashing distributes the pools over them.
 func (pla *Planners) candidates(pool string, now time.Time) []host {
-	eld := pla.eldest(now)
-	adds := map[string]string{}
+	hosts := pla.longestRunning(now)
+	addresses := map[string]string{}
 	var ids []string
-	for _, can := range eld {
-		adds[can.ID] = can.Address
+	for _, can := range hosts {
+		addresses[can.ID] = can.Address
 		ids = append(ids, can.ID)
 	}
 	var out []host
 	for _, id := range scheduler.Candidates(pool, ids) {
-		out = append(out, host{id, adds[id]})
+		out = append(out, host{id, addresses[id]})
 		if len(out) == maxPlanners {
 			break
 		}
@@ -119,8 +123,8 @@
 	return out
 }
 
-// eldest returns the hosts among which the planners are chosen.
-func (pla *Planners) eldest(now time.Time) []gossiper.Peer {
+// longestRunning returns the hosts from which the planners are chosen.
+func (pla *Planners) longestRunning(now time.Time) []gossiper.Peer {
 	var out []gossiper.Peer
 	if !pla.Leaving() {
 		out = append(out, gossiper.Peer{ID: pla.Self, Started: pla.Incarnation, CapacityMilli: pla.CapacityMilli})
@@ -133,27 +137,27 @@
 	}
 	pla.mu.Unlock()
 	out = gossiper.Capable(out)
-	slices.SortFunc(out, func(one, two gossiper.Peer) int {
-		return cmp.Or(cmp.Compare(one.Started, two.Started), cmp.Compare(one.ID, two.ID))
+	slices.SortFunc(out, func(a, b gossiper.Peer) int {
+		return cmp.Or(cmp.Compare(a.Started, b.Started), cmp.Compare(a.ID, b.ID))
 	})
-	return out[:min(len(out), eldestHosts)]
+	return out[:min(len(out), longestRunningHosts)]
 }
 
-// ask asks the planner of a pool, or the one that takes its place.
-func (pla *Planners) ask(ctx context.Context, ask relayer.Ask) (planner.Action, error) {
-	one := planner.Request{ID: pla.askID(ask), Host: pla.Self, Incarnation: pla.Incarnation, Prompt: promptOf(ask)}
-	for _, hos := range pla.candidates(ask.Pool, pla.Clock()) {
-		act, by, err := pla.askHost(ctx, hos, ask.Pool, one)
+// requestPlan requests engines from the planner of a pool, or from its replacement.
+func (pla *Planners) requestPlan(ctx context.Context, req relayer.Ask) (planner.Action, error) {
+	planReq := planner.Request{ID: pla.requestID(req), Host: pla.Self, Incarnation: pla.Incarnation, Prompt: promptOf(req)}
+	for _, hos := range pla.candidates(req.Pool, pla.Clock()) {
+		act, plannedBy, err := pla.requestFrom(ctx, hos, req.Pool, planReq)
 		if err == nil {
-			pla.trust(hos.id)
+			pla.clearSuspicion(hos.id)
 			if ass, ok := act.(planner.Assign); ok {
-				pla.keep(ask.Pool, one, ass, by)
+				pla.addGrant(req.Pool, planReq, ass, plannedBy)
 			}
 			return act, nil
 		}
 		if ctx.Err() != nil {
-			pla.notify(hos, ask.Pool, planner.Ended{ID: one.ID})
-			return nil, eris.Wrapf(ctx.Err(), "Planners.ask: planner %s", hos.id)
+			pla.notify(hos, req.Pool, planner.Ended{ID: planReq.ID})
+			return nil, eris.Wrapf(ctx.Err(), "Planners.requestPlan: planner %s", hos.id)
 		}
 		pla.suspect(hos.id, err)
 		pla.Announce(pla.Clock())
@@ -161,58 +165,59 @@
 	return nil, errNoPlanner
 }
 
-// askID names an ask. A call that is sent again asks anew.
-func (pla *Planners) askID(ask relayer.Ask) string {
-	return strings.Join([]string{ask.ID, strconv.Itoa(ask.Sends), pla.Self, strconv.FormatUint(pla.sequence.Add(1), 36)}, "/")
+// requestID returns a new ID for a plan request. Each time a call is sent again, it makes
+// a new request.
+func (pla *Planners) requestID(req relayer.Ask) string {
+	return strings.Join([]string{req.ID, strconv.Itoa(req.Sends), pla.Self, strconv.FormatUint(pla.sequence.Add(1), 36)}, "/")
 }
 
-func promptOf(ask relayer.Ask) planner.Prompt {
+func promptOf(req relayer.Ask) planner.Prompt {
 	return planner.Prompt{
-		Tokens: ask.PromptTokens, MaxTokens: ask.MaxTokens, AnswerTokens: ask.AnswerTokens, Priority: ask.Priority,
-		Target: ask.Arrived.Add(ask.Objective), Deadline: ask.Deadline, Objective: ask.Objective, Pause: ask.Pause, Excluded: ask.Excluded,
+		Tokens: req.PromptTokens, MaxTokens: req.MaxTokens, AnswerTokens: req.AnswerTokens, Priority: req.Priority,
+		Target: req.Arrived.Add(req.Objective), Deadline: req.Deadline, Objective: req.Objective, Pause: req.Pause, Excluded: req.Excluded,
 	}
 }
 
-// askHost asks one planner until it has decided. It also returns the planner that
-// has planned, which is another one when the host that was asked relays the ask.
-func (pla *Planners) askHost(ctx context.Context, hos host, pool string, ask planner.Request) (planner.Action, host, error) {
+// requestFrom repeats a request to one planner until it is decided. It also returns the
+// planner that decided, which is another host if the first one relayed the request.
+func (pla *Planners) requestFrom(ctx context.Context, hos host, pool string, req planner.Request) (planner.Action, host, error) {
 	hold, grace := firstHold, firstGrace
 	for {
-		act, by, err := pla.askOnce(ctx, hos, pool, ask, hold, grace)
+		act, plannedBy, err := pla.requestOnce(ctx, hos, pool, req, hold, grace)
 		switch {
 		case err != nil:
 			return nil, hos, err
 		case act != nil:
-			return act, by, nil
+			return act, plannedBy, nil
 		case ctx.Err() != nil:
-			return nil, hos, eris.Wrapf(ctx.Err(), "Planners.askHost: planner %s", hos.id)
+			return nil, hos, eris.Wrapf(ctx.Err(), "Planners.requestFrom: planner %s", hos.id)
 		}
 		hold, grace = laterHold, laterGrace
 	}
 }
 
-func (pla *Planners) askOnce(ctx context.Context, hos host, pool string, ask planner.Request, hold, grace time.Duration) (planner.Action, host, error) {
+func (pla *Planners) requestOnce(ctx context.Context, hos host, pool string, req planner.Request, hold, grace time.Duration) (planner.Action, host, error) {
 	if hos.address == "" {
-		return pla.Runner.Submit(ctx, pool, ask, laterHold), hos, nil
+		return pla.Runner.Submit(ctx, pool, req, laterHold), hos, nil
 	}
-	rep, err := pla.call(ctx, hos, request(pool, ask, hold, pla.Clock()), hold+grace)
+	rep, err := pla.call(ctx, hos, planRequest(pool, req, hold, pla.Clock()), hold+grace)
 	if err != nil {
 		return nil, hos, err
 	}
-	by := host{rep.GetPlannerId(), rep.GetPlannerAddress()}
-	if by.id == pla.Self {
-		by.address = ""
+	plannedBy := host{rep.GetPlannerId(), rep.GetPlannerAddress()}
+	if plannedBy.id == pla.Self {
+		plannedBy.address = ""
 	}
-	return actionOf(ask.ID, rep), by, nil
+	return actionOf(req.ID, rep), plannedBy, nil
 }
 
-// call sends a request for a plan to another host.
+// call sends a plan request to another host.
 func (pla *Planners) call(ctx context.Context, hos host, req *messenger.PlanRequest, limit time.Duration) (*messenger.PlanReply, error) {
-	cal, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit)
+	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit)
 	defer cancel()
 	stop := context.AfterFunc(ctx, cancel)
 	defer stop()
-	env, err := pla.Caller.Call(cal, hos.address, &messenger.Envelope{Body: &messenger.Envelope_PlanRequest{PlanRequest: req}})
+	env, err := pla.Caller.Call(callCtx, hos.address, &messenger.Envelope{Body: &messenger.Envelope_PlanRequest{PlanRequest: req}})
 	if err != nil {
 		return nil, eris.Wrapf(err, "Planners.call: planner %s", hos.id)
 	}
@@ -229,47 +234,47 @@
 	if pla.suspects == nil {
 		pla.suspects = map[string]suspicion{}
 	}
-	old := pla.suspects[id]
-	if now.Before(old.until) {
-		// Another ask has found it out.
+	sus := pla.suspects[id]
+	if now.Before(sus.until) {
+		// Another request has already made the planner suspect.
 		return
 	}
-	if old.missed.IsZero() {
-		old.missed = now
+	if sus.firstMissed.IsZero() {
+		sus.firstMissed = now
 	}
-	if errors.Is(err, context.DeadlineExceeded) && now.Sub(old.missed) < missPeriod {
-		pla.suspects[id] = old
+	if errors.Is(err, context.DeadlineExceeded) && now.Sub(sus.firstMissed) < missPeriod {
+		pla.suspects[id] = sus
 		return
 	}
-	per := min(maxSuspect, max(suspectPeriod, 2*old.period))
-	pla.suspects[id] = suspicion{missed: old.missed, until: now.Add(per), period: per}
-	pla.Log.Warn().Str("Peer", id).Err(err).Dur("ForMs", per).Msg("planner does not answer")
+	period := min(maxSuspect, max(suspectPeriod, 2*sus.period))
+	pla.suspects[id] = suspicion{firstMissed: sus.firstMissed, until: now.Add(period), period: period}
+	pla.Log.Warn().Str("Peer", id).Err(err).Dur("ForMs", period).Msg("planner did not answer; sending it no requests for a time")
 }
 
-// trust ends the suspicion of a planner that has answered.
-func (pla *Planners) trust(id string) {
+// clearSuspicion ends the suspicion of a planner that has answered.
+func (pla *Planners) clearSuspicion(id string) {
 	pla.mu.Lock()
 	defer pla.mu.Unlock()
 	delete(pla.suspects, id)
 }
 
-// HandleRequest plans for another host. A host that is not the planner in its own
-// view relays the request to the one that is, so that hosts which see the planner
-// differently still use one account.
+// HandleRequest plans for another host. A host that in its own view is not the planner
+// relays the request to the planner, so that hosts with different views of the planner
+// still share one plan.
 func (pla *Planners) HandleRequest(ctx context.Context, req *messenger.PlanRequest, now time.Time) *messenger.Envelope {
 	if !req.GetRelayed() {
 		if rep := pla.relay(ctx, req, now); rep != nil {
 			return &messenger.Envelope{Body: &messenger.Envelope_PlanReply{PlanReply: rep}}
 		}
 	}
-	act := pla.Runner.Submit(ctx, req.GetPool(), askOf(req, now), time.Duration(req.GetHoldMs())*time.Millisecond)
+	act := pla.Runner.Submit(ctx, req.GetPool(), requestOf(req, now), time.Duration(req.GetHoldMs())*time.Millisecond)
 	rep := replyOf(act)
 	rep.PlannerId, rep.PlannerAddress = pla.Self, pla.Address
 	return &messenger.Envelope{Body: &messenger.Envelope_PlanReply{PlanReply: rep}}
 }
 
-// relay passes a request on to the planner; nil if this host is the planner, or if
-// the planner does not answer.
+// relay sends a request on to the planner. It returns nil if this host is the planner or
+// if the planner does not answer.
 func (pla *Planners) relay(ctx context.Context, req *messenger.PlanRequest, now time.Time) *messenger.PlanReply {
 	cans := pla.candidates(req.GetPool(), now)
 	if len(cans) == 0 || cans[0].id == pla.Self || cans[0].id == req.GetHost() {
@@ -286,10 +291,11 @@
 	return rep
 }
 
-// HandleNotices takes notices, or passes them on to the planner that they are for.
+// HandleNotices applies notices, or forwards them to the planner that they are addressed
+// to.
 func (pla *Planners) HandleNotices(nots *messenger.PlanNotices) *messenger.Envelope {
-	if add := nots.GetFor(); add != "" && add != pla.Address {
-		go pla.deliver(add, nots)
+	if address := nots.GetFor(); address != "" && address != pla.Address {
+		go pla.forwardNotices(address, nots)
 	} else {
 		now := pla.Clock()
 		for _, not := range nots.GetNotices() {
@@ -299,19 +305,19 @@
 	return &messenger.Envelope{Body: &messenger.Envelope_Done{Done: &messenger.Done{}}}
 }
 
-// deliver passes the notices of a host that can't reach a planner on to it. They take
-// no second detour: two hosts would send them to each other for as long as the planner
-// is gone.
-func (pla *Planners) deliver(address string, nots *messenger.PlanNotices) {
+// forwardNotices forwards the notices of a host that cannot reach a planner. Undelivered
+// notices are not rerouted again: two hosts would send them to each other for as long as
+// the planner is unreachable.
+func (pla *Planners) forwardNotices(address string, nots *messenger.PlanNotices) {
 	ctx, stop := context.WithTimeout(context.Background(), noticeTimeout)
 	defer stop()
 	if _, err := pla.Caller.Call(ctx, address, &messenger.Envelope{Body: &messenger.Envelope_PlanNotices{PlanNotices: nots}}); err != nil {
-		pla.Log.Warn().Str("Peer", address).Int("Notices", len(nots.GetNotices())).Err(err).Msg("plan notices lost; the planner learns by reports and deadlines")
+		pla.Log.Warn().Str("Peer", address).Int("Notices", len(nots.GetNotices())).Err(err).Msg("plan notices could not be delivered; the planner relies on engine reports and deadlines")
 	}
 }
 
-// notify tells the planner of a pool what became of a grant: at once on this
-// host, and with others after a short delay on another.
+// notify reports an event of a grant to a planner: at once if it is this host, otherwise
+// after noticeDelay together with other events.
 func (pla *Planners) notify(hos host, pool string, eve planner.Event) {
 	if hos.address == "" {
 		pla.Runner.Notify(pool, eve)
@@ -341,13 +347,13 @@
 	if err == nil {
 		return
 	}
-	pla.Log.Warn().Str("Peer", des.address).Int("Notices", len(nots)).Err(err).Msg("plan notices not delivered; sending them through another host")
-	pla.detour(des, nots)
+	pla.Log.Warn().Str("Peer", des.address).Int("Notices", len(nots)).Err(err).Msg("plan notices could not be delivered; sending them through another host")
+	pla.reroute(des, nots)
 }
 
-// detour sends notices through another candidate to a planner that this host can't
-// reach.
-func (pla *Planners) detour(des destination, nots []*messenger.PlanNotice) {
+// reroute sends notices for a planner that this host cannot reach through another
+// candidate.
+func (pla *Planners) reroute(des destination, nots []*messenger.PlanNotice) {
 	for _, via := range pla.candidates(des.pool, pla.Clock()) {
 		if via.address == "" || via.address == des.address {
 			continue
@@ -356,7 +362,7 @@
 		defer stop()
 		env := &messenger.Envelope{Body: &messenger.Envelope_PlanNotices{PlanNotices: &messenger.PlanNotices{Pool: des.pool, Notices: nots, For: des.address}}}
 		if _, err := pla.Caller.Call(ctx, via.address, env); err != nil {
-			pla.Log.Warn().Str("Peer", via.id).Int("Notices", len(nots)).Err(err).Msg("plan notices lost; the planner learns by reports and deadlines")
+			pla.Log.Warn().Str("Peer", via.id).Int("Notices", len(nots)).Err(err).Msg("plan notices could not be delivered; the planner relies on engine reports and deadlines")
 		}
 		return
 	}
