--- a/process/orderer/giver.go
+++ b/process/orderer/giver.go
@@ -13,22 +13,24 @@
 )
 
 const (
-	weighTimeout   = 2 * time.Second
+	// weightsTimeout is the time limit for one request to the weight store, releaseTimeout
+	// that for the release of a lease.
+	weightsTimeout = 2 * time.Second
 	releaseTimeout = 2 * time.Second
 )
 
-// WeightStore grants reads of weights at its rate.
+// WeightStore grants reads of weights at a limited rate.
 type WeightStore interface {
 	Weights(ctx context.Context, model, version string) (persister.Weights, error)
 }
 
-// Engine takes orders.
+// Engine reads the configuration of an engine and sends orders to it.
 type Engine interface {
 	Config(ctx context.Context, address string) (invoker.EngineConfig, error)
 	GiveOrder(ctx context.Context, address string, ord invoker.Order) error
 }
 
-// Issuer gives orders to engines.
+// Issuer issues orders to engines.
 type Issuer struct {
 	Store   leaser.ObjectStore
 	Weights WeightStore
@@ -36,49 +38,49 @@
 	Host    string
 }
 
-// Issue gives one order to an engine and waits for its end until ctx ends. An
-// order that is given again under its ID has no second effect.
-func (giv *Issuer) Issue(ctx context.Context, endpoint, address string, ord invoker.Order) End {
-	hol := &leaser.Holder{Store: giv.Store, Name: "orders-" + endpoint, Host: giv.Host}
-	defer giv.release(ctx, hol)
+// Issue issues one order to an engine and waits until the order ends or ctx ends. An order
+// that is issued again under the same ID has no second effect.
+func (iss *Issuer) Issue(ctx context.Context, endpoint, address string, ord invoker.Order) End {
+	hol := &leaser.Holder{Store: iss.Store, Name: "orders-" + endpoint, Host: iss.Host}
+	defer iss.release(ctx, hol)
 	sta := State{Order: ord}
 	var eve Event = Started{}
 	for {
-		nex, act := sta.Next(eve, time.Now())
-		sta = nex
+		next, act := sta.Next(eve, time.Now())
+		sta = next
 		if end, ok := act.(End); ok {
 			return end
 		}
-		eve = giv.carryOut(ctx, hol, address, ord, act)
+		eve = iss.perform(ctx, hol, address, ord, act)
 	}
 }
 
-func (giv *Issuer) release(ctx context.Context, hol *leaser.Holder) {
+func (iss *Issuer) release(ctx context.Context, hol *leaser.Holder) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer stop()
 	hol.Release(ctx)
 }
 
-func (giv *Issuer) carryOut(ctx context.Context, hol *leaser.Holder, address string, ord invoker.Order, act Action) Event {
+func (iss *Issuer) perform(ctx context.Context, hol *leaser.Holder, address string, ord invoker.Order, act Action) Event {
 	switch act := act.(type) {
 	case Lease:
-		hld, err := hol.Acquire(ctx)
+		lease, err := hol.Acquire(ctx)
 		if err != nil {
 			return Expired{err.Error()}
 		}
-		return Leased{Fence: hld.Fence, Until: hld.Until}
+		return Leased{Fence: lease.Fence, Until: lease.Until}
 	case RequestWeights:
-		return giv.weigh(ctx, ord, act)
+		return iss.requestWeights(ctx, ord, act)
 	case ReadConfig:
-		return giv.read(ctx, address, act)
+		return iss.readConfig(ctx, address, act)
 	case Send:
-		return giv.send(ctx, address, act)
+		return iss.send(ctx, address, act)
 	default:
 		return Expired{"unexpected action"}
 	}
 }
 
-// wait pauses and reports false if the time for the order has passed.
+// wait waits for a pause and returns false if the time for the order has passed.
 func wait(ctx context.Context, dur time.Duration) bool {
 	select {
 	case <-time.After(dur):
@@ -87,13 +89,13 @@
 	return ctx.Err() == nil
 }
 
-func (giv *Issuer) weigh(ctx context.Context, ord invoker.Order, wei RequestWeights) Event {
-	if !wait(ctx, wei.Pause) {
+func (iss *Issuer) requestWeights(ctx context.Context, ord invoker.Order, action RequestWeights) Event {
+	if !wait(ctx, action.Pause) {
 		return Expired{"the weight store granted no read in time"}
 	}
-	ctx, stop := context.WithTimeout(ctx, weighTimeout)
+	ctx, stop := context.WithTimeout(ctx, weightsTimeout)
 	defer stop()
-	_, err := giv.Weights.Weights(ctx, ord.Model, ord.Version)
+	_, err := iss.Weights.Weights(ctx, ord.Model, ord.Version)
 	switch {
 	case err == nil:
 		return WeightsGranted{}
@@ -104,30 +106,30 @@
 	}
 }
 
-func (giv *Issuer) read(ctx context.Context, address string, rea ReadConfig) Event {
-	if !wait(ctx, rea.Pause) {
+func (iss *Issuer) readConfig(ctx context.Context, address string, action ReadConfig) Event {
+	if !wait(ctx, action.Pause) {
 		return Expired{"the engine's configuration could not be read in time"}
 	}
 	ctx, stop := context.WithTimeout(ctx, OrderTimeout)
 	defer stop()
-	cfg, err := giv.Engine.Config(ctx, address)
+	cfg, err := iss.Engine.Config(ctx, address)
 	if err != nil {
 		return Unavailable{err.Error()}
 	}
 	return ConfigRead{cfg}
 }
 
-func (giv *Issuer) send(ctx context.Context, address string, sen Send) Event {
+func (iss *Issuer) send(ctx context.Context, address string, action Send) Event {
 	ctx, stop := context.WithTimeout(ctx, OrderTimeout)
 	defer stop()
-	err := giv.Engine.GiveOrder(ctx, address, sen.Order)
-	var ine *invoker.Error
+	err := iss.Engine.GiveOrder(ctx, address, action.Order)
+	var invErr *invoker.Error
 	switch {
 	case err == nil:
 		return CarriedOut{}
-	case errors.As(err, &ine) && ine.Ran == invoker.NotRun && ine.Code != "":
-		return Refused{Code: ine.Code, Message: ine.Err.Error()}
-	case errors.As(err, &ine) && ine.Ran == invoker.NotRun:
+	case errors.As(err, &invErr) && invErr.Ran == invoker.NotRun && invErr.Code != "":
+		return Refused{Code: invErr.Code, Message: invErr.Err.Error()}
+	case errors.As(err, &invErr) && invErr.Ran == invoker.NotRun:
 		return Unavailable{eris.Wrap(err, "Issuer.send").Error()}
 	default:
 		return NoAnswer{err.Error()}
--- a/process/orderer/giver_test.go
+++ b/process/orderer/giver_test.go
@@ -16,9 +16,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-const tries = 2 * maxSends
+const refusedDials = 2 * maxSends
 
-// unreachable is an engine that can't be reached by the first orders.
+// unreachable is a client of an engine that the first orders do not reach.
 type unreachable struct {
 	*invoker.Invoker
 	left int
@@ -32,31 +32,31 @@
 	return unr.Invoker.GiveOrder(ctx, address, ord)
 }
 
-// TestGive gives orders over a platform with a low write rate to an engine that
-// is not reached at first.
-func TestGive(t *testing.T) {
-	pla := httptest.NewServer(keeper.New(keeper.Settings{ReadRate: 1000, WriteRate: 4, WeightRate: 1, MaxWatchers: 1}).Handler())
-	defer pla.Close()
+// TestIssue issues orders through a platform with a low write rate to an engine that is
+// unreachable at first.
+func TestIssue(t *testing.T) {
+	platform := httptest.NewServer(keeper.New(keeper.Settings{ReadRate: 1000, WriteRate: 4, WeightRate: 1, MaxWatchers: 1}).Handler())
+	defer platform.Close()
 	eng := httptest.NewServer(generator.New(generator.Settings{ChecksFence: true}).Handler())
 	defer eng.Close()
-	per := &persister.Persister{BaseURL: pla.URL}
-	inv := &unreachable{Invoker: &invoker.Invoker{}, left: tries}
-	giv := &Issuer{Store: per, Weights: per, Engine: inv, Host: "host-0"}
+	per := &persister.Persister{BaseURL: platform.URL}
+	inv := &unreachable{Invoker: &invoker.Invoker{}, left: refusedDials}
+	iss := &Issuer{Store: per, Weights: per, Engine: inv, Host: "host-0"}
 	ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
 	defer stop()
-	for ind, id := range []string{"one", "two", "three", "four"} {
-		end := giv.Issue(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: id, Kind: invoker.LoadVersion, Model: "m", Version: id})
+	for i, id := range []string{"one", "two", "three", "four"} {
+		end := iss.Issue(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: id, Kind: invoker.LoadVersion, Model: "m", Version: id})
 		require.Equal(t, Applied, end.Effect, end)
-		require.Equal(t, uint64(ind+1), end.Fence)
+		require.Equal(t, uint64(i+1), end.Fence)
 	}
 	cfg, err := inv.Config(ctx, eng.Listener.Addr().String())
 	require.NoError(t, err)
 	require.Equal(t, []string{"one", "two", "three", "four"}, cfg.Orders)
 	require.Equal(t, "four", cfg.Versions["m"])
-	end := giv.Issue(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: "bad", Kind: "NoKind", Model: "m"})
+	end := iss.Issue(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: "bad", Kind: "NoKind", Model: "m"})
 	require.Equal(t, End{Effect: NotApplied, Code: "bad_order", Message: "the order is not known", Fence: 5}, end)
-	end = giv.Issue(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: "none", Kind: invoker.LoadModel})
+	end = iss.Issue(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: "none", Kind: invoker.LoadModel})
 	require.Equal(t, "weights_not_found", end.Code)
-	end = giv.Issue(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: "five", Kind: invoker.LoadModel, Model: "other"})
+	end = iss.Issue(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: "five", Kind: invoker.LoadModel, Model: "other"})
 	require.Equal(t, Applied, end.Effect, "the current version")
 }
--- a/process/orderer/matrix_test.go
+++ b/process/orderer/matrix_test.go
@@ -22,388 +22,389 @@
 )
 
 const (
-	giveTime = 30 * time.Second
-	// transit is the longest way of an order that a taker still waits out.
-	transit = OrderTimeout + leaser.Margin - time.Millisecond
+	attemptTimeout = 30 * time.Second
+	// maxTransit is the longest time for which an order may be in transit such that a host
+	// that takes over the lease still waits for its arrival.
+	maxTransit = OrderTimeout + leaser.Margin - time.Millisecond
 )
 
-type strike struct {
+type injectedFault struct {
 	step, fault string
 	done        bool
 }
 
-type died struct{}
-
-// world is a store with one lease, and one engine, on a clock that only moves
-// when someone waits.
-type world struct {
-	engine  string
-	now     time.Time
-	lease   leaser.Lease
-	version uint64
-	config  invoker.EngineConfig
-	fences  []uint64
-	late    []delayed
-	second  *giving
-	played  bool
+type hostDied struct{}
+
+// simulation simulates a store with one lease and one engine, on a clock that only
+// advances when a host waits.
+type simulation struct {
+	engine    string
+	now       time.Time
+	lease     leaser.Lease
+	version   uint64
+	config    invoker.EngineConfig
+	fences    []uint64
+	delayed   []delayedEffect
+	second    *attempt
+	secondRan bool
 }
 
-// delayed is an effect that lands at a time, or after the next read of the
-// engine's configuration by the second host if the time is zero.
-type delayed struct {
-	at  time.Time
-	fun func()
+// delayedEffect is an effect that is applied at a time or, if the time is zero, after the
+// second host's next read of the engine's configuration.
+type delayedEffect struct {
+	at    time.Time
+	apply func()
 }
 
-// advance moves the clock and lets the effects land that are due.
-func (wor *world) advance(dur time.Duration) {
-	wor.now = wor.now.Add(dur)
-	wor.land(func(del delayed) bool { return !del.at.IsZero() && !del.at.After(wor.now) })
+// advance advances the clock and applies the effects that are due.
+func (sim *simulation) advance(dur time.Duration) {
+	sim.now = sim.now.Add(dur)
+	sim.applyDelayed(func(del delayedEffect) bool { return !del.at.IsZero() && !del.at.After(sim.now) })
 }
 
-func (wor *world) land(due func(delayed) bool) {
-	lef := wor.late
-	wor.late = nil
-	for _, del := range lef {
+func (sim *simulation) applyDelayed(due func(delayedEffect) bool) {
+	pending := sim.delayed
+	sim.delayed = nil
+	for _, del := range pending {
 		if due(del) {
-			del.fun()
+			del.apply()
 		} else {
-			wor.late = append(wor.late, del)
+			sim.delayed = append(sim.delayed, del)
 		}
 	}
 }
 
-// delay keeps an effect back as the fault says, and reports whether it did.
-func (giv *giving) delay(fault string, fun func()) bool {
+// delay delays an effect if the fault says so and reports whether it did.
+func (att *attempt) delay(fault string, apply func()) bool {
 	switch fault {
 	case "late", "late-die":
-		giv.wor.late = append(giv.wor.late, delayed{giv.wor.now.Add(transit), fun})
+		att.sim.delayed = append(att.sim.delayed, delayedEffect{att.sim.now.Add(maxTransit), apply})
 	case "later-die":
-		giv.wor.late = append(giv.wor.late, delayed{time.Time{}, fun})
+		att.sim.delayed = append(att.sim.delayed, delayedEffect{time.Time{}, apply})
 	default:
 		return false
 	}
 	if fault != "late" {
-		panic(died{})
+		panic(hostDied{})
 	}
 	return true
 }
 
-// giving is one order that one host gives.
-type giving struct {
-	wor      *world
+// attempt is one host's attempt to issue one order.
+type attempt struct {
+	sim      *simulation
 	id       string
-	strikes  []*strike
+	faults   []*injectedFault
 	lease    leaser.State
 	deadline time.Time
 	end      End
 }
 
-func (wor *world) newGiving(id string, strikes ...*strike) *giving {
-	return &giving{wor: wor, id: id, strikes: strikes, lease: leaser.State{Host: id, Nonce: id}, deadline: wor.now.Add(giveTime)}
+func (sim *simulation) newAttempt(id string, injected ...*injectedFault) *attempt {
+	return &attempt{sim: sim, id: id, faults: injected, lease: leaser.State{Host: id, Nonce: id}, deadline: sim.now.Add(attemptTimeout)}
 }
 
-// fault returns the fault of a step and carries out what comes before its effect.
-func (giv *giving) fault(step string) string {
-	for _, str := range giv.strikes {
-		if str.step != step || str.done {
+// nextFault returns the fault injected into a step and simulates what precedes its effect.
+func (att *attempt) nextFault(step string) string {
+	for _, inj := range att.faults {
+		if inj.step != step || inj.done {
 			continue
 		}
-		str.done = true
-		switch str.fault {
+		inj.done = true
+		switch inj.fault {
 		case "die-before":
-			panic(died{})
+			panic(hostDied{})
 		case "pause":
-			giv.wor.runSecond()
+			att.sim.runSecond()
 		case "hold":
-			// The host goes on at the last moment at which it may give an order.
-			giv.wor.watchSecond()
-			giv.wor.advance(leaser.Term - OrderTimeout - time.Millisecond)
+			// The host continues at the last moment at which it may send an order.
+			att.sim.watchSecond()
+			att.sim.advance(leaser.Term - OrderTimeout - time.Millisecond)
 		case "stall":
-			giv.wor.watchSecond()
-			giv.wor.advance(leaser.Term + leaser.Margin - OrderTimeout/2)
+			att.sim.watchSecond()
+			att.sim.advance(leaser.Term + leaser.Margin - OrderTimeout/2)
 		}
-		return str.fault
+		return inj.fault
 	}
 	return ""
 }
 
-func (giv *giving) after(fault string) {
+func (att *attempt) after(fault string) {
 	switch fault {
 	case "die-after":
-		panic(died{})
+		panic(hostDied{})
 	case "slow":
-		giv.wor.advance(OrderTimeout)
+		att.sim.advance(OrderTimeout)
 	}
 }
 
-// unanswered says that the caller of a step gets no answer.
+// unanswered reports whether the caller of a step gets no answer.
 func unanswered(fault string) bool { return fault == "lost" || fault == "late" || fault == "slow" }
 
-// runSecond has another host give an order.
-func (wor *world) runSecond() {
-	if wor.second == nil {
-		wor.second = wor.newGiving("second")
+// runSecond makes the second host issue its order, unless it already has.
+func (sim *simulation) runSecond() {
+	if sim.second == nil {
+		sim.second = sim.newAttempt("second")
 	}
-	if !wor.played {
-		wor.played = true
-		wor.second.run()
+	if !sim.secondRan {
+		sim.secondRan = true
+		sim.second.run()
 	}
 }
 
-// watchSecond has the other host look at the lease, so that its wait begins.
-func (wor *world) watchSecond() {
-	if wor.second == nil {
-		wor.second = wor.newGiving("second")
-		wor.second.leaseNext(leaser.Loaded{Lease: wor.lease, Version: wor.version})
+// watchSecond makes the second host read the lease, so that its wait begins.
+func (sim *simulation) watchSecond() {
+	if sim.second == nil {
+		sim.second = sim.newAttempt("second")
+		sim.second.leaseNext(leaser.Loaded{Lease: sim.lease, Version: sim.version})
 	}
 }
 
-func (giv *giving) run() {
+func (att *attempt) run() {
 	defer func() {
-		if rec := recover(); rec != nil {
-			if _, ok := rec.(died); !ok {
-				panic(rec)
+		if recovered := recover(); recovered != nil {
+			if _, ok := recovered.(hostDied); !ok {
+				panic(recovered)
 			}
-			giv.end = End{Effect: Unknown, Code: "died"}
+			att.end = End{Effect: Unknown, Code: "died"}
 		}
 	}()
-	sta := State{Order: invoker.Order{ID: giv.id, Kind: invoker.LoadVersion, Model: "m", Version: giv.id}}
+	sta := State{Order: invoker.Order{ID: att.id, Kind: invoker.LoadVersion, Model: "m", Version: att.id}}
 	var eve Event = Started{}
 	for {
-		nex, act := sta.Next(eve, giv.wor.now)
-		sta = nex
+		next, act := sta.Next(eve, att.sim.now)
+		sta = next
 		if end, ok := act.(End); ok {
-			giv.end = end
+			att.end = end
 			break
 		}
-		eve = giv.carryOut(act)
+		eve = att.perform(act)
 	}
-	if sto, ok := giv.leaseNext(leaser.Released{}).(leaser.Store); ok {
-		giv.store(sto, "release")
+	if sto, ok := att.leaseNext(leaser.Released{}).(leaser.Store); ok {
+		att.store(sto, "release")
 	}
 }
 
-func (giv *giving) carryOut(act Action) Event {
-	if giv.wor.now.After(giv.deadline) {
+func (att *attempt) perform(act Action) Event {
+	if att.sim.now.After(att.deadline) {
 		return Expired{}
 	}
 	switch act := act.(type) {
 	case Lease:
-		return giv.acquire()
+		return att.acquire()
 	case RequestWeights:
-		fau := giv.fault("weigh")
-		giv.delay(fau, func() {})
-		giv.wor.advance(act.Pause)
-		giv.after(fau)
-		if fau == "down" || unanswered(fau) {
-			return Unavailable{fau}
+		fault := att.nextFault("weigh")
+		att.delay(fault, func() {})
+		att.sim.advance(act.Pause)
+		att.after(fault)
+		if fault == "down" || unanswered(fault) {
+			return Unavailable{fault}
 		}
 		return WeightsGranted{}
 	case ReadConfig:
-		fau := giv.fault("config")
-		giv.delay(fau, func() {})
-		giv.wor.advance(act.Pause)
-		cfg := giv.wor.config
-		if giv == giv.wor.second {
-			giv.wor.land(func(del delayed) bool { return del.at.IsZero() })
+		fault := att.nextFault("config")
+		att.delay(fault, func() {})
+		att.sim.advance(act.Pause)
+		cfg := att.sim.config
+		if att == att.sim.second {
+			att.sim.applyDelayed(func(del delayedEffect) bool { return del.at.IsZero() })
 		}
-		giv.after(fau)
-		if fau == "down" || unanswered(fau) {
-			return Unavailable{fau}
+		att.after(fault)
+		if fault == "down" || unanswered(fault) {
+			return Unavailable{fault}
 		}
 		return ConfigRead{cfg}
 	case Send:
-		return giv.send(act.Order)
+		return att.send(act.Order)
 	}
 	return Expired{}
 }
 
-func (giv *giving) send(ord invoker.Order) Event {
-	fau := giv.fault("send")
-	if fau == "down" {
-		return Unavailable{fau}
+func (att *attempt) send(ord invoker.Order) Event {
+	fault := att.nextFault("send")
+	if fault == "down" {
+		return Unavailable{fault}
 	}
-	if giv.delay(fau, func() { giv.wor.take(ord) }) {
-		return NoAnswer{fau}
+	if att.delay(fault, func() { att.sim.applyOrder(ord) }) {
+		return NoAnswer{fault}
 	}
-	cod := giv.wor.take(ord)
-	giv.after(fau)
+	code := att.sim.applyOrder(ord)
+	att.after(fault)
 	switch {
-	case unanswered(fau):
-		return NoAnswer{fau}
-	case cod != "":
-		return Refused{Code: cod}
+	case unanswered(fault):
+		return NoAnswer{fault}
+	case code != "":
+		return Refused{Code: code}
 	default:
 		return CarriedOut{}
 	}
 }
 
-// take is the engine taking an order.
-func (wor *world) take(ord invoker.Order) string {
-	cfg := &wor.config
+// applyOrder applies an order to the engine; it returns the code of a refusal, or "".
+func (sim *simulation) applyOrder(ord invoker.Order) string {
+	cfg := &sim.config
 	switch {
 	case slices.Contains(cfg.Orders, ord.ID):
 		return ""
-	case wor.engine == "checks-fence" && ord.Fence < cfg.Fence:
+	case sim.engine == "checks-fence" && ord.Fence < cfg.Fence:
 		return invoker.CodeStaleFence
-	case wor.engine == "checks-generation" && ord.ExpectedGeneration != cfg.Generation:
+	case sim.engine == "checks-generation" && ord.ExpectedGeneration != cfg.Generation:
 		return invoker.CodeWrongGeneration
 	}
 	cfg.Fence = max(cfg.Fence, ord.Fence)
 	cfg.Generation++
 	cfg.Orders = append(slices.Clone(cfg.Orders), ord.ID)
-	wor.fences = append(wor.fences, ord.Fence)
+	sim.fences = append(sim.fences, ord.Fence)
 	return ""
 }
 
-func (giv *giving) leaseNext(eve leaser.Event) leaser.Action {
-	sta, act := giv.lease.Next(eve, giv.wor.now)
-	giv.lease = sta
+func (att *attempt) leaseNext(eve leaser.Event) leaser.Action {
+	sta, act := att.lease.Next(eve, att.sim.now)
+	att.lease = sta
 	return act
 }
 
-func (giv *giving) acquire() Event {
+func (att *attempt) acquire() Event {
 	var eve leaser.Event = leaser.Wanted{}
 	for {
-		if giv.wor.now.After(giv.deadline) {
+		if att.sim.now.After(att.deadline) {
 			return Expired{}
 		}
-		switch act := giv.leaseNext(eve).(type) {
+		switch act := att.leaseNext(eve).(type) {
 		case leaser.Hold:
 			return Leased(act)
 		case leaser.Load:
-			giv.wor.advance(max(0, act.At.Sub(giv.wor.now)))
-			eve = giv.load()
+			att.sim.advance(max(0, act.At.Sub(att.sim.now)))
+			eve = att.load()
 		case leaser.Store:
-			eve = giv.store(act, "lease-write")
+			eve = att.store(act, "lease-write")
 		}
 	}
 }
 
-func (giv *giving) load() leaser.Event {
-	fau := giv.fault("lease-read")
-	giv.delay(fau, func() {})
-	loa := leaser.Loaded{Lease: giv.wor.lease, Version: giv.wor.version}
-	giv.after(fau)
-	if fau == "down" || unanswered(fau) {
-		return leaser.LoadFailed{Message: fau}
+func (att *attempt) load() leaser.Event {
+	fault := att.nextFault("lease-read")
+	att.delay(fault, func() {})
+	loa := leaser.Loaded{Lease: att.sim.lease, Version: att.sim.version}
+	att.after(fault)
+	if fault == "down" || unanswered(fault) {
+		return leaser.LoadFailed{Message: fault}
 	}
 	return loa
 }
 
-func (giv *giving) store(sto leaser.Store, step string) leaser.Event {
-	fau := giv.fault(step)
+func (att *attempt) store(sto leaser.Store, step string) leaser.Event {
+	fault := att.nextFault(step)
 	put := func() bool {
-		if sto.Version != giv.wor.version {
+		if sto.Version != att.sim.version {
 			return false
 		}
-		giv.wor.lease = sto.Lease
-		giv.wor.version++
+		att.sim.lease = sto.Lease
+		att.sim.version++
 		return true
 	}
-	if fau == "down" {
+	if fault == "down" {
 		return leaser.Conflicted{}
 	}
-	if giv.delay(fau, func() { put() }) {
+	if att.delay(fault, func() { put() }) {
 		return leaser.Lost{}
 	}
 	ok := put()
-	giv.after(fau)
+	att.after(fault)
 	switch {
-	case unanswered(fau):
+	case unanswered(fault):
 		return leaser.Lost{}
 	case !ok:
 		return leaser.Conflicted{}
 	default:
-		return leaser.Stored{Version: giv.wor.version}
+		return leaser.Stored{Version: att.sim.version}
 	}
 }
 
-// play gives an order under faults and another one by a second host, during a
-// pause of the first or after it.
-func play(engine string, strikes ...*strike) string {
-	wor := &world{engine: engine, now: time.Date(2026, 12, 4, 9, 0, 0, 0, time.UTC), config: invoker.EngineConfig{Generation: 1}}
-	fir := wor.newGiving("first", strikes...)
-	fir.run()
-	wor.runSecond()
-	wor.land(func(delayed) bool { return true })
+// simulate issues an order under faults, and another one from a second host during a pause
+// of the first host or after it.
+func simulate(engine string, injected ...*injectedFault) string {
+	sim := &simulation{engine: engine, now: time.Date(2026, 12, 4, 9, 0, 0, 0, time.UTC), config: invoker.EngineConfig{Generation: 1}}
+	first := sim.newAttempt("first", injected...)
+	first.run()
+	sim.runSecond()
+	sim.applyDelayed(func(delayedEffect) bool { return true })
 	out := ""
-	for _, giv := range []*giving{fir, wor.second} {
-		app := slices.Contains(wor.config.Orders, giv.id)
-		out += fmt.Sprintf("%s=%s ", giv.id, giv.end.Effect)
-		if giv.end.Effect == Applied && !app || giv.end.Effect == NotApplied && app {
+	for _, att := range []*attempt{first, sim.second} {
+		applied := slices.Contains(sim.config.Orders, att.id)
+		out += fmt.Sprintf("%s=%s ", att.id, att.end.Effect)
+		if att.end.Effect == Applied && !applied || att.end.Effect == NotApplied && applied {
 			out += "(FALSE) "
 		}
 	}
-	out += "carried=" + strings.Join(wor.config.Orders, ",")
-	if !slices.IsSorted(wor.fences) {
+	out += "carried=" + strings.Join(sim.config.Orders, ",")
+	if !slices.IsSorted(sim.fences) {
 		out += " old-after-new"
 	}
 	return out
 }
 
-func cells() []string {
+func faultCells() []string {
 	var out []string
-	for _, ste := range steps {
-		for _, fau := range faults {
-			out = append(out, ste+"/"+fau)
+	for _, step := range steps {
+		for _, fault := range faults {
+			out = append(out, step+"/"+fault)
 		}
 	}
 	return out
 }
 
-func newStrike(cell string) *strike {
-	ste, fau, _ := strings.Cut(cell, "/")
-	return &strike{step: ste, fault: fau}
+func newFault(cell string) *injectedFault {
+	step, fault, _ := strings.Cut(cell, "/")
+	return &injectedFault{step: step, fault: fault}
 }
 
-// TestMatrix gives an order under every fault at every step, and under every
-// two faults, to each kind of engine.
+// TestMatrix issues an order under every injected fault at every step, and under every two
+// of them, to each kind of engine.
 func TestMatrix(t *testing.T) {
 	datadriven.RunTest(t, "testdata/matrix", func(t *testing.T, td *datadriven.TestData) string {
 		ends := map[string][]string{}
 		for _, eng := range engines {
-			for _, two := range append([]string{"alone"}, cells()...) {
-				end := play(eng, newStrike(td.Cmd), newStrike(two))
-				require.NotContains(t, end, "FALSE", "%s: %s and %s", eng, td.Cmd, two)
+			for _, other := range append([]string{"alone"}, faultCells()...) {
+				end := simulate(eng, newFault(td.Cmd), newFault(other))
+				require.NotContains(t, end, "FALSE", "%s: %s and %s", eng, td.Cmd, other)
 				if eng != "checks-nothing" {
-					require.NotContains(t, end, "old-after-new", "%s: %s and %s", eng, td.Cmd, two)
+					require.NotContains(t, end, "old-after-new", "%s: %s and %s", eng, td.Cmd, other)
 				}
 				key := eng + ": " + end
-				ends[key] = append(ends[key], two)
+				ends[key] = append(ends[key], other)
 			}
 		}
-		var lins []string
-		for end, twos := range ends {
-			lins = append(lins, end+"\n  "+strings.Join(twos, " ")+"\n")
+		var lines []string
+		for end, others := range ends {
+			lines = append(lines, end+"\n  "+strings.Join(others, " ")+"\n")
 		}
-		slices.Sort(lins)
-		return strings.Join(lins, "")
+		slices.Sort(lines)
+		return strings.Join(lines, "")
 	})
 }
 
-// TestMatrixWhole proves that no cell is missing from the data file.
-func TestMatrixWhole(t *testing.T) {
-	txt, err := os.ReadFile("testdata/matrix")
+// TestMatrixIsComplete checks that the data file contains every pair of faults.
+func TestMatrixIsComplete(t *testing.T) {
+	text, err := os.ReadFile("testdata/matrix")
 	require.NoError(t, err)
-	var firs []string
-	for _, blo := range strings.Split(string(txt), "\n\n") {
-		lin, out, ok := strings.Cut(strings.TrimLeft(blo, "\n"), "\n----\n")
-		require.True(t, ok, blo)
-		firs = append(firs, lin)
+	var cells []string
+	for _, block := range strings.Split(string(text), "\n\n") {
+		line, out, ok := strings.Cut(strings.TrimLeft(block, "\n"), "\n----\n")
+		require.True(t, ok, block)
+		cells = append(cells, line)
 		for _, eng := range engines {
-			var twos []string
-			var at string
-			for lin := range strings.Lines(out) {
-				if !strings.HasPrefix(lin, "  ") {
-					at, _, _ = strings.Cut(lin, ":")
-				} else if at == eng {
-					twos = append(twos, strings.Fields(lin)...)
+			var others []string
+			var engine string
+			for line := range strings.Lines(out) {
+				if !strings.HasPrefix(line, "  ") {
+					engine, _, _ = strings.Cut(line, ":")
+				} else if engine == eng {
+					others = append(others, strings.Fields(line)...)
 				}
 			}
-			require.ElementsMatch(t, append([]string{"alone"}, cells()...), twos, "%s %s", lin, eng)
+			require.ElementsMatch(t, append([]string{"alone"}, faultCells()...), others, "%s %s", line, eng)
 		}
 	}
-	require.Equal(t, cells(), firs)
+	require.Equal(t, faultCells(), cells)
 }
--- a/process/orderer/orderer.go
+++ b/process/orderer/orderer.go
@@ -1,20 +1,19 @@
-// Package orderer gives orders to engines: load a model, an adapter or a
-// version, change the role.
+// Package orderer issues orders to engines: load a model, an adapter or a version, or
+// change the role.
 //
-// An order is given only under the lease of its engine, with the lease's fencing
-// number and the configuration generation that it is to be applied to, and only
-// while the lease lasts longer than an order may take. A taker of the lease
-// waits out the old holder's term and a margin before its first order.
+// An order is issued only under the lease of its engine, with the lease's fencing number
+// and the configuration generation that it applies to, and only while the lease lasts
+// longer than an order may take. A host that takes over the lease waits for the end of the
+// previous holder's term and a margin before its first order.
 //
-// What that gives: an engine that checks fencing numbers never carries out an
-// order of an old holder after one of a new holder. An engine that ignores them
-// but checks the generation never carries out an old holder's order after a new
-// one either, since the new order moved the generation; an old order that
-// arrives before the new one is carried out first and the new one is given
-// again for the generation that it left. An engine that checks neither can
-// carry out a delayed order of a paused holder at any time: that can't be had
-// from this side. Nor can it where an engine restarts and counts its generations
-// anew. The next order then acts on the configuration that it reads.
+// This has the following effects. An engine that checks fencing numbers never carries out
+// an order of an old holder after one of a new holder. An engine that ignores fencing
+// numbers but checks the generation does not either, since the new order changes the
+// generation; an old order that arrives before the new one is carried out first, and the
+// new one is issued again for the generation that results. An engine that checks neither
+// can carry out a delayed order of a paused holder at any time, which an issuer cannot
+// prevent. Nor can it prevent this where an engine restarts and counts its generations
+// anew; the next order then applies to the configuration that the issuer reads.
 package orderer
 
 import (
@@ -25,14 +24,16 @@
 )
 
 const (
-	// OrderTimeout bounds one order. It lies below the margin of a lease.
+	// OrderTimeout is the time limit for sending one order. It is shorter than the margin
+	// of a lease.
 	OrderTimeout = time.Second
-	// maxSends bounds how often one order is given.
+	// maxSends is the number of times that one order is sent at most; retryPause is the
+	// pause before an attempt is repeated.
 	maxSends   = 4
 	retryPause = 100 * time.Millisecond
 )
 
-// Effect says whether an order was carried out.
+// Effect is what is known of whether an order was carried out.
 type Effect string
 
 // Effects of an order.
@@ -42,20 +43,21 @@
 	Unknown    Effect = "Unknown"
 )
 
-// State is what is known of one order. It is an immutable value.
+// State is the progress of one order. It is an immutable value.
 type State struct {
 	Order invoker.Order
 
-	until   time.Time
-	weighed bool
-	sends   int
-	// sending says that the last action was a send.
-	sending bool
-	// lost says that a send may still take effect.
-	lost bool
+	until          time.Time
+	weightsGranted bool
+	sends          int
+	// lastWasSend reports that the last action was Send.
+	lastWasSend bool
+	// mayTakeEffect reports that an unanswered send may still take effect.
+	mayTakeEffect bool
 }
 
-// Event is a step of an order.
+// Event is the input of an order's State: Started, Leased, WeightsGranted, Unavailable,
+// ConfigRead, CarriedOut, Refused, NoAnswer or Expired.
 type Event interface{ event() }
 
 // Started starts the order.
@@ -67,10 +69,11 @@
 	Until time.Time
 }
 
-// WeightsGranted reports that the weight store granted a read.
+// WeightsGranted reports that the weight store granted a read of the weights.
 type WeightsGranted struct{}
 
-// Unavailable reports that the weight store or the engine could not be asked now.
+// Unavailable reports that the weight store or the engine could not be reached, or could
+// not answer now.
 type Unavailable struct{ Message string }
 
 // ConfigRead reports the configuration of the engine.
@@ -82,7 +85,7 @@
 // Refused reports that the engine refused the order without effect.
 type Refused struct{ Code, Message string }
 
-// NoAnswer reports an order without an answer.
+// NoAnswer reports that the engine did not answer an order, so that its effect is unknown.
 type NoAnswer struct{ Message string }
 
 // Expired reports that the time for the order has passed.
@@ -101,24 +104,24 @@
 // Action is what to do next: Lease, RequestWeights, ReadConfig, Send or End.
 type Action interface{ action() }
 
-// Lease acquires the lease of the engine or prolongs it.
+// Lease acquires or renews the lease of the engine.
 type Lease struct{}
 
-// RequestWeights asks the weight store for a read, after a pause if Pause is set.
+// RequestWeights requests a read of the weights from the weight store, after Pause.
 type RequestWeights struct{ Pause time.Duration }
 
-// ReadConfig reads the configuration of the engine, after a pause.
+// ReadConfig reads the configuration of the engine, after Pause.
 type ReadConfig struct{ Pause time.Duration }
 
-// Send gives the order.
+// Send sends the order to the engine.
 type Send struct{ Order invoker.Order }
 
-// End ends the order.
+// End ends the order with its result.
 type End struct {
 	Effect  Effect
 	Code    string `json:",omitempty"`
 	Message string `json:",omitempty"`
-	// Fence is the fencing number that the order was given under.
+	// Fence is the fencing number under which the order was issued.
 	Fence uint64 `json:",omitempty"`
 }
 
@@ -128,20 +131,20 @@
 func (Send) action()           {}
 func (End) action()            {}
 
-// Next decides on an event.
+// Next returns the state after an event and the next action.
 func (sta State) Next(eve Event, now time.Time) (State, Action) {
-	sent := sta.sending
-	sta.sending = false
+	wasSend := sta.lastWasSend
+	sta.lastWasSend = false
 	switch eve := eve.(type) {
 	case Started:
 		return sta, Lease{}
 	case Leased:
 		return sta.leased(eve)
 	case WeightsGranted:
-		sta.weighed = true
+		sta.weightsGranted = true
 		return sta, ReadConfig{}
 	case Unavailable:
-		if sent {
+		if wasSend {
 			// The engine was not reached, so the send does not count.
 			sta.sends--
 		}
@@ -153,7 +156,7 @@
 	case Refused:
 		return sta.refused(eve)
 	case NoAnswer:
-		sta.lost = true
+		sta.mayTakeEffect = true
 		return sta, ReadConfig{Pause: retryPause}
 	case Expired:
 		return sta, sta.end("time_limit", eve.Message)
@@ -162,10 +165,10 @@
 	}
 }
 
-// end ends an order that was not seen to be carried out.
+// end ends an order that is not known to have been carried out.
 func (sta State) end(code, message string) End {
 	eff := NotApplied
-	if sta.lost {
+	if sta.mayTakeEffect {
 		eff = Unknown
 	}
 	return End{Effect: eff, Code: code, Message: message, Fence: sta.Order.Fence}
@@ -174,20 +177,20 @@
 func (sta State) leased(lea Leased) (State, Action) {
 	sta.Order.Fence = lea.Fence
 	sta.until = lea.Until
-	if sta.Order.Kind != invoker.ChangeRole && !sta.weighed {
+	if sta.Order.Kind != invoker.ChangeRole && !sta.weightsGranted {
 		return sta, RequestWeights{}
 	}
 	return sta, ReadConfig{}
 }
 
 func (sta State) busy() (State, Action) {
-	if sta.Order.Kind != invoker.ChangeRole && !sta.weighed {
+	if sta.Order.Kind != invoker.ChangeRole && !sta.weightsGranted {
 		return sta, RequestWeights{Pause: retryPause}
 	}
 	return sta, ReadConfig{Pause: retryPause}
 }
 
-// read decides on the configuration that the engine has.
+// read decides what to do with the configuration that the engine has.
 func (sta State) read(cfg invoker.EngineConfig, now time.Time) (State, Action) {
 	switch {
 	case slices.Contains(cfg.Orders, sta.Order.ID):
@@ -200,7 +203,7 @@
 		return sta, Lease{}
 	}
 	sta.sends++
-	sta.sending = true
+	sta.lastWasSend = true
 	sta.Order.ExpectedGeneration = cfg.Generation
 	return sta, Send{sta.Order}
 }
