--- a/internal/streammatrix/move_test.go
+++ b/internal/streammatrix/move_test.go
@@ -52,7 +52,7 @@
 // cell returns the trace of one fault at one step, with its end.
 func (mov *moving) cell() string {
 	mov.deliver(1)
-	act := mov.next(mover.Began{Rest: mov.rest()})
+	act := mov.next(mover.Began{Remaining: mov.rest()})
 	mov.request = mov.request.WithMove()
 	mov.second = mov.request.Attempt
 	for over := false; !over && mov.ended == ""; {
@@ -80,8 +80,8 @@
 	return mov.ended + " " + strings.Join(mov.told, "")
 }
 
-func (mov *moving) rest() mover.Rest {
-	return mover.Rest{Tokens: moveTokens - mov.assembler.Next, Time: mov.request.Deadline.Sub(mov.now)}
+func (mov *moving) rest() mover.Remaining {
+	return mover.Remaining{Tokens: moveTokens - mov.assembler.Next, Time: mov.request.Deadline.Sub(mov.now)}
 }
 
 func (mov *moving) next(eve mover.Event) mover.Action {
@@ -169,7 +169,7 @@
 		if !mov.reaches(mov.target) || !mov.reaches(mov.source) || mov.fault == "target-full struck" {
 			return mover.Failed{}
 		}
-		return mover.Imported{Rest: mov.rest()}
+		return mover.Imported{Remaining: mov.rest()}
 	case mover.CatchUp:
 		return mov.catchUp()
 	default:
--- a/process/assigner/assigner.go
+++ b/process/assigner/assigner.go
@@ -50,7 +50,7 @@
 }
 
 // Place finds an endpoint for a call.
-func (ass *Assigner) Place(ctx context.Context, ask relayer.Ask) (relayer.Lease, error) {
+func (ass *Assigner) Place(ctx context.Context, ask relayer.PlacementRequest) (relayer.Lease, error) {
 	poo, ok := ass.Pool(ask.Pool)
 	if ok && poo.Batching != nil && ask.PromptTokens > 0 {
 		lea, err := ass.fromPlan(ctx, ask)
@@ -63,7 +63,7 @@
 }
 
 // fromView takes the endpoint that has the fewest calls of this host.
-func (ass *Assigner) fromView(ask relayer.Ask) (relayer.Lease, error) {
+func (ass *Assigner) fromView(ask relayer.PlacementRequest) (relayer.Lease, error) {
 	now := ass.Clock()
 	ends := slices.DeleteFunc(ass.Registry.Usable(ask.Pool, now), func(end registrar.Endpoint) bool { return slices.Contains(ask.Excluded, end.ID) })
 	if len(ends) == 0 {
--- a/process/assigner/assigner_test.go
+++ b/process/assigner/assigner_test.go
@@ -164,9 +164,9 @@
 	return ass
 }
 
-func ask(id string, tokens int64) relayer.Ask {
+func ask(id string, tokens int64) relayer.PlacementRequest {
 	now := time.Now()
-	return relayer.Ask{ID: id, Pool: "llm", PromptTokens: tokens, MaxTokens: 1000, Arrived: now, Objective: 3 * time.Second, Pause: time.Second, Deadline: now.Add(15 * time.Second)}
+	return relayer.PlacementRequest{ID: id, Pool: "llm", PromptTokens: tokens, MaxTokens: 1000, Arrived: now, Objective: 3 * time.Second, Pause: time.Second, Deadline: now.Add(15 * time.Second)}
 }
 
 // TestOnePlan has several hosts ask: all of them are planned by one.
@@ -377,10 +377,10 @@
 
 func TestOwnView(t *testing.T) {
 	ass := newFleet(1).assigner("host-0", &reserver{})
-	one, err := ass.Place(t.Context(), relayer.Ask{Pool: "desk"})
+	one, err := ass.Place(t.Context(), relayer.PlacementRequest{Pool: "desk"})
 	require.NoError(t, err)
 	require.Equal(t, "d1", one.Endpoint.ID, "the own data centre goes first among equals")
-	two, err := ass.Place(t.Context(), relayer.Ask{Pool: "desk"})
+	two, err := ass.Place(t.Context(), relayer.PlacementRequest{Pool: "desk"})
 	require.NoError(t, err)
 	require.NotEqual(t, "d1", two.Endpoint.ID, "then those with fewer calls")
 	one.End()
@@ -389,12 +389,12 @@
 	two.Failed("")
 	two.End()
 	for range 20 {
-		lea, err := ass.Place(t.Context(), relayer.Ask{Pool: "desk"})
+		lea, err := ass.Place(t.Context(), relayer.PlacementRequest{Pool: "desk"})
 		require.NoError(t, err)
 		require.NotEqual(t, two.Endpoint.ID, lea.Endpoint.ID, "one that has just failed is left alone")
 		lea.End()
 	}
-	_, err = ass.Place(t.Context(), relayer.Ask{Pool: "desk", Excluded: []string{"d1", "d2", "d3"}})
+	_, err = ass.Place(t.Context(), relayer.PlacementRequest{Pool: "desk", Excluded: []string{"d1", "d2", "d3"}})
 	var ref *relayer.RefusedError
 	require.ErrorAs(t, err, &ref)
 	require.Positive(t, ref.RetryAfter)
--- a/process/assigner/plan.go
+++ b/process/assigner/plan.go
@@ -31,7 +31,7 @@
 
 // fromPlan asks the planner of the pool. It fails with errNoPlanner where none
 // answers.
-func (ass *Assigner) fromPlan(ctx context.Context, ask relayer.Ask) (relayer.Lease, error) {
+func (ass *Assigner) fromPlan(ctx context.Context, ask relayer.PlacementRequest) (relayer.Lease, error) {
 	for try := 1; ; try++ {
 		act, err := ass.Planners.ask(ctx, ask)
 		if err != nil {
@@ -54,7 +54,7 @@
 }
 
 // granted turns a plan into a lease, once its memory is reserved.
-func (ass *Assigner) granted(ctx context.Context, ask relayer.Ask, act planner.Assign) (relayer.Lease, bool) {
+func (ass *Assigner) granted(ctx context.Context, ask relayer.PlacementRequest, act planner.Assign) (relayer.Lease, bool) {
 	now := ass.Clock()
 	for _, par := range act.Parts {
 		if ass.Registry.Barred(par.Endpoint, now) {
@@ -73,7 +73,7 @@
 	if !ok {
 		return relayer.Lease{}, false
 	}
-	lea := relayer.Lease{Endpoint: end, Helpers: res.helpers, First: act.First}
+	lea := relayer.Lease{Endpoint: end, Helpers: res.helpers, ExpectedFirst: act.First}
 	lea.Began = func() { ass.Planners.tell(act.ID, planner.Began{ID: act.ID}) }
 	lea.Failed = func(address string) {
 		bad := end.ID
@@ -97,7 +97,7 @@
 
 // reserve sets the memory of a plan aside on all its engines or on none, and
 // keeps it until it is released.
-func (ass *Assigner) reserve(ctx context.Context, ask relayer.Ask, pars []planner.Part) (reservation, bool) {
+func (ass *Assigner) reserve(ctx context.Context, ask relayer.PlacementRequest, pars []planner.Part) (reservation, bool) {
 	id := "hemlockpin-" + ask.ID
 	var gro errgroup.Group
 	held := 0
--- a/process/assigner/planners.go
+++ b/process/assigner/planners.go
@@ -140,7 +140,7 @@
 }
 
 // ask asks the planner of a pool, or the one that takes its place.
-func (pla *Planners) ask(ctx context.Context, ask relayer.Ask) (planner.Action, error) {
+func (pla *Planners) ask(ctx context.Context, ask relayer.PlacementRequest) (planner.Action, error) {
 	one := planner.Ask{ID: pla.askID(ask), Host: pla.Self, Incarnation: pla.Incarnation, Prompt: promptOf(ask)}
 	for _, hos := range pla.candidates(ask.Pool, pla.Clock()) {
 		act, by, err := pla.askHost(ctx, hos, ask.Pool, one)
@@ -162,11 +162,11 @@
 }
 
 // askID names an ask. A call that is sent again asks anew.
-func (pla *Planners) askID(ask relayer.Ask) string {
+func (pla *Planners) askID(ask relayer.PlacementRequest) string {
 	return strings.Join([]string{ask.ID, strconv.Itoa(ask.Sends), pla.Self, strconv.FormatUint(pla.sequence.Add(1), 36)}, "/")
 }
 
-func promptOf(ask relayer.Ask) planner.Prompt {
+func promptOf(ask relayer.PlacementRequest) planner.Prompt {
 	return planner.Prompt{
 		Tokens: ask.PromptTokens, MaxTokens: ask.MaxTokens, AnswerTokens: ask.AnswerTokens, Priority: ask.Priority,
 		Target: ask.Arrived.Add(ask.Objective), Deadline: ask.Deadline, Objective: ask.Objective, Pause: ask.Pause, Excluded: ask.Excluded,
--- a/process/forwarder/forwarder.go
+++ b/process/forwarder/forwarder.go
@@ -117,15 +117,15 @@
 		Runner: fwd.runner, Clock: time.Now, Log: log,
 	}
 	fwd.quota = &budgeter.Quota{
-		Terms: budgeter.Terms{Ratio: set.RetryRatio, Slack: set.RetrySlack, Window: set.RetryWindow},
-		Hosts: func() int { return len(fwd.gossiper.Live(time.Now())) + 1 },
+		Limits: budgeter.QuotaLimits{Ratio: set.RetryRatio, Slack: set.RetrySlack, Window: set.RetryWindow},
+		Hosts:  func() int { return len(fwd.gossiper.Live(time.Now())) + 1 },
 	}
 	fwd.relayer = &relayer.Relayer{
-		Codec: pla.Codec, Tables: fwd.publisher.Current, Exchanger: &exchanger.Exchanger{Traffic: &fwd.endpoints}, Budget: fwd.quota,
+		Codec: pla.Codec, Tables: fwd.publisher.Current, Exchanger: &exchanger.Exchanger{Traffic: &fwd.endpoints}, RetryBudget: fwd.quota,
 		Placer: &assigner.Assigner{
 			Registry: &fwd.registry, Pool: fwd.pool, Planners: fwd.planners, Reserver: pla.Engines, DataCenter: set.DataCenter, Clock: time.Now, Log: log,
 		},
-		Bodies: &fwd.bodies, Ready: fwd.ready, Stale: fwd.staleSinceWake, Slept: fwd.slept, Draining: fwd.draining.Load, MaxBodyBytes: set.MaxBodyBytes, Clock: time.Now, Log: log, Scope: fwd.scope,
+		Bodies: &fwd.bodies, Ready: fwd.ready, Stale: fwd.staleSinceWake, SuspendedFor: fwd.slept, Draining: fwd.draining.Load, MaxBodyBytes: set.MaxBodyBytes, Clock: time.Now, Log: log, Scope: fwd.scope,
 		Tracer: otel.Tracer("hemlockpin"),
 	}
 	return fwd
@@ -207,7 +207,7 @@
 // Reload takes over those settings that can change while the host runs.
 func (fwd *Forwarder) Reload(set configurer.Settings) {
 	fwd.gossiper.SetSeeds(set.SeedPeers)
-	fwd.quota.SetTerms(budgeter.Terms{Ratio: set.RetryRatio, Slack: set.RetrySlack, Window: set.RetryWindow})
+	fwd.quota.SetLimits(budgeter.QuotaLimits{Ratio: set.RetryRatio, Slack: set.RetrySlack, Window: set.RetryWindow})
 	fwd.Log.Info().Strs("SeedPeers", set.SeedPeers).Float64("RetryRatio", set.RetryRatio).Float64("RetrySlack", set.RetrySlack).
 		Dur("RetryWindowMs", set.RetryWindow).Msg("settings reloaded")
 }
--- a/process/journaler/world_test.go
+++ b/process/journaler/world_test.go
@@ -69,7 +69,7 @@
 }
 
 func (wor *world) newCall(host string, strikes ...*strike) *simCall {
-	return &simCall{wor: wor, host: host, strikes: strikes, state: claimer.State{OwnKey: true}}
+	return &simCall{wor: wor, host: host, strikes: strikes, state: claimer.State{CallerKey: true}}
 }
 
 // system names what a step depends on, and what an outage at it takes away.
--- a/process/server/drain.go
+++ b/process/server/drain.go
@@ -55,7 +55,7 @@
 		Writes: ser.pendingWrites,
 	}, drainer.Settings{Notice: ser.Settings.DrainNotice, Timeout: ser.Settings.DrainTimeout}, again)
 	_ = cal.Close()
-	ser.executor.Settle()
+	ser.executor.WaitForCleanup()
 	ser.Log.Info().Err(err).Msg("host stopped")
 	return err
 }
--- a/process/server/hosts.go
+++ b/process/server/hosts.go
@@ -62,7 +62,7 @@
 func (ser *Server) report() *messenger.StatusReport {
 	return &messenger.StatusReport{
 		Host: ser.Settings.HostID, DataCenter: ser.Settings.DataCenter, Incarnation: ser.Incarnation,
-		Draining: ser.draining.Load(), Requests: int64(ser.admitter.Current()),
+		Draining: ser.draining.Load(), Requests: int64(ser.admitter.InProgress()),
 		TablesRevision: ser.publisher.Current().Revision(), TablesConfirmedMs: ser.publisher.Confirmed().UnixMilli(),
 		Peers: int64(len(ser.gossiper.Peers())), Endpoints: int64(len(ser.watcher.Entries())),
 		OperatorAddress: ser.Settings.Operator, StartedMs: ser.started.UnixMilli(),
--- a/process/server/monitor.go
+++ b/process/server/monitor.go
@@ -27,7 +27,7 @@
 }
 
 func (ser *Server) gauge() {
-	ser.scope.Gauge("requests_in_progress").Update(float64(ser.admitter.Current()))
+	ser.scope.Gauge("requests_in_progress").Update(float64(ser.admitter.InProgress()))
 	ser.scope.Gauge("endpoints_listed").Update(float64(len(ser.watcher.Entries())))
 	ser.scope.Gauge("body_memory_bytes").Update(float64(ser.bodies.Used()))
 	ser.scope.Gauge("draining").Update(boolGauge(ser.draining.Load()))
--- a/process/server/operator.go
+++ b/process/server/operator.go
@@ -68,7 +68,7 @@
 	_, age := ser.publisher.Freshness(time.Now())
 	responder.WriteJSON(wri, http.StatusOK, Status{
 		Host: ser.Settings.HostID, DataCenter: ser.Settings.DataCenter, Incarnation: ser.Incarnation,
-		Draining: ser.draining.Load(), Requests: ser.admitter.Current(),
+		Draining: ser.draining.Load(), Requests: ser.admitter.InProgress(),
 		TablesRevision: ser.publisher.Current().Revision(), TablesConfirmed: ser.publisher.Confirmed(),
 		TablesAgeMs: age.Milliseconds(), TablesWatched: ser.refresher.Watches(),
 		Peers: ser.gossiper.Peers(), Endpoints: ser.watcher.Entries(),
--- a/process/server/retries.go
+++ b/process/server/retries.go
@@ -15,5 +15,5 @@
 // takeRetries lets the host's budget follow those of other hosts.
 func (ser *Server) takeRetries(host string, ret *messenger.RetryBudget, now time.Time) {
 	dig := budgeter.Digest{Available: float64(ret.GetAvailable())}
-	ser.executor.Retries.SetFleet(ser.budgets.Note(host, dig, now))
+	ser.executor.Retries.SetFleet(ser.budgets.Record(host, dig, now))
 }
--- a/request/admitter/admitter.go
+++ b/request/admitter/admitter.go
@@ -50,8 +50,8 @@
 	}), nil
 }
 
-// Current returns the number of requests in progress.
-func (adm *Admitter) Current() int {
+// InProgress returns the number of requests in progress.
+func (adm *Admitter) InProgress() int {
 	adm.mu.Lock()
 	defer adm.mu.Unlock()
 	return adm.current
--- a/request/admitter/admitter_test.go
+++ b/request/admitter/admitter_test.go
@@ -48,7 +48,7 @@
 			don()
 			don()
 		}
-		require.Zero(t, adm.Current())
+		require.Zero(t, adm.InProgress())
 		return out
 	})
 }
--- a/request/budgeter/budgeter.go
+++ b/request/budgeter/budgeter.go
@@ -18,17 +18,17 @@
 	Burst = 128.0
 	// MinBurst is what a host may save up when all others have nothing left.
 	MinBurst = 16.0
-	// FleetLife is the age at which what is known of the other hosts counts no
+	// MaxFleetAge is the age at which what is known of the other hosts counts no
 	// more.
-	FleetLife = 10 * time.Second
+	MaxFleetAge = 10 * time.Second
 )
 
 // Fleet is what a host knows of the budgets of the others.
 type Fleet struct {
 	// Left is the mean of what they have left, as a part of Burst.
 	Left float64
-	// At is when the oldest of it was true.
-	At time.Time
+	// AsOf is when the oldest of it was true.
+	AsOf time.Time
 }
 
 // NewFleet sums up the digests of other hosts, the oldest of which is as of at.
@@ -40,7 +40,7 @@
 	for _, dig := range digs {
 		sum += min(Burst, max(0, dig.Available))
 	}
-	return Fleet{Left: sum / Burst / float64(len(digs)), At: at}
+	return Fleet{Left: sum / Burst / float64(len(digs)), AsOf: at}
 }
 
 // burst is the most retries that a host may save up: the less the others have
@@ -49,7 +49,7 @@
 // earn by n times Burst at most, and by n times MinBurst once they know that
 // nothing is left.
 func (fle Fleet) burst(now time.Time) float64 {
-	old := min(1, max(0, now.Sub(fle.At).Seconds()/FleetLife.Seconds()))
+	old := min(1, max(0, now.Sub(fle.AsOf).Seconds()/MaxFleetAge.Seconds()))
 	return max(MinBurst, Burst*(fle.Left+(1-fle.Left)*old))
 }
 
--- a/request/budgeter/budgeter_test.go
+++ b/request/budgeter/budgeter_test.go
@@ -71,16 +71,16 @@
 	bud.SetFleet(NewFleet([]Digest{{Available: Burst}, {Available: 0}}, start))
 	require.Equal(t, int(Burst/2-MinBurst), take(&bud, 1000, start))
 	// The bucket earns FloorRate a second meanwhile.
-	require.Equal(t, int(Burst/2+FleetLife.Seconds()*FloorRate), take(&bud, 1000, start.Add(FleetLife)))
+	require.Equal(t, int(Burst/2+MaxFleetAge.Seconds()*FloorRate), take(&bud, 1000, start.Add(MaxFleetAge)))
 	require.Equal(t, Fleet{}, NewFleet(nil, start))
 }
 
 // Peers keep the newest digest of a host for a time.
 func TestPeers(t *testing.T) {
 	var pee Peers
-	require.Equal(t, Fleet{Left: 0, At: start}, pee.Note("a", Digest{}, start))
-	require.Equal(t, Fleet{Left: 0.5, At: start}, pee.Note("b", Digest{Available: Burst}, start.Add(time.Second)))
-	require.Equal(t, Fleet{Left: 1, At: start.Add(time.Second)}, pee.Note("a", Digest{Available: Burst}, start.Add(2*time.Second)))
-	lat := start.Add(FleetLife)
-	require.Equal(t, Fleet{Left: 0, At: lat}, pee.Note("c", Digest{}, lat))
+	require.Equal(t, Fleet{Left: 0, AsOf: start}, pee.Record("a", Digest{}, start))
+	require.Equal(t, Fleet{Left: 0.5, AsOf: start}, pee.Record("b", Digest{Available: Burst}, start.Add(time.Second)))
+	require.Equal(t, Fleet{Left: 1, AsOf: start.Add(time.Second)}, pee.Record("a", Digest{Available: Burst}, start.Add(2*time.Second)))
+	lat := start.Add(MaxFleetAge)
+	require.Equal(t, Fleet{Left: 0, AsOf: lat}, pee.Record("c", Digest{}, lat))
 }
--- a/request/budgeter/peers.go
+++ b/request/budgeter/peers.go
@@ -6,7 +6,7 @@
 )
 
 // maxHeard bounds the hosts whose digests are kept. A host hears from a few
-// random ones within FleetLife.
+// random ones within MaxFleetAge.
 const maxHeard = 32
 
 // Peers keeps the newest digests of other hosts. Its zero value is ready.
@@ -20,8 +20,8 @@
 	at time.Time
 }
 
-// Note takes the digest of a host and returns what is known of the fleet now.
-func (pee *Peers) Note(host string, dig Digest, now time.Time) Fleet {
+// Record takes the digest of a host and returns what is known of the fleet now.
+func (pee *Peers) Record(host string, dig Digest, now time.Time) Fleet {
 	pee.mu.Lock()
 	defer pee.mu.Unlock()
 	if pee.heard == nil {
@@ -45,7 +45,7 @@
 // forget drops what counts no more. The caller holds the lock.
 func (pee *Peers) forget(now time.Time) {
 	for hos, hea := range pee.heard {
-		if now.Sub(hea.at) >= FleetLife/2 {
+		if now.Sub(hea.at) >= MaxFleetAge/2 {
 			delete(pee.heard, hos)
 		}
 	}
--- a/request/budgeter/quota.go
+++ b/request/budgeter/quota.go
@@ -13,9 +13,9 @@
 	quotaFill = 0.7
 )
 
-// Terms bound the repeats of the calls to a pool over all hosts: in each window,
+// QuotaLimits bound the repeats of the calls to a pool over all hosts: in each window,
 // to Ratio of the calls and Slack.
-type Terms struct {
+type QuotaLimits struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
@@ -23,9 +23,9 @@
 
 // Quota is a host's part of the repeats that all hosts may send. A host may
 // repeat a share of its own calls and its part of the slack. Its zero value needs
-// Terms and Hosts.
+// Limits and Hosts.
 type Quota struct {
-	Terms Terms
+	Limits QuotaLimits
 	// Hosts returns the number of hosts, this one among them.
 	Hosts func() int
 
@@ -43,11 +43,11 @@
 	at      int64
 }
 
-// SetTerms changes the terms.
-func (quo *Quota) SetTerms(ter Terms) {
+// SetLimits changes the limits.
+func (quo *Quota) SetLimits(ter QuotaLimits) {
 	quo.mu.Lock()
 	defer quo.mu.Unlock()
-	quo.Terms = ter
+	quo.Limits = ter
 }
 
 // Earn counts a call for a pool.
@@ -63,7 +63,7 @@
 	quo.mu.Lock()
 	defer quo.mu.Unlock()
 	acc := quo.account(pool, now)
-	lim := quo.Terms.Ratio*float64(sum(acc.calls)) + quotaFill*quo.Terms.Slack/float64(max(1, quo.Hosts()))
+	lim := quo.Limits.Ratio*float64(sum(acc.calls)) + quotaFill*quo.Limits.Slack/float64(max(1, quo.Hosts()))
 	if float64(sum(acc.repeats)+1) > lim {
 		return false
 	}
@@ -85,7 +85,7 @@
 		quo.pools = map[string]*account{}
 		quo.base = now
 	}
-	at := int64(max(0, now.Sub(quo.base)) / max(1, quo.Terms.Window/quotaParts))
+	at := int64(max(0, now.Sub(quo.base)) / max(1, quo.Limits.Window/quotaParts))
 	acc := quo.pools[pool]
 	if acc == nil {
 		acc = &account{at: at}
--- a/request/budgeter/quota_test.go
+++ b/request/budgeter/quota_test.go
@@ -11,10 +11,10 @@
 // together exceed what the terms allow.
 func TestQuotaFleet(t *testing.T) {
 	const hosts, calls = 20, 40
-	ter := Terms{Ratio: 0.2, Slack: 236, Window: 10 * time.Second}
+	ter := QuotaLimits{Ratio: 0.2, Slack: 236, Window: 10 * time.Second}
 	var quos []*Quota
 	for range hosts {
-		quos = append(quos, &Quota{Terms: ter, Hosts: func() int { return hosts }})
+		quos = append(quos, &Quota{Limits: ter, Hosts: func() int { return hosts }})
 	}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	type step struct{ calls, repeats int }
@@ -45,7 +45,7 @@
 }
 
 func TestQuotaPools(t *testing.T) {
-	quo := &Quota{Terms: Terms{Slack: 10, Window: time.Second}, Hosts: func() int { return 1 }}
+	quo := &Quota{Limits: QuotaLimits{Slack: 10, Window: time.Second}, Hosts: func() int { return 1 }}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for range 7 {
 		require.True(t, quo.Take("a", now))
@@ -59,7 +59,7 @@
 // TestQuotaClock has the wall clock jump: times without a monotonic reading that
 // go back do not open the window again.
 func TestQuotaClock(t *testing.T) {
-	quo := &Quota{Terms: Terms{Slack: 10, Window: time.Second}, Hosts: func() int { return 1 }}
+	quo := &Quota{Limits: QuotaLimits{Slack: 10, Window: time.Second}, Hosts: func() int { return 1 }}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for range 7 {
 		require.True(t, quo.Take("a", now.Add(500*time.Millisecond)))
--- a/request/claimer/claimer.go
+++ b/request/claimer/claimer.go
@@ -44,9 +44,9 @@
 
 // State is what is known of one call. It is an immutable value.
 type State struct {
-	// OwnKey says that the caller supplied the key, so that an earlier call
+	// CallerKey says that the caller supplied the key, so that an earlier call
 	// may have used it.
-	OwnKey     bool
+	CallerKey  bool
 	Phase      Phase
 	Dispatches int
 	Excluded   []string
@@ -198,7 +198,7 @@
 // withoutClaim is what may be said of a call whose claim is not held: an own
 // key may have run under an earlier call.
 func (sta State) withoutClaim() invoker.Execution {
-	if sta.OwnKey {
+	if sta.CallerKey {
 		return invoker.Unknown
 	}
 	return invoker.NotRun
--- a/request/claimer/claimer_test.go
+++ b/request/claimer/claimer_test.go
@@ -58,7 +58,7 @@
 	datadriven.RunTest(t, "testdata/decisions", func(t *testing.T, td *datadriven.TestData) string {
 		var bui strings.Builder
 		var stas [2]State
-		stas[0].OwnKey = true
+		stas[0].CallerKey = true
 		for line := range strings.Lines(td.Input) {
 			eve := parseEvent(t, line)
 			var outs [2]string
@@ -102,12 +102,12 @@
 				return
 			}
 			require.Nil(t, fai)
-			require.True(t, key.Own)
+			require.True(t, key.FromCaller)
 			require.Equal(t, tt.key, key.Text)
 			require.WithinDuration(t, now, key.Time, time.Minute)
 		})
 	}
 	made := NewKey(now)
-	require.False(t, made.Own)
+	require.False(t, made.FromCaller)
 	require.Equal(t, now, made.Time)
 }
--- a/request/claimer/key.go
+++ b/request/claimer/key.go
@@ -24,9 +24,9 @@
 type Key struct {
 	Text string
 	Time time.Time
-	// Own says that the caller supplied the key, so that an earlier call may
+	// FromCaller says that the caller supplied the key, so that an earlier call may
 	// have used it.
-	Own bool
+	FromCaller bool
 }
 
 // NewKey makes the key of a call whose caller supplied none.
@@ -42,7 +42,7 @@
 	if !ValidKey(txt) {
 		return Key{}, badKey("idempotency_key_invalid", "the key must be 1 to 200 printable ASCII characters", invoker.NotRun)
 	}
-	key := Key{Text: txt, Own: true}
+	key := Key{Text: txt, FromCaller: true}
 	tim, ok := uuidTime(txt)
 	if !ok {
 		if stamp == "" {
--- a/request/executor/executor.go
+++ b/request/executor/executor.go
@@ -113,7 +113,7 @@
 	// each export that a move needs.
 	running map[string]int
 	// times holds how long the calls of each pool took lately.
-	times   map[string]*hedger.Times
+	times   map[string]*hedger.Latencies
 	claimed atomic.Int64
 }
 
@@ -146,8 +146,8 @@
 	return att, ok
 }
 
-// Settle waits until what ended requests left to do on endpoints is done.
-func (exe *Executor) Settle() { exe.pending.Wait() }
+// WaitForCleanup waits until what ended requests left to do on endpoints is done.
+func (exe *Executor) WaitForCleanup() { exe.pending.Wait() }
 
 // request is the part that prompts and calls share.
 type request struct {
--- a/request/executor/move.go
+++ b/request/executor/move.go
@@ -95,7 +95,7 @@
 		return
 	}
 	mov.state = mover.State{PromptTokens: gen.prompt.Tokens, Blocks: len(gen.blocks)}
-	act := exe.decideMove(gen.id, mov, mover.Began{Rest: exe.rest(gen, mov)})
+	act := exe.decideMove(gen.id, mov, mover.Began{Remaining: exe.rest(gen, mov)})
 	if _, ok := act.(mover.Ask); !ok {
 		return
 	}
@@ -109,8 +109,8 @@
 }
 
 // rest reads nothing of the generation that the relay changes.
-func (exe *Executor) rest(gen *generation, mov *move) mover.Rest {
-	return mover.Rest{Tokens: gen.prompt.MaxTokens - mov.next(), Time: gen.deadline.Sub(exe.Clock())}
+func (exe *Executor) rest(gen *generation, mov *move) mover.Remaining {
+	return mover.Remaining{Tokens: gen.prompt.MaxTokens - mov.next(), Time: gen.deadline.Sub(exe.Clock())}
 }
 
 // decideMove decides on an event and frees what a move held that is given up.
@@ -158,7 +158,7 @@
 		err = exe.Invoker.Export(ctx, mov.source.Address, id, exe.Owner, gen.blocks)
 	case mover.Import:
 		err = exe.Invoker.Import(ctx, mov.target.Address, mov.source.Address, id, exe.Owner)
-		eve = mover.Imported{Rest: exe.rest(gen, mov)}
+		eve = mover.Imported{Remaining: exe.rest(gen, mov)}
 	case mover.CatchUp:
 		eve = mover.CaughtUp{}
 		err = exe.readAhead(gen, mov)
@@ -192,7 +192,7 @@
 	if err := exe.openSecond(gen, mov); err != nil {
 		return err
 	}
-	for len(mov.caught) < mover.MinCaught || mov.ahead.Next <= mov.next() {
+	for len(mov.caught) < mover.MinCaughtUpTokens || mov.ahead.Next <= mov.next() {
 		lef := mov.limit.Sub(exe.Clock())
 		if lef <= 0 {
 			return errBehind
--- a/request/executor/move_test.go
+++ b/request/executor/move_test.go
@@ -92,7 +92,7 @@
 			}
 			require.Contains(t, bod, want.String())
 			require.NotContains(t, bod, `"cached_tokens":3072`)
-			exe.Settle()
+			exe.WaitForCleanup()
 			require.Equal(t, tt.outcome, all.done.Load())
 			_, running := exe.Attempt("")
 			require.False(t, running)
@@ -119,7 +119,7 @@
 	for ind := range int64(120) {
 		require.Contains(t, bod, generator.TokenText("Why?", 0, ind))
 	}
-	exe.Settle()
+	exe.WaitForCleanup()
 	require.Equal(t, int64(1), all.done.Load())
 	requireEmpty(t, tar.URL)
 }
@@ -139,7 +139,7 @@
 	all := &movingAllocator{source: src.Listener.Addr().String(), target: tar.Listener.Addr().String()}
 	exe, bod := askPrompt(t, all, "Why?", 120)
 	require.NotContains(t, bod, "error")
-	exe.Settle()
+	exe.WaitForCleanup()
 	require.Equal(t, int64(11), all.done.Load())
 	requireEmpty(t, tar.URL)
 }
--- a/request/executor/once.go
+++ b/request/executor/once.go
@@ -60,7 +60,7 @@
 	cal.writer.Header().Set(receiver.KeyHeader, key.Text)
 	cla := &claimedCall{
 		call: cal, executor: exe, commit: exe.claimOf(cal, key), end: make(chan claimer.Action, 1),
-		state: claimer.State{OwnKey: key.Own},
+		state: claimer.State{CallerKey: key.FromCaller},
 	}
 	exe.claimed.Add(1)
 	go func() {
--- a/request/executor/repeat.go
+++ b/request/executor/repeat.go
@@ -17,7 +17,7 @@
 type repeat struct {
 	*call
 	state hedger.State
-	times *hedger.Times
+	times *hedger.Latencies
 	began time.Time
 	// ends receives how the dispatches ended.
 	ends chan ending
@@ -153,15 +153,15 @@
 }
 
 // timesOf returns how long the calls of a pool took lately.
-func (exe *Executor) timesOf(pool string) *hedger.Times {
+func (exe *Executor) timesOf(pool string) *hedger.Latencies {
 	exe.mu.Lock()
 	defer exe.mu.Unlock()
 	tim := exe.times[pool]
 	if tim == nil {
 		if exe.times == nil || len(exe.times) >= maxTimes {
-			exe.times = map[string]*hedger.Times{}
+			exe.times = map[string]*hedger.Latencies{}
 		}
-		tim = &hedger.Times{}
+		tim = &hedger.Latencies{}
 		exe.times[pool] = tim
 	}
 	return tim
--- a/request/hedger/hedger.go
+++ b/request/hedger/hedger.go
@@ -15,9 +15,9 @@
 // State is what is known of one call. It is an immutable value; the zero value
 // is a call that was not sent.
 type State struct {
-	// Dispatches counts those so far, Open those without an end.
+	// Dispatches counts those so far, InFlight those without an end.
 	Dispatches int
-	Open       int
+	InFlight   int
 	// Hedged marks a call that was sent beside itself; that happens once.
 	Hedged bool
 	// Excluded lists the endpoints that failed the call or have it now.
@@ -90,7 +90,7 @@
 		return sta, Dispatch{}
 	case Placed:
 		sta.Dispatches++
-		sta.Open++
+		sta.InFlight++
 		sta.Excluded = append(slices.Clip(sta.Excluded), eve.Endpoint)
 		return sta, Wait{}
 	case Waited:
@@ -100,12 +100,12 @@
 	case Failed:
 		return sta.afterFailure(eve, retry)
 	case Unplaced:
-		if sta.Open > 0 {
+		if sta.InFlight > 0 {
 			return sta, Wait{}
 		}
 		return sta, sta.fail(eve.Code, eve.Message)
 	default:
-		if sta.Open > 0 {
+		if sta.InFlight > 0 {
 			sta.Ran = invoker.Unknown
 		}
 		return sta, sta.fail("time_limit", "the time limit has passed")
@@ -113,7 +113,7 @@
 }
 
 func (sta State) afterWait(retry bool) (State, Action) {
-	if sta.Hedged || sta.Open != 1 || sta.Dispatches >= MaxDispatches || !retry {
+	if sta.Hedged || sta.InFlight != 1 || sta.Dispatches >= MaxDispatches || !retry {
 		return sta, Wait{}
 	}
 	sta.Hedged = true
@@ -121,12 +121,12 @@
 }
 
 func (sta State) afterFailure(fai Failed, retry bool) (State, Action) {
-	sta.Open--
+	sta.InFlight--
 	if fai.Ran != invoker.NotRun {
 		sta.Ran = invoker.Unknown
 	}
 	switch {
-	case sta.Open > 0:
+	case sta.InFlight > 0:
 		return sta, Wait{}
 	case sta.Dispatches >= MaxDispatches:
 		return sta, sta.fail("endpoint_failed", "the endpoints that were tried failed")
--- a/request/hedger/hedger_test.go
+++ b/request/hedger/hedger_test.go
@@ -35,7 +35,7 @@
 
 // TestDelay has nineteen of twenty calls take 10 ms, then all take 100 ms.
 func TestDelay(t *testing.T) {
-	var tim Times
+	var tim Latencies
 	now := time.Unix(1_700_000_000, 0)
 	observe := func(cou int, dur time.Duration) {
 		for range cou {
--- a/request/hedger/times.go
+++ b/request/hedger/times.go
@@ -21,9 +21,9 @@
 	firstBucket = time.Millisecond
 )
 
-// Times is a histogram of how long the calls of a pool took lately. Its zero
+// Latencies is a histogram of how long the calls of a pool took lately. Its zero
 // value is empty.
-type Times struct {
+type Latencies struct {
 	mu     sync.Mutex
 	counts [buckets]float64
 	total  float64
@@ -31,7 +31,7 @@
 }
 
 // Observe adds the time of one call.
-func (tim *Times) Observe(dur time.Duration, now time.Time) {
+func (tim *Latencies) Observe(dur time.Duration, now time.Time) {
 	tim.mu.Lock()
 	defer tim.mu.Unlock()
 	tim.fade(now)
@@ -41,7 +41,7 @@
 
 // Delay returns how long to wait for a first dispatch before a second one, and
 // false while too little is known.
-func (tim *Times) Delay(now time.Time) (time.Duration, bool) {
+func (tim *Latencies) Delay(now time.Time) (time.Duration, bool) {
 	tim.mu.Lock()
 	defer tim.mu.Unlock()
 	tim.fade(now)
@@ -58,7 +58,7 @@
 }
 
 // fade lets old times count less. The caller holds the lock.
-func (tim *Times) fade(now time.Time) {
+func (tim *Latencies) fade(now time.Time) {
 	pas := now.Sub(tim.at)
 	if pas < time.Second {
 		return
--- a/request/mover/mover.go
+++ b/request/mover/mover.go
@@ -10,9 +10,9 @@
 	MinTime = time.Second
 	// CatchUpLimit bounds the time for which two engines work on one answer.
 	CatchUpLimit = time.Second
-	// MinCaught is the number of tokens from which the pace of the second engine
+	// MinCaughtUpTokens is the number of tokens from which the pace of the second engine
 	// shows; the first one tells its queue only.
-	MinCaught = 2
+	MinCaughtUpTokens = 2
 	// StepLimit bounds each of the steps before the second dispatch.
 	StepLimit = 5 * time.Second
 
@@ -57,8 +57,8 @@
 	Blocks int
 }
 
-// Rest is what is left of an answer.
-type Rest struct {
+// Remaining is what is left of an answer.
+type Remaining struct {
 	Tokens int64
 	Time   time.Duration
 }
@@ -68,7 +68,7 @@
 type Event interface{ event() }
 
 // Began reports the first token of the answer.
-type Began struct{ Rest Rest }
+type Began struct{ Remaining Remaining }
 
 // Offered reports an engine that has memory for the answer.
 type Offered struct{}
@@ -77,7 +77,7 @@
 type Exported struct{}
 
 // Imported reports that the second engine has the prompt's blocks.
-type Imported struct{ Rest Rest }
+type Imported struct{ Remaining Remaining }
 
 // CaughtUp reports that the second engine has a token which the caller has not.
 type CaughtUp struct{}
@@ -164,13 +164,13 @@
 func (sta State) Next(eve Event) (State, Action) {
 	switch eve := eve.(type) {
 	case Began:
-		return sta.afterBegin(eve.Rest)
+		return sta.afterBegin(eve.Remaining)
 	case Offered:
 		return sta.afterOffer()
 	case Exported:
 		return sta.advance(Exporting, Importing, Import{})
 	case Imported:
-		return sta.afterImport(eve.Rest)
+		return sta.afterImport(eve.Remaining)
 	case CaughtUp:
 		return sta.advance(CatchingUp, Caught, Compare{})
 	case Behind:
@@ -194,7 +194,7 @@
 	return sta, act
 }
 
-func (sta State) afterBegin(res Rest) (State, Action) {
+func (sta State) afterBegin(res Remaining) (State, Action) {
 	if sta.Step == Idle && !sta.worthWhile(res) {
 		sta.Step = Over
 		return sta, Nothing{}
@@ -210,7 +210,7 @@
 	return sta.advance(Asking, Exporting, Export{})
 }
 
-func (sta State) afterImport(res Rest) (State, Action) {
+func (sta State) afterImport(res Remaining) (State, Action) {
 	if sta.Step == Importing && !sta.worthWhile(res) {
 		return sta.abort()
 	}
@@ -240,7 +240,7 @@
 
 // worthWhile holds when what is left of the answer takes well longer than its
 // move.
-func (sta State) worthWhile(res Rest) bool {
+func (sta State) worthWhile(res Remaining) bool {
 	lef := time.Duration(res.Tokens) * stepTime
 	return res.Time >= MinTime && lef >= worth*sta.transferTime()
 }
--- a/request/relayer/call.go
+++ b/request/relayer/call.go
@@ -74,8 +74,8 @@
 	Refuse(hea http.Header, id string, retryAfter time.Duration)
 }
 
-// Ask wants an endpoint for a call.
-type Ask struct {
+// PlacementRequest requests an endpoint for a call.
+type PlacementRequest struct {
 	ID   string
 	Pool string
 	Team string
@@ -102,8 +102,8 @@
 type Lease struct {
 	Endpoint registrar.Endpoint
 	Helpers  []Helper
-	// First is the expected time to the first event; 0 if unknown.
-	First time.Duration
+	// ExpectedFirst is the expected time to the first event; 0 if unknown.
+	ExpectedFirst time.Duration
 	// Began tells that the first event has arrived, Failed that an endpoint at an
 	// address failed the call (empty for the one that was called), End that the
 	// call has ended there. End is idempotent.
@@ -124,5 +124,5 @@
 
 // Placer finds endpoints. Place may wait until the call's deadline.
 type Placer interface {
-	Place(ctx context.Context, ask Ask) (Lease, error)
+	Place(ctx context.Context, ask PlacementRequest) (Lease, error)
 }
--- a/request/relayer/decide.go
+++ b/request/relayer/decide.go
@@ -18,7 +18,7 @@
 )
 
 // Outcome is what came of a send: Whole, Answered, NotRun, Unreached, Broken,
-// TimedOut or CallerGone.
+// TimedOut or CallerDisconnected.
 type Outcome interface{ outcome() }
 
 // Whole is a whole answer without a failure, or a stream to its end.
@@ -40,16 +40,16 @@
 // had it then.
 type TimedOut struct{ Sent bool }
 
-// CallerGone says that the caller has left.
-type CallerGone struct{}
+// CallerDisconnected says that the caller has left.
+type CallerDisconnected struct{}
 
-func (Whole) outcome()      {}
-func (Answered) outcome()   {}
-func (NotRun) outcome()     {}
-func (Unreached) outcome()  {}
-func (Broken) outcome()     {}
-func (TimedOut) outcome()   {}
-func (CallerGone) outcome() {}
+func (Whole) outcome()              {}
+func (Answered) outcome()           {}
+func (NotRun) outcome()             {}
+func (Unreached) outcome()          {}
+func (Broken) outcome()             {}
+func (TimedOut) outcome()           {}
+func (CallerDisconnected) outcome() {}
 
 // State is what has happened to a call. It is an immutable value.
 type State struct {
@@ -69,13 +69,13 @@
 	return sta
 }
 
-// Terms are what bounds the sends of a call.
-type Terms struct {
+// SendLimits are what bounds the sends of a call.
+type SendLimits struct {
 	Route parser.Route
 	// Left is the time left.
 	Left time.Duration
-	// Budget reports whether the host may send the call once more.
-	Budget func() bool
+	// TakeRetry reports whether the host may send the call once more.
+	TakeRetry func() bool
 }
 
 // Decision is Deliver, Resend, Refuse, Fail or Cut.
@@ -107,11 +107,11 @@
 func (Cut) decision()     {}
 
 // Next decides what follows a send.
-func Next(sta State, out Outcome, ter Terms) (State, Decision) {
+func Next(sta State, out Outcome, ter SendLimits) (State, Decision) {
 	switch out := out.(type) {
 	case Whole:
 		return sta, Deliver{}
-	case CallerGone:
+	case CallerDisconnected:
 		sta.Ran = true
 		return sta, Cut{Code: "caller_gone"}
 	case TimedOut:
@@ -159,7 +159,7 @@
 	}
 }
 
-func (sta State) resends(ter Terms) bool {
+func (sta State) resends(ter SendLimits) bool {
 	least := max(minSendTime, time.Duration(minObjectiveShare*float64(ter.Route.FirstTarget)))
-	return sta.Sends < ter.Route.Attempts() && ter.Left >= least && ter.Budget()
+	return sta.Sends < ter.Route.Attempts() && ter.Left >= least && ter.TakeRetry()
 }
--- a/request/relayer/decide_test.go
+++ b/request/relayer/decide_test.go
@@ -31,7 +31,7 @@
 			dur, err := time.ParseDuration(strings.TrimSpace(lef))
 			require.NoError(t, err, lin)
 			var dec Decision
-			sta, dec = Next(sta.WithSend(), outcomeNamed(t, nam), Terms{Route: rou, Left: dur, Budget: func() bool { return budget }})
+			sta, dec = Next(sta.WithSend(), outcomeNamed(t, nam), SendLimits{Route: rou, Left: dur, TakeRetry: func() bool { return budget }})
 			fmt.Fprintf(&bui, "%s: %s\n", nam, strings.TrimPrefix(fmt.Sprintf("%T%+v", dec, dec), "relayer."))
 		}
 		return bui.String()
@@ -57,7 +57,7 @@
 	case "time-unsent":
 		return TimedOut{}
 	case "gone":
-		return CallerGone{}
+		return CallerDisconnected{}
 	}
 	require.Fail(t, "no outcome", nam)
 	return nil
--- a/request/relayer/log_test.go
+++ b/request/relayer/log_test.go
@@ -21,7 +21,7 @@
 		{Unreached{}, Resend{}, `{"Outcome":"unreached","Decision":"resend"}`},
 		{Broken{Step: "reading the answer"}, Fail{Status: 502, Code: "endpoint_failed"}, `{"Outcome":"broken","Step":"reading the answer","Decision":"fail","Code":"endpoint_failed"}`},
 		{TimedOut{Sent: true}, Cut{Code: "time_limit"}, `{"Outcome":"time_limit","Sent":true,"Decision":"cut","Code":"time_limit"}`},
-		{CallerGone{}, Cut{Code: "caller_gone"}, `{"Outcome":"caller_gone","Decision":"cut","Code":"caller_gone"}`},
+		{CallerDisconnected{}, Cut{Code: "caller_gone"}, `{"Outcome":"caller_gone","Decision":"cut","Code":"caller_gone"}`},
 	}
 	for _, tt := range tts {
 		t.Run(name(tt.out), func(t *testing.T) {
--- a/request/relayer/relayer.go
+++ b/request/relayer/relayer.go
@@ -43,8 +43,8 @@
 	errSilent    = errors.New("the endpoint has been silent for too long")
 )
 
-// Budget bounds the sends after the first ones of all calls.
-type Budget interface {
+// RetryBudget bounds the sends after the first ones of all calls.
+type RetryBudget interface {
 	// Earn counts a call for a pool.
 	Earn(pool string, now time.Time)
 	// Take reports whether a call for a pool may be sent once more.
@@ -53,20 +53,20 @@
 
 // Relayer forwards calls. All its fields are needed.
 type Relayer struct {
-	Codec     Codec
-	Tables    func() *matcher.Matcher
-	Placer    Placer
-	Exchanger *exchanger.Exchanger
-	Budget    Budget
-	Bodies    *receiver.Budget
+	Codec       Codec
+	Tables      func() *matcher.Matcher
+	Placer      Placer
+	Exchanger   *exchanger.Exchanger
+	RetryBudget RetryBudget
+	Bodies      *receiver.Budget
 	// Ready is closed once the host has tables and knows the endpoints; nil if it always
 	// does.
 	Ready <-chan struct{}
 	// Stale reports whether the host's knowledge has to be confirmed before calls are
-	// accepted, as after a suspension; nil if it never has. Slept is the time for which
+	// accepted, as after a suspension; nil if it never has. SuspendedFor is the time for which
 	// the host was suspended in all; nil if it never is.
-	Stale func(now time.Time) bool
-	Slept func(now time.Time) time.Duration
+	Stale        func(now time.Time) bool
+	SuspendedFor func(now time.Time) time.Duration
 	// Draining reports whether callers are to leave their connections.
 	Draining func() bool
 	// MaxBodyBytes bounds a body where the tables don't.
@@ -221,10 +221,10 @@
 
 // sleptSince is the time for which the host was suspended since the call arrived.
 func (run *run) sleptSince(now time.Time) time.Duration {
-	if run.Slept == nil {
+	if run.SuspendedFor == nil {
 		return 0
 	}
-	return run.Slept(now) - run.slept
+	return run.SuspendedFor(now) - run.slept
 }
 
 func (run *run) authorize(mat *matcher.Matcher) *rejection {
@@ -259,7 +259,7 @@
 
 // serve sends the call until it has an answer.
 func (run *run) serve(ctx context.Context) {
-	run.Budget.Earn(run.pool.Name, run.arrived)
+	run.RetryBudget.Earn(run.pool.Name, run.arrived)
 	defer run.releaseAnswer()
 	ctx, stop := context.WithDeadlineCause(ctx, run.end, errTimeLimit)
 	defer stop()
@@ -274,8 +274,8 @@
 		lea.End()
 		now := run.Clock()
 		var dec Decision
-		run.state, dec = Next(run.state, out, Terms{
-			Route: run.route, Left: run.end.Sub(now), Budget: func() bool { return run.next != nil || run.Budget.Take(run.pool.Name, now) },
+		run.state, dec = Next(run.state, out, SendLimits{
+			Route: run.route, Left: run.end.Sub(now), TakeRetry: func() bool { return run.next != nil || run.RetryBudget.Take(run.pool.Name, now) },
 		})
 		run.note(lea, out, dec, now)
 		if _, again := dec.(Resend); !again {
@@ -313,7 +313,7 @@
 		pri = *run.team.Priority
 	}
 	run.mu.Lock()
-	ask := Ask{
+	ask := PlacementRequest{
 		ID: run.call.ID, Pool: run.pool.Name, Team: run.team.Name,
 		PromptTokens: run.call.PromptTokens, MaxTokens: run.call.MaxTokens, AnswerTokens: run.call.AnswerTokens,
 		Priority: pri, Arrived: run.waitsSince(), Objective: time.Duration(run.route.FirstTarget), Pause: time.Duration(run.route.PauseTarget),
@@ -335,7 +335,7 @@
 // unplaced ends a call for which no endpoint could be had.
 func (run *run) unplaced(ctx context.Context, err error) {
 	if ctx.Err() != nil {
-		_, dec := Next(run.state, run.ended(ctx, false), Terms{Route: run.route})
+		_, dec := Next(run.state, run.ended(ctx, false), SendLimits{Route: run.route})
 		run.finish(dec, 0)
 		return
 	}
@@ -357,7 +357,7 @@
 	if errors.Is(context.Cause(ctx), errTimeLimit) {
 		return TimedOut{Sent: sent}
 	}
-	return CallerGone{}
+	return CallerDisconnected{}
 }
 
 func (run *run) note(lea Lease, out Outcome, dec Decision, now time.Time) {
--- a/request/relayer/send.go
+++ b/request/relayer/send.go
@@ -102,7 +102,7 @@
 	if !run.route.Stream {
 		return min(lef, answerFactor*obj)
 	}
-	return min(lef, max(silenceFactor*lea.First, objectiveFactor*obj)+silenceSlack)
+	return min(lef, max(silenceFactor*lea.ExpectedFirst, objectiveFactor*obj)+silenceSlack)
 }
 
 // pauseLimit is how long a stream may be silent after an event.
@@ -213,7 +213,7 @@
 		if beg {
 			beg = false
 			lea.Began()
-			run.log.Info().Str("Endpoint", lea.Endpoint.ID).Dur("AfterMs", run.Clock().Sub(run.arrived)).Dur("ExpectedMs", lea.First).Msg("stream began")
+			run.log.Info().Str("Endpoint", lea.Endpoint.ID).Dur("AfterMs", run.Clock().Sub(run.arrived)).Dur("ExpectedMs", lea.ExpectedFirst).Msg("stream began")
 		}
 		if !follows(eve.id, run.last) {
 			// What the caller has already is no sign of life: an endpoint in trouble may
@@ -226,10 +226,10 @@
 		sil.heard()
 		run.begin(ans)
 		if _, err := run.wri.Write(eve.raw); err != nil {
-			return CallerGone{}
+			return CallerDisconnected{}
 		}
 		if err := con.Flush(); err != nil {
-			return CallerGone{}
+			return CallerDisconnected{}
 		}
 		run.forwarded(eve)
 	}
--- a/request/relayer/silence.go
+++ b/request/relayer/silence.go
@@ -97,7 +97,7 @@
 	run.mu.Lock()
 	sta := run.state
 	run.mu.Unlock()
-	return run.route.Reruns() && sta.resends(Terms{
-		Route: run.route, Left: run.end.Sub(now), Budget: func() bool { return run.Budget.Take(run.pool.Name, now) },
+	return run.route.Reruns() && sta.resends(SendLimits{
+		Route: run.route, Left: run.end.Sub(now), TakeRetry: func() bool { return run.RetryBudget.Take(run.pool.Name, now) },
 	})
 }
