--- a/request/relayer/call.go
+++ b/request/relayer/call.go
@@ -1,6 +1,5 @@
-// Package relayer forwards one call of a caller to an endpoint, unchanged, and
-// the endpoint's answer back: whole answers, and streams of events that may go
-// on at another endpoint.
+// Package relayer forwards calls to endpoints unchanged, and passes their answers back:
+// either complete answers, or streams of events that may continue on another endpoint.
 //
 // Next decides what follows each send; Relayer carries it out.
 package relayer
@@ -13,32 +12,36 @@
 	"hemlockpin/process/registrar"
 )
 
-// Call is what a caller's headers say.
+// Call holds what the headers of a call contain.
 type Call struct {
 	ID string
-	// Key is the caller's key; empty if none was sent.
+	// Key is the caller's key; empty if the caller sent none.
 	Key string
-	// TimeLeft is how long the caller waits; 0 if it does not say.
+	// TimeLeft is how long the caller waits for the answer; 0 if the headers do not
+	// say.
 	TimeLeft time.Duration
-	// LastEvent is the last event that the caller has of a stream that it resumes.
+	// LastEvent is the ID of the last event that the caller received, if it resumes a
+	// stream.
 	LastEvent string
-	// Model, PromptTokens and MaxTokens are set for prompts.
+	// Model, PromptTokens and MaxTokens are set for prompts only.
 	Model        string
 	PromptTokens int64
 	MaxTokens    int64
-	// AnswerTokens is the caller's estimate of its answer; 0 if it has none.
+	// AnswerTokens is the caller's estimate of the length of the answer; 0 if it sent
+	// none.
 	AnswerTokens int64
 }
 
-// Helper is an engine that reads a part of a prompt for another one.
+// Helper is an engine that prefills a part of a prompt for the engine that is called.
 type Helper struct {
 	Address string
-	// Reservation names memory on the engine that holds a part of the prompt;
-	// empty if it only reads.
+	// Reservation identifies the memory reserved on an engine that holds a part of the
+	// prompt; empty if the engine only prefills.
 	Reservation string
 }
 
-// Dispatch is what the host adds to a call that it sends to an endpoint.
+// Dispatch holds what the host adds to the headers of a call that it sends to an
+// endpoint.
 type Dispatch struct {
 	Endpoint  string
 	Team      string
@@ -47,54 +50,56 @@
 	Helpers   []Helper
 }
 
-// Answer is what an endpoint's headers say.
+// Answer holds what the headers of an endpoint's answer contain.
 type Answer struct {
-	// ID is that of the call that the answer belongs to; empty if it names none.
+	// ID is the ID of the call that the answer belongs to; empty if the answer has
+	// none.
 	ID string
-	// Sealed answers carry the endpoint's proof that it made them.
+	// Sealed says that the answer carries proof that the endpoint produced it.
 	Sealed bool
-	// NotRun says that the endpoint has not run the call and will not.
+	// NotRun says that the endpoint has not run the call and will not run it.
 	NotRun bool
-	// OtherEndpoint says that another endpoint has the address.
+	// OtherEndpoint says that another endpoint now has the address.
 	OtherEndpoint bool
-	// Fault is the address of the endpoint because of which the call failed;
-	// empty for the one that was called.
+	// Fault is the address of the endpoint that caused the failure; empty if it is the
+	// called endpoint.
 	Fault string
 }
 
 // Codec translates the headers of calls and answers.
 type Codec interface {
-	// Call reads the headers of a caller.
+	// Call parses the headers of a caller.
 	Call(hea http.Header) (Call, error)
 	// Dispatch changes a copy of the caller's headers into those for an endpoint.
 	Dispatch(hea http.Header, dis Dispatch)
-	// Answer reads the headers of an endpoint's answer.
+	// Answer parses the headers of an endpoint's answer.
 	Answer(status int, hea http.Header) Answer
 	// Refuse sets the headers of an answer of the host itself.
 	Refuse(hea http.Header, id string, retryAfter time.Duration)
 }
 
-// PlacementRequest requests an endpoint for a call.
+// PlacementRequest is a request for an endpoint for a call.
 type PlacementRequest struct {
 	ID   string
 	Pool string
 	Team string
-	// PromptTokens is 0 for calls that are no prompts.
+	// PromptTokens is 0 for calls that are not prompts.
 	PromptTokens int64
 	// MaxTokens bounds the answer, AnswerTokens is its expected length.
 	MaxTokens    int64
 	AnswerTokens int64
 	Priority     int
-	// Arrived is when the caller began to wait: for the first event, or for the one
-	// after the last that it has.
+	// Arrived is when the caller began to wait for the next event: the arrival of the
+	// call, or the time of the last event that was forwarded.
 	Arrived time.Time
-	// Objective is the latency objective, and Pause that of pauses of a stream.
+	// Objective is the latency objective for the first event, Pause the objective for
+	// the pauses between events.
 	Objective time.Duration
 	Pause     time.Duration
 	Deadline  time.Time
-	// Excluded endpoints have failed the call.
+	// Excluded lists the endpoints that have failed the call.
 	Excluded []string
-	// Sends counts the endpoints to which the call was sent before.
+	// Sends counts the earlier sends of the call.
 	Sends int
 }
 
@@ -104,15 +109,15 @@
 	Helpers  []Helper
 	// ExpectedFirst is the expected time to the first event; 0 if unknown.
 	ExpectedFirst time.Duration
-	// Began tells that the first event has arrived, Failed that an endpoint at an
-	// address failed the call (empty for the one that was called), End that the
-	// call has ended there. End is idempotent.
+	// Began reports that the first event has arrived. Failed reports that the endpoint
+	// with the address failed the call; an empty address stands for the called
+	// endpoint. End reports that the call has ended there. End is idempotent.
 	Began  func()
 	Failed func(address string)
 	End    func()
 }
 
-// RefusedError reports that no endpoint could be had.
+// RefusedError reports that no endpoint was available.
 type RefusedError struct {
 	Code       string
 	Message    string
@@ -124,5 +129,5 @@
 
 // Placer finds endpoints. Place may wait until the call's deadline.
 type Placer interface {
-	Place(ctx context.Context, ask PlacementRequest) (Lease, error)
+	Place(ctx context.Context, req PlacementRequest) (Lease, error)
 }
--- a/request/relayer/decide.go
+++ b/request/relayer/decide.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// maxDials bounds the endpoints that are tried without a connection.
+	// maxDials bounds the endpoints to which a call fails to connect.
 	maxDials = 4
-	// minObjectiveShare is the share of the latency objective that must be left
-	// for another send; with less, the endpoint could hardly begin.
+	// minObjectiveShare is the share of the latency objective that must be left for
+	// another send. With less, another endpoint is unlikely to begin in time.
 	minObjectiveShare = 0.25
 	// minSendTime is the least time left for another send.
 	minSendTime = 50 * time.Millisecond
 )
 
-// Outcome is what came of a send: Whole, Answered, NotRun, Unreached, Broken,
-// TimedOut or CallerDisconnected.
+// Outcome is the result of a send: Whole, Answered, NotRun, Unreached, Broken, TimedOut
+// or CallerDisconnected.
 type Outcome interface{ outcome() }
 
-// Whole is a whole answer without a failure, or a stream to its end.
+// Whole is a complete answer that reports no failure, or a complete stream.
 type Whole struct{}
 
-// Answered is a whole answer of the endpoint that reports a failure.
+// Answered is a complete answer of the endpoint that reports a failure.
 type Answered struct{ Status int }
 
 // NotRun says that the endpoint refused the call without running it.
@@ -33,14 +33,14 @@
 // Unreached says that no connection to the endpoint was made.
 type Unreached struct{}
 
-// Broken says that the answer broke off, was none, or stayed out for too long.
+// Broken says that the answer was aborted, invalid or not begun in time.
 type Broken struct{ Step string }
 
-// TimedOut says that the time of the call is over. Sent tells whether an endpoint
-// had it then.
+// TimedOut says that the time limit of the call has passed. Sent says whether the call
+// had been sent to an endpoint by then.
 type TimedOut struct{ Sent bool }
 
-// CallerDisconnected says that the caller has left.
+// CallerDisconnected says that the caller has closed its connection.
 type CallerDisconnected struct{}
 
 func (Whole) outcome()              {}
@@ -51,15 +51,15 @@
 func (TimedOut) outcome()           {}
 func (CallerDisconnected) outcome() {}
 
-// State is what has happened to a call. It is an immutable value.
+// State is the history of a call. It is an immutable value.
 type State struct {
-	// Sends counts the endpoints to which the call was sent, Dials those that
-	// could not be reached.
+	// Sends counts the endpoints to which the call was sent, Dials those to which no
+	// connection was made.
 	Sends int
 	Dials int
 	// Ran says that an endpoint has run the call or may have.
 	Ran bool
-	// Events counts the events that the caller got.
+	// Events counts the events forwarded to the caller.
 	Events int
 }
 
@@ -69,35 +69,36 @@
 	return sta
 }
 
-// SendLimits are what bounds the sends of a call.
+// SendLimits limit the sends of a call.
 type SendLimits struct {
 	Route parser.Route
 	// Left is the time left.
 	Left time.Duration
-	// TakeRetry reports whether the host may send the call once more.
+	// TakeRetry reports whether the retry budget allows another send, and counts that
+	// send.
 	TakeRetry func() bool
 }
 
 // Decision is Deliver, Resend, Refuse, Fail or Cut.
 type Decision interface{ decision() }
 
-// Deliver passes the endpoint's answer on as it is.
+// Deliver passes the endpoint's answer on unchanged.
 type Deliver struct{}
 
-// Resend sends the call to another endpoint, after the last event that the
-// caller has.
+// Resend sends the call to another endpoint; a stream continues after the last event
+// that the caller received.
 type Resend struct{}
 
-// Refuse tells the caller that the call has not run and will not.
+// Refuse answers that the call has not run and will not run.
 type Refuse struct{ Code string }
 
-// Fail tells the caller that the call failed and may have run.
+// Fail answers that the call failed and may have run.
 type Fail struct {
 	Status int
 	Code   string
 }
 
-// Cut breaks the answer off, so that it does not look whole.
+// Cut aborts the answer, so that the caller does not take it for complete.
 type Cut struct{ Code string }
 
 func (Deliver) decision() {}
@@ -107,7 +108,7 @@
 func (Cut) decision()     {}
 
 // Next decides what follows a send.
-func Next(sta State, out Outcome, ter SendLimits) (State, Decision) {
+func Next(sta State, out Outcome, lim SendLimits) (State, Decision) {
 	switch out := out.(type) {
 	case Whole:
 		return sta, Deliver{}
@@ -116,39 +117,40 @@
 		return sta, Cut{Code: "caller_gone"}
 	case TimedOut:
 		sta.Ran = sta.Ran || out.Sent
-		return sta, sta.give(http.StatusGatewayTimeout, "time_limit")
+		return sta, sta.abort(http.StatusGatewayTimeout, "time_limit")
 	case Answered:
 		sta.Ran = true
-		if ter.Route.Repeatable && out.Status >= http.StatusInternalServerError && sta.resends(ter) {
+		if lim.Route.Repeatable && out.Status >= http.StatusInternalServerError && sta.mayResend(lim) {
 			return sta, Resend{}
 		}
 		return sta, Deliver{}
 	case NotRun:
-		if sta.resends(ter) {
+		if sta.mayResend(lim) {
 			return sta, Resend{}
 		}
-		return sta, sta.give(http.StatusBadGateway, "endpoint_refused")
+		return sta, sta.abort(http.StatusBadGateway, "endpoint_refused")
 	case Unreached:
 		sta.Sends--
 		sta.Dials++
-		if sta.Dials < maxDials && ter.Left > minSendTime {
+		if sta.Dials < maxDials && lim.Left > minSendTime {
 			return sta, Resend{}
 		}
-		return sta, sta.give(http.StatusBadGateway, "endpoint_unreached")
+		return sta, sta.abort(http.StatusBadGateway, "endpoint_unreached")
 	case Broken:
 		sta.Ran = true
-		if ter.Route.Reruns() && sta.resends(ter) {
+		if lim.Route.Reruns() && sta.mayResend(lim) {
 			return sta, Resend{}
 		}
-		return sta, sta.give(http.StatusBadGateway, "endpoint_failed")
+		return sta, sta.abort(http.StatusBadGateway, "endpoint_failed")
 	default:
-		return sta, sta.give(http.StatusBadGateway, "internal")
+		return sta, sta.abort(http.StatusBadGateway, "internal")
 	}
 }
 
-// give ends a call without an answer: what the caller has of a stream can't be
-// taken back, and what may have run is no refusal.
-func (sta State) give(status int, code string) Decision {
+// abort ends a call without a complete answer. Events already sent cannot be taken
+// back, so a begun stream is aborted. A call that may have run must not be reported as
+// refused.
+func (sta State) abort(status int, code string) Decision {
 	switch {
 	case sta.Events > 0:
 		return Cut{Code: code}
@@ -159,7 +161,7 @@
 	}
 }
 
-func (sta State) resends(ter SendLimits) bool {
-	least := max(minSendTime, time.Duration(minObjectiveShare*float64(ter.Route.FirstTarget)))
-	return sta.Sends < ter.Route.Attempts() && ter.Left >= least && ter.TakeRetry()
+func (sta State) mayResend(lim SendLimits) bool {
+	least := max(minSendTime, time.Duration(minObjectiveShare*float64(lim.Route.FirstTarget)))
+	return sta.Sends < lim.Route.Attempts() && lim.Left >= least && lim.TakeRetry()
 }
--- a/request/relayer/decide_test.go
+++ b/request/relayer/decide_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestNext plays the outcomes of testdata/decide against the decision. A line is
-// an outcome and the time left; the output is the decision.
+// TestNext applies the outcomes of testdata/decide one after another. An input line is
+// an outcome and the time left; an output line is the decision.
 func TestNext(t *testing.T) {
 	datadriven.RunTest(t, "testdata/decide", func(t *testing.T, dat *datadriven.TestData) string {
 		rou := parser.Route{FirstTarget: parser.Duration(300 * time.Millisecond)}
@@ -26,20 +26,20 @@
 		budget := true
 		dat.MaybeScanArgs(t, "budget", &budget)
 		var bui strings.Builder
-		for lin := range strings.SplitSeq(strings.TrimSpace(dat.Input), "\n") {
-			nam, lef, _ := strings.Cut(lin, " ")
-			dur, err := time.ParseDuration(strings.TrimSpace(lef))
-			require.NoError(t, err, lin)
+		for line := range strings.SplitSeq(strings.TrimSpace(dat.Input), "\n") {
+			name, left, _ := strings.Cut(line, " ")
+			dur, err := time.ParseDuration(strings.TrimSpace(left))
+			require.NoError(t, err, line)
 			var dec Decision
-			sta, dec = Next(sta.WithSend(), outcomeNamed(t, nam), SendLimits{Route: rou, Left: dur, TakeRetry: func() bool { return budget }})
-			fmt.Fprintf(&bui, "%s: %s\n", nam, strings.TrimPrefix(fmt.Sprintf("%T%+v", dec, dec), "relayer."))
+			sta, dec = Next(sta.WithSend(), outcomeNamed(t, name), SendLimits{Route: rou, Left: dur, TakeRetry: func() bool { return budget }})
+			fmt.Fprintf(&bui, "%s: %s\n", name, strings.TrimPrefix(fmt.Sprintf("%T%+v", dec, dec), "relayer."))
 		}
 		return bui.String()
 	})
 }
 
-func outcomeNamed(t *testing.T, nam string) Outcome {
-	switch nam {
+func outcomeNamed(t *testing.T, name string) Outcome {
+	switch name {
 	case "whole":
 		return Whole{}
 	case "failure":
@@ -59,6 +59,6 @@
 	case "gone":
 		return CallerDisconnected{}
 	}
-	require.Fail(t, "no outcome", nam)
+	require.Fail(t, "no outcome", name)
 	return nil
 }
--- a/request/relayer/event.go
+++ b/request/relayer/event.go
@@ -8,11 +8,11 @@
 	"strconv"
 )
 
-// maxEvent bounds one event of a stream: an endpoint in trouble may send bytes without
-// end, and a host passes hundreds of streams on.
-const maxEvent = 256 << 10
+// maxEventBytes bounds one event of a stream. A faulty endpoint may send data without
+// end, and a host relays hundreds of streams at once.
+const maxEventBytes = 256 << 10
 
-var errEventTooLarge = errors.New("an event of the stream is too large")
+var errEventTooLarge = errors.New("event of the stream exceeds 256 KiB")
 
 // event is one event of a stream as the endpoint sent it.
 type event struct {
@@ -20,42 +20,41 @@
 	id  string
 }
 
-// readEvent reads up to the blank line that ends an event. It fails with io.EOF
-// between two events and with io.ErrUnexpectedEOF within one. The bytes are
-// appended to buf.
+// readEvent reads up to the blank line that ends an event, into buf. It returns io.EOF
+// between two events and io.ErrUnexpectedEOF within an event.
 func readEvent(rea *bufio.Reader, buf []byte) (event, error) {
 	eve := event{raw: buf[:0]}
 	for {
-		lin, err := readLine(rea, &eve)
+		line, err := readLine(rea, &eve)
 		if err != nil {
 			return eve, err
 		}
-		if len(eve.raw) > maxEvent {
+		if len(eve.raw) > maxEventBytes {
 			return eve, errEventTooLarge
 		}
-		if len(lin) == 0 {
+		if len(line) == 0 {
 			if len(bytes.TrimSpace(eve.raw)) == 0 {
 				eve.raw = eve.raw[:0]
 				continue
 			}
 			return eve, nil
 		}
-		if val, ok := bytes.CutPrefix(lin, []byte("id:")); ok {
-			eve.id = string(bytes.TrimPrefix(val, []byte(" ")))
+		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
+			eve.id = string(bytes.TrimPrefix(value, []byte(" ")))
 		}
 	}
 }
 
-// readLine appends a line to the event and returns it without its end.
+// readLine appends a line to the event and returns it without its line ending.
 func readLine(rea *bufio.Reader, eve *event) ([]byte, error) {
-	beg := len(eve.raw)
+	start := len(eve.raw)
 	for {
-		par, err := rea.ReadSlice('\n')
-		eve.raw = append(eve.raw, par...)
+		part, err := rea.ReadSlice('\n')
+		eve.raw = append(eve.raw, part...)
 		switch {
 		case err == nil:
-			return bytes.TrimRight(eve.raw[beg:], "\r\n"), nil
-		case errors.Is(err, bufio.ErrBufferFull) && len(eve.raw) <= maxEvent:
+			return bytes.TrimRight(eve.raw[start:], "\r\n"), nil
+		case errors.Is(err, bufio.ErrBufferFull) && len(eve.raw) <= maxEventBytes:
 		case errors.Is(err, bufio.ErrBufferFull):
 			return nil, errEventTooLarge
 		case errors.Is(err, io.EOF) && len(eve.raw) > 0:
@@ -66,16 +65,16 @@
 	}
 }
 
-// follows reports whether an event comes after the last one that the caller has.
-// Identifiers that are no numbers are only told apart.
+// follows reports whether an event comes after the last event that the caller received.
+// IDs that are not numbers have no order: any ID other than the last one follows.
 func follows(id, last string) bool {
 	if id == "" || last == "" {
 		return true
 	}
-	num, err := strconv.ParseInt(id, 10, 64)
-	old, err2 := strconv.ParseInt(last, 10, 64)
-	if err != nil || err2 != nil {
+	newID, err := strconv.ParseInt(id, 10, 64)
+	lastID, lastErr := strconv.ParseInt(last, 10, 64)
+	if err != nil || lastErr != nil {
 		return id != last
 	}
-	return num > old
+	return newID > lastID
 }
--- a/request/relayer/event_test.go
+++ b/request/relayer/event_test.go
@@ -24,27 +24,27 @@
 		{"cut before the blank line", "id: 1\ndata: a\n", nil, nil, io.ErrUnexpectedEOF},
 		{"empty", "", nil, nil, io.EOF},
 	}
-	for _, tes := range tests {
-		t.Run(tes.name, func(t *testing.T) {
-			rea := bufio.NewReaderSize(strings.NewReader(tes.input), 16)
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			rea := bufio.NewReaderSize(strings.NewReader(tt.input), 16)
 			var ids, raws []string
 			for {
 				eve, err := readEvent(rea, nil)
 				if err != nil {
-					require.ErrorIs(t, err, tes.err)
+					require.ErrorIs(t, err, tt.err)
 					break
 				}
 				ids = append(ids, eve.id)
 				raws = append(raws, string(eve.raw))
 			}
-			require.Equal(t, tes.ids, ids)
-			require.Equal(t, tes.raws, raws)
+			require.Equal(t, tt.ids, ids)
+			require.Equal(t, tt.raws, raws)
 		})
 	}
 }
 
 func TestReadEventTooLarge(t *testing.T) {
-	_, err := readEvent(bufio.NewReaderSize(strings.NewReader("data: "+strings.Repeat("x", maxEvent+100)), 64), nil)
+	_, err := readEvent(bufio.NewReaderSize(strings.NewReader("data: "+strings.Repeat("x", maxEventBytes+100)), 64), nil)
 	require.True(t, errors.Is(err, errEventTooLarge), err)
 }
 
--- a/request/relayer/finish.go
+++ b/request/relayer/finish.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// finish ends the call towards its caller.
+// finish ends the call as decided. Except for Deliver, Refuse and Fail, it panics with
+// http.ErrAbortHandler to abort the connection.
 func (run *run) finish(dec Decision, retryAfter time.Duration) {
-	run.Scope.Tagged(map[string]string{"route": run.route.Name, "decision": verb(dec)}).Counter("forward_calls").Inc(1)
-	run.Scope.Tagged(map[string]string{"decision": verb(dec)}).Timer("forward_seconds").Record(run.Clock().Sub(run.arrived))
+	run.Scope.Tagged(map[string]string{"route": run.route.Name, "decision": decisionLabel(dec)}).Counter("forward_calls").Inc(1)
+	run.Scope.Tagged(map[string]string{"decision": decisionLabel(dec)}).Timer("forward_seconds").Record(run.Clock().Sub(run.arrived))
 	switch dec := dec.(type) {
 	case Deliver:
 		run.deliver()
 	case Refuse:
-		run.reject(&rejection{
+		run.writeRejection(&rejection{
 			status: http.StatusServiceUnavailable, code: dec.Code, message: "the call has not run and will not",
-			retryAfter: max(retryAfter, leastRetryAfter),
+			retryAfter: max(retryAfter, minRetryAfter),
 		})
 	case Fail:
-		run.reject(&rejection{status: dec.Status, code: dec.Code, message: "the call failed and may have run"})
+		run.writeRejection(&rejection{status: dec.Status, code: dec.Code, message: "the call failed and may have run"})
 	default:
 		code := ""
 		if cut, ok := dec.(Cut); ok {
 			code = cut.Code
 		}
-		run.log.Warn().Int("Events", run.state.Events).Str("Code", code).Msg("answer cut")
+		run.log.Warn().Int("Events", run.state.Events).Str("Code", code).Msg("aborting the connection in the middle of the answer")
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func verb(dec Decision) string {
+func decisionLabel(dec Decision) string {
 	switch dec.(type) {
 	case Deliver:
 		return "deliver"
@@ -46,7 +47,7 @@
 	}
 }
 
-// deliver passes a whole answer on. A stream has been passed on already.
+// deliver writes a complete answer. A stream was already written as its events arrived.
 func (run *run) deliver() {
 	if run.answer.status == 0 {
 		return
@@ -59,14 +60,14 @@
 
 func (run *run) copyHeader(from http.Header) {
 	hea := from.Clone()
-	strip(hea)
-	for nam, vals := range hea {
-		run.wri.Header()[nam] = vals
+	stripHopHeaders(hea)
+	for name, vals := range hea {
+		run.wri.Header()[name] = vals
 	}
 }
 
-// reject answers a call itself.
-func (run *run) reject(rej *rejection) {
+// writeRejection answers the call on behalf of the host.
+func (run *run) writeRejection(rej *rejection) {
 	run.log.Warn().Int("Status", rej.status).Str("Code", rej.code).Str("Message", rej.message).Dur("RetryAfterMs", rej.retryAfter).
 		Dur("AfterMs", run.Clock().Sub(run.arrived)).Msg("call answered by the host")
 	run.Scope.Tagged(map[string]string{"code": rej.code}).Counter("forward_rejections").Inc(1)
--- a/request/relayer/log_test.go
+++ b/request/relayer/log_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDetail writes outcomes and decisions as operators read them.
+// TestDetail checks the log fields of outcomes and decisions.
 func TestDetail(t *testing.T) {
-	tts := []struct {
+	tests := []struct {
 		out  Outcome
 		dec  Decision
 		want string
@@ -23,11 +23,11 @@
 		{TimedOut{Sent: true}, Cut{Code: "time_limit"}, `{"Outcome":"time_limit","Sent":true,"Decision":"cut","Code":"time_limit"}`},
 		{CallerDisconnected{}, Cut{Code: "caller_gone"}, `{"Outcome":"caller_gone","Decision":"cut","Code":"caller_gone"}`},
 	}
-	for _, tt := range tts {
-		t.Run(name(tt.out), func(t *testing.T) {
+	for _, tt := range tests {
+		t.Run(outcomeLabel(tt.out), func(t *testing.T) {
 			var buf bytes.Buffer
 			log := zerolog.New(&buf)
-			detail(log.Log().Str("Outcome", name(tt.out)), tt.out, tt.dec).Send()
+			detail(log.Log().Str("Outcome", outcomeLabel(tt.out)), tt.out, tt.dec).Send()
 			require.JSONEq(t, tt.want, buf.String())
 		})
 	}
--- a/request/relayer/relayer.go
+++ b/request/relayer/relayer.go
@@ -20,38 +20,42 @@
 )
 
 const (
-	// defaultTime bounds a call whose caller and route name no time.
-	defaultTime = 30 * time.Second
-	// maxAnswer bounds an answer that is no stream: an endpoint in trouble may send
-	// bytes without end.
-	maxAnswer = 8 << 20
-	// startHold is how long a call waits at a host that has no tables yet. Hosts learn
-	// them within some hundred milliseconds of their start, and after a failure of all
-	// hosts no other one knows more.
-	startHold = 400 * time.Millisecond
-	// freshInterval is how often a held call looks whether the host knows enough.
-	freshInterval = 10 * time.Millisecond
-	// startRetryAfter is told to callers of a host that has no tables by then.
+	// defaultTimeLimit bounds a call if neither its caller nor its route sets a time
+	// limit.
+	defaultTimeLimit = 30 * time.Second
+	// maxAnswerBytes bounds a non-streamed answer, which is buffered: a faulty endpoint
+	// may send data without end.
+	maxAnswerBytes = 8 << 20
+	// startupWait is how long a call waits at a host that has no tables yet. Hosts get
+	// the tables within a few hundred milliseconds of their start. After a failure of
+	// all hosts no other host could serve the call sooner.
+	startupWait = 400 * time.Millisecond
+	// staleCheckInterval is how often a waiting call checks whether the host's state
+	// has been confirmed.
+	staleCheckInterval = 10 * time.Millisecond
+	// startRetryAfter is the Retry-After of calls refused because the host still has no
+	// tables.
 	startRetryAfter = 500 * time.Millisecond
-	// leastRetryAfter is the shortest time told to a refused caller.
-	leastRetryAfter = 100 * time.Millisecond
+	// minRetryAfter is the shortest Retry-After of a refused call.
+	minRetryAfter = 100 * time.Millisecond
 )
 
-// Causes for which a send is ended.
+// Causes for which a send is cancelled.
 var (
-	errTimeLimit = errors.New("the time of the call is over")
-	errSilent    = errors.New("the endpoint has been silent for too long")
+	errTimeLimit = errors.New("the time limit of the call has passed")
+	errStalled   = errors.New("the endpoint is stalled and another one is available")
 )
 
-// RetryBudget bounds the sends after the first ones of all calls.
+// RetryBudget limits the resends of calls, for each pool.
 type RetryBudget interface {
-	// Earn counts a call for a pool.
+	// Earn counts a call to a pool, which earns a share of a resend.
 	Earn(pool string, now time.Time)
-	// Take reports whether a call for a pool may be sent once more.
+	// Take reports whether a call to a pool may be sent once more, and counts the
+	// resend.
 	Take(pool string, now time.Time) bool
 }
 
-// Relayer forwards calls. All its fields are needed.
+// Relayer forwards calls. All fields are required unless their comment says otherwise.
 type Relayer struct {
 	Codec       Codec
 	Tables      func() *matcher.Matcher
@@ -59,17 +63,18 @@
 	Exchanger   *exchanger.Exchanger
 	RetryBudget RetryBudget
 	Bodies      *receiver.Budget
-	// Ready is closed once the host has tables and knows the endpoints; nil if it always
-	// does.
+	// Ready is closed once the host has tables and the list of endpoints; nil if it
+	// always has both.
 	Ready <-chan struct{}
-	// Stale reports whether the host's knowledge has to be confirmed before calls are
-	// accepted, as after a suspension; nil if it never has. SuspendedFor is the time for which
-	// the host was suspended in all; nil if it never is.
+	// Stale reports whether the host's tables and endpoints must be confirmed before
+	// calls are accepted, as after a suspension of the host; nil for never.
+	// SuspendedFor returns the total time for which the host was suspended; nil if it
+	// never is.
 	Stale        func(now time.Time) bool
 	SuspendedFor func(now time.Time) time.Duration
-	// Draining reports whether callers are to leave their connections.
+	// Draining reports whether callers are asked to close their connections.
 	Draining func() bool
-	// MaxBodyBytes bounds a body where the tables don't.
+	// MaxBodyBytes bounds the body of a call if the tables set no limit.
 	MaxBodyBytes int64
 	Clock        func() time.Time
 	Log          zerolog.Logger
@@ -77,7 +82,7 @@
 	Tracer       trace.Tracer
 }
 
-// run is one call in progress.
+// run is the state of one call in progress.
 type run struct {
 	*Relayer
 	wri   http.ResponseWriter
@@ -87,30 +92,33 @@
 	pool  parser.Pool
 	team  parser.Team
 	body  []byte
-	// kept holds the memory of answer.
-	kept    *receiver.Body
-	arrived time.Time
-	end     time.Time
-	// slept is the time for which the host was suspended before the call arrived.
-	slept time.Duration
-	// excluded endpoints have failed the call.
+	// answerBody accounts for the memory of answer in the budget for bodies.
+	answerBody *receiver.Body
+	arrived    time.Time
+	deadline   time.Time
+	// suspendedBefore is the time for which the host was suspended before the call
+	// arrived.
+	suspendedBefore time.Duration
+	// excluded lists the endpoints that have failed the call.
 	excluded []string
 	log      zerolog.Logger
-	// answer is what the last endpoint answered, if it is whole.
+	// answer is the last complete answer of an endpoint.
 	answer answer
-	// next is the endpoint at which the call goes on, found while the last one was silent.
-	next *Lease
+	// replacement is a lease on another endpoint, obtained while the current endpoint
+	// was stalled.
+	replacement *Lease
 
-	// mu guards what follows against the look for another endpoint.
+	// mu guards the fields below, which the search for a replacement reads
+	// concurrently.
 	mu    sync.Mutex
 	state State
-	// last is the last event forwarded, and lastAt when that was; zero before the first
-	// one.
-	last   string
-	lastAt time.Time
+	// lastEvent is the ID of the last event forwarded, and lastEventAt the time at
+	// which an event was last forwarded; zero before the first one.
+	lastEvent   string
+	lastEventAt time.Time
 }
 
-// answer is a whole answer.
+// answer is a complete answer.
 type answer struct {
 	status int
 	header http.Header
@@ -120,21 +128,21 @@
 // ServeHTTP forwards one call.
 func (rel *Relayer) ServeHTTP(wri http.ResponseWriter, htr *http.Request) {
 	run := &run{Relayer: rel, wri: wri, htr: htr, arrived: rel.Clock()}
-	run.slept = run.sleptSince(run.arrived)
+	run.suspendedBefore = run.suspendedSince(run.arrived)
 	ctx, spa := rel.Tracer.Start(htr.Context(), "forward", trace.WithSpanKind(trace.SpanKindServer))
 	defer spa.End()
 	if rel.Draining() {
 		wri.Header().Set("Connection", "close")
 	}
-	if pro := run.accept(); pro != nil {
-		run.reject(pro)
+	if rej := run.accept(); rej != nil {
+		run.writeRejection(rej)
 		return
 	}
 	spa.SetAttributes(attribute.String("RequestID", run.call.ID), attribute.String("Route", run.route.Name))
 	run.serve(ctx)
 }
 
-// rejection is an answer to a call that is not forwarded.
+// rejection is an answer of the host itself to a call.
 type rejection struct {
 	status     int
 	code       string
@@ -142,7 +150,8 @@
 	retryAfter time.Duration
 }
 
-// accept reads the call, finds its route and checks its key.
+// accept reads the call, finds its route and checks its key. It returns a rejection if
+// the call cannot be forwarded.
 func (run *run) accept() *rejection {
 	var err error
 	if run.call, err = run.Codec.Call(run.htr.Header); err != nil {
@@ -150,7 +159,7 @@
 	}
 	run.log = run.Log.With().Str("RequestID", run.call.ID).Logger()
 	run.awaitTables()
-	run.awaitFresh()
+	run.awaitConfirmed()
 	mat := run.Tables()
 	if mat.Revision() == 0 {
 		return &rejection{status: http.StatusServiceUnavailable, code: "host_starting", message: "the host has no tables yet", retryAfter: startRetryAfter}
@@ -160,28 +169,28 @@
 		return &rejection{status: http.StatusNotFound, code: "route_not_found", message: "no route takes this call"}
 	}
 	run.route = rou
-	if pro := run.authorize(mat); pro != nil {
-		return pro
+	if rej := run.authorize(mat); rej != nil {
+		return rej
 	}
 	run.pool, ok = mat.Pool(rou.PoolFor(xxhash.Sum64String(run.call.ID)))
 	if !ok {
 		return &rejection{status: http.StatusServiceUnavailable, code: "no_pool", message: "the route's pool is not known", retryAfter: startRetryAfter}
 	}
-	if pro := run.readBody(mat.Tables().Caller); pro != nil {
-		return pro
+	if rej := run.readBody(mat.Tables().Caller); rej != nil {
+		return rej
 	}
-	tim := defaultTime
+	timeout := defaultTimeLimit
 	if run.call.TimeLeft > 0 {
-		tim = run.call.TimeLeft
+		timeout = run.call.TimeLeft
 	}
-	run.end = run.arrived.Add(min(tim, time.Duration(rou.TimeLimit)))
-	run.last = run.call.LastEvent
+	run.deadline = run.arrived.Add(min(timeout, time.Duration(rou.TimeLimit)))
+	run.lastEvent = run.call.LastEvent
 	run.log.Info().Str("Route", rou.Name).Str("Pool", run.pool.Name).Str("Team", run.team.Name).Uint64("TablesRevision", mat.Revision()).
-		Int64("PromptTokens", run.call.PromptTokens).Dur("LeftMs", run.end.Sub(run.arrived)).Msg("call accepted")
+		Int64("PromptTokens", run.call.PromptTokens).Dur("LeftMs", run.deadline.Sub(run.arrived)).Msg("call accepted")
 	return nil
 }
 
-// awaitTables holds the call for a moment while the host starts.
+// awaitTables waits up to startupWait for the tables of a starting host.
 func (run *run) awaitTables() {
 	if run.Ready == nil {
 		return
@@ -191,40 +200,42 @@
 		return
 	default:
 	}
-	tim := time.NewTimer(startHold)
-	defer tim.Stop()
+	timer := time.NewTimer(startupWait)
+	defer timer.Stop()
 	select {
 	case <-run.Ready:
-		run.log.Info().Dur("HeldMs", run.Clock().Sub(run.arrived)).Msg("call waited for the host's start")
-	case <-tim.C:
+		run.log.Info().Dur("HeldMs", run.Clock().Sub(run.arrived)).Msg("call waited for the tables of the starting host")
+	case <-timer.C:
 	case <-run.htr.Context().Done():
 	}
 }
 
-// awaitFresh holds the call for a moment while a host that was suspended learns what
-// has changed meanwhile. A store that is away must not keep calls from being served.
-func (run *run) awaitFresh() {
+// awaitConfirmed waits up to startupWait until a host that was suspended has confirmed
+// its tables and endpoints. After that time the call is served with the old state, so
+// that an outage of the store does not stop calls.
+func (run *run) awaitConfirmed() {
 	if run.Stale == nil || !run.Stale(run.arrived) {
 		return
 	}
-	tic := time.NewTicker(freshInterval)
-	defer tic.Stop()
-	for now := run.arrived; now.Sub(run.arrived) < startHold && run.Stale(now); now = run.Clock() {
+	ticker := time.NewTicker(staleCheckInterval)
+	defer ticker.Stop()
+	for now := run.arrived; now.Sub(run.arrived) < startupWait && run.Stale(now); now = run.Clock() {
 		select {
-		case <-tic.C:
+		case <-ticker.C:
 		case <-run.htr.Context().Done():
 			return
 		}
 	}
-	run.log.Info().Dur("HeldMs", run.Clock().Sub(run.arrived)).Bool("Stale", run.Stale(run.Clock())).Msg("call waited for a host that was suspended")
+	run.log.Info().Dur("HeldMs", run.Clock().Sub(run.arrived)).Bool("Stale", run.Stale(run.Clock())).Msg("call waited for the host to confirm its state after a suspension")
 }
 
-// sleptSince is the time for which the host was suspended since the call arrived.
-func (run *run) sleptSince(now time.Time) time.Duration {
+// suspendedSince returns the time for which the host was suspended since the call
+// arrived.
+func (run *run) suspendedSince(now time.Time) time.Duration {
 	if run.SuspendedFor == nil {
 		return 0
 	}
-	return run.SuspendedFor(now) - run.slept
+	return run.SuspendedFor(now) - run.suspendedBefore
 }
 
 func (run *run) authorize(mat *matcher.Matcher) *rejection {
@@ -240,33 +251,33 @@
 }
 
 func (run *run) readBody(lim parser.Limits) *rejection {
-	most := run.MaxBodyBytes
+	maxBytes := run.MaxBodyBytes
 	if lim.MaxBodyBytes > 0 {
-		most = lim.MaxBodyBytes
+		maxBytes = lim.MaxBodyBytes
 	}
-	bod := receiver.NewBody(run.htr.Body, run.Bodies, run.htr.ContentLength, most)
+	bod := receiver.NewBody(run.htr.Body, run.Bodies, run.htr.ContentLength, maxBytes)
 	defer bod.Release()
 	var err error
-	if run.body, err = receiver.ReadBody(bod, most); err == nil {
+	if run.body, err = receiver.ReadBody(bod, maxBytes); err == nil {
 		return nil
 	}
-	var bad *receiver.BadRequestError
-	if errors.As(err, &bad) {
-		return &rejection{status: bad.Status, code: bad.Code, message: bad.Message, retryAfter: bad.RetryAfter}
+	var badReq *receiver.BadRequestError
+	if errors.As(err, &badReq) {
+		return &rejection{status: badReq.Status, code: badReq.Code, message: badReq.Message, retryAfter: badReq.RetryAfter}
 	}
 	return &rejection{status: http.StatusBadRequest, code: "body_incomplete", message: err.Error()}
 }
 
-// serve sends the call until it has an answer.
+// serve sends the call to one endpoint after another until Next decides on an answer.
 func (run *run) serve(ctx context.Context) {
 	run.RetryBudget.Earn(run.pool.Name, run.arrived)
 	defer run.releaseAnswer()
-	ctx, stop := context.WithDeadlineCause(ctx, run.end, errTimeLimit)
+	ctx, stop := context.WithDeadlineCause(ctx, run.deadline, errTimeLimit)
 	defer stop()
 	for {
 		lea, err := run.nextLease(ctx)
 		if err != nil {
-			run.unplaced(ctx, err)
+			run.finishUnplaced(ctx, err)
 			return
 		}
 		run.state = run.state.WithSend()
@@ -275,11 +286,11 @@
 		now := run.Clock()
 		var dec Decision
 		run.state, dec = Next(run.state, out, SendLimits{
-			Route: run.route, Left: run.end.Sub(now), TakeRetry: func() bool { return run.next != nil || run.RetryBudget.Take(run.pool.Name, now) },
+			Route: run.route, Left: run.deadline.Sub(now), TakeRetry: func() bool { return run.replacement != nil || run.RetryBudget.Take(run.pool.Name, now) },
 		})
-		run.note(lea, out, dec, now)
+		run.logSend(lea, out, dec, now)
 		if _, again := dec.(Resend); !again {
-			run.dropNext()
+			run.dropReplacement()
 			run.finish(dec, 0)
 			return
 		}
@@ -287,115 +298,118 @@
 	}
 }
 
-// nextLease returns the endpoint that was found while the last one was silent, or finds
-// one.
+// nextLease returns the replacement found while the last endpoint was stalled, or else
+// requests an endpoint.
 func (run *run) nextLease(ctx context.Context) (Lease, error) {
-	if nex := run.next; nex != nil {
-		run.next = nil
-		return *nex, nil
+	if lea := run.replacement; lea != nil {
+		run.replacement = nil
+		return *lea, nil
 	}
 	return run.place(ctx, run.excluded)
 }
 
-// dropNext gives an endpoint back that the call does not need any more.
-func (run *run) dropNext() {
-	if run.next != nil {
-		run.next.End()
-		run.next = nil
+// dropReplacement releases the replacement if it was not used.
+func (run *run) dropReplacement() {
+	if run.replacement != nil {
+		run.replacement.End()
+		run.replacement = nil
 	}
 }
 
 func (run *run) place(ctx context.Context, excluded []string) (Lease, error) {
 	ctx, spa := run.Tracer.Start(ctx, "placement")
 	defer spa.End()
-	pri := run.route.Priority
+	priority := run.route.Priority
 	if run.team.Priority != nil {
-		pri = *run.team.Priority
+		priority = *run.team.Priority
 	}
 	run.mu.Lock()
-	ask := PlacementRequest{
+	req := PlacementRequest{
 		ID: run.call.ID, Pool: run.pool.Name, Team: run.team.Name,
 		PromptTokens: run.call.PromptTokens, MaxTokens: run.call.MaxTokens, AnswerTokens: run.call.AnswerTokens,
-		Priority: pri, Arrived: run.waitsSince(), Objective: time.Duration(run.route.FirstTarget), Pause: time.Duration(run.route.PauseTarget),
-		Deadline: run.end, Excluded: excluded, Sends: run.state.Sends,
+		Priority: priority, Arrived: run.waitingSince(), Objective: time.Duration(run.route.FirstTarget), Pause: time.Duration(run.route.PauseTarget),
+		Deadline: run.deadline, Excluded: excluded, Sends: run.state.Sends,
 	}
 	run.mu.Unlock()
-	return run.Placer.Place(ctx, ask)
+	return run.Placer.Place(ctx, req)
 }
 
-// waitsSince is when the caller began to wait for the next event: a stream that goes
-// on elsewhere has its objective and its caller's patience from the last event on.
-func (run *run) waitsSince() time.Time {
+// waitingSince returns the time from which the caller waits for the next event. For a
+// stream that continues on another endpoint, the objective and the caller's timeout
+// count from the last event.
+func (run *run) waitingSince() time.Time {
 	if run.state.Events > 0 {
-		return run.lastAt
+		return run.lastEventAt
 	}
 	return run.arrived
 }
 
-// unplaced ends a call for which no endpoint could be had.
-func (run *run) unplaced(ctx context.Context, err error) {
+// finishUnplaced ends a call for which no endpoint was available.
+func (run *run) finishUnplaced(ctx context.Context, err error) {
 	if ctx.Err() != nil {
-		_, dec := Next(run.state, run.ended(ctx, false), SendLimits{Route: run.route})
+		_, dec := Next(run.state, run.endOutcome(ctx, false), SendLimits{Route: run.route})
 		run.finish(dec, 0)
 		return
 	}
-	var ref *RefusedError
-	if !errors.As(err, &ref) {
-		ref = &RefusedError{Code: "placement_failed", Message: err.Error()}
+	var refused *RefusedError
+	if !errors.As(err, &refused) {
+		refused = &RefusedError{Code: "placement_failed", Message: err.Error()}
 	}
-	run.log.Warn().Str("Code", ref.Code).Str("Message", ref.Message).Dur("RetryAfterMs", ref.RetryAfter).Int("Sends", run.state.Sends).Msg("no endpoint")
+	run.log.Warn().Str("Code", refused.Code).Str("Message", refused.Message).Dur("RetryAfterMs", refused.RetryAfter).Int("Sends", run.state.Sends).Msg("no endpoint available for the call")
 	if run.answer.status != 0 {
-		// The failure that an endpoint has answered is better than none.
+		// Another endpoint has answered with a failure before; the caller gets that
+		// answer rather than an error of the host.
 		run.finish(Deliver{}, 0)
 		return
 	}
-	run.finish(run.state.give(http.StatusBadGateway, ref.Code), ref.RetryAfter)
+	run.finish(run.state.abort(http.StatusBadGateway, refused.Code), refused.RetryAfter)
 }
 
-// ended names the reason for which a call was ended from outside.
-func (run *run) ended(ctx context.Context, sent bool) Outcome {
+// endOutcome returns the outcome of a call whose context has ended.
+func (run *run) endOutcome(ctx context.Context, sent bool) Outcome {
 	if errors.Is(context.Cause(ctx), errTimeLimit) {
 		return TimedOut{Sent: sent}
 	}
 	return CallerDisconnected{}
 }
 
-func (run *run) note(lea Lease, out Outcome, dec Decision, now time.Time) {
-	lin := run.log.Info()
+func (run *run) logSend(lea Lease, out Outcome, dec Decision, now time.Time) {
+	line := run.log.Info()
 	switch out.(type) {
 	case Whole:
 	default:
-		lin = run.log.Warn()
+		line = run.log.Warn()
 	}
-	detail(lin.Str("Endpoint", lea.Endpoint.ID).Uint64("EndpointRevision", lea.Endpoint.Revision).Str("Outcome", name(out)), out, dec).
+	detail(line.Str("Endpoint", lea.Endpoint.ID).Uint64("EndpointRevision", lea.Endpoint.Revision).Str("Outcome", outcomeLabel(out)), out, dec).
 		Int("Sends", run.state.Sends).Int("Events", run.state.Events).Dur("AfterMs", now.Sub(run.arrived)).Msg("send ended")
-	run.Scope.Tagged(map[string]string{"route": run.route.Name, "outcome": name(out)}).Counter("forward_sends").Inc(1)
+	run.Scope.Tagged(map[string]string{"route": run.route.Name, "outcome": outcomeLabel(out)}).Counter("forward_sends").Inc(1)
 }
 
-// detail adds the decision on an outcome and what decided it.
-func detail(lin *zerolog.Event, out Outcome, dec Decision) *zerolog.Event {
+// detail adds the decision on an outcome, and the fields that explain it, to a log
+// event.
+func detail(line *zerolog.Event, out Outcome, dec Decision) *zerolog.Event {
 	switch out := out.(type) {
 	case Answered:
-		lin.Int("Status", out.Status)
+		line.Int("Status", out.Status)
 	case Broken:
-		lin.Str("Step", out.Step)
+		line.Str("Step", out.Step)
 	case TimedOut:
-		lin.Bool("Sent", out.Sent)
+		line.Bool("Sent", out.Sent)
 	}
-	lin.Str("Decision", verb(dec))
+	line.Str("Decision", decisionLabel(dec))
 	switch dec := dec.(type) {
 	case Refuse:
-		lin.Str("Code", dec.Code)
+		line.Str("Code", dec.Code)
 	case Fail:
-		lin.Str("Code", dec.Code)
+		line.Str("Code", dec.Code)
 	case Cut:
-		lin.Str("Code", dec.Code)
+		line.Str("Code", dec.Code)
 	}
-	return lin
+	return line
 }
 
-// name returns the label of an outcome.
-func name(out Outcome) string {
+// outcomeLabel returns the label of an outcome in logs and metrics.
+func outcomeLabel(out Outcome) string {
 	switch out.(type) {
 	case Whole:
 		return "whole"
--- a/request/relayer/send.go
+++ b/request/relayer/send.go
@@ -13,147 +13,149 @@
 )
 
 const (
-	// silenceFactor is how many times the expected time to the first event may
-	// pass before the call is sent elsewhere.
-	silenceFactor = 3
-	// objectiveFactor and silenceSlack bound the same from below: under load a pass
-	// of an engine takes some hundred milliseconds.
+	// firstEventFactor is how many times the expected time to the first event the
+	// endpoint may take before the call is sent to another one.
+	firstEventFactor = 3
+	// objectiveFactor and firstEventSlack set the minimum of that limit: under load a
+	// pass of an engine takes some hundred milliseconds.
 	objectiveFactor = 2
-	silenceSlack    = 600 * time.Millisecond
-	// pauseFactor is how many times the pause's objective a stream may be silent.
-	// Callers give a stream up after eight times, and an endpoint that reads a long
-	// prompt is silent without being dead.
+	firstEventSlack = 600 * time.Millisecond
+	// pauseFactor is how many times the objective for pauses a stream may stall.
+	// Callers give up after eight times the objective. Shorter limits would also hit
+	// endpoints that prefill a long prompt and send nothing meanwhile.
 	pauseFactor = 6
-	// leastPause is the shortest silence of a stream that counts. Callers wait for
-	// two seconds at least; another engine needs some hundred milliseconds to begin.
-	leastPause = 1500 * time.Millisecond
-	// answerFactor is how many times the objective an answer that is no stream
-	// may take before the call is sent elsewhere.
+	// minPauseLimit is the shortest pause that counts as a stall. Callers wait for at
+	// least two seconds, and another engine needs some hundred milliseconds to begin.
+	minPauseLimit = 1500 * time.Millisecond
+	// answerFactor is how many times the objective a non-streamed answer may take
+	// before the call is sent to another endpoint.
 	answerFactor = 2
-	// silenceRetry is the pause between two looks for another endpoint while one is
-	// silent.
-	silenceRetry = 300 * time.Millisecond
-	// maxRepeated is the number of events that an endpoint may repeat to a caller that
+	// replacementInterval is the time between two searches for a replacement of a
+	// stalled endpoint.
+	replacementInterval = 300 * time.Millisecond
+	// maxRepeatedEvents bounds the events that an endpoint may repeat to a caller that
 	// resumes a stream. Streams have some dozens of events.
-	maxRepeated = 1024
+	maxRepeatedEvents = 1024
 )
 
-var errRepeats = errors.New("the stream repeats events that the caller has")
+var errRepeatedEvents = errors.New("stream repeats events that the caller already received")
 
-// perConnection are the headers that concern one connection only.
-var perConnection = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length"}
+// hopHeaders are the headers that concern a single connection only.
+var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length"}
 
-// strip removes the headers of one connection, with those that it names itself.
-func strip(hea http.Header) {
-	for _, val := range hea.Values("Connection") {
-		for nam := range strings.SplitSeq(val, ",") {
-			hea.Del(strings.TrimSpace(nam))
+// stripHopHeaders removes the headers that concern a single connection, including those
+// that the Connection header lists.
+func stripHopHeaders(hea http.Header) {
+	for _, value := range hea.Values("Connection") {
+		for name := range strings.SplitSeq(value, ",") {
+			hea.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, nam := range perConnection {
-		hea.Del(nam)
+	for _, name := range hopHeaders {
+		hea.Del(name)
 	}
 }
 
-// send sends the call to one endpoint and passes events of a stream on.
+// send sends the call to one endpoint and forwards the events of a stream.
 func (run *run) send(ctx context.Context, lea Lease) Outcome {
 	ctx, spa := run.Tracer.Start(ctx, "dispatch")
 	defer spa.End()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	sil := run.watchSilence(ctx, lea, cancel)
-	defer sil.stop()
+	watch := run.watchStall(ctx, lea, cancel)
+	defer watch.stop()
 	ans, err := run.Exchanger.Exchange(ctx, lea.Endpoint.Address, exchanger.Request{
 		Method: run.htr.Method, Target: run.htr.RequestURI, Host: run.htr.Host, Body: run.body,
 		Header: func() (http.Header, error) { return run.header(lea) },
 	})
 	if err != nil {
-		return run.failed(ctx, lea, err)
+		return run.sendFailure(ctx, lea, err)
 	}
 	defer ans.Close()
-	return run.take(ctx, lea, ans, sil)
+	return run.readAnswer(ctx, lea, ans, watch)
 }
 
-// header makes the head of a send. A host that was paused or suspended since it had the
-// connection made does not send a call whose time is over.
+// header returns the headers of a send. It runs once the connection is established, and
+// fails if the time limit has passed, for example because the host was suspended
+// meanwhile.
 func (run *run) header(lea Lease) (http.Header, error) {
 	now := run.Clock()
-	lef := run.end.Sub(now) - run.sleptSince(now)
-	if lef <= 0 {
+	left := run.deadline.Sub(now) - run.suspendedSince(now)
+	if left <= 0 {
 		return nil, errTimeLimit
 	}
 	hea := run.htr.Header.Clone()
-	strip(hea)
+	stripHopHeaders(hea)
 	run.Codec.Dispatch(hea, Dispatch{
-		Endpoint: lea.Endpoint.ID, Team: run.team.Name, TimeLeft: lef, LastEvent: run.last, Helpers: lea.Helpers,
+		Endpoint: lea.Endpoint.ID, Team: run.team.Name, TimeLeft: left, LastEvent: run.lastEvent, Helpers: lea.Helpers,
 	})
 	hea.Set("Connection", "close")
 	return hea, nil
 }
 
-// firstLimit is how long the endpoint may be silent before its first byte. Only
-// calls that can be sent again are given up before their time.
-func (run *run) firstLimit(lea Lease, now time.Time) time.Duration {
-	lef := run.end.Sub(now) + time.Second
-	obj := time.Duration(run.route.FirstTarget)
-	if !run.route.Reruns() || run.state.Sends >= run.route.Attempts() || obj <= 0 {
-		return lef
+// firstEventLimit returns how long the endpoint may take until the first byte of its
+// answer. Calls that cannot be sent again wait until their own time limit.
+func (run *run) firstEventLimit(lea Lease, now time.Time) time.Duration {
+	left := run.deadline.Sub(now) + time.Second
+	objective := time.Duration(run.route.FirstTarget)
+	if !run.route.Reruns() || run.state.Sends >= run.route.Attempts() || objective <= 0 {
+		return left
 	}
 	if !run.route.Stream {
-		return min(lef, answerFactor*obj)
+		return min(left, answerFactor*objective)
 	}
-	return min(lef, max(silenceFactor*lea.ExpectedFirst, objectiveFactor*obj)+silenceSlack)
+	return min(left, max(firstEventFactor*lea.ExpectedFirst, objectiveFactor*objective)+firstEventSlack)
 }
 
-// pauseLimit is how long a stream may be silent after an event.
+// pauseLimit returns how long a stream may pause after an event.
 func (run *run) pauseLimit() time.Duration {
 	if !run.route.Resumable || run.state.Sends >= run.route.Attempts() {
 		return time.Hour
 	}
-	return max(leastPause, pauseFactor*time.Duration(run.route.PauseTarget))
+	return max(minPauseLimit, pauseFactor*time.Duration(run.route.PauseTarget))
 }
 
-// failed turns an error of a send into its outcome.
-func (run *run) failed(ctx context.Context, lea Lease, err error) Outcome {
-	var dia *exchanger.DialError
-	unreached := errors.As(err, &dia)
+// sendFailure turns an error of a send into an outcome.
+func (run *run) sendFailure(ctx context.Context, lea Lease, err error) Outcome {
+	var dialErr *exchanger.DialError
+	unreached := errors.As(err, &dialErr)
 	switch {
-	case ctx.Err() != nil && !errors.Is(context.Cause(ctx), errSilent):
-		return run.ended(ctx, !unreached)
+	case ctx.Err() != nil && !errors.Is(context.Cause(ctx), errStalled):
+		return run.endOutcome(ctx, !unreached)
 	case unreached && errors.Is(err, errTimeLimit):
 		return TimedOut{}
 	case unreached:
 		lea.Failed("")
-		run.log.Warn().Str("Endpoint", lea.Endpoint.ID).Str("Peer", lea.Endpoint.Address).Err(err).Msg("endpoint unreached")
+		run.log.Warn().Str("Endpoint", lea.Endpoint.ID).Str("Peer", lea.Endpoint.Address).Err(err).Msg("connecting to the endpoint failed")
 		return Unreached{}
 	default:
 		lea.Failed("")
-		run.log.Warn().Str("Endpoint", lea.Endpoint.ID).Str("Peer", lea.Endpoint.Address).AnErr("Cause", context.Cause(ctx)).Err(err).Msg("send broken")
+		run.log.Warn().Str("Endpoint", lea.Endpoint.ID).Str("Peer", lea.Endpoint.Address).AnErr("Cause", context.Cause(ctx)).Err(err).Msg("send to the endpoint failed")
 		return Broken{Step: err.Error()}
 	}
 }
 
-// take reads the answer of an endpoint.
-func (run *run) take(ctx context.Context, lea Lease, ans *exchanger.Answer, sil *silence) Outcome {
+// readAnswer reads the answer of an endpoint.
+func (run *run) readAnswer(ctx context.Context, lea Lease, ans *exchanger.Answer, watch *stallWatch) Outcome {
 	hea := run.Codec.Answer(ans.Status, ans.Header)
 	switch {
 	case hea.ID != "" && hea.ID != run.call.ID:
-		return run.failed(ctx, lea, errors.New("the answer belongs to another call"))
+		return run.sendFailure(ctx, lea, errors.New("answer belongs to another call"))
 	case hea.NotRun:
 		if hea.Fault != "" || ans.Status != http.StatusTooManyRequests {
 			lea.Failed(hea.Fault)
 		}
-		run.log.Info().Str("Endpoint", lea.Endpoint.ID).Int("Status", ans.Status).Str("Fault", hea.Fault).Bool("OtherEndpoint", hea.OtherEndpoint).Msg("endpoint refused")
+		run.log.Info().Str("Endpoint", lea.Endpoint.ID).Int("Status", ans.Status).Str("Fault", hea.Fault).Bool("OtherEndpoint", hea.OtherEndpoint).Msg("endpoint refused the call without running it")
 		return NotRun{}
-	case promises(ans.Status):
-		return run.failed(ctx, lea, errors.New("the endpoint answered "+http.StatusText(ans.Status)+" without saying that it has not run the call"))
+	case impliesNotRun(ans.Status):
+		return run.sendFailure(ctx, lea, errors.New("endpoint answered "+http.StatusText(ans.Status)+" without the header that says that the call has not run"))
 	case !hea.Sealed:
-		return run.failed(ctx, lea, errors.New("the answer does not prove that the endpoint made it"))
+		return run.sendFailure(ctx, lea, errors.New("answer carries no proof that the endpoint produced it"))
 	case ans.Status == http.StatusOK && isStream(ans.Header):
-		return run.stream(ctx, lea, ans, sil)
+		return run.stream(ctx, lea, ans, watch)
 	}
 	if err := run.keepAnswer(ans); err != nil {
-		return run.failed(ctx, lea, err)
+		return run.sendFailure(ctx, lea, err)
 	}
 	if ans.Status >= http.StatusInternalServerError {
 		return Answered{Status: ans.Status}
@@ -161,28 +163,29 @@
 	return Whole{}
 }
 
-// keepAnswer reads an answer to its end, within the memory for bodies.
+// keepAnswer reads an answer completely, within the memory budget for bodies.
 func (run *run) keepAnswer(ans *exchanger.Answer) error {
-	bod := receiver.NewBody(io.NopCloser(ans.Body), run.Bodies, ans.Length, maxAnswer)
-	buf, err := receiver.ReadBody(bod, maxAnswer)
+	bod := receiver.NewBody(io.NopCloser(ans.Body), run.Bodies, ans.Length, maxAnswerBytes)
+	buf, err := receiver.ReadBody(bod, maxAnswerBytes)
 	if err != nil {
 		bod.Release()
 		return err
 	}
 	run.releaseAnswer()
-	run.answer, run.kept = answer{ans.Status, ans.Header, buf}, bod
+	run.answer, run.answerBody = answer{ans.Status, ans.Header, buf}, bod
 	return nil
 }
 
 func (run *run) releaseAnswer() {
-	if run.kept != nil {
-		run.kept.Release()
-		run.kept = nil
+	if run.answerBody != nil {
+		run.answerBody.Release()
+		run.answerBody = nil
 	}
 }
 
-// promises reports whether a status tells callers that nothing has run.
-func promises(status int) bool {
+// impliesNotRun reports whether callers take a status to mean that the call has not
+// run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -195,59 +198,60 @@
 	return strings.HasPrefix(hea.Get("Content-Type"), "text/event-stream")
 }
 
-// stream passes on whole events as they arrive.
-func (run *run) stream(ctx context.Context, lea Lease, ans *exchanger.Answer, sil *silence) Outcome {
+// stream forwards the events of a stream as they arrive.
+func (run *run) stream(ctx context.Context, lea Lease, ans *exchanger.Answer, watch *stallWatch) Outcome {
 	var buf []byte
-	con := http.NewResponseController(run.wri)
-	beg, rep := true, 0
+	ctl := http.NewResponseController(run.wri)
+	first, repeated := true, 0
 	for {
 		eve, err := readEvent(ans.Body, buf)
 		switch {
 		case errors.Is(err, io.EOF):
-			run.begin(ans)
+			run.writeHead(ans)
 			return Whole{}
 		case err != nil:
-			return run.failed(ctx, lea, err)
+			return run.sendFailure(ctx, lea, err)
 		}
 		buf = eve.raw
-		if beg {
-			beg = false
+		if first {
+			first = false
 			lea.Began()
 			run.log.Info().Str("Endpoint", lea.Endpoint.ID).Dur("AfterMs", run.Clock().Sub(run.arrived)).Dur("ExpectedMs", lea.ExpectedFirst).Msg("stream began")
 		}
-		if !follows(eve.id, run.last) {
-			// What the caller has already is no sign of life: an endpoint in trouble may
-			// repeat it without end.
-			if rep++; rep > maxRepeated {
-				return run.failed(ctx, lea, errRepeats)
+		if !follows(eve.id, run.lastEvent) {
+			// Repeated events do not count as progress: a faulty endpoint may repeat
+			// them without end.
+			if repeated++; repeated > maxRepeatedEvents {
+				return run.sendFailure(ctx, lea, errRepeatedEvents)
 			}
 			continue
 		}
-		sil.heard()
-		run.begin(ans)
+		watch.eventReceived()
+		run.writeHead(ans)
 		if _, err := run.wri.Write(eve.raw); err != nil {
 			return CallerDisconnected{}
 		}
-		if err := con.Flush(); err != nil {
+		if err := ctl.Flush(); err != nil {
 			return CallerDisconnected{}
 		}
-		run.forwarded(eve)
+		run.recordForwarded(eve)
 	}
 }
 
-// forwarded notes an event that the caller has got.
-func (run *run) forwarded(eve event) {
+// recordForwarded records an event that was sent to the caller.
+func (run *run) recordForwarded(eve event) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	run.state.Events++
-	run.lastAt = run.Clock()
+	run.lastEventAt = run.Clock()
 	if eve.id != "" {
-		run.last = eve.id
+		run.lastEvent = eve.id
 	}
 }
 
-// begin sends the head of a stream once, with the headers of its first endpoint.
-func (run *run) begin(ans *exchanger.Answer) {
+// writeHead writes the head of a stream before its first event, with the headers of the
+// first endpoint that sent one.
+func (run *run) writeHead(ans *exchanger.Answer) {
 	if run.state.Events > 0 {
 		return
 	}
--- a/request/relayer/silence.go
+++ b/request/relayer/silence.go
@@ -7,97 +7,96 @@
 	"time"
 )
 
-// silence watches for how long the endpoint of a call sends nothing. An endpoint that is
-// silent may be dead, or busy with other requests: so it is given up only once another
-// one is found at which the call can go on.
-type silence struct {
+// stallWatch detects an endpoint that sends nothing for too long. Such an endpoint may
+// have failed or may be busy with other requests, so the send is cancelled only once
+// another endpoint is available for the call.
+type stallWatch struct {
 	run    *run
 	lease  Lease
 	cancel context.CancelCauseFunc
 
 	mu    sync.Mutex
 	timer *time.Timer
-	// events counts those that were heard, so that one that comes during the look for
-	// another endpoint is noticed.
-	events int
-	over   bool
+	// events counts the events received, so that an event that arrives during the
+	// search for a replacement is noticed.
+	events  int
+	stopped bool
 }
 
-// watchSilence begins to watch. ctx is that of the send, which cancel ends.
-func (run *run) watchSilence(ctx context.Context, lea Lease, cancel context.CancelCauseFunc) *silence {
-	sil := &silence{run: run, lease: lea, cancel: cancel}
-	sil.mu.Lock()
-	defer sil.mu.Unlock()
-	sil.timer = time.AfterFunc(run.firstLimit(lea, run.Clock()), func() { sil.moveOn(ctx) })
-	return sil
+// watchStall starts a watch on a send with the context ctx, which cancel ends.
+func (run *run) watchStall(ctx context.Context, lea Lease, cancel context.CancelCauseFunc) *stallWatch {
+	watch := &stallWatch{run: run, lease: lea, cancel: cancel}
+	watch.mu.Lock()
+	defer watch.mu.Unlock()
+	watch.timer = time.AfterFunc(run.firstEventLimit(lea, run.Clock()), func() { watch.findReplacement(ctx) })
+	return watch
 }
 
-// heard notes an event of a stream.
-func (sil *silence) heard() {
-	sil.mu.Lock()
-	defer sil.mu.Unlock()
-	sil.events++
-	sil.timer.Reset(sil.run.pauseLimit())
+// eventReceived restarts the timer after an event of a stream.
+func (watch *stallWatch) eventReceived() {
+	watch.mu.Lock()
+	defer watch.mu.Unlock()
+	watch.events++
+	watch.timer.Reset(watch.run.pauseLimit())
 }
 
-// stop ends the watch.
-func (sil *silence) stop() {
-	sil.mu.Lock()
-	defer sil.mu.Unlock()
-	sil.over = true
-	sil.timer.Stop()
+func (watch *stallWatch) stop() {
+	watch.mu.Lock()
+	defer watch.mu.Unlock()
+	watch.stopped = true
+	watch.timer.Stop()
 }
 
-// moveOn looks for another endpoint, and ends the send if there is one.
-func (sil *silence) moveOn(ctx context.Context) {
-	run, id, now := sil.run, sil.lease.Endpoint.ID, sil.run.Clock()
-	bef, over := sil.state()
+// findReplacement requests another endpoint and cancels the send if it gets one.
+func (watch *stallWatch) findReplacement(ctx context.Context) {
+	run, id, now := watch.run, watch.lease.Endpoint.ID, watch.run.Clock()
+	before, over := watch.state()
 	if over {
 		return
 	}
-	if !run.mayMove(now) {
-		sil.again(bef)
+	if !run.takeResend(now) {
+		watch.retryLater(before)
 		return
 	}
 	lea, err := run.place(ctx, append(slices.Clone(run.excluded), id))
 	if err != nil {
-		run.log.Info().Str("Endpoint", id).Err(err).Dur("LookMs", run.Clock().Sub(now)).Msg("endpoint is silent, and no other one can be had; the call stays")
-		sil.again(bef)
+		run.log.Info().Str("Endpoint", id).Err(err).Dur("LookMs", run.Clock().Sub(now)).Msg("endpoint stalled and no other endpoint is available; still waiting")
+		watch.retryLater(before)
 		return
 	}
-	sil.mu.Lock()
-	defer sil.mu.Unlock()
-	if sil.over || sil.events != bef {
+	watch.mu.Lock()
+	defer watch.mu.Unlock()
+	if watch.stopped || watch.events != before {
 		lea.End()
 		return
 	}
-	run.log.Info().Str("Endpoint", id).Str("Next", lea.Endpoint.ID).Dur("LookMs", run.Clock().Sub(now)).Msg("endpoint is silent; the call goes on elsewhere")
-	run.next = &lea
-	sil.over = true
-	sil.cancel(errSilent)
+	run.log.Info().Str("Endpoint", id).Str("Next", lea.Endpoint.ID).Dur("LookMs", run.Clock().Sub(now)).Msg("endpoint stalled; resending the call to another endpoint")
+	run.replacement = &lea
+	watch.stopped = true
+	watch.cancel(errStalled)
 }
 
-func (sil *silence) state() (events int, over bool) {
-	sil.mu.Lock()
-	defer sil.mu.Unlock()
-	return sil.events, sil.over
+func (watch *stallWatch) state() (events int, over bool) {
+	watch.mu.Lock()
+	defer watch.mu.Unlock()
+	return watch.events, watch.stopped
 }
 
-// again looks once more after a while, unless an event has come.
-func (sil *silence) again(events int) {
-	sil.mu.Lock()
-	defer sil.mu.Unlock()
-	if !sil.over && sil.events == events {
-		sil.timer.Reset(silenceRetry)
+// retryLater schedules the next search for a replacement, unless an event has arrived.
+func (watch *stallWatch) retryLater(events int) {
+	watch.mu.Lock()
+	defer watch.mu.Unlock()
+	if !watch.stopped && watch.events == events {
+		watch.timer.Reset(replacementInterval)
 	}
 }
 
-// mayMove reports whether the call may be sent once more, and counts that.
-func (run *run) mayMove(now time.Time) bool {
+// takeResend reports whether the call may be sent once more, and counts the resend.
+func (run *run) takeResend(now time.Time) bool {
 	run.mu.Lock()
 	sta := run.state
 	run.mu.Unlock()
-	return run.route.Reruns() && sta.resends(SendLimits{
-		Route: run.route, Left: run.end.Sub(now), TakeRetry: func() bool { return run.RetryBudget.Take(run.pool.Name, now) },
+	return run.route.Reruns() && sta.mayResend(SendLimits{
+		Route: run.route, Left: run.deadline.Sub(now), TakeRetry: func() bool { return run.RetryBudget.Take(run.pool.Name, now) },
 	})
 }
