--- a/request/placer/chooser.go
+++ b/request/placer/chooser.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// sampleTries bounds the random draws before all endpoints are read.
+	// sampleTries bounds the random draws before the endpoints are scanned in order.
 	sampleTries = 8
 	// longPrefill is the prefill time from which a prompt counts as long.
 	longPrefill = 100 * time.Millisecond
 
 	minLongShare = 0.25
 	maxLongShare = 0.75
-	// letThrough bounds the wait for which a short prompt stays off the
-	// engines reserved for long ones.
-	letThrough = 50 * time.Millisecond
+	// maxShortWait is the estimated wait up to which a short prompt does not use the
+	// engines reserved for long prompts.
+	maxShortWait = 50 * time.Millisecond
 )
 
 // span is a half-open range of endpoints of a view.
@@ -23,166 +23,167 @@
 
 func (spa span) size() int { return spa.to - spa.from }
 
-// sample draws an endpoint of the span that takes the request, or returns -1.
-func sample(req Request, vie View, spa span, ran *rand.Rand) int {
+// drawEndpoint returns the index of a random endpoint of the span that accepts the
+// request, or -1.
+func drawEndpoint(req Request, vie View, spa span, ran *rand.Rand) int {
 	if spa.size() <= 0 {
 		return -1
 	}
 	for range sampleTries {
-		ind := spa.from + ran.IntN(spa.size())
-		if vie.takes(&req, &vie.Endpoints[ind]) {
-			return ind
+		i := spa.from + ran.IntN(spa.size())
+		if vie.accepts(&req, &vie.Endpoints[i]) {
+			return i
 		}
 	}
-	sta := ran.IntN(spa.size())
+	start := ran.IntN(spa.size())
 	for off := range spa.size() {
-		ind := spa.from + (sta+off)%spa.size()
-		if vie.takes(&req, &vie.Endpoints[ind]) {
-			return ind
+		i := spa.from + (start+off)%spa.size()
+		if vie.accepts(&req, &vie.Endpoints[i]) {
+			return i
 		}
 	}
 	return -1
 }
 
-// sampleOther draws an endpoint other than the first one, or returns -1.
-func sampleOther(req Request, vie View, spa span, one int, ran *rand.Rand) int {
+// drawOther returns the index of a random endpoint other than first, or -1.
+func drawOther(req Request, vie View, spa span, first int, ran *rand.Rand) int {
 	if spa.size() < 2 {
 		return -1
 	}
 	for range sampleTries {
-		ind := spa.from + (one-spa.from+1+ran.IntN(spa.size()-1))%spa.size()
-		if vie.takes(&req, &vie.Endpoints[ind]) {
-			return ind
+		i := spa.from + (first-spa.from+1+ran.IntN(spa.size()-1))%spa.size()
+		if vie.accepts(&req, &vie.Endpoints[i]) {
+			return i
 		}
 	}
 	return -1
 }
 
-// twoChoices draws two endpoints and takes the one with the lower estimate.
-// Hosts that decide on the same old view draw different ones, so they do not
-// all turn to the endpoint that looked best. Endpoints believed to hold a
-// prefix compete with the two.
+// twoChoices draws two endpoints and returns the one with the lower estimate. Hosts
+// that decide on the same outdated view draw different endpoints, so they do not all
+// send to the endpoint with the lowest estimate. Endpoints that may hold a prefix of
+// the prompt in their cache are compared with the two.
 func twoChoices(req Request, vie View, spa span, now time.Time, ran *rand.Rand) int {
-	one := sample(req, vie, spa, ran)
-	if one < 0 {
+	first := drawEndpoint(req, vie, spa, ran)
+	if first < 0 {
 		return -1
 	}
-	bes, est := one, estimate(&req, &vie.Endpoints[one], 0, now)
-	if two := sampleOther(req, vie, spa, one, ran); two >= 0 {
-		if oth := estimate(&req, &vie.Endpoints[two], 0, now); oth < est {
-			bes, est = two, oth
+	best, est := first, estimate(&req, &vie.Endpoints[first], 0, now)
+	if second := drawOther(req, vie, spa, first, ran); second >= 0 {
+		if other := estimate(&req, &vie.Endpoints[second], 0, now); other < est {
+			best, est = second, other
 		}
 	}
-	for _, cac := range vie.Cached {
-		ind := vie.index(cac.Endpoint, spa)
-		if ind < 0 || !vie.takes(&req, &vie.Endpoints[ind]) {
+	for _, cached := range vie.Cached {
+		i := vie.index(cached.Endpoint, spa)
+		if i < 0 || !vie.accepts(&req, &vie.Endpoints[i]) {
 			continue
 		}
-		if oth := estimate(&req, &vie.Endpoints[ind], cac.Blocks, now); oth < est {
-			bes, est = ind, oth
+		if other := estimate(&req, &vie.Endpoints[i], cached.Blocks, now); other < est {
+			best, est = i, other
 		}
 	}
-	return bes
+	return best
 }
 
 func (vie View) index(id string, spa span) int {
-	for ind := spa.from; ind < spa.to; ind++ {
-		if vie.Endpoints[ind].ID == id {
-			return ind
+	for i := spa.from; i < spa.to; i++ {
+		if vie.Endpoints[i].ID == id {
+			return i
 		}
 	}
 	return -1
 }
 
-// leastOutstanding reads all endpoints from a random start, so that equal ones
-// share the load.
+// leastOutstanding scans all endpoints from a random start, so that endpoints with
+// equal counts share the load.
 func leastOutstanding(req Request, vie View, ran *rand.Rand) int {
-	all := len(vie.Endpoints)
-	sta, bes := ran.IntN(all), -1
-	for off := range all {
-		ind := (sta + off) % all
-		end := &vie.Endpoints[ind]
-		if (bes < 0 || end.Outstanding < vie.Endpoints[bes].Outstanding) && vie.takes(&req, end) {
-			bes = ind
+	total := len(vie.Endpoints)
+	start, best := ran.IntN(total), -1
+	for off := range total {
+		i := (start + off) % total
+		end := &vie.Endpoints[i]
+		if (best < 0 || end.Outstanding < vie.Endpoints[best].Outstanding) && vie.accepts(&req, end) {
+			best = i
 		}
 	}
-	return bes
+	return best
 }
 
-// leastWork takes the lowest estimate of all endpoints. Hosts with the same old
-// view all choose the same one.
+// leastWork returns the endpoint with the lowest estimate of all. Hosts with the same
+// outdated view all choose the same endpoint.
 func leastWork(req Request, vie View, now time.Time, ran *rand.Rand) int {
-	all := len(vie.Endpoints)
-	sta, bes := ran.IntN(all), -1
-	var low time.Duration
-	for off := range all {
-		ind := (sta + off) % all
-		end := &vie.Endpoints[ind]
-		if !vie.takes(&req, end) {
+	total := len(vie.Endpoints)
+	start, best := ran.IntN(total), -1
+	var lowest time.Duration
+	for off := range total {
+		i := (start + off) % total
+		end := &vie.Endpoints[i]
+		if !vie.accepts(&req, end) {
 			continue
 		}
-		if est := estimate(&req, end, 0, now); bes < 0 || est < low {
-			bes, low = ind, est
+		if est := estimate(&req, end, 0, now); best < 0 || est < lowest {
+			best, lowest = i, est
 		}
 	}
-	return bes
+	return best
 }
 
-// byClass gives each class of lengths a part of the endpoints of its own.
+// byClass divides the endpoints among the classes of prompt lengths.
 func byClass(req Request, vie View, now time.Time, ran *rand.Rand) int {
-	all := len(vie.Endpoints)
-	cla := vie.Mix.class(req.PromptTokens)
-	spa := span{all * cla / classCount, all * (cla + 1) / classCount}
-	if ind := twoChoices(req, vie, spa, now, ran); ind >= 0 {
-		return ind
+	total := len(vie.Endpoints)
+	class := vie.Mix.class(req.PromptTokens)
+	spa := span{total * class / classCount, total * (class + 1) / classCount}
+	if i := twoChoices(req, vie, spa, now, ran); i >= 0 {
+		return i
 	}
-	return twoChoices(req, vie, span{0, all}, now, ran)
+	return twoChoices(req, vie, span{0, total}, now, ran)
 }
 
-// byReservation keeps the first endpoints of the view for long prompts and lets
-// a short one through to them when its own would make it wait.
+// byReservation reserves the first endpoints of the view for long prompts. A short
+// prompt may use them if it would wait on its own endpoints.
 func byReservation(req Request, vie View, now time.Time, ran *rand.Rand) int {
-	all := len(vie.Endpoints)
-	cutLength := longTokens(vie)
-	sha := vie.LongShare
-	if sha == 0 {
-		sha = min(maxLongShare, max(minLongShare, vie.Mix.longShare(cutLength)))
-	}
-	cut := int(sha * float64(all))
-	lon, sho := span{0, cut}, span{cut, all}
-	if req.PromptTokens >= cutLength {
-		return firstOf(twoChoices(req, vie, lon, now, ran), func() int { return twoChoices(req, vie, sho, now, ran) })
-	}
-	own := twoChoices(req, vie, sho, now, ran)
-	if own >= 0 && estimate(&req, &vie.Endpoints[own], 0, now) < letThrough {
+	total := len(vie.Endpoints)
+	longLength := longTokens(vie)
+	share := vie.LongShare
+	if share == 0 {
+		share = min(maxLongShare, max(minLongShare, vie.Mix.longShare(longLength)))
+	}
+	boundary := int(share * float64(total))
+	long, short := span{0, boundary}, span{boundary, total}
+	if req.PromptTokens >= longLength {
+		return orElse(twoChoices(req, vie, long, now, ran), func() int { return twoChoices(req, vie, short, now, ran) })
+	}
+	own := twoChoices(req, vie, short, now, ran)
+	if own >= 0 && estimate(&req, &vie.Endpoints[own], 0, now) < maxShortWait {
 		return own
 	}
-	oth := sample(req, vie, lon, ran)
+	other := drawEndpoint(req, vie, long, ran)
 	if own < 0 {
-		return firstOf(oth, func() int { return sample(req, vie, span{0, all}, ran) })
+		return orElse(other, func() int { return drawEndpoint(req, vie, span{0, total}, ran) })
 	}
-	if oth >= 0 && estimate(&req, &vie.Endpoints[oth], 0, now) < estimate(&req, &vie.Endpoints[own], 0, now) {
-		return oth
+	if other >= 0 && estimate(&req, &vie.Endpoints[other], 0, now) < estimate(&req, &vie.Endpoints[own], 0, now) {
+		return other
 	}
 	return own
 }
 
-// longTokens is the length from which a prompt counts as long on the first
-// endpoint that has reported.
+// longTokens returns the length from which a prompt counts as long, by the prefill rate
+// of the first endpoint that has reported one.
 func longTokens(vie View) int64 {
-	rat := float64(assumedPrefillRate)
-	for ind := range vie.Endpoints {
-		if vie.Endpoints[ind].PrefillRate > 0 {
-			rat = vie.Endpoints[ind].PrefillRate
+	rate := float64(assumedPrefillRate)
+	for i := range vie.Endpoints {
+		if vie.Endpoints[i].PrefillRate > 0 {
+			rate = vie.Endpoints[i].PrefillRate
 			break
 		}
 	}
-	return int64(rat * longPrefill.Seconds())
+	return int64(rate * longPrefill.Seconds())
 }
 
-func firstOf(ind int, other func() int) int {
-	if ind >= 0 {
-		return ind
+func orElse(i int, other func() int) int {
+	if i >= 0 {
+		return i
 	}
 	return other()
 }
--- a/request/placer/estimator.go
+++ b/request/placer/estimator.go
@@ -7,24 +7,23 @@
 )
 
 const (
-	// assumedPrefillRate stands in for an engine without a load report, in
-	// tokens a second.
+	// assumedPrefillRate is the prefill rate, in tokens a second, of an engine without
+	// a load report.
 	assumedPrefillRate = 100_000
-	// memoryDrainShare is the part of the prefill rate at which running
-	// sequences give memory back.
+	// memoryDrainShare is the rate at which running sequences free memory, as a share
+	// of the prefill rate.
 	memoryDrainShare = 0.1
-	// staleAfter is the age from which a load report counts as doubtful.
+	// staleAfter is the age from which a load report counts as stale.
 	staleAfter = 2 * time.Second
-	// stalePenalty is added to the estimate of an endpoint with a doubtful
-	// report.
+	// stalePenalty is added to the estimate of an endpoint with a stale report.
 	stalePenalty = 250 * time.Millisecond
-	// callCost is the estimate for one request of a plain service.
+	// callCost is the estimated time of one request to a plain service.
 	callCost = 10 * time.Millisecond
 )
 
-// Estimate returns the expected time to the first token on an endpoint: the
-// prefill that is queued there and the request's own, less the cached blocks,
-// one decoding step, and the wait for memory.
+// Estimate returns the expected time to the first token on an endpoint. It is the sum
+// of the prefill time of the queued prompts and of the request without its cached
+// blocks, one decode step, and the wait for memory.
 func Estimate(req Request, end *Endpoint, cachedBlocks int, now time.Time) time.Duration {
 	return estimate(&req, end, cachedBlocks, now)
 }
@@ -33,18 +32,18 @@
 	if end.MemoryTokens == 0 && end.PrefillRate == 0 && req.PromptTokens == 0 {
 		return time.Duration(end.Outstanding+1) * callCost
 	}
-	rat := end.PrefillRate
-	if rat <= 0 {
-		rat = assumedPrefillRate
+	rate := end.PrefillRate
+	if rate <= 0 {
+		rate = assumedPrefillRate
 	}
-	ahe := max(end.QueuedTokens+end.RecentTokens, end.OutstandingTokens)
+	queued := max(end.QueuedTokens+end.RecentTokens, end.OutstandingTokens)
 	own := max(1, req.PromptTokens-int64(cachedBlocks)*hasher.BlockTokens)
-	sec := float64(ahe+own) / rat
-	fre := end.MemoryTokens - end.UsedTokens - end.RecentTokens
-	if def := req.Need() - fre; end.MemoryTokens > 0 && def > 0 {
-		sec += float64(def) / (rat * memoryDrainShare)
+	seconds := float64(queued+own) / rate
+	free := end.MemoryTokens - end.UsedTokens - end.RecentTokens
+	if missing := req.Need() - free; end.MemoryTokens > 0 && missing > 0 {
+		seconds += float64(missing) / (rate * memoryDrainShare)
 	}
-	est := time.Duration(sec * float64(time.Second))
+	est := time.Duration(seconds * float64(time.Second))
 	if end.Running > 0 {
 		est += end.Step
 	}
--- a/request/placer/group.go
+++ b/request/placer/group.go
@@ -6,66 +6,69 @@
 	"time"
 )
 
-// GroupFill is the part of an engine's memory that one prompt of a group takes
-// at most where enough engines exist. Smaller shares need less draining.
+// GroupFill is the largest share of an engine's memory that a prompt of a group uses,
+// as long as there are enough engines. With smaller shares, fewer running sequences
+// have to end before the memory is free.
 const GroupFill = 0.75
 
-// group takes the engines with the most free memory, as few as hold the prompt
-// within GroupFill each, and splits the prompt evenly.
+// group reserves the engines with the most free memory: as few of them as hold the
+// prompt with at most GroupFill of each. The prompt is split in proportion to their
+// memory.
 func group(need int64, req Request, vie View) Decision {
-	var can []*Endpoint
-	for ind := range vie.Endpoints {
-		if end := &vie.Endpoints[ind]; vie.takes(&req, end) {
-			can = append(can, end)
+	var candidates []*Endpoint
+	for i := range vie.Endpoints {
+		if end := &vie.Endpoints[i]; vie.accepts(&req, end) {
+			candidates = append(candidates, end)
 		}
 	}
-	slices.SortStableFunc(can, func(one, two *Endpoint) int {
-		return cmp.Compare(two.MemoryTokens-two.UsedTokens-two.RecentTokens, one.MemoryTokens-one.UsedTokens-one.RecentTokens)
+	slices.SortStableFunc(candidates, func(a, b *Endpoint) int {
+		return cmp.Compare(b.MemoryTokens-b.UsedTokens-b.RecentTokens, a.MemoryTokens-a.UsedTokens-a.RecentTokens)
 	})
-	mems := make([]int64, len(can))
-	for ind, end := range can {
-		mems[ind] = end.MemoryTokens
+	memories := make([]int64, len(candidates))
+	for i, end := range candidates {
+		memories[i] = end.MemoryTokens
 	}
-	shas := Split(need, mems)
-	if shas == nil {
+	shares := Split(need, memories)
+	if shares == nil {
 		return Refuse{Code: "prompt_too_large", Message: "the prompt exceeds the memory of all engines of the pool"}
 	}
 	var pla PlaceGroup
-	for ind, sha := range shas {
-		pla.Parts = append(pla.Parts, Part{Endpoint: can[ind].ID, Address: can[ind].Address, Tokens: sha})
+	for i, share := range shares {
+		pla.Parts = append(pla.Parts, Part{Endpoint: candidates[i].ID, Address: candidates[i].Address, Tokens: share})
 	}
-	for ind, sha := range shas {
-		if can[ind].MemoryTokens-can[ind].UsedTokens-can[ind].RecentTokens < sha {
+	for i, share := range shares {
+		if candidates[i].MemoryTokens-candidates[i].UsedTokens-candidates[i].RecentTokens < share {
 			return Refuse{Code: "group_unavailable", Message: "the engines cannot hold the prompt together now", RetryAfter: time.Second}
 		}
 	}
 	return pla
 }
 
-// Split divides need over the first engines of a list by their memories. It
-// uses as few as hold the prompt within GroupFill each, else as many as there
-// are. It returns nil if all of them together cannot hold it.
+// Split divides need over the first engines of a list, given their memories. It uses as
+// few engines as hold the prompt with at most GroupFill of each, or else as few as hold
+// it with all of their memory. It returns nil if all engines together cannot hold the
+// prompt.
 func Split(need int64, memories []int64) []int64 {
-	for _, fil := range []float64{GroupFill, 1} {
+	for _, fill := range []float64{GroupFill, 1} {
 		var sum int64
-		for ind, mem := range memories {
-			sum += int64(float64(mem) * fil)
+		for i, memory := range memories {
+			sum += int64(float64(memory) * fill)
 			if sum >= need {
-				return shares(need, sum, memories[:ind+1], fil)
+				return shares(need, sum, memories[:i+1], fill)
 			}
 		}
 	}
 	return nil
 }
 
-// shares splits need in proportion to the memories, rounded up within each.
-func shares(need, sum int64, memories []int64, fil float64) []int64 {
-	out := make([]int64, len(memories))
-	lef := need
-	for ind, mem := range memories {
-		top := int64(float64(mem) * fil)
-		out[ind] = min(lef, min(top, int64(float64(need)*float64(top)/float64(sum))+1))
-		lef -= out[ind]
+// shares splits need in proportion to the memories, rounded up within each memory.
+func shares(need, sum int64, memories []int64, fill float64) []int64 {
+	parts := make([]int64, len(memories))
+	left := need
+	for i, memory := range memories {
+		maxShare := int64(float64(memory) * fill)
+		parts[i] = min(left, min(maxShare, int64(float64(need)*float64(maxShare)/float64(sum))+1))
+		left -= parts[i]
 	}
-	return out
+	return parts
 }
--- a/request/placer/mix.go
+++ b/request/placer/mix.go
@@ -14,8 +14,8 @@
 	classCount = 3
 )
 
-// Mix holds the work of recent requests by prompt length, in powers of two of
-// tokens. It is an immutable value; its zero value knows nothing.
+// Mix is a histogram of recent requests by prompt length, weighted by their tokens, in
+// buckets of powers of two. It is an immutable value; its zero value is empty.
 type Mix struct {
 	work [mixBuckets]float64
 	at   time.Time
@@ -27,10 +27,10 @@
 
 // WithRequest returns the mix after one more request.
 func (mix Mix) WithRequest(tokens int64, now time.Time) Mix {
-	if gap := now.Sub(mix.at); !mix.at.IsZero() && gap > 0 {
-		dec := math.Exp2(-gap.Seconds() / mixHalfLife.Seconds())
-		for ind := range mix.work {
-			mix.work[ind] *= dec
+	if elapsed := now.Sub(mix.at); !mix.at.IsZero() && elapsed > 0 {
+		decay := math.Exp2(-elapsed.Seconds() / mixHalfLife.Seconds())
+		for i := range mix.work {
+			mix.work[i] *= decay
 		}
 	}
 	mix.at = now
@@ -38,35 +38,36 @@
 	return mix
 }
 
-// class returns the class of a length, where the cut-offs divide the work into
-// classCount equal parts, so that each class needs the same number of engines.
+// class returns the class of a prompt length. The boundaries divide the tokens of
+// recent requests into classCount equal parts, so that each class needs the same number
+// of engines.
 func (mix Mix) class(tokens int64) int {
-	var all, bef float64
-	buc := bucketOf(tokens)
-	for ind, wor := range mix.work {
-		all += wor
-		if ind < buc {
-			bef += wor
+	var total, before float64
+	bucket := bucketOf(tokens)
+	for i, work := range mix.work {
+		total += work
+		if i < bucket {
+			before += work
 		}
 	}
-	if all == 0 {
+	if total == 0 {
 		return 0
 	}
-	mid := bef + mix.work[buc]/2
-	return min(classCount-1, int(mid/all*classCount))
+	mid := before + mix.work[bucket]/2
+	return min(classCount-1, int(mid/total*classCount))
 }
 
-// longShare returns the share of the work in prompts of at least the length.
+// longShare returns the share of recent tokens in prompts of at least the given length.
 func (mix Mix) longShare(tokens int64) float64 {
-	var all, lon float64
-	for ind, wor := range mix.work {
-		all += wor
-		if ind >= bucketOf(tokens) {
-			lon += wor
+	var total, long float64
+	for i, work := range mix.work {
+		total += work
+		if i >= bucketOf(tokens) {
+			long += work
 		}
 	}
-	if all == 0 {
+	if total == 0 {
 		return 0
 	}
-	return lon / all
+	return long / total
 }
--- a/request/placer/placer.go
+++ b/request/placer/placer.go
@@ -1,6 +1,5 @@
-// Package placer decides which endpoint a request goes to. Decisions are pure
-// functions of the request, the view of endpoints, the present time and a
-// random source.
+// Package placer decides which endpoint a request goes to. Decisions are pure functions
+// of the request, the view of endpoints, the present time and a random source.
 package placer
 
 import (
@@ -9,11 +8,12 @@
 	"time"
 )
 
-// Policy names a way of placement.
+// Policy names a placement policy.
 type Policy string
 
-// Policies. PolicyCell asks the scheduler of a cell and places by two choices
-// when no scheduler answers. The others stay for comparison.
+// Policies. With PolicyCell, the host requests a place from the scheduler of a cell,
+// and places by two choices if no scheduler answers. The other policies exist for
+// comparison.
 const (
 	PolicyCell             Policy = "cell"
 	PolicyTwoChoices       Policy = "two-choices"
@@ -35,7 +35,7 @@
 // Valid reports whether the policy is known.
 func (pol Policy) Valid() bool { return slices.Contains(Policies(), pol) }
 
-// Request is what placement knows of a request.
+// Request holds the properties of a request that placement uses.
 type Request struct {
 	ID           string
 	Team         string
@@ -45,14 +45,14 @@
 	MaxTokens    int64
 	Priority     int
 	Deadline     time.Time
-	// Share weighs the team against others when the fleet is full.
+	// Share is the team's weight against other teams when the fleet is full.
 	Share float64
 	// Prefix holds the chained block hashes of the prompt.
 	Prefix   []uint64
 	Excluded []string
 }
 
-// Endpoint is one endpoint as a host knows it.
+// Endpoint is the host's view of one endpoint.
 type Endpoint struct {
 	ID         string
 	Address    string
@@ -67,41 +67,43 @@
 	QueuedTokens int64
 	// Running counts the sequences that the engine reports.
 	Running int
-	// Step is the time of one decoding step.
+	// Step is the time of one decode step.
 	Step time.Duration
 	// Outstanding counts the requests that this host has on the endpoint.
 	Outstanding int
-	// OutstandingTokens counts their prompt tokens not yet prefilled.
+	// OutstandingTokens counts the prompt tokens of those requests that are not yet
+	// prefilled.
 	OutstandingTokens int64
-	// RecentTokens is the part of OutstandingTokens that is too new for the
-	// load report.
+	// RecentTokens is the part of OutstandingTokens that the load report is too old to
+	// include.
 	RecentTokens int64
 	// PrefillRate is in tokens a second.
 	PrefillRate float64
 }
 
-// Cached says how many leading blocks of a request an endpoint holds.
+// Cached is the number of leading blocks of a request that an endpoint holds in its
+// prefix cache.
 type Cached struct {
 	Endpoint string
 	Blocks   int
 }
 
-// View is the set of endpoints of a pool. A decision only reads it.
+// View is the set of endpoints of a pool. Decisions do not change it.
 type View struct {
 	Endpoints []Endpoint
-	// Cached lists the few endpoints believed to hold a prefix of the request.
+	// Cached lists the few endpoints that may hold a prefix of the request.
 	Cached []Cached
-	// Mix describes the lengths of recent requests, for PolicyClasses and
+	// Mix is the distribution of recent prompt lengths, for PolicyClasses and
 	// PolicyReservation.
 	Mix Mix
-	// LongShare is the pool's share of engines for long prompts; 0 stands for
-	// the share of the work that long prompts bring.
+	// LongShare is the share of the pool's engines that is reserved for long prompts; 0
+	// stands for the share of recent tokens in long prompts.
 	LongShare float64
 	// MaxOutstanding bounds the requests on one endpoint; 0 stands for no bound.
 	MaxOutstanding int
 }
 
-// Part is a share of a group of engines.
+// Part is the share of a prompt that one engine of a group holds.
 type Part struct {
 	Endpoint string
 	Address  string
@@ -120,10 +122,10 @@
 // PlaceGroup reserves memory on several engines that serve the prompt together.
 type PlaceGroup struct{ Parts []Part }
 
-// Wait holds the request back until an event or the given time.
+// Wait holds the request until an event or the given time.
 type Wait struct{ Until time.Time }
 
-// Refuse turns the request away.
+// Refuse refuses the request.
 type Refuse struct {
 	Code       string
 	Message    string
@@ -135,9 +137,9 @@
 func (Wait) decision()       {}
 func (Refuse) decision()     {}
 
-// Decide places a request.
+// Decide returns the placement of a request by a policy.
 func Decide(pol Policy, req Request, vie View, now time.Time, ran *rand.Rand) Decision {
-	fit := largest(req, vie)
+	fit := fitOf(req, vie)
 	if !fit.any && fit.full {
 		return Refuse{Code: "pool_full", Message: "every endpoint of the pool has all the requests that it may have", RetryAfter: time.Second}
 	}
@@ -147,63 +149,64 @@
 	if need := req.Need(); !fit.unbounded && need > fit.memory {
 		return group(need, req, vie)
 	}
-	var ind int
+	var i int
 	switch pol {
 	case PolicyRandom:
-		ind = sample(req, vie, span{0, len(vie.Endpoints)}, ran)
+		i = drawEndpoint(req, vie, span{0, len(vie.Endpoints)}, ran)
 	case PolicyLeastOutstanding:
-		ind = leastOutstanding(req, vie, ran)
+		i = leastOutstanding(req, vie, ran)
 	case PolicyWork:
-		ind = leastWork(req, vie, now, ran)
+		i = leastWork(req, vie, now, ran)
 	case PolicyClasses:
-		ind = byClass(req, vie, now, ran)
+		i = byClass(req, vie, now, ran)
 	case PolicyReservation:
-		ind = byReservation(req, vie, now, ran)
+		i = byReservation(req, vie, now, ran)
 	default:
-		ind = twoChoices(req, vie, span{0, len(vie.Endpoints)}, now, ran)
+		i = twoChoices(req, vie, span{0, len(vie.Endpoints)}, now, ran)
 	}
-	end := &vie.Endpoints[ind]
+	end := &vie.Endpoints[i]
 	return Place{Endpoint: end.ID, Address: end.Address}
 }
 
-// Need is the memory in tokens that the request takes on an engine.
+// Need returns the memory, in tokens, that the request needs on an engine.
 func (req Request) Need() int64 { return req.PromptTokens + req.MaxTokens }
 
-// takes reports whether an endpoint can serve the request at all.
-func (req *Request) takes(end *Endpoint) bool {
+// allowedOn reports whether an endpoint can serve the request, whatever its load.
+func (req *Request) allowedOn(end *Endpoint) bool {
 	if end.Leaving || (len(req.Excluded) > 0 && slices.Contains(req.Excluded, end.ID)) {
 		return false
 	}
 	return req.Model == "" || slices.Contains(end.Models, req.Model)
 }
 
-// takes reports whether an endpoint can serve the request now.
-func (vie *View) takes(req *Request, end *Endpoint) bool {
-	return !vie.full(end) && req.takes(end)
+// accepts reports whether an endpoint can serve the request now.
+func (vie *View) accepts(req *Request, end *Endpoint) bool {
+	return !vie.full(end) && req.allowedOn(end)
 }
 
-// full reports whether an endpoint has all the requests that it may have, by
-// this host's count or by its last report.
+// full reports whether an endpoint has reached MaxOutstanding, by this host's count or
+// by the endpoint's last report.
 func (vie *View) full(end *Endpoint) bool {
 	return vie.MaxOutstanding > 0 && max(end.Outstanding, end.Running) >= vie.MaxOutstanding
 }
 
-// capacity is the memory of the largest endpoint that takes a request.
-type capacity struct {
+// poolFit describes the endpoints that can serve a request.
+type poolFit struct {
 	any bool
-	// full says that some endpoint would take the request if it had fewer.
+	// full says that an endpoint could serve the request but has reached
+	// MaxOutstanding.
 	full      bool
 	unbounded bool
 	memory    int64
 }
 
-// largest stops at the first endpoint that holds the request, so that it reads
-// all of them only for a prompt that needs a group.
-func largest(req Request, vie View) capacity {
-	var fit capacity
-	for ind := range vie.Endpoints {
-		end := &vie.Endpoints[ind]
-		if !req.takes(end) {
+// fitOf stops at the first endpoint that holds the request, so it scans all endpoints
+// only for a prompt that needs a group.
+func fitOf(req Request, vie View) poolFit {
+	var fit poolFit
+	for i := range vie.Endpoints {
+		end := &vie.Endpoints[i]
+		if !req.allowedOn(end) {
 			continue
 		}
 		if vie.full(end) {
--- a/request/placer/placer_test.go
+++ b/request/placer/placer_test.go
@@ -11,25 +11,25 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func sampleView(cou int) View {
+func sampleView(n int) View {
 	var vie View
-	for ind := range cou {
+	for i := range n {
 		vie.Endpoints = append(vie.Endpoints, Endpoint{
-			ID: fmt.Sprintf("engine-%d", ind), Models: []string{"pedal-model"}, ReportedAt: epoch,
-			MemoryTokens: 400_000, PrefillRate: 200_000, QueuedTokens: int64(ind%7) * 1000,
+			ID: fmt.Sprintf("engine-%d", i), Models: []string{"pedal-model"}, ReportedAt: epoch,
+			MemoryTokens: 400_000, PrefillRate: 200_000, QueuedTokens: int64(i%7) * 1000,
 		})
 	}
-	for ind := range 400 {
-		vie.Mix = vie.Mix.WithRequest(int64(1+ind)*500, epoch)
+	for i := range 400 {
+		vie.Mix = vie.Mix.WithRequest(int64(1+i)*500, epoch)
 	}
 	return vie
 }
 
 func BenchmarkDecide(b *testing.B) {
 	for _, pol := range Policies() {
-		for _, cou := range []int{100, 1_000, 10_000} {
-			b.Run(fmt.Sprintf("%s/%d", pol, cou), func(b *testing.B) {
-				vie := sampleView(cou)
+		for _, n := range []int{100, 1_000, 10_000} {
+			b.Run(fmt.Sprintf("%s/%d", pol, n), func(b *testing.B) {
+				vie := sampleView(n)
 				ran := rand.New(rand.NewPCG(1, 2))
 				req := Request{Model: "pedal-model", PromptTokens: 2000, MaxTokens: 100}
 				b.ReportAllocs()
@@ -41,44 +41,44 @@
 	}
 }
 
-// TestNoAllocationPerEndpoint bounds the allocations of a decision whatever the
-// number of endpoints.
+// TestNoAllocationPerEndpoint checks that the allocations of a decision do not grow
+// with the number of endpoints.
 func TestNoAllocationPerEndpoint(t *testing.T) {
 	vie := sampleView(1000)
 	ran := rand.New(rand.NewPCG(1, 2))
 	req := Request{Model: "pedal-model", PromptTokens: 2000, MaxTokens: 100}
 	for _, pol := range Policies() {
-		cou := testing.AllocsPerRun(100, func() { Decide(pol, req, vie, epoch, ran) })
-		require.LessOrEqual(t, cou, 2.0, pol)
+		n := testing.AllocsPerRun(100, func() { Decide(pol, req, vie, epoch, ran) })
+		require.LessOrEqual(t, n, 2.0, pol)
 	}
 }
 
-// TestNoHerd lets hosts decide at once on the same view, in which one endpoint
-// looks best.
+// TestNoHerd guards against hosts that decide at the same time on the same view and all
+// choose the endpoint with the lowest estimate.
 func TestNoHerd(t *testing.T) {
 	vie := sampleView(14)
-	for ind := range vie.Endpoints {
-		vie.Endpoints[ind].QueuedTokens = int64(ind) * 100
+	for i := range vie.Endpoints {
+		vie.Endpoints[i].QueuedTokens = int64(i) * 100
 	}
-	tts := []struct {
+	tests := []struct {
 		pol  Policy
 		most int
 	}{{PolicyTwoChoices, 25}, {PolicyWork, 100}}
-	for _, tt := range tts {
-		got := map[string]int{}
-		for see := range uint64(100) {
-			ran := rand.New(rand.NewPCG(7, see))
-			got[Decide(tt.pol, Request{Model: "pedal-model", PromptTokens: 1000}, vie, epoch, ran).(Place).Endpoint]++
+	for _, tt := range tests {
+		counts := map[string]int{}
+		for seed := range uint64(100) {
+			ran := rand.New(rand.NewPCG(7, seed))
+			counts[Decide(tt.pol, Request{Model: "pedal-model", PromptTokens: 1000}, vie, epoch, ran).(Place).Endpoint]++
 		}
-		require.LessOrEqual(t, got["engine-0"], tt.most, tt.pol)
+		require.LessOrEqual(t, counts["engine-0"], tt.most, tt.pol)
 		if tt.pol == PolicyWork {
-			require.Equal(t, 100, got["engine-0"], "the comparison herds")
+			require.Equal(t, 100, counts["engine-0"], "PolicyWork must show the herd that PolicyTwoChoices avoids")
 		}
 	}
 }
 
 func TestDecide(t *testing.T) {
-	tts := []struct {
+	tests := []struct {
 		name string
 		req  Request
 		edit func(vie *View)
@@ -103,12 +103,12 @@
 		{"group", Request{Model: "pedal-model", PromptTokens: 500_000}, func(*View) {}, PlaceGroup{[]Part{{Endpoint: "engine-0", Tokens: 250_001}, {Endpoint: "engine-1", Tokens: 249_999}}}},
 		{"too large", Request{Model: "pedal-model", PromptTokens: 900_000}, func(*View) {}, Refuse{Code: "prompt_too_large", Message: "the prompt exceeds the memory of all engines of the pool"}},
 	}
-	for _, tt := range tts {
+	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			vie := sampleView(2)
 			tt.edit(&vie)
-			for see := range uint64(20) {
-				require.Equal(t, tt.want, Decide(PolicyTwoChoices, tt.req, vie, epoch, rand.New(rand.NewPCG(1, see))))
+			for seed := range uint64(20) {
+				require.Equal(t, tt.want, Decide(PolicyTwoChoices, tt.req, vie, epoch, rand.New(rand.NewPCG(1, seed))))
 			}
 		})
 	}
