--- a/request/executor/call.go
+++ b/request/executor/call.go
@@ -17,43 +17,44 @@
 )
 
 const (
-	// maxClaimBudget bounds the claim; a claim gets at most half of the time.
+	// maxClaimBudget bounds the time for the claim, which also gets at most the
+	// fraction 1/claimShare of the time left.
 	maxClaimBudget = 5 * time.Second
 	claimShare     = 2
-	// maxOutcomeBytes bounds the recorded body of an answer.
+	// maxOutcomeBytes bounds the body that is recorded with an outcome.
 	maxOutcomeBytes = 4 << 10
 )
 
-// call is the running state of one call of a plain service.
+// call is the state of one call to a plain service.
 type call struct {
 	request
 	service invoker.ServiceCall
 }
 
-// Call passes a call on to a plain service.
+// Call forwards a call to a plain service.
 func (exe *Executor) Call(ctx context.Context, wri http.ResponseWriter, htr *http.Request, mat *matcher.Matcher) {
 	req, err := exe.begin(wri, mat, htr.Header)
 	if err == nil {
 		err = exe.route(&req, mat, matcher.Query{Kind: parser.PoolService, Team: req.team.Name, Path: htr.URL.Path}, htr.Header)
 	}
 	if err != nil {
-		responder.WriteProblem(wri, unclaimed(problemOf(err), htr.Header))
+		responder.WriteProblem(wri, withoutClaim(problemOf(err), htr.Header))
 		return
 	}
 	bod, err := receiver.ReadBody(htr.Body, exe.MaxBodyBytes)
 	if err != nil {
-		responder.WriteProblem(wri, unclaimed(problemOf(err), htr.Header))
+		responder.WriteProblem(wri, withoutClaim(problemOf(err), htr.Header))
 		return
 	}
 	ctx, cancel := context.WithDeadline(ctx, req.deadline)
 	defer cancel()
 	cal := &call{request: req, service: invoker.ServiceCall{
-		Method: htr.Method, Path: htr.URL.RequestURI(), Header: forwarded(htr.Header), Body: bod,
+		Method: htr.Method, Path: htr.URL.RequestURI(), Header: forwardedHeaders(htr.Header), Body: bod,
 		Key: htr.Header.Get(receiver.KeyHeader), Once: !req.route.Repeatable,
 	}}
 	done, ref := exe.admit(ctx, cal.placement(), cal.team, cal.pool)
 	if ref != nil {
-		responder.WriteProblem(wri, unclaimed(refusal(*ref), htr.Header))
+		responder.WriteProblem(wri, withoutClaim(refusal(*ref), htr.Header))
 		return
 	}
 	if req.route.Repeatable {
@@ -64,21 +65,21 @@
 	exe.once(ctx, cal, htr.Header.Get(receiver.KeyTimeHeader), done)
 }
 
-// unclaimed is a refusal before the claim of a call was looked at. An earlier
-// call may have used a key that the caller supplied, and may have run.
-func unclaimed(pro responder.Problem, hea http.Header) responder.Problem {
+// withoutClaim adjusts a refusal that is sent before the claim was read. If the caller
+// supplied the key, an earlier call with that key may have run.
+func withoutClaim(pro responder.Problem, hea http.Header) responder.Problem {
 	if hea.Get(receiver.KeyHeader) != "" {
 		pro.Ran = invoker.Unknown
 	}
 	return pro
 }
 
-// forwarded copies the headers that belong to the call itself.
-func forwarded(hea http.Header) http.Header {
+// forwardedHeaders returns the headers that are passed on to the service.
+func forwardedHeaders(hea http.Header) http.Header {
 	out := http.Header{}
-	for _, nam := range []string{"Content-Type", "Accept", "Accept-Language"} {
-		if val := hea.Values(nam); len(val) > 0 {
-			out[nam] = val
+	for _, name := range []string{"Content-Type", "Accept", "Accept-Language"} {
+		if values := hea.Values(name); len(values) > 0 {
+			out[name] = values
 		}
 	}
 	return out
@@ -100,9 +101,9 @@
 		return claimer.Replied{Reply: rep}, nil
 	}
 	fai := claimer.Failed{Endpoint: lea.Endpoint, Ran: invoker.Unknown, Message: err.Error()}
-	var ine *invoker.Error
-	if errors.As(err, &ine) {
-		fai.Ran = ine.Ran
+	var invokeErr *invoker.Error
+	if errors.As(err, &invokeErr) {
+		fai.Ran = invokeErr.Ran
 	}
 	return fai, err
 }
@@ -115,8 +116,8 @@
 	_, _ = cal.writer.Write(rep.Body)
 }
 
-// replay answers with a recorded outcome. A body too large to record is told
-// apart from an empty one.
+// replay answers with a recorded outcome. An answer whose body was too large to record
+// is reported as an error, since an empty body would be wrong.
 func (cal *call) replay(out *messenger.Outcome) {
 	cal.writer.Header().Set("Hemlockpin-Replayed", "true")
 	if out.GetTruncated() {
--- a/request/executor/executor.go
+++ b/request/executor/executor.go
@@ -1,5 +1,5 @@
-// Package executor carries out one request: it asks the deciding packages what
-// to do and does it through the endpoints and the claims.
+// Package executor executes requests. The decisions come from the attempter, claimer,
+// hedger and mover packages; this package carries them out on endpoints and claims.
 package executor
 
 import (
@@ -34,15 +34,15 @@
 	Group         []invoker.Part
 	// Release ends the lease. It is idempotent and never nil.
 	Release func()
-	// Prefilled tells the allocator that the first token has arrived. It is
+	// Prefilled notifies the allocator that the first token has arrived. It is
 	// idempotent and never nil.
 	Prefilled func()
-	// Move finds an engine to go on with the answer after the first token. It
-	// reports false where the request stays; nil stands for always. It may be
-	// called once.
+	// Move finds an engine on which the answer can continue after the first token. It
+	// returns false if the request stays on its engine. It may be called once. A nil
+	// Move means that the request cannot move.
 	Move func(ctx context.Context) (Target, bool)
-	// Report tells the allocator whether the endpoint served the request or
-	// failed it; nil for nobody.
+	// Report reports to the allocator whether the endpoint served the request or failed
+	// it; nil if no report is needed.
 	Report func(healthy bool, now time.Time)
 }
 
@@ -52,18 +52,19 @@
 	}
 }
 
-// Target is an engine that has memory for a request that moves to it.
+// Target is an engine that has reserved memory for a request that moves to it.
 type Target struct {
 	Endpoint string
 	Address  string
-	// Done tells the allocator whether the request runs there alone now, or
-	// stays where it was. It is idempotent and never nil.
+	// Done notifies the allocator that the move has ended: the request either runs on
+	// the target alone, or stays on its engine. It is idempotent and never nil.
 	Done func(moved bool)
-	// Report tells the allocator how the endpoint does; nil for nobody.
+	// Report reports to the allocator whether the endpoint works; nil if no report is
+	// needed.
 	Report func(healthy bool, now time.Time)
 }
 
-// RefusedError reports that no endpoint could be had.
+// RefusedError reports that no endpoint was available.
 type RefusedError struct{ Refuse placer.Refuse }
 
 // Error formats the refusal.
@@ -71,26 +72,26 @@
 	return "refused: " + err.Refuse.Code + ": " + err.Refuse.Message
 }
 
-// Allocator finds endpoints. It may wait until the request's deadline.
+// Allocator finds endpoints. Acquire may wait until the request's deadline.
 type Allocator interface {
 	Acquire(ctx context.Context, req placer.Request, poo parser.Pool) (Lease, error)
 }
 
 // Claims commits changes of claims.
 type Claims interface {
-	// Commit commits a change and ends with ctx.
+	// Commit commits a change. It returns when ctx ends, even if the result is unknown.
 	Commit(ctx context.Context, com *messenger.ClaimCommit) *messenger.ClaimResult
-	// Settle retries a change in the background and closes the channel when
-	// it is done.
+	// Settle retries a change in the background and closes the channel when the
+	// retries end.
 	Settle(com *messenger.ClaimCommit) <-chan struct{}
 }
 
-// Admitter decides whether a request may enter at all.
+// Admitter decides whether a request is admitted to the host.
 type Admitter interface {
 	Admit(req placer.Request, tea parser.Team, poo parser.Pool, now time.Time) (done func(), ref *placer.Refuse)
 }
 
-// Executor carries out requests of one host.
+// Executor executes the requests of one host.
 type Executor struct {
 	Owner     invoker.Owner
 	Invoker   *invoker.Invoker
@@ -102,24 +103,24 @@
 	Tracer    trace.Tracer
 	// MaxBodyBytes bounds the body of a request.
 	MaxBodyBytes int64
-	// Retries bounds the dispatches after the first of all requests.
+	// Retries limits the dispatches of all requests after their first one.
 	Retries budgeter.Budget
 
-	counted sync.Once
-	count   counters
-	pending sync.WaitGroup
-	mu      sync.Mutex
-	// running holds the newest attempt of each request in progress, and 0 for
-	// each export that a move needs.
+	countersOnce sync.Once
+	counterSet   counters
+	cleanup      sync.WaitGroup
+	mu           sync.Mutex
+	// running holds the newest attempt of each request in progress, and 0 for each
+	// export that a move needs.
 	running map[string]int
-	// times holds how long the calls of each pool took lately.
-	times   map[string]*hedger.Latencies
-	claimed atomic.Int64
+	// latencies holds the recent latencies of the calls of each pool.
+	latencies    map[string]*hedger.Latencies
+	claimedCalls atomic.Int64
 }
 
-// track notes a request as in progress until the returned function is called.
+// track records a request as in progress until the returned function is called.
 func (exe *Executor) track(id string) func() {
-	exe.note(id, 0)
+	exe.setAttempt(id, 0)
 	return func() {
 		exe.mu.Lock()
 		defer exe.mu.Unlock()
@@ -127,8 +128,8 @@
 	}
 }
 
-// note sets the newest attempt of a request in progress.
-func (exe *Executor) note(id string, att int) {
+// setAttempt sets the newest attempt of a request in progress.
+func (exe *Executor) setAttempt(id string, att int) {
 	exe.mu.Lock()
 	defer exe.mu.Unlock()
 	if exe.running == nil {
@@ -137,8 +138,8 @@
 	exe.running[id] = att
 }
 
-// Attempt returns the newest attempt of a request and whether this host still
-// works on it.
+// Attempt returns the newest attempt of a request, and whether this host still works on
+// the request.
 func (exe *Executor) Attempt(id string) (int, bool) {
 	exe.mu.Lock()
 	defer exe.mu.Unlock()
@@ -146,10 +147,11 @@
 	return att, ok
 }
 
-// WaitForCleanup waits until what ended requests left to do on endpoints is done.
-func (exe *Executor) WaitForCleanup() { exe.pending.Wait() }
+// WaitForCleanup waits until the background cleanup of ended requests on their
+// endpoints is done.
+func (exe *Executor) WaitForCleanup() { exe.cleanup.Wait() }
 
-// request is the part that prompts and calls share.
+// request is the state that prompts and calls share.
 type request struct {
 	id       string
 	arrived  time.Time
@@ -183,22 +185,22 @@
 	if !ok {
 		return &receiver.BadRequestError{Status: http.StatusNotFound, Code: "route_not_found", Message: "no route takes this request"}
 	}
-	ded, err := receiver.Deadline(hea, time.Duration(rou.TimeLimit), req.arrived)
+	deadline, err := receiver.Deadline(hea, time.Duration(rou.TimeLimit), req.arrived)
 	if err != nil {
 		return err
 	}
 	responder.Describe(req.writer, responder.Labels{Route: rou.Name, Pool: poo.Name, Team: req.team.Name, PromptTokens: que.PromptTokens})
 	req.route = rou
 	req.pool = poo
-	req.deadline = ded
+	req.deadline = deadline
 	return nil
 }
 
-// problemOf turns an error from before any dispatch into a problem.
+// problemOf converts an error that occurred before any dispatch into a problem.
 func problemOf(err error) responder.Problem {
-	var bad *receiver.BadRequestError
-	if eris.As(err, &bad) {
-		return responder.Problem{Status: bad.Status, Code: bad.Code, Param: bad.Param, Message: bad.Message, Ran: invoker.NotRun, RetryAfter: bad.RetryAfter}
+	var badReq *receiver.BadRequestError
+	if eris.As(err, &badReq) {
+		return responder.Problem{Status: badReq.Status, Code: badReq.Code, Param: badReq.Param, Message: badReq.Message, Ran: invoker.NotRun, RetryAfter: badReq.RetryAfter}
 	}
 	var ref *RefusedError
 	if eris.As(err, &ref) {
@@ -207,12 +209,12 @@
 	return responder.Problem{Status: http.StatusInternalServerError, Code: "internal", Message: err.Error(), Ran: invoker.NotRun}
 }
 
-// refusal maps a refusal to its status.
+// refusal converts a refusal into a problem with its HTTP status.
 func refusal(ref placer.Refuse) responder.Problem {
 	return responder.Problem{Status: StatusOf(ref.Code), Code: ref.Code, Message: ref.Message, Ran: invoker.NotRun, RetryAfter: ref.RetryAfter}
 }
 
-// StatusOf maps a code to its HTTP status.
+// StatusOf maps an error code to its HTTP status.
 func StatusOf(code string) int {
 	switch code {
 	case "team_limit", "pool_full":
--- a/request/executor/generate.go
+++ b/request/executor/generate.go
@@ -24,7 +24,7 @@
 // cancelTimeout bounds one cancellation on an engine.
 const cancelTimeout = time.Second
 
-// generation is the running state of one prompt.
+// generation is the state of one prompt.
 type generation struct {
 	request
 	prompt    receiver.Prompt
@@ -32,14 +32,14 @@
 	assembler assembler.Assembler
 	answer    *responder.Answer
 	blocks    []uint64
-	// lease is held while the request has an endpoint, stream while it has a
-	// dispatch there.
+	// lease is set while the request has an endpoint, stream while it has a dispatch
+	// there.
 	lease    *Lease
 	stream   *invoker.Stream
 	progress progress
-	// move is set while the answer is about to go on at another engine.
+	// move is set while the answer is being moved to another engine.
 	move *move
-	// moved marks an answer that went on at another engine.
+	// moved says that the answer has continued on another engine.
 	moved bool
 }
 
@@ -95,17 +95,18 @@
 			gen.lease.Release()
 			return
 		}
-		if exe.carryOut(ctx, gen, exe.decide(gen, eve)) {
+		if exe.perform(ctx, gen, exe.decide(gen, eve)) {
 			return
 		}
 	}
 }
 
-// decide takes a retry beforehand and gives it back where it is not used.
+// decide takes a retry from the budget beforehand and returns it if the action does not
+// use it.
 func (exe *Executor) decide(gen *generation, eve attempter.Event) attempter.Action {
 	now := exe.Clock()
-	ret := exe.Retries.Take(now)
-	sta, act := gen.state.Next(eve, ret, now)
+	retry := exe.Retries.Take(now)
+	sta, act := gen.state.Next(eve, retry, now)
 	gen.state = sta
 	_, refused := eve.(attempter.Refused)
 	switch act.(type) {
@@ -115,14 +116,14 @@
 			return act
 		}
 	}
-	if ret {
+	if retry {
 		exe.Retries.Return()
 	}
 	return act
 }
 
-// carryOut does what was decided and reports whether the request has ended.
-func (exe *Executor) carryOut(ctx context.Context, gen *generation, act attempter.Action) bool {
+// perform carries out an action and reports whether the request has ended.
+func (exe *Executor) perform(ctx context.Context, gen *generation, act attempter.Action) bool {
 	switch act := act.(type) {
 	case attempter.Stay:
 		gen.progress.at = exe.Clock()
@@ -141,12 +142,12 @@
 	return true
 }
 
-func pause(ctx context.Context, dur time.Duration) {
-	if dur == 0 {
+func pause(ctx context.Context, delay time.Duration) {
+	if delay == 0 {
 		return
 	}
 	select {
-	case <-time.After(dur):
+	case <-time.After(delay):
 	case <-ctx.Done():
 	}
 }
@@ -159,8 +160,8 @@
 	}
 }
 
-// step goes on from where the request stands: it places, dispatches and
-// relays. It returns nil when the answer is whole, else the event to decide on.
+// step continues the request from its current state: it places, dispatches and relays.
+// It returns nil when the answer is complete, or else the event to decide on.
 func (exe *Executor) step(ctx context.Context, gen *generation) attempter.Event {
 	if gen.lease == nil {
 		lea, err := exe.Allocator.Acquire(ctx, gen.placement(), gen.pool)
@@ -173,7 +174,7 @@
 	defer spa.End()
 	if gen.stream == nil {
 		if err := exe.open(ctx, gen); err != nil {
-			return exe.failed(ctx, gen, err)
+			return exe.failureEvent(ctx, gen, err)
 		}
 	}
 	for {
@@ -181,8 +182,8 @@
 		if err == nil {
 			return nil
 		}
-		eve := exe.failed(ctx, gen, err)
-		if !exe.takeOver(gen, eve) {
+		eve := exe.failureEvent(ctx, gen, err)
+		if !exe.tryTakeOver(gen, eve) {
 			return eve
 		}
 	}
@@ -190,18 +191,18 @@
 
 func (exe *Executor) open(ctx context.Context, gen *generation) error {
 	gen.state = gen.state.WithAttempt()
-	exe.note(gen.id, gen.state.Attempt)
+	exe.setAttempt(gen.id, gen.state.Attempt)
 	gen.assembler = gen.assembler.WithAttempt(gen.state.Attempt)
 	gen.progress = progress{at: exe.Clock()}
-	str, err := exe.Invoker.Generate(ctx, gen.lease.Address, exe.dispatch(gen))
+	stream, err := exe.Invoker.Generate(ctx, gen.lease.Address, exe.dispatch(gen))
 	if err != nil {
 		return err
 	}
-	gen.stream = str
+	gen.stream = stream
 	return nil
 }
 
-// dispatch makes out the request of the newest attempt.
+// dispatch returns the message that dispatches the newest attempt.
 func (exe *Executor) dispatch(gen *generation) invoker.GenerateRequest {
 	return invoker.GenerateRequest{
 		RequestID: gen.id, Attempt: gen.state.Attempt, Owner: exe.Owner, Model: gen.prompt.Model,
@@ -211,7 +212,7 @@
 	}
 }
 
-// closeStream gives the stream up; a failed dispatch has none.
+// closeStream closes the stream, if the dispatch has one.
 func (gen *generation) closeStream() {
 	if gen.stream != nil {
 		gen.stream.Close()
@@ -219,8 +220,8 @@
 	gen.stream = nil
 }
 
-// drop ends the current dispatch and gives the endpoint back. It does not wait
-// for the engine, so that a failure reaches the caller in time.
+// drop ends the current dispatch and releases the endpoint. The cancellation on the
+// engine runs in the background, so that it does not delay the answer to the caller.
 func (exe *Executor) drop(ctx context.Context, gen *generation) {
 	gen.closeStream()
 	exe.endMove(gen)
@@ -230,7 +231,7 @@
 	if lea == nil {
 		return
 	}
-	exe.pending.Go(func() {
+	exe.cleanup.Go(func() {
 		defer lea.Release()
 		ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 		defer stop()
--- a/request/executor/move.go
+++ b/request/executor/move.go
@@ -16,86 +16,89 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// exportSuffix names a request's export, apart from the request itself.
+// exportSuffix distinguishes the ID of a request's export from that of the request.
 const exportSuffix = "-export"
 
-// move carries one answer to another engine while the relay goes on.
+// move moves one answer to another engine while the relay continues.
 type move struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	span   trace.Span
 	source Lease
-	// request is the second dispatch, but for the tokens before it.
+	// request is the dispatch to the target, without the tokens generated since the
+	// move began.
 	request invoker.GenerateRequest
 	untrack func()
-	// steps tells the relay to compare. It is closed when the move has been
-	// given up.
-	steps      chan mover.Action
-	background sync.WaitGroup
+	// compareReady signals the relay to compare the tokens. It is closed when the move
+	// is aborted.
+	compareReady chan mover.Action
+	background   sync.WaitGroup
 
 	mu    sync.Mutex
 	state mover.State
-	// first is the index of the first token of texts, which the caller got
+	// first is the index of the first of texts, the tokens that the caller received
 	// since the move began.
 	first int64
 	texts []string
 
-	// The fields below are set by the background before a step: the target,
-	// its stream, the tokens read from it, their assembler, and until when it
-	// may catch up.
-	target Target
-	stream *invoker.Stream
-	caught []invoker.Token
-	ahead  assembler.Assembler
-	limit  time.Time
+	// The background goroutine sets the fields below before it signals compareReady:
+	// the target, its stream, the tokens read from the stream, their assembler, and the
+	// time until which the target may catch up.
+	target          Target
+	stream          *invoker.Stream
+	caughtUp        []invoker.Token
+	targetAssembler assembler.Assembler
+	catchUpDeadline time.Time
 }
 
-// note keeps what the caller has while a move is on its way.
-func (mov *move) note(txt string) {
+// recordText records a token that the caller received while a move is in progress.
+func (mov *move) recordText(text string) {
 	if mov == nil {
 		return
 	}
 	mov.mu.Lock()
 	defer mov.mu.Unlock()
-	mov.texts = append(mov.texts, txt)
+	mov.texts = append(mov.texts, text)
 }
 
-// next is the index of the caller's next token.
-func (mov *move) next() int64 {
+// nextIndex returns the index of the caller's next token.
+func (mov *move) nextIndex() int64 {
 	mov.mu.Lock()
 	defer mov.mu.Unlock()
 	return mov.first + int64(len(mov.texts))
 }
 
-// move begins the move of an answer that has a token, or takes its next step.
-func (exe *Executor) move(ctx context.Context, gen *generation) {
+// advanceMove begins a move after the first token, or takes the next step of a move in
+// progress.
+func (exe *Executor) advanceMove(ctx context.Context, gen *generation) {
 	switch {
 	case gen.move != nil:
-		exe.poll(gen)
+		exe.pollMove(gen)
 	case gen.lease.Move != nil && gen.assembler.Next > 0:
 		exe.beginMove(ctx, gen)
 	}
 }
 
-func (exe *Executor) poll(gen *generation) {
+func (exe *Executor) pollMove(gen *generation) {
 	select {
-	case _, ok := <-gen.move.steps:
+	case _, ok := <-gen.move.compareReady:
 		exe.compare(gen, ok)
 	default:
 	}
 }
 
-// beginMove asks for an engine in the background where a move can gain. The
-// second dispatch has its number from now on; for the other hosts the first one
-// stays the newest, so that nobody takes that for abandoned.
+// beginMove requests a target in the background if a move is worth while. The dispatch
+// to the target gets its attempt number here. Until the switch, Attempt still returns
+// the number of the first dispatch, so that the other hosts do not treat that dispatch
+// as abandoned.
 func (exe *Executor) beginMove(ctx context.Context, gen *generation) {
-	mov := &move{source: *gen.lease, first: gen.assembler.Next, steps: make(chan mover.Action, 1)}
+	mov := &move{source: *gen.lease, first: gen.assembler.Next, compareReady: make(chan mover.Action, 1)}
 	gen.lease.Move = nil
 	if len(gen.lease.Group) > 0 {
 		return
 	}
 	mov.state = mover.State{PromptTokens: gen.prompt.Tokens, Blocks: len(gen.blocks)}
-	act := exe.decideMove(gen.id, mov, mover.Began{Remaining: exe.rest(gen, mov)})
+	act := exe.decideMove(gen.id, mov, mover.Began{Remaining: exe.remaining(gen, mov)})
 	if _, ok := act.(mover.Ask); !ok {
 		return
 	}
@@ -105,45 +108,47 @@
 	mov.ctx, mov.cancel = context.WithCancel(ctx)
 	mov.untrack = exe.track(gen.id + exportSuffix)
 	gen.move = mov
-	mov.background.Go(func() { exe.carryMove(gen, mov, act) })
+	mov.background.Go(func() { exe.runMove(gen, mov, act) })
 }
 
-// rest reads nothing of the generation that the relay changes.
-func (exe *Executor) rest(gen *generation, mov *move) mover.Remaining {
-	return mover.Remaining{Tokens: gen.prompt.MaxTokens - mov.next(), Time: gen.deadline.Sub(exe.Clock())}
+// remaining returns what is left of the answer. The relay changes the generation
+// concurrently, so this must not read fields that the relay writes.
+func (exe *Executor) remaining(gen *generation, mov *move) mover.Remaining {
+	return mover.Remaining{Tokens: gen.prompt.MaxTokens - mov.nextIndex(), Time: gen.deadline.Sub(exe.Clock())}
 }
 
-// decideMove decides on an event and frees what a move held that is given up.
+// decideMove decides on an event. If the move is aborted, it frees in the background
+// what the move holds.
 func (exe *Executor) decideMove(id string, mov *move, eve mover.Event) mover.Action {
 	mov.mu.Lock()
 	defer mov.mu.Unlock()
 	sta, act := mov.state.Next(eve)
 	mov.state = sta
-	if abo, ok := act.(mover.Abort); ok {
+	if abort, ok := act.(mover.Abort); ok {
 		mov.cancel()
-		exe.pending.Go(func() { exe.abandonMove(id, mov, abo) })
+		exe.cleanup.Go(func() { exe.cleanUpMove(id, mov, abort) })
 	}
 	return act
 }
 
-// carryMove takes the steps from the question to the comparison in the
-// background. It touches nothing of the generation that the relay changes.
-func (exe *Executor) carryMove(gen *generation, mov *move, act mover.Action) {
+// runMove carries out the steps from the request for a target up to the comparison, in
+// the background. It must not access fields of the generation that the relay writes.
+func (exe *Executor) runMove(gen *generation, mov *move, act mover.Action) {
 	for {
-		act = exe.decideMove(gen.id, mov, exe.moveStep(gen, mov, act))
+		act = exe.decideMove(gen.id, mov, exe.performMove(gen, mov, act))
 		switch act.(type) {
 		case mover.Compare:
-			mov.steps <- act
+			mov.compareReady <- act
 			return
 		case mover.Abort, mover.Nothing:
-			close(mov.steps)
+			close(mov.compareReady)
 			return
 		}
 	}
 }
 
-// moveStep carries out one action and returns how it ended.
-func (exe *Executor) moveStep(gen *generation, mov *move, act mover.Action) mover.Event {
+// performMove carries out one action and returns its result.
+func (exe *Executor) performMove(gen *generation, mov *move, act mover.Action) mover.Event {
 	ctx, stop := context.WithTimeout(mov.ctx, mover.StepLimit)
 	defer stop()
 	var err error
@@ -152,16 +157,16 @@
 	switch act.(type) {
 	case mover.Ask:
 		eve = mover.Offered{}
-		err = exe.askTarget(ctx, mov)
+		err = exe.requestTarget(ctx, mov)
 	case mover.Export:
 		eve = mover.Exported{}
 		err = exe.Invoker.Export(ctx, mov.source.Address, id, exe.Owner, gen.blocks)
 	case mover.Import:
 		err = exe.Invoker.Import(ctx, mov.target.Address, mov.source.Address, id, exe.Owner)
-		eve = mover.Imported{Remaining: exe.rest(gen, mov)}
+		eve = mover.Imported{Remaining: exe.remaining(gen, mov)}
 	case mover.CatchUp:
 		eve = mover.CaughtUp{}
-		err = exe.readAhead(gen, mov)
+		err = exe.catchUp(gen, mov)
 	}
 	if err != nil {
 		return mover.Failed{}
@@ -169,9 +174,9 @@
 	return eve
 }
 
-var errNoTarget = eris.New("no engine takes the answer")
+var errNoTarget = eris.New("no engine available to continue the answer")
 
-func (exe *Executor) askTarget(ctx context.Context, mov *move) error {
+func (exe *Executor) requestTarget(ctx context.Context, mov *move) error {
 	tar, ok := mov.source.Move(ctx)
 	if !ok {
 		return errNoTarget
@@ -185,31 +190,31 @@
 	return nil
 }
 
-var errBehind = eris.New("the second engine does not catch up")
+var errNotCaughtUp = eris.New("target engine did not catch up with the source")
 
-// readAhead reads the second engine's stream until it is ahead of the caller.
-func (exe *Executor) readAhead(gen *generation, mov *move) error {
-	if err := exe.openSecond(gen, mov); err != nil {
+// catchUp reads the target's stream until the target is ahead of the caller.
+func (exe *Executor) catchUp(gen *generation, mov *move) error {
+	if err := exe.openTarget(gen, mov); err != nil {
 		return err
 	}
-	for len(mov.caught) < mover.MinCaughtUpTokens || mov.ahead.Next <= mov.next() {
-		lef := mov.limit.Sub(exe.Clock())
-		if lef <= 0 {
-			return errBehind
+	for len(mov.caughtUp) < mover.MinCaughtUpTokens || mov.targetAssembler.Next <= mov.nextIndex() {
+		left := mov.catchUpDeadline.Sub(exe.Clock())
+		if left <= 0 {
+			return errNotCaughtUp
 		}
-		eve, err := mov.stream.Next(lef)
+		eve, err := mov.stream.Next(left)
 		if err != nil {
 			return err
 		}
-		if err := mov.take(eve); err != nil {
+		if err := mov.addToken(eve); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// openSecond dispatches from the caller's next token on.
-func (exe *Executor) openSecond(gen *generation, mov *move) error {
+// openTarget dispatches to the target from the caller's next token on.
+func (exe *Executor) openTarget(gen *generation, mov *move) error {
 	if mov.stream != nil {
 		return nil
 	}
@@ -219,30 +224,30 @@
 	req.Generated += strings.Join(mov.texts, "")
 	mov.mu.Unlock()
 	req.BudgetMs = gen.deadline.Sub(exe.Clock()).Milliseconds()
-	str, err := exe.Invoker.Generate(mov.ctx, mov.target.Address, req)
+	stream, err := exe.Invoker.Generate(mov.ctx, mov.target.Address, req)
 	if err != nil {
 		return err
 	}
-	mov.stream = str
-	mov.limit = exe.Clock().Add(mover.CatchUpLimit)
-	mov.ahead = assembler.Assembler{RequestID: req.RequestID, Attempt: req.Attempt, Next: req.StartIndex, MaxTokens: req.MaxTokens}
+	mov.stream = stream
+	mov.catchUpDeadline = exe.Clock().Add(mover.CatchUpLimit)
+	mov.targetAssembler = assembler.Assembler{RequestID: req.RequestID, Attempt: req.Attempt, Next: req.StartIndex, MaxTokens: req.MaxTokens}
 	return nil
 }
 
-// take keeps a token of the second engine.
-func (mov *move) take(eve invoker.Event) error {
+// addToken stores a token of the target.
+func (mov *move) addToken(eve invoker.Event) error {
 	if _, ok := eve.(invoker.Finish); ok {
-		return errBehind
+		return errNotCaughtUp
 	}
 	tok, ok := eve.(invoker.Token)
 	if !ok {
 		return nil
 	}
-	ass, ver := mov.ahead.Token(tok)
-	mov.ahead = ass
+	ass, ver := mov.targetAssembler.Token(tok)
+	mov.targetAssembler = ass
 	switch ver {
 	case assembler.Deliver:
-		mov.caught = append(mov.caught, tok)
+		mov.caughtUp = append(mov.caughtUp, tok)
 		return nil
 	case assembler.Drop:
 		return nil
@@ -251,23 +256,23 @@
 	}
 }
 
-// compare switches over where both engines made the same tokens, and reports
-// whether it did. An engine that draws others would go on with an answer that
-// the caller does not have.
+// compare switches to the target if both engines generated the same tokens, and reports
+// whether it did. A target with other tokens would continue an answer that differs from
+// the one that the caller has begun to receive.
 func (exe *Executor) compare(gen *generation, ok bool) bool {
 	mov := gen.move
 	if !ok {
 		gen.move = nil
 		return false
 	}
-	both, eve := mov.compared()
+	shared, eve := mov.compareTokens()
 	switch act := exe.decideMove(gen.id, mov, eve).(type) {
 	case mover.CatchUp:
-		mov.background.Go(func() { exe.carryMove(gen, mov, act) })
+		mov.background.Go(func() { exe.runMove(gen, mov, act) })
 		return false
 	case mover.Switch:
 		gen.move = nil
-		exe.switchOver(gen, mov, both, act)
+		exe.switchOver(gen, mov, shared, act)
 		return true
 	default:
 		gen.move = nil
@@ -275,42 +280,43 @@
 	}
 }
 
-// compared also returns how many of the second engine's tokens the caller has.
-func (mov *move) compared() (int, mover.Event) {
+// compareTokens compares the target's tokens with those that the caller received, and
+// also returns the number of the latter.
+func (mov *move) compareTokens() (int, mover.Event) {
 	mov.mu.Lock()
 	defer mov.mu.Unlock()
-	had := mov.texts[mov.caught[0].Index-mov.first:]
-	if len(had) > len(mov.caught) {
+	received := mov.texts[mov.caughtUp[0].Index-mov.first:]
+	if len(received) > len(mov.caughtUp) {
 		return 0, mover.Behind{}
 	}
-	for ind, txt := range had {
-		if mov.caught[ind].Text != txt {
+	for i, text := range received {
+		if mov.caughtUp[i].Text != text {
 			return 0, mover.Failed{}
 		}
 	}
-	return len(had), mover.Agreed{}
+	return len(received), mover.Agreed{}
 }
 
-// switchOver makes the second engine the request's own.
-func (exe *Executor) switchOver(gen *generation, mov *move, both int, act mover.Switch) {
+// switchOver makes the target the engine of the request.
+func (exe *Executor) switchOver(gen *generation, mov *move, shared int, act mover.Switch) {
 	old := gen.stream
 	gen.moved = true
 	gen.stream = mov.stream
-	gen.stream.Unread(mov.caught[both:])
+	gen.stream.Unread(mov.caughtUp[shared:])
 	gen.lease.Endpoint = mov.target.Endpoint
 	gen.lease.Address = mov.target.Address
 	gen.lease.Report = mov.target.Report
 	gen.state = gen.state.WithSwitch()
 	gen.assembler = gen.assembler.WithAttempt(mov.request.Attempt)
 	gen.progress = progress{at: exe.Clock()}
-	exe.note(gen.id, mov.request.Attempt)
+	exe.setAttempt(gen.id, mov.request.Attempt)
 	exe.counters().movesDone.Inc(1)
 	old.Close()
-	exe.pending.Go(func() { exe.leaveSource(gen.id, mov, act) })
+	exe.cleanup.Go(func() { exe.releaseSource(gen.id, mov, act) })
 }
 
-// leaveSource frees what the request held on the first engine.
-func (exe *Executor) leaveSource(id string, mov *move, act mover.Switch) {
+// releaseSource frees what the request holds on the source engine.
+func (exe *Executor) releaseSource(id string, mov *move, act mover.Switch) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(mov.ctx), cancelTimeout)
 	defer stop()
 	exe.cancelAt(ctx, mov.source.Address, id, mov.request.Attempt-1)
@@ -323,27 +329,27 @@
 	mov.span.End()
 }
 
-// abandonMove frees what a move held that did not come to its end.
-func (exe *Executor) abandonMove(id string, mov *move, abo mover.Abort) {
-	// A call in progress could take effect after it was undone.
+// cleanUpMove frees what an aborted move holds.
+func (exe *Executor) cleanUpMove(id string, mov *move, abort mover.Abort) {
+	// A call still in progress could take effect after its cancellation.
 	mov.background.Wait()
 	if mov.stream != nil {
 		mov.stream.Close()
 	}
 	ctx, stop := context.WithTimeout(context.WithoutCancel(mov.ctx), cancelTimeout)
 	defer stop()
-	if abo.Dispatch {
+	if abort.Dispatch {
 		exe.cancelAt(ctx, mov.target.Address, id, mov.request.Attempt)
 	}
-	if abo.Export {
+	if abort.Export {
 		exe.releaseExport(ctx, mov, id)
 	}
 	mov.untrack()
-	if abo.Target && mov.target.Done != nil {
+	if abort.Target && mov.target.Done != nil {
 		mov.target.Done(false)
-		exe.Scope.Tagged(map[string]string{"step": abo.At.String()}).Counter("moves_failed").Inc(1)
+		exe.Scope.Tagged(map[string]string{"step": abort.At.String()}).Counter("moves_failed").Inc(1)
 	}
-	mov.span.SetAttributes(attribute.String("Step", abo.At.String()))
+	mov.span.SetAttributes(attribute.String("Step", abort.At.String()))
 	mov.span.End()
 }
 
@@ -359,11 +365,11 @@
 	}
 }
 
-// takeOver goes on at the second engine when the first one has failed, if the
-// second has the request.
-func (exe *Executor) takeOver(gen *generation, eve attempter.Event) bool {
+// tryTakeOver continues on the target when the source has failed, provided that the
+// target already has the request.
+func (exe *Executor) tryTakeOver(gen *generation, eve attempter.Event) bool {
 	mov := gen.move
-	if mov == nil || !endsDispatch(eve) {
+	if mov == nil || !isEngineFailure(eve) {
 		return false
 	}
 	if _, ok := exe.decideMove(gen.id, mov, mover.SourceFailed{}).(mover.Await); !ok {
@@ -371,7 +377,7 @@
 		return false
 	}
 	for gen.move != nil {
-		_, ok := <-mov.steps
+		_, ok := <-mov.compareReady
 		if exe.compare(gen, ok) {
 			gen.state = gen.state.WithExcluded(mov.source.Endpoint)
 			exe.counters().movesRescued.Inc(1)
@@ -381,8 +387,9 @@
 	return false
 }
 
-// endsDispatch holds for failures of the engine, not of the request.
-func endsDispatch(eve attempter.Event) bool {
+// isEngineFailure reports whether an event is a failure of the engine rather than of
+// the request.
+func isEngineFailure(eve attempter.Event) bool {
 	switch eve := eve.(type) {
 	case attempter.Failed:
 		return !eve.Permanent
@@ -393,7 +400,7 @@
 	}
 }
 
-// endMove gives up a move of a request that has ended or is placed anew.
+// endMove aborts the move of a request that has ended or is placed again.
 func (exe *Executor) endMove(gen *generation) {
 	if gen.move == nil {
 		return
--- a/request/executor/move_test.go
+++ b/request/executor/move_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// movingAllocator leases the first engine and offers the second.
+// movingAllocator leases the source engine and offers the target for a move.
 type movingAllocator struct {
 	source, target string
 	done           atomic.Int64
@@ -38,7 +38,8 @@
 	return executor.Lease{Endpoint: "source", Address: mov.source, Release: func() {}, Prefilled: func() {}, Move: offer}, nil
 }
 
-// startGenerator runs an engine that calls seen with the path of each call.
+// startGenerator starts an engine. It calls seen with the path of each request, and
+// aborts the connection if seen returns true.
 func startGenerator(t *testing.T, step time.Duration, seen func(eng *generator.Generator, path string) bool) (*generator.Generator, *httptest.Server) {
 	t.Helper()
 	eng := generator.New(generator.Settings{
@@ -57,8 +58,8 @@
 	return eng, ser
 }
 
-// TestMove has each step of a move fail once: the answer is whole, and neither
-// engine keeps memory. Outcome is 11 for moved, 1 for stayed.
+// TestMove lets each step of a move fail once. The answer must be complete and neither
+// engine may keep memory. The outcome is 11 if the request moved and 1 if it stayed.
 func TestMove(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -78,22 +79,22 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			breaks := func(bad string) func(*generator.Generator, string) bool {
-				return func(_ *generator.Generator, path string) bool { return path == bad }
+			breaks := func(failingPath string) func(*generator.Generator, string) bool {
+				return func(_ *generator.Generator, path string) bool { return path == failingPath }
 			}
 			_, src := startGenerator(t, 10*time.Millisecond, breaks(tt.source))
 			_, tar := startGenerator(t, tt.step, breaks(tt.target))
-			all := &movingAllocator{source: src.Listener.Addr().String(), target: tar.Listener.Addr().String()}
+			alloc := &movingAllocator{source: src.Listener.Addr().String(), target: tar.Listener.Addr().String()}
 			pro := strings.Repeat("word", 1024*tt.blocks) + "?"
-			exe, bod := askPrompt(t, all, pro, 120)
+			exe, bod := generatePrompt(t, alloc, pro, 120)
 			var want strings.Builder
-			for ind := range int64(120) {
-				want.WriteString(generator.TokenText(pro, 0, ind))
+			for i := range int64(120) {
+				want.WriteString(generator.TokenText(pro, 0, i))
 			}
 			require.Contains(t, bod, want.String())
 			require.NotContains(t, bod, `"cached_tokens":3072`)
 			exe.WaitForCleanup()
-			require.Equal(t, tt.outcome, all.done.Load())
+			require.Equal(t, tt.outcome, alloc.done.Load())
 			_, running := exe.Attempt("")
 			require.False(t, running)
 			requireEmpty(t, src.URL)
@@ -102,8 +103,8 @@
 	}
 }
 
-// TestMoveComparesTokens has the second engine draw other tokens: the answer
-// stays with the first.
+// TestMoveComparesTokens guards against a switch to an engine that generates other
+// tokens: the answer must stay on the source.
 func TestMoveComparesTokens(t *testing.T) {
 	none := func(*generator.Generator, string) bool { return false }
 	_, src := startGenerator(t, 10*time.Millisecond, none)
@@ -114,18 +115,18 @@
 		eng.Handler().ServeHTTP(wri, htr)
 	}))
 	defer tar.Close()
-	all := &movingAllocator{source: src.Listener.Addr().String(), target: tar.Listener.Addr().String()}
-	exe, bod := askPrompt(t, all, "Why?", 120)
-	for ind := range int64(120) {
-		require.Contains(t, bod, generator.TokenText("Why?", 0, ind))
+	alloc := &movingAllocator{source: src.Listener.Addr().String(), target: tar.Listener.Addr().String()}
+	exe, bod := generatePrompt(t, alloc, "Why?", 120)
+	for i := range int64(120) {
+		require.Contains(t, bod, generator.TokenText("Why?", 0, i))
 	}
 	exe.WaitForCleanup()
-	require.Equal(t, int64(1), all.done.Load())
+	require.Equal(t, int64(1), alloc.done.Load())
 	requireEmpty(t, tar.URL)
 }
 
-// TestMoveTakesOver has the first engine die when the second gets the request.
-// Nothing but the move can save the answer: the allocator knows no other engine.
+// TestMoveTakesOver lets the source fail when the target receives the request. The
+// allocator has no other engine, so only the move can save the answer.
 func TestMoveTakesOver(t *testing.T) {
 	var dead atomic.Bool
 	_, src := startGenerator(t, 10*time.Millisecond, func(*generator.Generator, string) bool { return dead.Load() })
@@ -136,11 +137,11 @@
 		}
 		return false
 	})
-	all := &movingAllocator{source: src.Listener.Addr().String(), target: tar.Listener.Addr().String()}
-	exe, bod := askPrompt(t, all, "Why?", 120)
+	alloc := &movingAllocator{source: src.Listener.Addr().String(), target: tar.Listener.Addr().String()}
+	exe, bod := generatePrompt(t, alloc, "Why?", 120)
 	require.NotContains(t, bod, "error")
 	exe.WaitForCleanup()
-	require.Equal(t, int64(11), all.done.Load())
+	require.Equal(t, int64(11), alloc.done.Load())
 	requireEmpty(t, tar.URL)
 }
 
--- a/request/executor/once.go
+++ b/request/executor/once.go
@@ -13,48 +13,48 @@
 )
 
 const (
-	// lateBudget is how long past the time limit the answer of a dispatched
-	// call is awaited, so that it can be recorded.
-	lateBudget = 30 * time.Second
-	// recordWait bounds how long an answer waits for its outcome to be
-	// recorded, or a refusal for its claim to be given back.
+	// lateAnswerTime is how long after the time limit the host still waits for the
+	// answer of a dispatched call, so that the outcome can be recorded.
+	lateAnswerTime = 30 * time.Second
+	// recordWait bounds how long an answer waits until its outcome is recorded, or a
+	// refusal until its claim is released.
 	recordWait = 100 * time.Millisecond
-	// The answer at the time limit leaves this part of the limit, within
-	// bounds, for its way to the caller.
+	// The answer at the time limit is sent earlier by 1/answerMarginShare of the limit,
+	// at most maxAnswerMargin, so that it reaches the caller in time.
 	answerMarginShare = 10
 	maxAnswerMargin   = 50 * time.Millisecond
 	keySkew           = time.Minute
 	digestBytes       = 16
 )
 
-// claimedCall is a call that runs under a claim. It goes on when its caller
-// leaves or the time limit passes, so that its outcome is recorded.
+// claimedCall is a call that runs under a claim. It continues when the caller
+// disconnects or the time limit passes, so that its outcome is recorded.
 type claimedCall struct {
 	*call
 	executor *Executor
 	commit   *messenger.ClaimCommit
-	// end receives how the call ended, at most once.
+	// end receives the final action of the call, at most once.
 	end chan claimer.Action
 
 	mu    sync.Mutex
 	state claimer.State
 }
 
-// CallsInProgress returns the number of claimed calls without an end, including
-// those whose callers have left.
-func (exe *Executor) CallsInProgress() int { return int(exe.claimed.Load()) }
+// CallsInProgress returns the number of claimed calls in progress, including those
+// whose callers have disconnected.
+func (exe *Executor) CallsInProgress() int { return int(exe.claimedCalls.Load()) }
 
 // once runs a call under a claim and answers within the time limit.
 func (exe *Executor) once(ctx context.Context, cal *call, stamp string, done func()) {
 	key := claimer.NewKey(cal.arrived)
 	if cal.service.Key != "" {
-		own, fai := claimer.ParseKey(cal.service.Key, stamp, cal.arrived, keySkew)
+		supplied, fai := claimer.ParseKey(cal.service.Key, stamp, cal.arrived, keySkew)
 		if fai != nil {
 			done()
 			cal.fail(*fai)
 			return
 		}
-		key = own
+		key = supplied
 	}
 	cal.service.Key = key.Text
 	cal.writer.Header().Set(receiver.KeyHeader, key.Text)
@@ -62,25 +62,26 @@
 		call: cal, executor: exe, commit: exe.claimOf(cal, key), end: make(chan claimer.Action, 1),
 		state: claimer.State{CallerKey: key.FromCaller},
 	}
-	exe.claimed.Add(1)
+	exe.claimedCalls.Add(1)
 	go func() {
-		defer exe.claimed.Add(-1)
+		defer exe.claimedCalls.Add(-1)
 		defer done()
 		cla.run(context.WithoutCancel(ctx))
 	}()
 	cal.answer(cla.await())
 }
 
-// await returns how the call ended, or at the time limit how it stands.
+// await returns the final action of the call, or at the time limit the answer for its
+// current phase.
 func (cla *claimedCall) await() claimer.Action {
 	now := cla.executor.Clock()
-	lef := cla.deadline.Sub(now)
-	tim := time.NewTimer(lef - min(lef/answerMarginShare, maxAnswerMargin))
-	defer tim.Stop()
+	left := cla.deadline.Sub(now)
+	timer := time.NewTimer(left - min(left/answerMarginShare, maxAnswerMargin))
+	defer timer.Stop()
 	select {
 	case act := <-cla.end:
 		return act
-	case <-tim.C:
+	case <-timer.C:
 	}
 	act := cla.next(claimer.Expired{})
 	switch act := act.(type) {
@@ -109,7 +110,7 @@
 	return cla.state.Excluded
 }
 
-// run carries out the decisions.
+// run carries out the decisions on a call.
 func (cla *claimedCall) run(ctx context.Context) {
 	var lea Lease
 	eve := cla.claim(ctx)
@@ -155,31 +156,31 @@
 	return lea, claimer.Placed{}
 }
 
-// dispatch sends the call to an endpoint. The answer of an endpoint that has
-// the call is awaited beyond the time limit.
+// dispatch sends the call to an endpoint. It waits for the answer beyond the time
+// limit, since the endpoint may have run the call.
 func (cla *claimedCall) dispatch(ctx context.Context, lea Lease) claimer.Event {
-	ctx, stop := context.WithDeadline(ctx, cla.deadline.Add(lateBudget))
+	ctx, stop := context.WithDeadline(ctx, cla.deadline.Add(lateAnswerTime))
 	defer stop()
 	eve, _ := cla.executor.send(ctx, cla.call, lea)
 	return eve
 }
 
 func (cla *claimedCall) claim(ctx context.Context) claimer.Event {
-	lef := cla.deadline.Sub(cla.executor.Clock())
-	ctx, stop := context.WithTimeout(ctx, min(lef/claimShare, maxClaimBudget))
+	left := cla.deadline.Sub(cla.executor.Clock())
+	ctx, stop := context.WithTimeout(ctx, min(left/claimShare, maxClaimBudget))
 	defer stop()
 	res := cla.executor.Claims.Commit(ctx, cla.commit)
 	return claimer.Claimed{State: res.GetState(), Outcome: res.GetOutcome(), Message: res.GetMessage(), Left: cla.deadline.Sub(cla.executor.Clock())}
 }
 
-// settle commits what follows a dispatch and waits a while for it, but not past
+// settle commits a change of the claim and waits up to recordWait for it, but not past
 // the time limit.
 func (cla *claimedCall) settle(com *messenger.ClaimCommit) {
-	lef := cla.deadline.Sub(cla.executor.Clock())
-	don := cla.executor.Claims.Settle(com)
+	left := cla.deadline.Sub(cla.executor.Clock())
+	done := cla.executor.Claims.Settle(com)
 	select {
-	case <-don:
-	case <-time.After(min(lef/claimShare, recordWait)):
+	case <-done:
+	case <-time.After(min(left/claimShare, recordWait)):
 	}
 }
 
@@ -211,7 +212,7 @@
 	}
 }
 
-// answer writes the end of a claimed call.
+// answer writes the final answer of a claimed call.
 func (cal *call) answer(act claimer.Action) {
 	switch act := act.(type) {
 	case claimer.Record:
--- a/request/executor/once_test.go
+++ b/request/executor/once_test.go
@@ -26,64 +26,65 @@
 )
 
 const (
-	bearer    = "key-clerks"
-	callLimit = 400 * time.Millisecond
-	patience  = 5 * time.Second
+	bearer      = "key-clerks"
+	callLimit   = 400 * time.Millisecond
+	waitTimeout = 5 * time.Second
 )
 
-// heldClaims commits claims at once, or never, and notes what is settled.
-type heldClaims struct {
+// claimsStub commits claims at once, or never if hangs is set, and records the steps
+// that are settled.
+type claimsStub struct {
 	hangs bool
 	// held is the number of claims that find the key held by another call.
 	held int
-	// then is the result of those that follow; 0 stands for committed.
-	then messenger.ClaimResult_State
+	// afterHeld is the result of the later claims; 0 stands for committed.
+	afterHeld messenger.ClaimResult_State
 
 	mu      sync.Mutex
 	settled []messenger.ClaimCommit_Step
 }
 
-func (hel *heldClaims) Commit(ctx context.Context, _ *messenger.ClaimCommit) *messenger.ClaimResult {
-	if hel.hangs {
+func (cla *claimsStub) Commit(ctx context.Context, _ *messenger.ClaimCommit) *messenger.ClaimResult {
+	if cla.hangs {
 		<-ctx.Done()
 		return &messenger.ClaimResult{}
 	}
-	hel.mu.Lock()
-	defer hel.mu.Unlock()
-	if hel.held--; hel.held >= 0 {
+	cla.mu.Lock()
+	defer cla.mu.Unlock()
+	if cla.held--; cla.held >= 0 {
 		return &messenger.ClaimResult{State: messenger.ClaimResult_STATE_HELD}
 	}
-	return &messenger.ClaimResult{State: max(hel.then, messenger.ClaimResult_STATE_COMMITTED), Outcome: &messenger.Outcome{Status: http.StatusAccepted}}
+	return &messenger.ClaimResult{State: max(cla.afterHeld, messenger.ClaimResult_STATE_COMMITTED), Outcome: &messenger.Outcome{Status: http.StatusAccepted}}
 }
 
-func (hel *heldClaims) Settle(com *messenger.ClaimCommit) <-chan struct{} {
-	hel.mu.Lock()
-	defer hel.mu.Unlock()
-	hel.settled = append(hel.settled, com.GetStep())
+func (cla *claimsStub) Settle(com *messenger.ClaimCommit) <-chan struct{} {
+	cla.mu.Lock()
+	defer cla.mu.Unlock()
+	cla.settled = append(cla.settled, com.GetStep())
 	return make(chan struct{})
 }
 
-func (hel *heldClaims) steps() []messenger.ClaimCommit_Step {
-	hel.mu.Lock()
-	defer hel.mu.Unlock()
-	return append([]messenger.ClaimCommit_Step(nil), hel.settled...)
+func (cla *claimsStub) steps() []messenger.ClaimCommit_Step {
+	cla.mu.Lock()
+	defer cla.mu.Unlock()
+	return append([]messenger.ClaimCommit_Step(nil), cla.settled...)
 }
 
-type oneEndpoint struct{ address string }
+type singleEndpoint struct{ address string }
 
-func (one oneEndpoint) Acquire(context.Context, placer.Request, parser.Pool) (Lease, error) {
-	return Lease{Endpoint: "service-0", Address: one.address, Release: func() {}, Prefilled: func() {}}, nil
+func (end singleEndpoint) Acquire(context.Context, placer.Request, parser.Pool) (Lease, error) {
+	return Lease{Endpoint: "service-0", Address: end.address, Release: func() {}, Prefilled: func() {}}, nil
 }
 
-type openDoor struct{}
+type admitAll struct{}
 
-func (openDoor) Admit(placer.Request, parser.Team, parser.Pool, time.Time) (func(), *placer.Refuse) {
+func (admitAll) Admit(placer.Request, parser.Team, parser.Pool, time.Time) (func(), *placer.Refuse) {
 	return func() {}, nil
 }
 
 func newExecutor(address string, cla Claims) *Executor {
 	return &Executor{
-		Invoker: &invoker.Invoker{}, Allocator: oneEndpoint{address}, Admitter: openDoor{}, Claims: cla, Clock: time.Now,
+		Invoker: &invoker.Invoker{}, Allocator: singleEndpoint{address}, Admitter: admitAll{}, Claims: cla, Clock: time.Now,
 		Scope: tally.NoopScope, Tracer: noop.NewTracerProvider().Tracer(""), MaxBodyBytes: 1 << 20,
 	}
 }
@@ -110,8 +111,8 @@
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// TestAnswersWithinTheLimit has a store and a service that take longer than the
-// time limit.
+// TestAnswersWithinTheLimit guards against answers after the time limit when the store
+// or the service is slow.
 func TestAnswersWithinTheLimit(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -128,22 +129,22 @@
 		t.Run(tt.name, func(t *testing.T) {
 			ser := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { time.Sleep(2 * callLimit) }))
 			defer ser.Close()
-			hel := &heldClaims{hangs: tt.hangs}
-			exe := newExecutor(ser.Listener.Addr().String(), hel)
-			beg := time.Now()
+			claims := &claimsStub{hangs: tt.hangs}
+			exe := newExecutor(ser.Listener.Addr().String(), claims)
+			start := time.Now()
 			rec := callOnce(t.Context(), exe, tt.key)
 			// The answer must not wait for the store or the service.
-			require.Less(t, time.Since(beg), 3*callLimit/2)
+			require.Less(t, time.Since(start), 3*callLimit/2)
 			require.Equal(t, string(tt.ran), rec.Header().Get(responder.RunHeader))
 			require.Eventually(t, func() bool {
-				return exe.CallsInProgress() == 0 && len(hel.steps()) == 1
-			}, patience, time.Millisecond)
-			require.Equal(t, []messenger.ClaimCommit_Step{tt.settled}, hel.steps())
+				return exe.CallsInProgress() == 0 && len(claims.steps()) == 1
+			}, waitTimeout, time.Millisecond)
+			require.Equal(t, []messenger.ClaimCommit_Step{tt.settled}, claims.steps())
 		})
 	}
 }
 
-// TestWaitsForHolder has a key that another call holds for a while, or beyond
+// TestWaitsForHolder calls with a key that another call holds for a while, or beyond
 // the time limit.
 func TestWaitsForHolder(t *testing.T) {
 	tests := []struct {
@@ -161,16 +162,17 @@
 		t.Run(tt.name, func(t *testing.T) {
 			ser := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 			defer ser.Close()
-			beg := time.Now()
-			rec := callOnce(t.Context(), newExecutor(ser.Listener.Addr().String(), &heldClaims{held: tt.held, then: tt.then}), newKey())
-			require.Less(t, time.Since(beg), callLimit)
+			start := time.Now()
+			rec := callOnce(t.Context(), newExecutor(ser.Listener.Addr().String(), &claimsStub{held: tt.held, afterHeld: tt.then}), newKey())
+			require.Less(t, time.Since(start), callLimit)
 			require.Equal(t, tt.status, rec.Code)
 			require.Equal(t, string(tt.ran), rec.Header().Get(responder.RunHeader))
 		})
 	}
 }
 
-// TestGoesOnWithoutCaller has a caller that leaves while the service works.
+// TestGoesOnWithoutCaller checks that a call is completed when its caller disconnects
+// while the service works.
 func TestGoesOnWithoutCaller(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
 	ser := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -178,20 +180,20 @@
 		time.Sleep(callLimit / 4)
 	}))
 	defer ser.Close()
-	hel := &heldClaims{}
-	exe := newExecutor(ser.Listener.Addr().String(), hel)
+	claims := &claimsStub{}
+	exe := newExecutor(ser.Listener.Addr().String(), claims)
 	callOnce(ctx, exe, newKey())
-	require.Equal(t, []messenger.ClaimCommit_Step{messenger.ClaimCommit_STEP_FINISH}, hel.steps())
+	require.Equal(t, []messenger.ClaimCommit_Step{messenger.ClaimCommit_STEP_FINISH}, claims.steps())
 }
 
-// TestSendsOnce has a service that reads a call and closes the connection, upon
-// which net/http may send a request with an idempotency key again.
+// TestSendsOnce guards against a second send by net/http, which may repeat a request
+// with an idempotency key when the service closes the connection without an answer.
 func TestSendsOnce(t *testing.T) {
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer lis.Close()
+	defer listener.Close()
 	var mu sync.Mutex
-	got := 0
+	requests := 0
 	serve := func(con net.Conn, answers int) {
 		defer con.Close()
 		buf := make([]byte, 64<<10)
@@ -200,7 +202,7 @@
 				return
 			}
 			mu.Lock()
-			got++
+			requests++
 			mu.Unlock()
 			if answers--; answers < 0 {
 				return
@@ -210,7 +212,7 @@
 	}
 	go func() {
 		for {
-			con, err := lis.Accept()
+			con, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -218,20 +220,21 @@
 			go serve(con, 1)
 		}
 	}()
-	exe := newExecutor(lis.Addr().String(), &heldClaims{})
+	exe := newExecutor(listener.Addr().String(), &claimsStub{})
 	const calls = 4
 	for range calls {
 		callOnce(t.Context(), exe, newKey())
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	require.Equal(t, calls, got)
+	require.Equal(t, calls, requests)
 }
 
-// TestRefusesUnclaimed has an own key refused before its claim was looked at:
-// an earlier call may have used it.
+// TestRefusesUnclaimed checks that a call refused before its claim was read is not
+// reported as not run if the caller supplied the key: an earlier call may have used the
+// key.
 func TestRefusesUnclaimed(t *testing.T) {
-	exe := newExecutor("127.0.0.1:1", &heldClaims{})
+	exe := newExecutor("127.0.0.1:1", &claimsStub{})
 	exe.MaxBodyBytes = 1
 	require.Equal(t, string(invoker.Unknown), callOnce(t.Context(), exe, newKey()).Header().Get(responder.RunHeader))
 	require.Equal(t, string(invoker.NotRun), callOnce(t.Context(), exe, "").Header().Get(responder.RunHeader))
--- a/request/executor/relay.go
+++ b/request/executor/relay.go
@@ -15,21 +15,22 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Errors that end a relay beside those of the stream.
+// Errors that end a relay, besides those of the stream. The text of errUntrusted can
+// reach the caller.
 var (
-	errUntrusted = eris.New("the engine's stream does not fit the request")
-	errStalled   = eris.New("the engine makes no progress")
-	errCaller    = eris.New("the caller can't be written to")
+	errUntrusted   = eris.New("the engine's stream does not fit the request")
+	errStalled     = eris.New("engine made no progress within its limit")
+	errCallerWrite = eris.New("writing the answer to the caller failed")
 )
 
-// progress is the last change that an engine showed on a dispatch.
+// progress is the last progress that an engine reported on a dispatch.
 type progress struct {
 	at        time.Time
 	prefilled int64
 	ahead     int64
 }
 
-// counters are the metrics of the relay, looked up once.
+// counters are the metrics of the executor, looked up once.
 type counters struct {
 	tokens, dropped, untrusted, stalled, silent, slow, resumed, cancelsFailed, usage      tally.Counter
 	prompt, cached                                                                        tally.Counter
@@ -37,8 +38,8 @@
 }
 
 func (exe *Executor) counters() *counters {
-	exe.counted.Do(func() {
-		exe.count = counters{
+	exe.countersOnce.Do(func() {
+		exe.counterSet = counters{
 			tokens: exe.Scope.Counter("tokens"), dropped: exe.Scope.Counter("tokens_dropped"),
 			untrusted: exe.Scope.Counter("streams_untrusted"), stalled: exe.Scope.Counter("streams_stalled"),
 			silent: exe.Scope.Counter("streams_silent"), slow: exe.Scope.Counter("callers_slow"),
@@ -50,22 +51,22 @@
 			hedgesDenied: exe.Scope.Counter("hedges_denied"),
 		}
 	})
-	return &exe.count
+	return &exe.counterSet
 }
 
-// relay passes tokens on until the end of the answer. Tokens that arrived
-// together are sent together.
+// relay forwards tokens until the end of the answer. Tokens that arrive together are
+// sent together.
 func (exe *Executor) relay(ctx context.Context, gen *generation) error {
 	for {
 		eve, err := gen.stream.Next(invoker.SilenceTimeout)
 		if err == nil {
-			err = exe.event(gen, eve)
+			err = exe.handleEvent(gen, eve)
 		}
 		if err == nil && gen.stream.Buffered() {
 			continue
 		}
-		if fle := gen.flush(exe.Clock()); fle != nil {
-			return fle
+		if flushErr := gen.flush(exe.Clock()); flushErr != nil {
+			return flushErr
 		}
 		if errors.Is(err, errComplete) {
 			return nil
@@ -76,41 +77,42 @@
 		if now := exe.Clock(); now.Sub(gen.progress.at) > gen.state.ProgressLimit(now) {
 			return errStalled
 		}
-		exe.move(ctx, gen)
+		exe.advanceMove(ctx, gen)
 	}
 }
 
-// errComplete ends the relay of a whole answer.
-var errComplete = eris.New("the answer is complete")
+// errComplete ends the relay of a complete answer.
+var errComplete = eris.New("answer complete")
 
 func (gen *generation) flush(now time.Time) error {
 	if err := gen.answer.Flush(now); err != nil {
-		return callerError(err)
+		return callerWriteError(err)
 	}
 	return nil
 }
 
-func callerError(err error) error {
+func callerWriteError(err error) error {
 	if eris.Is(err, responder.ErrSlowCaller) {
 		return err
 	}
-	return eris.Wrap(errCaller, err.Error())
+	return eris.Wrap(errCallerWrite, err.Error())
 }
 
-func (exe *Executor) event(gen *generation, eve invoker.Event) error {
+func (exe *Executor) handleEvent(gen *generation, eve invoker.Event) error {
 	switch eve := eve.(type) {
 	case invoker.Token:
-		return exe.token(gen, eve)
+		return exe.handleToken(gen, eve)
 	case invoker.Finish:
-		return exe.finish(gen, eve)
+		return exe.handleFinish(gen, eve)
 	case invoker.Idle:
-		gen.noteIdle(eve, exe.Clock())
+		gen.recordIdle(eve, exe.Clock())
 	}
 	return nil
 }
 
-// noteIdle counts a change of prefill or of the place in the queue as progress.
-func (gen *generation) noteIdle(idl invoker.Idle, now time.Time) {
+// recordIdle counts an advance of the prefill or of the position in the queue as
+// progress.
+func (gen *generation) recordIdle(idl invoker.Idle, now time.Time) {
 	pro := &gen.progress
 	if idl.Prefilled > pro.prefilled || idl.Ahead < pro.ahead {
 		pro.at = now
@@ -119,7 +121,7 @@
 	pro.ahead = idl.Ahead
 }
 
-func (exe *Executor) token(gen *generation, tok invoker.Token) error {
+func (exe *Executor) handleToken(gen *generation, tok invoker.Token) error {
 	ass, ver := gen.assembler.Token(tok)
 	gen.assembler = ass
 	switch ver {
@@ -127,7 +129,7 @@
 		gen.lease.Prefilled()
 		gen.state = gen.state.WithDelivered(ass.Next)
 		gen.progress.at = exe.Clock()
-		gen.move.note(tok.Text)
+		gen.move.recordText(tok.Text)
 		exe.counters().tokens.Inc(1)
 		return gen.answer.Token(tok.Text)
 	case assembler.Drop:
@@ -139,7 +141,7 @@
 	}
 }
 
-func (exe *Executor) finish(gen *generation, fin invoker.Finish) error {
+func (exe *Executor) handleFinish(gen *generation, fin invoker.Finish) error {
 	ver := gen.assembler.Finish(fin)
 	switch ver {
 	case assembler.Complete:
@@ -151,23 +153,23 @@
 		exe.counters().untrusted.Inc(1)
 		return eris.Wrapf(errUntrusted, "finish after %d tokens: %s", gen.assembler.Next, ver)
 	}
-	if err := gen.answer.Finish(exe.usage(gen, fin), exe.Clock()); err != nil {
-		return callerError(err)
+	if err := gen.answer.Finish(exe.checkedUsage(gen, fin), exe.Clock()); err != nil {
+		return callerWriteError(err)
 	}
 	return errComplete
 }
 
-// usage replaces counts of the engine that can't be true by the host's own. What
-// was cached for an answer that has moved is not known, so it is told as nothing
-// and left out of the counters.
-func (exe *Executor) usage(gen *generation, fin invoker.Finish) invoker.Finish {
+// checkedUsage replaces implausible counts of the engine by the host's own. The number
+// of cached tokens of a moved answer is unknown, so it is reported as 0 and not counted
+// in the metrics.
+func (exe *Executor) checkedUsage(gen *generation, fin invoker.Finish) invoker.Finish {
 	if fin.PromptTokens != gen.prompt.Tokens || fin.CachedTokens < 0 || fin.CachedTokens > fin.PromptTokens {
 		exe.counters().usage.Inc(1)
 		fin.PromptTokens = gen.prompt.Tokens
 		fin.CachedTokens = 0
 	}
 	if gen.moved {
-		// The second engine takes the blocks that it fetched for cached ones.
+		// The target counts the blocks that it fetched from the source as cached.
 		fin.CachedTokens = 0
 		return fin
 	}
@@ -178,7 +180,7 @@
 
 func refusedEvent(ctx context.Context, err error) attempter.Event {
 	if ctx.Err() != nil {
-		return ended(ctx)
+		return contextEvent(ctx)
 	}
 	var ref *RefusedError
 	if errors.As(err, &ref) {
@@ -187,36 +189,36 @@
 	return attempter.Refused{Code: "internal", Message: err.Error()}
 }
 
-// ended tells a caller that left from a time limit that passed.
-func ended(ctx context.Context) attempter.Event {
+// contextEvent distinguishes a caller that disconnected from a time limit that passed.
+func contextEvent(ctx context.Context) attempter.Event {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return attempter.Gone{}
 	}
 	return attempter.Expired{}
 }
 
-// failed builds the event of a dispatch that did not end whole.
-func (exe *Executor) failed(ctx context.Context, gen *generation, err error) attempter.Event {
-	// A failed write also ends the context, so it is looked at first.
+// failureEvent returns the event for a dispatch that ended without a complete answer.
+func (exe *Executor) failureEvent(ctx context.Context, gen *generation, err error) attempter.Event {
+	// A failed write also ends the context, so the write errors are checked first.
 	end := gen.lease.Endpoint
 	switch {
 	case eris.Is(err, responder.ErrSlowCaller):
 		exe.counters().slow.Inc(1)
 		return attempter.Gone{}
-	case eris.Is(err, errCaller):
+	case eris.Is(err, errCallerWrite):
 		return attempter.Gone{}
 	case ctx.Err() != nil:
-		return ended(ctx)
+		return contextEvent(ctx)
 	case eris.Is(err, errStalled):
 		exe.counters().stalled.Inc(1)
 		return attempter.Stalled{Endpoint: end}
 	}
 	eve := attempter.Failed{Endpoint: end, Ran: invoker.Unknown, Message: err.Error()}
-	var ine *invoker.Error
-	if errors.As(err, &ine) {
-		eve.Ran = ine.Ran
-		eve.Permanent = ine.Status == http.StatusBadRequest || ine.Status == http.StatusRequestEntityTooLarge
-		eve.Connection = errors.Is(err, invoker.ErrSilent) || ine.Status == 0 && ine.Code == "" && ine.Ran != invoker.NotRun
+	var invokeErr *invoker.Error
+	if errors.As(err, &invokeErr) {
+		eve.Ran = invokeErr.Ran
+		eve.Permanent = invokeErr.Status == http.StatusBadRequest || invokeErr.Status == http.StatusRequestEntityTooLarge
+		eve.Connection = errors.Is(err, invoker.ErrSilent) || invokeErr.Status == 0 && invokeErr.Code == "" && invokeErr.Ran != invoker.NotRun
 	}
 	if !eve.Permanent {
 		gen.lease.report(false, exe.Clock())
--- a/request/executor/relay_bench_test.go
+++ b/request/executor/relay_bench_test.go
@@ -28,14 +28,14 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// fixedAllocator leases one address without any view.
+// fixedAllocator leases a fixed address.
 type fixedAllocator struct{ address string }
 
-func (fix fixedAllocator) Acquire(context.Context, placer.Request, parser.Pool) (executor.Lease, error) {
-	return executor.Lease{Endpoint: "engine-0", Address: fix.address, Release: func() {}, Prefilled: func() {}}, nil
+func (all fixedAllocator) Acquire(context.Context, placer.Request, parser.Pool) (executor.Lease, error) {
+	return executor.Lease{Endpoint: "engine-0", Address: all.address, Release: func() {}, Prefilled: func() {}}, nil
 }
 
-// writeTokens streams an answer; a flush follows every token when each is set.
+// writeTokens streams an answer, with a flush after every token if each is set.
 func writeTokens(wri http.ResponseWriter, req invoker.GenerateRequest, each bool) {
 	hea := wri.Header()
 	hea.Set("Content-Type", "text/event-stream")
@@ -46,8 +46,8 @@
 	wri.WriteHeader(http.StatusOK)
 	con := http.NewResponseController(wri)
 	var buf bytes.Buffer
-	for ind := range req.MaxTokens {
-		fmt.Fprintf(&buf, "event: Token\ndata: {\"RequestID\":%q,\"Attempt\":%d,\"Index\":%d,\"Text\":\" t1234\"}\n\n", req.RequestID, req.Attempt, ind)
+	for i := range req.MaxTokens {
+		fmt.Fprintf(&buf, "event: Token\ndata: {\"RequestID\":%q,\"Attempt\":%d,\"Index\":%d,\"Text\":\" t1234\"}\n\n", req.RequestID, req.Attempt, i)
 		if each || buf.Len() > 16<<10 {
 			_, _ = wri.Write(buf.Bytes())
 			_ = con.Flush()
@@ -87,7 +87,7 @@
 	return ser.URL
 }
 
-func ask(b *testing.B, url string, tokens int64) *http.Response {
+func postPrompt(b *testing.B, url string, tokens int64) *http.Response {
 	bod := fmt.Sprintf(`{"model":"m","prompt":"Why does the treadle stick?","max_tokens":%d,"stream":true}`, tokens)
 	req, err := http.NewRequestWithContext(b.Context(), http.MethodPost, url+"/v1/completions", strings.NewReader(bod))
 	require.NoError(b, err)
@@ -98,63 +98,63 @@
 	return res
 }
 
-// BenchmarkRelay relays 64 streams at once through a host. Engine, host and
+// BenchmarkRelay relays 64 streams at once through a host. The engine, the host and the
 // callers share the processors, so run it with -cpu 1 for the rate of one core.
 func BenchmarkRelay(b *testing.B) {
-	for _, cas := range []struct {
+	for _, tt := range []struct {
 		name string
 		each bool
 	}{{"batched", false}, {"flushed", true}} {
-		b.Run(cas.name, func(b *testing.B) {
+		b.Run(tt.name, func(b *testing.B) {
 			const streams, tokens = 64, 2000
-			url := startHost(b, startEngine(b, cas.each))
+			url := startHost(b, startEngine(b, tt.each))
 			for b.Loop() {
-				var gro sync.WaitGroup
+				var wg sync.WaitGroup
 				for range streams {
-					gro.Go(func() {
-						res := ask(b, url, tokens)
+					wg.Go(func() {
+						res := postPrompt(b, url, tokens)
 						defer res.Body.Close()
 						_, _ = io.Copy(io.Discard, res.Body)
 					})
 				}
-				gro.Wait()
+				wg.Wait()
 			}
 			b.ReportMetric(float64(streams*tokens*b.N)/b.Elapsed().Seconds(), "tokens/s")
 		})
 	}
 }
 
-// BenchmarkFirstToken compares the first token through a host with the first
-// token of the engine called directly.
+// BenchmarkFirstToken measures the time that the host adds to the first token, against
+// the same engine called directly.
 func BenchmarkFirstToken(b *testing.B) {
 	eng := startEngine(b, true)
 	url := startHost(b, eng)
-	var direct, through []time.Duration
+	var direct, relayed []time.Duration
 	for b.Loop() {
 		sta := time.Now()
-		str, err := (&http.Client{}).Post("http://"+eng, "application/json", strings.NewReader(`{"RequestID":"r","Attempt":1,"Model":"m","MaxTokens":4}`))
+		stream, err := (&http.Client{}).Post("http://"+eng, "application/json", strings.NewReader(`{"RequestID":"r","Attempt":1,"Model":"m","MaxTokens":4}`))
 		require.NoError(b, err)
-		direct = append(direct, firstToken(b, str, sta))
-		str.Body.Close()
+		direct = append(direct, firstToken(b, stream, sta))
+		stream.Body.Close()
 		sta = time.Now()
-		res := ask(b, url, 4)
-		through = append(through, firstToken(b, res, sta))
+		res := postPrompt(b, url, 4)
+		relayed = append(relayed, firstToken(b, res, sta))
 		res.Body.Close()
 	}
 	slices.Sort(direct)
-	slices.Sort(through)
-	b.ReportMetric(float64((through[len(through)/2] - direct[len(direct)/2]).Microseconds()), "added-µs-median")
+	slices.Sort(relayed)
+	b.ReportMetric(float64((relayed[len(relayed)/2] - direct[len(direct)/2]).Microseconds()), "added-µs-median")
 }
 
 func firstToken(b *testing.B, res *http.Response, sta time.Time) time.Duration {
 	rea := bufio.NewReader(res.Body)
 	for {
-		lin, err := rea.ReadString('\n')
+		line, err := rea.ReadString('\n')
 		require.NoError(b, err)
-		if strings.Contains(lin, " t1234") {
-			dur := time.Since(sta)
+		if strings.Contains(line, " t1234") {
+			elapsed := time.Since(sta)
 			_, _ = io.Copy(io.Discard, rea)
-			return dur
+			return elapsed
 		}
 	}
 }
--- a/request/executor/repeat.go
+++ b/request/executor/repeat.go
@@ -10,24 +10,24 @@
 	"hemlockpin/request/responder"
 )
 
-// maxTimes bounds the pools whose times are kept.
-const maxTimes = 1024
+// maxLatencyPools bounds the pools whose latencies are kept.
+const maxLatencyPools = 1024
 
-// repeat is the running state of a call that may run more than once.
-type repeat struct {
+// repeatableCall is the state of a call that may run more than once.
+type repeatableCall struct {
 	*call
-	state hedger.State
-	times *hedger.Latencies
-	began time.Time
-	// ends receives how the dispatches ended.
-	ends chan ending
-	// reply is the answer that has won, problem why no endpoint could be had.
+	state     hedger.State
+	latencies *hedger.Latencies
+	startedAt time.Time
+	// results receives the result of each dispatch.
+	results chan dispatchResult
+	// reply is the first complete answer; problem says why no endpoint was available.
 	reply   invoker.ServiceReply
 	problem responder.Problem
 }
 
-// ending is how one dispatch ended.
-type ending struct {
+// dispatchResult is the result of one dispatch.
+type dispatchResult struct {
 	event claimer.Event
 	hedge bool
 }
@@ -38,64 +38,65 @@
 	defer cancel()
 	now := exe.Clock()
 	exe.Retries.Earn(now)
-	rep := &repeat{call: cal, times: exe.timesOf(cal.pool.Name), began: now, ends: make(chan ending, hedger.MaxDispatches)}
-	var hed <-chan time.Time
-	if del, ok := rep.times.Delay(now); ok {
-		tim := time.NewTimer(del)
-		defer tim.Stop()
-		hed = tim.C
+	rep := &repeatableCall{call: cal, latencies: exe.latenciesOf(cal.pool.Name), startedAt: now, results: make(chan dispatchResult, hedger.MaxDispatches)}
+	var hedgeTimer <-chan time.Time
+	if delay, ok := rep.latencies.Delay(now); ok {
+		timer := time.NewTimer(delay)
+		defer timer.Stop()
+		hedgeTimer = timer.C
 	}
 	var eve hedger.Event = hedger.Began{}
 	for {
-		switch act := exe.decideRepeat(rep, eve).(type) {
+		switch act := exe.decideRepeatable(rep, eve).(type) {
 		case hedger.Dispatch:
-			eve = exe.dispatchRepeat(ctx, rep, act.Hedge)
+			eve = exe.dispatchRepeatable(ctx, rep, act.Hedge)
 		case hedger.Wait:
-			eve = exe.awaitRepeat(ctx, rep, hed)
+			eve = exe.awaitRepeatable(ctx, rep, hedgeTimer)
 		case hedger.Deliver:
 			rep.write(rep.reply)
 			return
 		case hedger.Fail:
-			rep.failRepeat(act)
+			rep.writeFailure(act)
 			return
 		}
 	}
 }
 
-// decideRepeat takes a retry beforehand and gives it back where it is not used.
-// Hedges leave half of the budget to calls and prompts that failed.
-func (exe *Executor) decideRepeat(rep *repeat, eve hedger.Event) hedger.Action {
+// decideRepeatable takes a retry from the budget beforehand and returns it if the
+// action does not use it. Hedges leave half of the budget to calls and prompts that
+// failed.
+func (exe *Executor) decideRepeatable(rep *repeatableCall, eve hedger.Event) hedger.Action {
 	now := exe.Clock()
-	ret := false
+	retry := false
 	switch eve.(type) {
 	case hedger.Waited:
-		ret = exe.Retries.TakeSpare(now)
+		retry = exe.Retries.TakeSpare(now)
 	case hedger.Failed:
-		ret = exe.Retries.Take(now)
+		retry = exe.Retries.Take(now)
 	}
-	sta, act := rep.state.Next(eve, ret)
+	sta, act := rep.state.Next(eve, retry)
 	rep.state = sta
 	dis, ok := act.(hedger.Dispatch)
-	if ret && !ok {
+	if retry && !ok {
 		exe.Retries.Return()
 	}
 	if _, waited := eve.(hedger.Waited); waited {
-		exe.countHedge(dis, ret)
+		exe.countHedge(dis, retry)
 	}
 	return act
 }
 
-func (exe *Executor) countHedge(dis hedger.Dispatch, ret bool) {
+func (exe *Executor) countHedge(dis hedger.Dispatch, retry bool) {
 	switch {
 	case dis.Hedge:
 		exe.counters().hedges.Inc(1)
-	case !ret:
+	case !retry:
 		exe.counters().hedgesDenied.Inc(1)
 	}
 }
 
-// dispatchRepeat places the call and sends it in the background.
-func (exe *Executor) dispatchRepeat(ctx context.Context, rep *repeat, hedge bool) hedger.Event {
+// dispatchRepeatable places the call and sends it in the background.
+func (exe *Executor) dispatchRepeatable(ctx context.Context, rep *repeatableCall, hedge bool) hedger.Event {
 	req := rep.placement()
 	req.Excluded = rep.state.Excluded
 	lea, err := exe.Allocator.Acquire(ctx, req, rep.pool)
@@ -109,28 +110,29 @@
 	go func() {
 		defer lea.Release()
 		eve, _ := exe.send(ctx, rep.call, lea)
-		rep.ends <- ending{eve, hedge}
+		rep.results <- dispatchResult{eve, hedge}
 	}()
 	return hedger.Placed{Endpoint: lea.Endpoint}
 }
 
-func (exe *Executor) awaitRepeat(ctx context.Context, rep *repeat, hed <-chan time.Time) hedger.Event {
+func (exe *Executor) awaitRepeatable(ctx context.Context, rep *repeatableCall, hedgeTimer <-chan time.Time) hedger.Event {
 	select {
-	case end := <-rep.ends:
-		return exe.endedRepeat(ctx, rep, end)
-	case <-hed:
+	case res := <-rep.results:
+		return exe.resultEvent(ctx, rep, res)
+	case <-hedgeTimer:
 		return hedger.Waited{}
 	case <-ctx.Done():
 		return hedger.Expired{}
 	}
 }
 
-func (exe *Executor) endedRepeat(ctx context.Context, rep *repeat, end ending) hedger.Event {
-	if eve, ok := end.event.(claimer.Replied); ok {
+func (exe *Executor) resultEvent(ctx context.Context, rep *repeatableCall, res dispatchResult) hedger.Event {
+	if eve, ok := res.event.(claimer.Replied); ok {
 		now := exe.Clock()
-		// Of a first dispatch that lost, this is the least that it takes.
-		rep.times.Observe(now.Sub(rep.began), now)
-		if end.hedge {
+		// If the hedge answered first, this is a lower bound for the latency of the
+		// first dispatch.
+		rep.latencies.Observe(now.Sub(rep.startedAt), now)
+		if res.hedge {
 			exe.counters().hedgesWon.Inc(1)
 		}
 		rep.reply = eve.Reply
@@ -139,11 +141,11 @@
 	if ctx.Err() != nil {
 		return hedger.Expired{}
 	}
-	fai, _ := end.event.(claimer.Failed)
+	fai, _ := res.event.(claimer.Failed)
 	return hedger.Failed{Ran: fai.Ran}
 }
 
-func (rep *repeat) failRepeat(fai hedger.Fail) {
+func (rep *repeatableCall) writeFailure(fai hedger.Fail) {
 	pro := responder.Problem{Status: StatusOf(fai.Code), Code: fai.Code, Message: fai.Message, Ran: fai.Ran}
 	if rep.problem.Code == fai.Code {
 		pro = rep.problem
@@ -152,17 +154,17 @@
 	responder.WriteProblem(rep.writer, pro)
 }
 
-// timesOf returns how long the calls of a pool took lately.
-func (exe *Executor) timesOf(pool string) *hedger.Latencies {
+// latenciesOf returns the recent latencies of the calls of a pool.
+func (exe *Executor) latenciesOf(pool string) *hedger.Latencies {
 	exe.mu.Lock()
 	defer exe.mu.Unlock()
-	tim := exe.times[pool]
-	if tim == nil {
-		if exe.times == nil || len(exe.times) >= maxTimes {
-			exe.times = map[string]*hedger.Latencies{}
+	lat := exe.latencies[pool]
+	if lat == nil {
+		if exe.latencies == nil || len(exe.latencies) >= maxLatencyPools {
+			exe.latencies = map[string]*hedger.Latencies{}
 		}
-		tim = &hedger.Latencies{}
-		exe.times[pool] = tim
+		lat = &hedger.Latencies{}
+		exe.latencies[pool] = lat
 	}
-	return tim
+	return lat
 }
--- a/request/executor/repeat_test.go
+++ b/request/executor/repeat_test.go
@@ -21,43 +21,44 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// inTurn leases the endpoints in turn, without those excluded.
-type inTurn struct {
+// roundRobin leases the endpoints in turn, except the excluded ones.
+type roundRobin struct {
 	addresses []string
 	next      atomic.Int64
 	open      atomic.Int64
 }
 
-func (tur *inTurn) Acquire(_ context.Context, req placer.Request, _ parser.Pool) (Lease, error) {
-	for range tur.addresses {
-		add := tur.addresses[int(tur.next.Add(1))%len(tur.addresses)]
-		if !slices.Contains(req.Excluded, add) {
-			tur.open.Add(1)
-			return Lease{Endpoint: add, Address: add, Release: func() { tur.open.Add(-1) }, Prefilled: func() {}}, nil
+func (rob *roundRobin) Acquire(_ context.Context, req placer.Request, _ parser.Pool) (Lease, error) {
+	for range rob.addresses {
+		address := rob.addresses[int(rob.next.Add(1))%len(rob.addresses)]
+		if !slices.Contains(req.Excluded, address) {
+			rob.open.Add(1)
+			return Lease{Endpoint: address, Address: address, Release: func() { rob.open.Add(-1) }, Prefilled: func() {}}, nil
 		}
 	}
 	return Lease{}, &RefusedError{Refuse: placer.Refuse{Code: "no_endpoint"}}
 }
 
-// slowed is a service of which every so many calls are slow.
-func slowed(tb testing.TB, every int64, slow time.Duration) (string, *atomic.Int64) {
+// startSlowService starts a service that delays each call whose number is a multiple of
+// every.
+func startSlowService(tb testing.TB, every int64, slow time.Duration) (string, *atomic.Int64) {
 	tb.Helper()
-	var cou atomic.Int64
-	han := booker.New(booker.Settings{}).Handler()
+	var count atomic.Int64
+	handler := booker.New(booker.Settings{}).Handler()
 	ser := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
-		if cou.Add(1)%every == 0 {
+		if count.Add(1)%every == 0 {
 			time.Sleep(slow)
 		}
-		han.ServeHTTP(wri, req)
+		handler.ServeHTTP(wri, req)
 	}))
 	tb.Cleanup(ser.Close)
-	return ser.Listener.Addr().String(), &cou
+	return ser.Listener.Addr().String(), &count
 }
 
 func tablesOf(repeatable bool) *matcher.Matcher {
 	return matcher.New(parser.Tables{
 		Revision: 1,
-		Routes:   []parser.Route{{Name: "slots", Match: parser.Match{PathPrefix: "/"}, Pool: "counter", TimeLimit: parser.Duration(patience), Repeatable: repeatable}},
+		Routes:   []parser.Route{{Name: "slots", Match: parser.Match{PathPrefix: "/"}, Pool: "counter", TimeLimit: parser.Duration(waitTimeout), Repeatable: repeatable}},
 		Pools:    []parser.Pool{{Name: "counter", Kind: parser.PoolService, Selector: parser.Selector{Service: "counter"}}},
 		Teams:    []parser.Team{{Name: "clerks", KeyDigests: []string{parser.DigestKey(bearer)}}},
 	})
@@ -71,8 +72,8 @@
 	return rec
 }
 
-// TestHedges has some calls slow, at different times on two services. Repeatable
-// calls are sent again within the budget, those that are not never.
+// TestHedges calls two services that delay some calls at different times. Repeatable
+// calls must be hedged within the budget, other calls never.
 func TestHedges(t *testing.T) {
 	for _, tt := range []struct {
 		repeatable bool
@@ -83,51 +84,51 @@
 		{false, 50, 0},
 	} {
 		t.Run(fmt.Sprint(tt.repeatable), func(t *testing.T) {
-			add, cou := slowed(t, 25, 20*time.Millisecond)
-			oth, more := slowed(t, 39, 20*time.Millisecond)
-			tur := &inTurn{addresses: []string{add, oth}}
-			exe := newExecutor("", &heldClaims{})
-			exe.Allocator = tur
-			sco := tally.NewTestScope("", nil)
-			exe.Scope = sco
+			address, count := startSlowService(t, 25, 20*time.Millisecond)
+			otherAddress, more := startSlowService(t, 39, 20*time.Millisecond)
+			alloc := &roundRobin{addresses: []string{address, otherAddress}}
+			exe := newExecutor("", &claimsStub{})
+			exe.Allocator = alloc
+			scope := tally.NewTestScope("", nil)
+			exe.Scope = scope
 			sta := time.Now()
 			for range tt.calls {
 				require.Equal(t, string(invoker.Ran), callSlots(exe, tablesOf(tt.repeatable)).Header().Get("Hemlockpin-Run"))
 			}
-			extra := float64(cou.Load() + more.Load() - tt.calls)
+			extra := float64(count.Load() + more.Load() - tt.calls)
 			require.LessOrEqual(t, extra, tt.most+budgeter.FloorRate*time.Since(sta).Seconds())
-			require.Eventually(t, func() bool { return tur.open.Load() == 0 }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { return alloc.open.Load() == 0 }, waitTimeout, time.Millisecond)
 			if tt.repeatable {
-				require.Positive(t, sco.Snapshot().Counters()["hedges_won+"].Value())
+				require.Positive(t, scope.Snapshot().Counters()["hedges_won+"].Value())
 			}
 		})
 	}
 }
 
-// BenchmarkHedge has one call in fifty take 200 ms more, with hedges and with
-// the budget spent.
+// BenchmarkHedge delays one call in fifty by 200 ms, with hedges and with an exhausted
+// budget.
 func BenchmarkHedge(b *testing.B) {
 	for _, spent := range []bool{false, true} {
 		b.Run(fmt.Sprintf("spent=%t", spent), func(b *testing.B) {
-			tur := &inTurn{}
+			alloc := &roundRobin{}
 			for range 3 {
-				add, _ := slowed(b, 50, 200*time.Millisecond)
-				tur.addresses = append(tur.addresses, add)
+				address, _ := startSlowService(b, 50, 200*time.Millisecond)
+				alloc.addresses = append(alloc.addresses, address)
 			}
-			exe := newExecutor("", &heldClaims{})
-			exe.Allocator = tur
+			exe := newExecutor("", &claimsStub{})
+			exe.Allocator = alloc
 			mat := tablesOf(true)
-			var durs []time.Duration
+			var durations []time.Duration
 			for b.Loop() {
 				for spent && exe.Retries.Take(time.Now()) {
 				}
 				sta := time.Now()
 				callSlots(exe, mat)
-				durs = append(durs, time.Since(sta))
+				durations = append(durations, time.Since(sta))
 			}
-			slices.Sort(durs)
-			b.ReportMetric(durs[len(durs)*95/100].Seconds()*1000, "p95-ms")
-			b.ReportMetric(durs[len(durs)*99/100].Seconds()*1000, "p99-ms")
+			slices.Sort(durations)
+			b.ReportMetric(durations[len(durations)*95/100].Seconds()*1000, "p95-ms")
+			b.ReportMetric(durations[len(durations)*99/100].Seconds()*1000, "p99-ms")
 		})
 	}
 }
--- a/request/executor/resume_test.go
+++ b/request/executor/resume_test.go
@@ -26,8 +26,8 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// An engine that closes the connection of a dispatch without an answer gets a
-// second try over a new one.
+// TestResumeAfterDispatchWithoutAnswer checks that an engine which closes the
+// connection without an answer is called once more over a new connection.
 func TestResumeAfterDispatchWithoutAnswer(t *testing.T) {
 	var dispatches atomic.Int64
 	eng := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
@@ -42,33 +42,34 @@
 		writeTokens(wri, req, true)
 	}))
 	t.Cleanup(eng.Close)
-	txt := askWhole(t, fixedAllocator{strings.TrimPrefix(eng.URL, "http://")})
-	require.Contains(t, txt, strings.Repeat(" t1234", 20))
+	text := generateAnswer(t, fixedAllocator{strings.TrimPrefix(eng.URL, "http://")})
+	require.Contains(t, text, strings.Repeat(" t1234", 20))
 }
 
 // choosingAllocator leases the first address that is not excluded.
 type choosingAllocator []string
 
-func (cho choosingAllocator) Acquire(_ context.Context, req placer.Request, _ parser.Pool) (executor.Lease, error) {
-	for _, add := range cho {
-		if !slices.Contains(req.Excluded, add) {
-			return executor.Lease{Endpoint: add, Address: add, Release: func() {}, Prefilled: func() {}}, nil
+func (all choosingAllocator) Acquire(_ context.Context, req placer.Request, _ parser.Pool) (executor.Lease, error) {
+	for _, address := range all {
+		if !slices.Contains(req.Excluded, address) {
+			return executor.Lease{Endpoint: address, Address: address, Release: func() {}, Prefilled: func() {}}, nil
 		}
 	}
 	return executor.Lease{}, &executor.RefusedError{Refuse: placer.Refuse{Code: "no_endpoint"}}
 }
 
-// An engine that breaks every stream after some tokens is left after its second
-// try, however far the answer has come.
+// TestLeaveEngineThatBreaksEveryStream checks that an engine which aborts every stream
+// after some tokens is left after its second attempt, however many tokens the caller
+// has received.
 func TestLeaveEngineThatBreaksEveryStream(t *testing.T) {
-	bad := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
+	badReq := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
 		var req invoker.GenerateRequest
 		if htr.URL.Path != "/v1/generate" || json.NewDecoder(htr.Body).Decode(&req) != nil {
 			return
 		}
 		writeSome(wri, req, req.StartIndex, req.StartIndex+1)
 	}))
-	t.Cleanup(bad.Close)
+	t.Cleanup(badReq.Close)
 	good := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
 		var req invoker.GenerateRequest
 		if htr.URL.Path != "/v1/generate" || json.NewDecoder(htr.Body).Decode(&req) != nil {
@@ -78,11 +79,11 @@
 		fmt.Fprintf(wri, "event: Finish\ndata: {\"RequestID\":%q,\"Attempt\":%d,\"Reason\":\"length\",\"PromptTokens\":%d,\"CompletionTokens\":%d}\n\n", req.RequestID, req.Attempt, req.PromptTokens, req.MaxTokens)
 	}))
 	t.Cleanup(good.Close)
-	txt := askWhole(t, choosingAllocator{strings.TrimPrefix(bad.URL, "http://"), strings.TrimPrefix(good.URL, "http://")})
-	require.Contains(t, txt, "t0 t1 t2 t3 t4 t5 t6 t7 t8 t9 t10 t11 t12 t13 t14 t15 t16 t17 t18 t19")
+	text := generateAnswer(t, choosingAllocator{strings.TrimPrefix(badReq.URL, "http://"), strings.TrimPrefix(good.URL, "http://")})
+	require.Contains(t, text, "t0 t1 t2 t3 t4 t5 t6 t7 t8 t9 t10 t11 t12 t13 t14 t15 t16 t17 t18 t19")
 }
 
-// writeSome streams the tokens from one index up to another.
+// writeSome streams the tokens with the indexes from (inclusive) to (exclusive).
 func writeSome(wri http.ResponseWriter, req invoker.GenerateRequest, from, to int64) {
 	hea := wri.Header()
 	hea.Set("Content-Type", "text/event-stream")
@@ -90,19 +91,19 @@
 	hea.Set("Engine-Attempt", strconv.Itoa(req.Attempt))
 	hea.Set("Engine-Model", req.Model)
 	hea.Set("Engine-Prompt-Tokens", strconv.FormatInt(req.PromptTokens, 10))
-	for ind := from; ind < to; ind++ {
-		fmt.Fprintf(wri, "event: Token\ndata: {\"RequestID\":%q,\"Attempt\":%d,\"Index\":%d,\"Text\":\" t%d\"}\n\n", req.RequestID, req.Attempt, ind, ind)
+	for i := from; i < to; i++ {
+		fmt.Fprintf(wri, "event: Token\ndata: {\"RequestID\":%q,\"Attempt\":%d,\"Index\":%d,\"Text\":\" t%d\"}\n\n", req.RequestID, req.Attempt, i, i)
 	}
 }
 
-// askWhole asks a host for a whole answer of 20 tokens and returns the body.
-func askWhole(t *testing.T, all executor.Allocator) string {
+// generateAnswer requests an answer of 20 tokens from a host and returns the body.
+func generateAnswer(t *testing.T, alloc executor.Allocator) string {
 	t.Helper()
-	_, bod := askPrompt(t, all, "Why?", 20)
+	_, bod := generatePrompt(t, alloc, "Why?", 20)
 	return bod
 }
 
-func askPrompt(t *testing.T, all executor.Allocator, prompt string, tokens int) (*executor.Executor, string) {
+func generatePrompt(t *testing.T, alloc executor.Allocator, prompt string, tokens int) (*executor.Executor, string) {
 	t.Helper()
 	mat := matcher.New(parser.Tables{
 		Revision: 1,
@@ -112,21 +113,21 @@
 	})
 	exe := &executor.Executor{
 		Owner: invoker.Owner{Host: "host-0", Incarnation: 1}, Invoker: &invoker.Invoker{},
-		Allocator: all, Admitter: &admitter.Admitter{}, Clock: time.Now,
+		Allocator: alloc, Admitter: &admitter.Admitter{}, Clock: time.Now,
 		Scope: tally.NoopScope, Tracer: noop.NewTracerProvider().Tracer(""), MaxBodyBytes: 1 << 20,
 	}
-	hos := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
+	host := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		exe.Generate(req.Context(), wri, req, mat, false)
 	}))
-	t.Cleanup(hos.Close)
-	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, hos.URL+"/v1/completions", strings.NewReader(fmt.Sprintf(`{"model":"m","prompt":%q,"max_tokens":%d}`, prompt, tokens)))
+	t.Cleanup(host.Close)
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, host.URL+"/v1/completions", strings.NewReader(fmt.Sprintf(`{"model":"m","prompt":%q,"max_tokens":%d}`, prompt, tokens)))
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer k")
 	res, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
 	defer res.Body.Close()
-	txt, err := io.ReadAll(res.Body)
+	text, err := io.ReadAll(res.Body)
 	require.NoError(t, err)
-	require.Equal(t, http.StatusOK, res.StatusCode, string(txt))
-	return exe, string(txt)
+	require.Equal(t, http.StatusOK, res.StatusCode, string(text))
+	return exe, string(text)
 }
--- a/request/executor/trace.go
+++ b/request/executor/trace.go
@@ -9,7 +9,7 @@
 	"go.opentelemetry.io/otel/attribute"
 )
 
-// admit asks for admission within a span.
+// admit requests admission within a trace span.
 func (exe *Executor) admit(ctx context.Context, req placer.Request, tea parser.Team, poo parser.Pool) (done func(), ref *placer.Refuse) {
 	_, spa := exe.Tracer.Start(ctx, "admission")
 	defer spa.End()
