--- a/request/admitter/admitter.go
+++ b/request/admitter/admitter.go
@@ -1,4 +1,4 @@
-// Package admitter decides whether a request may enter the host.
+// Package admitter decides whether a request is admitted to the host.
 package admitter
 
 import (
@@ -9,44 +9,45 @@
 	"hemlockpin/version/parser"
 )
 
-// CodeTeamLimit refuses a request over its team's rate.
+// CodeTeamLimit is the code of refusals of requests that exceed their team's rate.
 const CodeTeamLimit = "team_limit"
 
-// Limiter holds the teams' rates. It returns the time after which to try again
-// when a request is over the rate.
+// Limiter enforces the teams' rates. If a request exceeds its team's rate, Take returns
+// the time after which to try again.
 type Limiter interface {
 	Take(tea parser.Team, tokens int64, now time.Time) (retry time.Duration, ok bool)
 }
 
-// Admitter bounds the requests in progress on one host and holds their teams
-// to their rates.
+// Admitter limits the requests in progress on one host, and enforces the rates of their
+// teams.
 type Admitter struct {
 	// MaxRequests bounds the requests in progress; 0 stands for no bound.
 	MaxRequests int
-	// Limiter holds the teams' rates; nil for none.
+	// Limiter enforces the teams' rates; nil for no limits.
 	Limiter Limiter
 
-	mu      sync.Mutex
-	current int
+	mu         sync.Mutex
+	inProgress int
 }
 
-// Admit lets a request in or refuses it. done must be called when it has ended.
+// Admit admits or refuses a request. The caller of Admit calls done when an admitted
+// request has ended; done is idempotent.
 func (adm *Admitter) Admit(req placer.Request, tea parser.Team, _ parser.Pool, now time.Time) (done func(), ref *placer.Refuse) {
 	adm.mu.Lock()
 	defer adm.mu.Unlock()
-	if adm.MaxRequests > 0 && adm.current >= adm.MaxRequests {
+	if adm.MaxRequests > 0 && adm.inProgress >= adm.MaxRequests {
 		return nil, &placer.Refuse{Code: "host_full", Message: "the host has too many requests in progress", RetryAfter: time.Second}
 	}
-	if tok := req.Need(); adm.Limiter != nil && tok > 0 {
-		if wai, ok := adm.Limiter.Take(tea, tok, now); !ok {
-			return nil, &placer.Refuse{Code: CodeTeamLimit, Message: "the team is over its tokens a second", RetryAfter: wai}
+	if tokens := req.Need(); adm.Limiter != nil && tokens > 0 {
+		if retryAfter, ok := adm.Limiter.Take(tea, tokens, now); !ok {
+			return nil, &placer.Refuse{Code: CodeTeamLimit, Message: "the team is over its tokens a second", RetryAfter: retryAfter}
 		}
 	}
-	adm.current++
+	adm.inProgress++
 	return sync.OnceFunc(func() {
 		adm.mu.Lock()
 		defer adm.mu.Unlock()
-		adm.current--
+		adm.inProgress--
 	}), nil
 }
 
@@ -54,5 +55,5 @@
 func (adm *Admitter) InProgress() int {
 	adm.mu.Lock()
 	defer adm.mu.Unlock()
-	return adm.current
+	return adm.inProgress
 }
--- a/request/admitter/admitter_test.go
+++ b/request/admitter/admitter_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fixed admits up to a number of tokens.
-type fixed struct{ left int64 }
+// fixedLimiter admits requests up to a total number of tokens.
+type fixedLimiter struct{ left int64 }
 
-func (fix *fixed) Take(_ parser.Team, tokens int64, _ time.Time) (time.Duration, bool) {
+func (fix *fixedLimiter) Take(_ parser.Team, tokens int64, _ time.Time) (time.Duration, bool) {
 	if fix.left < tokens {
 		return 3 * time.Second, false
 	}
@@ -31,22 +31,22 @@
 		dat.MaybeScanArgs(t, "calls", &calls)
 		adm := &Admitter{MaxRequests: reqs}
 		if rate > 0 {
-			adm.Limiter = &fixed{int64(rate)}
+			adm.Limiter = &fixedLimiter{int64(rate)}
 		}
 		out := ""
 		var dones []func()
 		for range calls {
-			don, ref := adm.Admit(placer.Request{PromptTokens: int64(tokens)}, parser.Team{}, parser.Pool{}, time.Time{})
+			done, ref := adm.Admit(placer.Request{PromptTokens: int64(tokens)}, parser.Team{}, parser.Pool{}, time.Time{})
 			if ref != nil {
 				out += ref.Code + " after " + ref.RetryAfter.String() + "\n"
 				continue
 			}
 			out += "admitted\n"
-			dones = append(dones, don)
+			dones = append(dones, done)
 		}
-		for _, don := range dones {
-			don()
-			don()
+		for _, done := range dones {
+			done()
+			done()
 		}
 		require.Zero(t, adm.InProgress())
 		return out
