--- a/request/assembler/assembler.go
+++ b/request/assembler/assembler.go
@@ -1,37 +1,40 @@
-// Package assembler puts the tokens of one request into order, whatever
-// attempt they come from, and drops those that are late, doubled or of another
-// request.
+// Package assembler puts the tokens of one request in order, whatever attempt they come
+// from. It drops tokens that are late or duplicate, and detects events of other
+// requests.
 package assembler
 
 import "hemlockpin/connection/invoker"
 
-// Verdict says what to do with an event.
+// Verdict is the result of checking an event of a stream.
 type Verdict int
 
 // Verdicts.
 const (
-	// Deliver passes the token on to the caller.
+	// Deliver means that the token is to be passed on to the caller.
 	Deliver Verdict = iota
-	// Drop ignores a token that was delivered before or is of an older attempt.
+	// Drop means that the token was delivered before or belongs to another attempt, and
+	// is to be ignored.
 	Drop
-	// Foreign marks an event of another request: the stream can't be trusted.
+	// Foreign means that the event belongs to another request, so that the stream is
+	// unreliable.
 	Foreign
-	// Gap marks a token beyond the next index: the stream can't be trusted.
+	// Gap means that the token is beyond the next index, so that the stream is
+	// unreliable.
 	Gap
-	// Excess marks a token beyond the limit that was asked for.
+	// Excess means that the token exceeds the requested limit.
 	Excess
-	// Complete marks the true end of the answer.
+	// Complete means that the answer has ended and is complete.
 	Complete
-	// Short marks an end that does not fit the tokens that came.
+	// Short means that the end of the stream does not match the received tokens.
 	Short
 )
 
-var names = [...]string{"Deliver", "Drop", "Foreign", "Gap", "Excess", "Complete", "Short"}
+var verdictNames = [...]string{"Deliver", "Drop", "Foreign", "Gap", "Excess", "Complete", "Short"}
 
 // String returns the name of the verdict.
-func (ver Verdict) String() string { return names[ver] }
+func (ver Verdict) String() string { return verdictNames[ver] }
 
-// Reasons with which an engine ends an answer.
+// Reasons that an engine gives for the end of an answer.
 const (
 	reasonLength = "length"
 	reasonStop   = "stop"
@@ -40,11 +43,11 @@
 // Assembler is the state of one answer. It is an immutable value.
 type Assembler struct {
 	RequestID string
-	// Attempt is the current dispatch; events of others are dropped.
+	// Attempt is the current dispatch; events of other attempts are dropped.
 	Attempt int
-	// Next is the index of the next token wanted.
+	// Next is the index of the next expected token.
 	Next int64
-	// MaxTokens is the limit that was asked for.
+	// MaxTokens is the requested limit.
 	MaxTokens int64
 }
 
@@ -54,7 +57,7 @@
 	return ass
 }
 
-// Token judges a token and returns the state after it.
+// Token checks a token and returns the state after it.
 func (ass Assembler) Token(tok invoker.Token) (Assembler, Verdict) {
 	switch {
 	case tok.RequestID != ass.RequestID:
@@ -70,8 +73,9 @@
 	return ass, Deliver
 }
 
-// Finish judges the end of a stream. The engine must claim just the tokens that
-// came, and may name the limit as its reason only when the limit is reached.
+// Finish checks the end of a stream. The engine's token count must equal the number of
+// received tokens, and the engine may give the limit as its reason only if the answer
+// has reached the limit.
 func (ass Assembler) Finish(fin invoker.Finish) Verdict {
 	switch {
 	case fin.RequestID != ass.RequestID:
