--- a/request/attempter/attempter.go
+++ b/request/attempter/attempter.go
@@ -1,5 +1,6 @@
-// Package attempter decides what happens to a prompt after each step: resume it
-// on the same engine, dispatch it elsewhere, wait on, or fail it truthfully.
+// Package attempter decides what happens to a prompt after each step: resume it on the
+// same engine, dispatch it to another engine, keep waiting, or fail it. A failure says
+// whether the prompt may have run.
 package attempter
 
 import (
@@ -12,7 +13,7 @@
 const (
 	// MaxAttempts bounds the dispatches of one request.
 	MaxAttempts = 8
-	// MaxRounds bounds how often a request returns to endpoints that failed it.
+	// MaxRounds bounds how often a request returns to endpoints that have failed it.
 	MaxRounds = 3
 	// MinBudget is the least time left for which a dispatch is worth while.
 	MinBudget = 5 * time.Millisecond
@@ -21,63 +22,63 @@
 	maxGroupPause    = 2 * time.Second
 	minProgressLimit = time.Second
 	maxProgressLimit = 20 * time.Second
-	// progressShare of the time left is given to one engine without progress,
-	// so that another can still answer.
-	progressShare = 3
+	// An engine may use 1/progressDivisor of the time left without progress, so that
+	// another engine can still answer.
+	progressDivisor = 3
 )
 
-// State is what is known of one request. It is an immutable value.
+// State is the state of one request. It is an immutable value.
 type State struct {
 	Deadline time.Time
-	// Attempt numbers the dispatches so far, Moves counts those among them by
-	// which the answer was to move.
+	// Attempt numbers the dispatches so far. Moves counts the dispatches among them
+	// that were made to move the answer.
 	Attempt int
 	Moves   int
-	// Delivered counts the tokens that the caller has.
+	// Delivered counts the tokens sent to the caller.
 	Delivered int64
-	// Ran is the most that an endpoint may have run.
+	// Ran says whether an endpoint may have run the request: the worst case of all
+	// dispatches.
 	Ran invoker.Execution
-	// Excluded lists endpoints that failed the request.
+	// Excluded lists the endpoints that failed the request.
 	Excluded []string
-	// Rounds counts how often the exclusions were lifted.
+	// Rounds counts how often the list of excluded endpoints was cleared.
 	Rounds int
-	// Waits counts the refusals by groups of engines that were busy.
+	// Waits counts the refusals because the engines of a group were busy.
 	Waits int
-	// Jitter, 0 to 1, spreads the pauses of different requests.
+	// Jitter, from 0 to 1, varies the pauses of different requests.
 	Jitter float64
-	// Pending marks a dispatch whose end is not known.
+	// Pending says that a dispatch has not ended yet.
 	Pending bool
-	// Resumed marks that the current endpoint was already given a second try.
+	// Resumed says that the request was already resumed on the current endpoint.
 	Resumed bool
 }
 
 // Event is a step of a request: Refused, Failed, Stalled, Gone or Expired.
 type Event interface{ event() }
 
-// Refused reports that no endpoint could be had.
+// Refused reports that no endpoint was available.
 type Refused struct {
 	Code       string
 	Message    string
 	RetryAfter time.Duration
 }
 
-// Failed reports that a dispatch ended without the whole answer.
+// Failed reports that a dispatch ended without a complete answer.
 type Failed struct {
 	Endpoint string
 	Ran      invoker.Execution
-	// Permanent marks a failure that another endpoint would repeat.
+	// Permanent says that other endpoints would fail in the same way.
 	Permanent bool
-	// Connection marks a failure of the connection: the engine may still hold
-	// the sequence.
+	// Connection says that the connection failed, so that the engine may still hold the
+	// sequence.
 	Connection bool
 	Message    string
 }
 
-// Stalled reports that an engine is alive but has made no progress within the
-// limit.
+// Stalled reports that an engine responds but has made no progress within the limit.
 type Stalled struct{ Endpoint string }
 
-// Gone reports that the caller has left or does not read.
+// Gone reports that the caller has disconnected or does not read the answer.
 type Gone struct{}
 
 // Expired reports that the time limit has passed.
@@ -89,22 +90,21 @@
 func (Gone) event()    {}
 func (Expired) event() {}
 
-// Action is what to do next: Dispatch, Resume, Stay, Abandon or Fail. Every
-// action but Stay ends the current dispatch, which is cancelled on the engine.
+// Action is what to do next: Dispatch, Resume, Stay, Abandon or Fail. Every action but
+// Stay ends the current dispatch, which is cancelled on the engine.
 type Action interface{ action() }
 
-// Dispatch places the request again after a pause and goes on at the next
-// token. It spends one retry, unless nothing was dispatched before.
+// Dispatch places the request again after a pause; the answer continues at the next
+// token. It spends one retry, unless it follows Refused.
 type Dispatch struct{ After time.Duration }
 
-// Resume dispatches to the same endpoint over a new connection. It spends one
-// retry.
+// Resume dispatches to the same endpoint over a new connection. It spends one retry.
 type Resume struct{}
 
 // Stay keeps waiting for the current dispatch.
 type Stay struct{}
 
-// Abandon ends the request without an answer, because nobody reads it.
+// Abandon ends the request without an answer, because its caller no longer reads.
 type Abandon struct{}
 
 // Fail ends the request with an error.
@@ -121,44 +121,43 @@
 func (Abandon) action()  {}
 func (Fail) action()     {}
 
-// WithAttempt returns the state after a dispatch was begun. Until that has
-// failed, an engine may run it.
+// WithAttempt returns the state after a dispatch was begun. Until the dispatch fails,
+// an engine may run the request.
 func (sta State) WithAttempt() State {
 	sta.Attempt++
 	sta.Pending = true
 	return sta
 }
 
-// WithMove returns the state after a second dispatch was begun beside the
-// current one. It takes none of the attempts that failures may use.
+// WithMove returns the state after a second dispatch was begun to move the answer. It
+// does not count against MaxAttempts, which limits failures.
 func (sta State) WithMove() State {
 	sta.Attempt++
 	sta.Moves++
 	return sta
 }
 
-// WithSwitch returns the state after the second dispatch took the place of the
-// first.
+// WithSwitch returns the state after the second dispatch replaced the first.
 func (sta State) WithSwitch() State {
 	sta.Resumed = false
 	return sta
 }
 
-// WithExcluded returns the state after an endpoint failed and another dispatch
-// went on.
+// WithExcluded returns the state after an endpoint failed while another dispatch
+// continued.
 func (sta State) WithExcluded(end string) State {
 	sta.Excluded = append(slices.Clip(sta.Excluded), end)
 	return sta
 }
 
-// usedUp holds when failures have taken all attempts.
-func (sta State) usedUp() bool { return sta.Attempt-sta.Moves >= MaxAttempts }
+// exhausted reports whether failures have used all attempts.
+func (sta State) exhausted() bool { return sta.Attempt-sta.Moves >= MaxAttempts }
 
-// WithDelivered returns the state after a token reached the caller. Progress
-// gives the endpoint no further second try: one that breaks every stream would
-// use up all attempts.
-func (sta State) WithDelivered(cou int64) State {
-	sta.Delivered = cou
+// WithDelivered returns the state after a token was sent to the caller. It does not
+// reset Resumed: an endpoint that aborts every stream after some tokens would use all
+// attempts.
+func (sta State) WithDelivered(delivered int64) State {
+	sta.Delivered = delivered
 	sta.Ran = invoker.Ran
 	return sta
 }
@@ -166,23 +165,22 @@
 func (sta State) withFailure(end string, ran invoker.Execution) State {
 	sta.Excluded = append(slices.Clip(sta.Excluded), end)
 	sta.Resumed = false
-	sta.Ran = worse(sta.Ran, ran)
+	sta.Ran = worseOf(sta.Ran, ran)
 	return sta
 }
 
-func worse(one, two invoker.Execution) invoker.Execution {
+func worseOf(a, b invoker.Execution) invoker.Execution {
 	for _, exe := range []invoker.Execution{invoker.Ran, invoker.Unknown} {
-		if one == exe || two == exe {
+		if a == exe || b == exe {
 			return exe
 		}
 	}
 	return invoker.NotRun
 }
 
-// ProgressLimit is the time that an engine which is alive may take without any
-// progress.
+// ProgressLimit returns how long an engine that responds may make no progress.
 func (sta State) ProgressLimit(now time.Time) time.Duration {
-	return max(minProgressLimit, min(maxProgressLimit, sta.Deadline.Sub(now)/progressShare))
+	return max(minProgressLimit, min(maxProgressLimit, sta.Deadline.Sub(now)/progressDivisor))
 }
 
 // Next decides on an event. A retry is spent only if one is available.
@@ -204,17 +202,17 @@
 	}
 }
 
-// groupPause doubles with each refusal, so that hosts which race for the same
-// engines don't meet again.
+// groupPause doubles with each refusal, and varies by Jitter, so that hosts that
+// compete for the same engines do not collide again.
 func (sta State) groupPause() time.Duration {
-	dur := min(maxGroupPause, roundPause<<min(sta.Waits, 10))
-	return time.Duration(float64(dur) * (0.5 + sta.Jitter))
+	pause := min(maxGroupPause, roundPause<<min(sta.Waits, 10))
+	return time.Duration(float64(pause) * (0.5 + sta.Jitter))
 }
 
 func (sta State) afterRefusal(ref Refused, now time.Time) (State, Action) {
-	if pau := sta.groupPause(); ref.Code == "group_unavailable" && sta.left(now) > pau+MinBudget {
+	if pause := sta.groupPause(); ref.Code == "group_unavailable" && sta.left(now) > pause+MinBudget {
 		sta.Waits++
-		return sta, Dispatch{After: pau}
+		return sta, Dispatch{After: pause}
 	}
 	again := ref.Code == "no_endpoint" && len(sta.Excluded) > 0
 	if !again || sta.Rounds >= MaxRounds || sta.left(now) < roundPause+MinBudget {
@@ -228,7 +226,7 @@
 func (sta State) afterFailure(fai Failed, retry bool, now time.Time) (State, Action) {
 	if sta.mayResume(fai, retry, now) {
 		sta.Resumed = true
-		sta.Ran = worse(sta.Ran, fai.Ran)
+		sta.Ran = worseOf(sta.Ran, fai.Ran)
 		return sta, Resume{}
 	}
 	sta = sta.withFailure(fai.Endpoint, fai.Ran)
@@ -237,7 +235,7 @@
 		return sta, sta.fail("endpoint_refused", fai.Message)
 	case sta.left(now) < MinBudget:
 		return sta, sta.fail("time_limit", "the time limit has passed")
-	case sta.usedUp():
+	case sta.exhausted():
 		return sta, sta.fail("endpoint_failed", fai.Message)
 	case !retry:
 		return sta, sta.fail("retry_budget", "an endpoint failed and this host has no retries left: "+fai.Message)
@@ -245,14 +243,14 @@
 	return sta, Dispatch{}
 }
 
-// mayResume holds when the connection failed, not the engine, and the endpoint
-// has not failed again right after a resume.
+// mayResume reports whether the connection failed rather than the engine, and the
+// endpoint was not already resumed without success.
 func (sta State) mayResume(fai Failed, retry bool, now time.Time) bool {
-	return fai.Connection && !fai.Permanent && !sta.Resumed && retry && !sta.usedUp() && sta.left(now) >= MinBudget
+	return fai.Connection && !fai.Permanent && !sta.Resumed && retry && !sta.exhausted() && sta.left(now) >= MinBudget
 }
 
 func (sta State) afterStall(eve Stalled, retry bool, now time.Time) (State, Action) {
-	if !retry || sta.usedUp() || sta.left(now) < MinBudget {
+	if !retry || sta.exhausted() || sta.left(now) < MinBudget {
 		return sta, Stay{}
 	}
 	sta.Pending = false
@@ -267,7 +265,7 @@
 
 func (sta State) ran() invoker.Execution {
 	if sta.Pending {
-		return worse(sta.Ran, invoker.Unknown)
+		return worseOf(sta.Ran, invoker.Unknown)
 	}
-	return worse(sta.Ran, invoker.NotRun)
+	return worseOf(sta.Ran, invoker.NotRun)
 }
