--- a/request/budgeter/peers.go
+++ b/request/budgeter/peers.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// maxHeard bounds the hosts whose digests are kept. A host hears from a few
-// random ones within MaxFleetAge.
-const maxHeard = 32
+// maxPeers bounds the hosts whose digests are kept. A host receives the digests of a
+// few random hosts within MaxFleetAge.
+const maxPeers = 32
 
-// Peers keeps the newest digests of other hosts. Its zero value is ready.
+// Peers keeps the newest digests of other hosts. Its zero value is ready for use.
 type Peers struct {
-	mu    sync.Mutex
-	heard map[string]heard
+	mu      sync.Mutex
+	digests map[string]peerDigest
 }
 
-type heard struct {
+type peerDigest struct {
 	Digest
 	at time.Time
 }
 
-// Record takes the digest of a host and returns what is known of the fleet now.
+// Record stores the digest of a host and returns the summary of all recent digests.
 func (pee *Peers) Record(host string, dig Digest, now time.Time) Fleet {
 	pee.mu.Lock()
 	defer pee.mu.Unlock()
-	if pee.heard == nil {
-		pee.heard = map[string]heard{}
+	if pee.digests == nil {
+		pee.digests = map[string]peerDigest{}
 	}
-	pee.forget(now)
-	if _, ok := pee.heard[host]; ok || len(pee.heard) < maxHeard {
-		pee.heard[host] = heard{dig, now}
+	pee.evict(now)
+	if _, ok := pee.digests[host]; ok || len(pee.digests) < maxPeers {
+		pee.digests[host] = peerDigest{dig, now}
 	}
-	old := now
-	digs := make([]Digest, 0, len(pee.heard))
-	for _, hea := range pee.heard {
-		digs = append(digs, hea.Digest)
-		if hea.at.Before(old) {
-			old = hea.at
+	oldest := now
+	digests := make([]Digest, 0, len(pee.digests))
+	for _, rec := range pee.digests {
+		digests = append(digests, rec.Digest)
+		if rec.at.Before(oldest) {
+			oldest = rec.at
 		}
 	}
-	return NewFleet(digs, old)
+	return NewFleet(digests, oldest)
 }
 
-// forget drops what counts no more. The caller holds the lock.
-func (pee *Peers) forget(now time.Time) {
-	for hos, hea := range pee.heard {
-		if now.Sub(hea.at) >= MaxFleetAge/2 {
-			delete(pee.heard, hos)
+// evict removes digests older than half of MaxFleetAge. The caller holds the lock.
+func (pee *Peers) evict(now time.Time) {
+	for host, rec := range pee.digests {
+		if now.Sub(rec.at) >= MaxFleetAge/2 {
+			delete(pee.digests, host)
 		}
 	}
 }
--- a/request/budgeter/quota.go
+++ b/request/budgeter/quota.go
@@ -6,97 +6,98 @@
 )
 
 const (
-	// quotaParts divides the window of a quota, so that it slides in steps.
+	// quotaParts divides the window of a quota into parts, so that the window slides in
+	// steps.
 	quotaParts = 10
-	// quotaFill is the share of the slack that the hosts give out; the rest makes
-	// up for hosts that this one has not heard of.
-	quotaFill = 0.7
+	// slackShare is the share of the slack that the hosts use. The rest compensates for
+	// hosts that this host does not know of.
+	slackShare = 0.7
 )
 
-// QuotaLimits bound the repeats of the calls to a pool over all hosts: in each window,
-// to Ratio of the calls and Slack.
+// QuotaLimits limit the repeats of the calls to a pool by all hosts together: in each
+// window, to Ratio times the calls plus Slack.
 type QuotaLimits struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Quota is a host's part of the repeats that all hosts may send. A host may
-// repeat a share of its own calls and its part of the slack. Its zero value needs
-// Limits and Hosts.
+// Quota is a host's part of the repeats that all hosts may send: a share of its own
+// calls and an equal part of the slack. Limits and Hosts must be set.
 type Quota struct {
 	Limits QuotaLimits
-	// Hosts returns the number of hosts, this one among them.
+	// Hosts returns the number of hosts, including this one.
 	Hosts func() int
 
-	mu    sync.Mutex
-	pools map[string]*account
-	// base is the first time that was seen. Times are taken against it, so that a
-	// step of the wall clock does not move the window.
+	mu     sync.Mutex
+	counts map[string]*poolCounts
+	// base is the time of the first use. All times are measured from it, so that a step
+	// of the wall clock does not move the window.
 	base time.Time
 }
 
-// account counts the calls and the repeats of one pool by parts of the window.
-type account struct {
+// poolCounts counts the calls and the repeats of one pool by parts of the window.
+type poolCounts struct {
 	calls   [quotaParts]int
 	repeats [quotaParts]int
 	at      int64
 }
 
 // SetLimits changes the limits.
-func (quo *Quota) SetLimits(ter QuotaLimits) {
+func (quo *Quota) SetLimits(limits QuotaLimits) {
 	quo.mu.Lock()
 	defer quo.mu.Unlock()
-	quo.Limits = ter
+	quo.Limits = limits
 }
 
-// Earn counts a call for a pool.
+// Earn counts a call to a pool.
 func (quo *Quota) Earn(pool string, now time.Time) {
 	quo.mu.Lock()
 	defer quo.mu.Unlock()
-	acc := quo.account(pool, now)
-	acc.calls[acc.at%quotaParts]++
+	counts := quo.countsOf(pool, now)
+	counts.calls[counts.at%quotaParts]++
 }
 
-// Take reports whether a call for a pool may be repeated, and counts the repeat.
+// Take reports whether a call to a pool may be repeated, and counts the repeat.
 func (quo *Quota) Take(pool string, now time.Time) bool {
 	quo.mu.Lock()
 	defer quo.mu.Unlock()
-	acc := quo.account(pool, now)
-	lim := quo.Limits.Ratio*float64(sum(acc.calls)) + quotaFill*quo.Limits.Slack/float64(max(1, quo.Hosts()))
-	if float64(sum(acc.repeats)+1) > lim {
+	counts := quo.countsOf(pool, now)
+	limit := quo.Limits.Ratio*float64(sum(counts.calls)) + slackShare*quo.Limits.Slack/float64(max(1, quo.Hosts()))
+	if float64(sum(counts.repeats)+1) > limit {
 		return false
 	}
-	acc.repeats[acc.at%quotaParts]++
+	counts.repeats[counts.at%quotaParts]++
 	return true
 }
 
-func sum(nums [quotaParts]int) int {
-	tot := 0
-	for _, num := range nums {
-		tot += num
+func sum(counts [quotaParts]int) int {
+	total := 0
+	for _, n := range counts {
+		total += n
 	}
-	return tot
+	return total
 }
 
-// account moves the window of a pool on. The caller holds the lock.
-func (quo *Quota) account(pool string, now time.Time) *account {
-	if quo.pools == nil {
-		quo.pools = map[string]*account{}
+// countsOf returns the counts of a pool after advancing its window to now. The caller
+// holds the lock.
+func (quo *Quota) countsOf(pool string, now time.Time) *poolCounts {
+	if quo.counts == nil {
+		quo.counts = map[string]*poolCounts{}
 		quo.base = now
 	}
 	at := int64(max(0, now.Sub(quo.base)) / max(1, quo.Limits.Window/quotaParts))
-	acc := quo.pools[pool]
-	if acc == nil {
-		acc = &account{at: at}
-		quo.pools[pool] = acc
+	counts := quo.counts[pool]
+	if counts == nil {
+		counts = &poolCounts{at: at}
+		quo.counts[pool] = counts
 	}
-	if at-acc.at >= quotaParts {
-		*acc = account{at: at}
+	if at-counts.at >= quotaParts {
+		*counts = poolCounts{at: at}
 	}
-	for acc.at < at {
-		acc.at++
-		acc.calls[acc.at%quotaParts], acc.repeats[acc.at%quotaParts] = 0, 0
+	for counts.at < at {
+		counts.at++
+		counts.calls[counts.at%quotaParts], counts.repeats[counts.at%quotaParts] = 0, 0
 	}
-	return acc
+	return counts
 }
--- a/request/budgeter/quota_test.go
+++ b/request/budgeter/quota_test.go
@@ -7,39 +7,39 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestQuotaFleet has every call of many hosts fail: in no window do all repeats
-// together exceed what the terms allow.
+// TestQuotaFleet lets every call of many hosts fail: the repeats of all hosts together
+// must not exceed the limits in any window.
 func TestQuotaFleet(t *testing.T) {
 	const hosts, calls = 20, 40
-	ter := QuotaLimits{Ratio: 0.2, Slack: 236, Window: 10 * time.Second}
+	limits := QuotaLimits{Ratio: 0.2, Slack: 236, Window: 10 * time.Second}
 	var quos []*Quota
 	for range hosts {
-		quos = append(quos, &Quota{Limits: ter, Hosts: func() int { return hosts }})
+		quos = append(quos, &Quota{Limits: limits, Hosts: func() int { return hosts }})
 	}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	type step struct{ calls, repeats int }
 	var steps []step
 	for range 300 {
-		var ste step
+		var current step
 		for _, quo := range quos {
 			for range calls / 10 {
 				quo.Earn("p", now)
-				ste.calls++
+				current.calls++
 				if quo.Take("p", now) {
-					ste.repeats++
+					current.repeats++
 				}
 			}
 		}
-		steps = append(steps, ste)
+		steps = append(steps, current)
 		now = now.Add(100 * time.Millisecond)
 	}
-	for beg := 0; beg+100 <= len(steps); beg++ {
+	for start := 0; start+100 <= len(steps); start++ {
 		var sum step
-		for _, ste := range steps[beg : beg+100] {
-			sum.calls += ste.calls
-			sum.repeats += ste.repeats
+		for _, current := range steps[start : start+100] {
+			sum.calls += current.calls
+			sum.repeats += current.repeats
 		}
-		require.LessOrEqual(t, float64(sum.repeats), ter.Ratio*float64(sum.calls)+ter.Slack)
+		require.LessOrEqual(t, float64(sum.repeats), limits.Ratio*float64(sum.calls)+limits.Slack)
 		require.Positive(t, sum.repeats)
 	}
 }
@@ -56,8 +56,8 @@
 	require.True(t, quo.Take("a", now.Add(1100*time.Millisecond)))
 }
 
-// TestQuotaClock has the wall clock jump: times without a monotonic reading that
-// go back do not open the window again.
+// TestQuotaClock guards against a wall clock that is set back: such times, without a
+// monotonic reading, must not reset the window.
 func TestQuotaClock(t *testing.T) {
 	quo := &Quota{Limits: QuotaLimits{Slack: 10, Window: time.Second}, Hosts: func() int { return 1 }}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
