--- a/process/assigner/assigner.go
+++ b/process/assigner/assigner.go
@@ -51,7 +51,7 @@
 }
 
 // Place finds an endpoint for a call.
-func (ass *Assigner) Place(ctx context.Context, req relayer.Ask) (relayer.Lease, error) {
+func (ass *Assigner) Place(ctx context.Context, req relayer.PlacementRequest) (relayer.Lease, error) {
 	poo, ok := ass.Pool(req.Pool)
 	if ok && poo.Batching != nil && req.PromptTokens > 0 {
 		lea, err := ass.placeByPlan(ctx, req)
@@ -65,7 +65,7 @@
 
 // placeByView chooses the endpoint that has the fewest calls of this host, among equals
 // one of this host's data centre. It avoids ejected endpoints if any others are left.
-func (ass *Assigner) placeByView(req relayer.Ask) (relayer.Lease, error) {
+func (ass *Assigner) placeByView(req relayer.PlacementRequest) (relayer.Lease, error) {
 	now := ass.Clock()
 	ends := slices.DeleteFunc(ass.Registry.Usable(req.Pool, now), func(end registrar.Endpoint) bool { return slices.Contains(req.Excluded, end.ID) })
 	if len(ends) == 0 {
--- a/process/assigner/assigner_test.go
+++ b/process/assigner/assigner_test.go
@@ -166,9 +166,9 @@
 	return ass
 }
 
-func callFor(id string, tokens int64) relayer.Ask {
+func callFor(id string, tokens int64) relayer.PlacementRequest {
 	now := time.Now()
-	return relayer.Ask{ID: id, Pool: "llm", PromptTokens: tokens, MaxTokens: 1000, Arrived: now, Objective: 3 * time.Second, Pause: time.Second, Deadline: now.Add(15 * time.Second)}
+	return relayer.PlacementRequest{ID: id, Pool: "llm", PromptTokens: tokens, MaxTokens: 1000, Arrived: now, Objective: 3 * time.Second, Pause: time.Second, Deadline: now.Add(15 * time.Second)}
 }
 
 // TestOnePlan places calls from several hosts: a single host must plan them all.
@@ -380,10 +380,10 @@
 
 func TestLocalView(t *testing.T) {
 	ass := newFleet(1).assigner("host-0", &reserver{})
-	first, err := ass.Place(t.Context(), relayer.Ask{Pool: "desk"})
+	first, err := ass.Place(t.Context(), relayer.PlacementRequest{Pool: "desk"})
 	require.NoError(t, err)
 	require.Equal(t, "d1", first.Endpoint.ID, "the local data centre comes first among equals")
-	second, err := ass.Place(t.Context(), relayer.Ask{Pool: "desk"})
+	second, err := ass.Place(t.Context(), relayer.PlacementRequest{Pool: "desk"})
 	require.NoError(t, err)
 	require.NotEqual(t, "d1", second.Endpoint.ID, "endpoints with fewer calls come next")
 	first.End()
@@ -392,12 +392,12 @@
 	second.Failed("")
 	second.End()
 	for range 20 {
-		lea, err := ass.Place(t.Context(), relayer.Ask{Pool: "desk"})
+		lea, err := ass.Place(t.Context(), relayer.PlacementRequest{Pool: "desk"})
 		require.NoError(t, err)
 		require.NotEqual(t, second.Endpoint.ID, lea.Endpoint.ID, "an endpoint that has just failed is avoided")
 		lea.End()
 	}
-	_, err = ass.Place(t.Context(), relayer.Ask{Pool: "desk", Excluded: []string{"d1", "d2", "d3"}})
+	_, err = ass.Place(t.Context(), relayer.PlacementRequest{Pool: "desk", Excluded: []string{"d1", "d2", "d3"}})
 	var ref *relayer.RefusedError
 	require.ErrorAs(t, err, &ref)
 	require.Positive(t, ref.RetryAfter)
--- a/process/assigner/plan.go
+++ b/process/assigner/plan.go
@@ -32,7 +32,7 @@
 
 // placeByPlan requests engines from the planner of the pool. It fails with errNoPlanner if
 // no planner answers.
-func (ass *Assigner) placeByPlan(ctx context.Context, req relayer.Ask) (relayer.Lease, error) {
+func (ass *Assigner) placeByPlan(ctx context.Context, req relayer.PlacementRequest) (relayer.Lease, error) {
 	for attempt := 1; ; attempt++ {
 		act, err := ass.Planners.requestPlan(ctx, req)
 		if err != nil {
@@ -55,7 +55,7 @@
 }
 
 // leaseOf turns a plan into a lease after reserving its memory.
-func (ass *Assigner) leaseOf(ctx context.Context, req relayer.Ask, act planner.Assign) (relayer.Lease, bool) {
+func (ass *Assigner) leaseOf(ctx context.Context, req relayer.PlacementRequest, act planner.Assign) (relayer.Lease, bool) {
 	now := ass.Clock()
 	for _, par := range act.Parts {
 		if ass.Registry.Barred(par.Endpoint, now) {
@@ -74,7 +74,7 @@
 	if !ok {
 		return relayer.Lease{}, false
 	}
-	lea := relayer.Lease{Endpoint: end, Helpers: res.helpers, First: act.First}
+	lea := relayer.Lease{Endpoint: end, Helpers: res.helpers, ExpectedFirst: act.First}
 	lea.Began = func() { ass.Planners.report(act.ID, planner.Began{ID: act.ID}) }
 	lea.Failed = func(address string) {
 		failed := end.ID
@@ -98,7 +98,7 @@
 
 // reserveAll reserves the memory of a plan on all its engines or on none, and renews the
 // reservations until they are released.
-func (ass *Assigner) reserveAll(ctx context.Context, req relayer.Ask, pars []planner.Part) (reservation, bool) {
+func (ass *Assigner) reserveAll(ctx context.Context, req relayer.PlacementRequest, pars []planner.Part) (reservation, bool) {
 	id := "hemlockpin-" + req.ID
 	var gro errgroup.Group
 	count := 0
--- a/process/assigner/planners.go
+++ b/process/assigner/planners.go
@@ -144,7 +144,7 @@
 }
 
 // requestPlan requests engines from the planner of a pool, or from its replacement.
-func (pla *Planners) requestPlan(ctx context.Context, req relayer.Ask) (planner.Action, error) {
+func (pla *Planners) requestPlan(ctx context.Context, req relayer.PlacementRequest) (planner.Action, error) {
 	planReq := planner.Request{ID: pla.requestID(req), Host: pla.Self, Incarnation: pla.Incarnation, Prompt: promptOf(req)}
 	for _, hos := range pla.candidates(req.Pool, pla.Clock()) {
 		act, plannedBy, err := pla.requestFrom(ctx, hos, req.Pool, planReq)
@@ -167,11 +167,11 @@
 
 // requestID returns a new ID for a plan request. Each time a call is sent again, it makes
 // a new request.
-func (pla *Planners) requestID(req relayer.Ask) string {
+func (pla *Planners) requestID(req relayer.PlacementRequest) string {
 	return strings.Join([]string{req.ID, strconv.Itoa(req.Sends), pla.Self, strconv.FormatUint(pla.sequence.Add(1), 36)}, "/")
 }
 
-func promptOf(req relayer.Ask) planner.Prompt {
+func promptOf(req relayer.PlacementRequest) planner.Prompt {
 	return planner.Prompt{
 		Tokens: req.PromptTokens, MaxTokens: req.MaxTokens, AnswerTokens: req.AnswerTokens, Priority: req.Priority,
 		Target: req.Arrived.Add(req.Objective), Deadline: req.Deadline, Objective: req.Objective, Pause: req.Pause, Excluded: req.Excluded,
--- a/request/relayer/log_test.go
+++ b/request/relayer/log_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDetail writes outcomes and decisions as operators read them.
+// TestDetail checks the log fields of outcomes and decisions.
 func TestDetail(t *testing.T) {
-	tts := []struct {
+	tests := []struct {
 		out  Outcome
 		dec  Decision
 		want string
@@ -21,13 +21,13 @@
 		{Unreached{}, Resend{}, `{"Outcome":"unreached","Decision":"resend"}`},
 		{Broken{Step: "reading the answer"}, Fail{Status: 502, Code: "endpoint_failed"}, `{"Outcome":"broken","Step":"reading the answer","Decision":"fail","Code":"endpoint_failed"}`},
 		{TimedOut{Sent: true}, Cut{Code: "time_limit"}, `{"Outcome":"time_limit","Sent":true,"Decision":"cut","Code":"time_limit"}`},
-		{CallerGone{}, Cut{Code: "caller_gone"}, `{"Outcome":"caller_gone","Decision":"cut","Code":"caller_gone"}`},
+		{CallerDisconnected{}, Cut{Code: "caller_gone"}, `{"Outcome":"caller_gone","Decision":"cut","Code":"caller_gone"}`},
 	}
-	for _, tt := range tts {
-		t.Run(name(tt.out), func(t *testing.T) {
+	for _, tt := range tests {
+		t.Run(outcomeLabel(tt.out), func(t *testing.T) {
 			var buf bytes.Buffer
 			log := zerolog.New(&buf)
-			detail(log.Log().Str("Outcome", name(tt.out)), tt.out, tt.dec).Send()
+			detail(log.Log().Str("Outcome", outcomeLabel(tt.out)), tt.out, tt.dec).Send()
 			require.JSONEq(t, tt.want, buf.String())
 		})
 	}
