--- a/cmd/hemlockpind/main.go
+++ b/cmd/hemlockpind/main.go
@@ -73,7 +73,7 @@
 		return forward(ctx, set, hup, log, now)
 	}
 	go warnOfReloads(ctx, hup, log)
-	return server.New(set, log, server.Incarnation(ctx, set, now), now).Run(ctx)
+	return server.New(set, log, server.ChooseIncarnation(ctx, set, now), now).Run(ctx)
 }
 
 // warnOfReloads tells operators that a SIGHUP changes nothing here.
--- a/process/allocator/health.go
+++ b/process/allocator/health.go
@@ -71,9 +71,9 @@
 func (all *Allocator) reports(id string) func(bool, time.Time) {
 	return func(healthy bool, now time.Time) {
 		if healthy {
-			all.Ejector.Succeeded(id)
+			all.Ejector.RecordSuccess(id)
 			return
 		}
-		all.Ejector.Failed(id, now)
+		all.Ejector.RecordFailure(id, now)
 	}
 }
--- a/process/assigner/assigner.go
+++ b/process/assigner/assigner.go
@@ -104,11 +104,11 @@
 		Began:    func() {},
 		Failed: func(string) {
 			bad = true
-			ass.Ejector.Failed(end.ID, ass.Clock())
+			ass.Ejector.RecordFailure(end.ID, ass.Clock())
 		},
 		End: sync.OnceFunc(func() {
 			if !bad {
-				ass.Ejector.Succeeded(end.ID)
+				ass.Ejector.RecordSuccess(end.ID)
 			}
 			ass.mu.Lock()
 			defer ass.mu.Unlock()
--- a/process/detector/detector.go
+++ b/process/detector/detector.go
@@ -18,22 +18,22 @@
 // Clocks reads the time since the machine's start, without and with suspensions.
 type Clocks func() (steady, whole time.Duration, err error)
 
-// System reads the clocks of the machine.
-func System() (steady, whole time.Duration, err error) {
+// SystemClocks reads the clocks of the machine.
+func SystemClocks() (steady, whole time.Duration, err error) {
 	var one, two unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &one); err != nil {
-		return 0, 0, eris.Wrap(err, "detector.System: steady clock")
+		return 0, 0, eris.Wrap(err, "detector.SystemClocks: steady clock")
 	}
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &two); err != nil {
-		return 0, 0, eris.Wrap(err, "detector.System: whole clock")
+		return 0, 0, eris.Wrap(err, "detector.SystemClocks: whole clock")
 	}
 	return time.Duration(one.Nano()), time.Duration(two.Nano()), nil
 }
 
-// Detector adds up for how long the host was suspended since the first look. Its zero
+// Detector adds up for how long the host was suspended since the first call. Its zero
 // value reads the clocks of the machine.
 type Detector struct {
-	// Clocks stands in for System where it is not nil.
+	// Clocks stands in for SystemClocks where it is not nil.
 	Clocks Clocks
 
 	mu sync.Mutex
@@ -44,12 +44,12 @@
 	woke    time.Time
 }
 
-// Look reports the time for which the host was suspended in all, and when it was last
+// Suspensions reports the time for which the host was suspended in all, and when it was last
 // found to have woken. Clocks that can't be read show no suspension.
-func (det *Detector) Look(now time.Time) (slept time.Duration, woke time.Time) {
+func (det *Detector) Suspensions(now time.Time) (slept time.Duration, woke time.Time) {
 	rea := det.Clocks
 	if rea == nil {
-		rea = System
+		rea = SystemClocks
 	}
 	ste, who, err := rea()
 	det.mu.Lock()
@@ -67,9 +67,9 @@
 	return det.slept, det.woke
 }
 
-// Aged is the age of something that was true at a time, with the suspensions since.
-func (det *Detector) Aged(at, now time.Time) time.Duration {
-	sle, wok := det.Look(now)
+// Age is the age of something that was true at a time, with the suspensions since.
+func (det *Detector) Age(at, now time.Time) time.Duration {
+	sle, wok := det.Suspensions(now)
 	age := max(0, now.Sub(at))
 	if at.Before(wok) {
 		age += sle
--- a/process/detector/detector_test.go
+++ b/process/detector/detector_test.go
@@ -17,18 +17,18 @@
 		steady, whole, now = steady+ste, whole+who, now.Add(ste)
 	}
 	look := func() time.Duration {
-		sle, _ := det.Look(now)
+		sle, _ := det.Suspensions(now)
 		return sle
 	}
 	require.Zero(t, look(), "suspensions before the start don't count")
 	at := now
 	pass(time.Second, time.Second+time.Millisecond)
 	require.Zero(t, look())
-	require.Equal(t, time.Second, det.Aged(at, now))
+	require.Equal(t, time.Second, det.Age(at, now))
 	pass(time.Millisecond, 4*time.Second)
 	require.InDelta(t, 4*time.Second, look(), float64(10*time.Millisecond))
-	require.InDelta(t, 5*time.Second, det.Aged(at, now), float64(10*time.Millisecond))
-	require.Zero(t, det.Aged(now, now), "what was true after the host woke is not older")
+	require.InDelta(t, 5*time.Second, det.Age(at, now), float64(10*time.Millisecond))
+	require.Zero(t, det.Age(now, now), "what was true after the host woke is not older")
 	pass(time.Second, time.Second)
 	require.InDelta(t, 4*time.Second, look(), float64(10*time.Millisecond))
 	fail = errors.New("no such clock")
@@ -37,12 +37,12 @@
 }
 
 func TestSystem(t *testing.T) {
-	ste, who, err := System()
+	ste, who, err := SystemClocks()
 	require.NoError(t, err)
 	require.Positive(t, ste)
 	require.GreaterOrEqual(t, who+least, ste)
 	var det Detector
-	sle, wok := det.Look(time.Now())
+	sle, wok := det.Suspensions(time.Now())
 	require.Zero(t, sle)
 	require.Zero(t, wok)
 }
--- a/process/drainer/drainer.go
+++ b/process/drainer/drainer.go
@@ -35,21 +35,21 @@
 	Closed   time.Time
 }
 
-// Event is something that a drain learns: Signal or Look.
+// Event is something that a drain learns: Signal or Progress.
 type Event interface{ event() }
 
 // Signal is the order to end. A second one ends at once.
 type Signal struct{}
 
-// Look reports the work in progress.
-type Look struct {
+// Progress reports the work in progress.
+type Progress struct {
 	// Requests counts callers' requests, Writes the background writes.
 	Requests int
 	Writes   int
 }
 
-func (Signal) event() {}
-func (Look) event()   {}
+func (Signal) event()   {}
+func (Progress) event() {}
 
 // Action is what a drain does next: Announce, Close, End or Cut.
 type Action interface{ action() }
@@ -76,7 +76,7 @@
 	switch eve := eve.(type) {
 	case Signal:
 		return sta.signal(now)
-	case Look:
+	case Progress:
 		return sta.look(eve, now)
 	default:
 		return sta, nil
@@ -97,7 +97,7 @@
 	}
 }
 
-func (sta State) look(eve Look, now time.Time) (State, Action) {
+func (sta State) look(eve Progress, now time.Time) (State, Action) {
 	switch sta.Phase {
 	case Noticing:
 		if now.Sub(sta.Began) < sta.Settings.Notice {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (sta State) closing(eve Look, now time.Time) (State, Action) {
+func (sta State) closing(eve Progress, now time.Time) (State, Action) {
 	switch {
 	case eve.Requests == 0 && eve.Writes == 0:
 		sta.Phase = Ended
--- a/process/drainer/drainer_test.go
+++ b/process/drainer/drainer_test.go
@@ -15,7 +15,7 @@
 	epoch    = time.Unix(1_700_000_000, 0)
 	settings = Settings{Notice: 2 * time.Second, Timeout: 10 * time.Second}
 	phases   = []Phase{Serving, Noticing, Closing, Ended}
-	works    = []Look{{}, {Requests: 1}, {Writes: 1}, {Requests: 2, Writes: 3}}
+	works    = []Progress{{}, {Requests: 1}, {Writes: 1}, {Requests: 2, Writes: 3}}
 	times    = []time.Duration{0, 2 * time.Second, 10 * time.Second, time.Hour}
 )
 
--- a/process/drainer/runner.go
+++ b/process/drainer/runner.go
@@ -40,7 +40,7 @@
 		}
 		select {
 		case <-tic.C:
-			sta, act = sta.Next(Look{Requests: hos.Requests(), Writes: hos.Writes()}, time.Now())
+			sta, act = sta.Next(Progress{Requests: hos.Requests(), Writes: hos.Writes()}, time.Now())
 		case <-again:
 			sta, act = sta.Next(Signal{}, time.Now())
 		}
--- a/process/ejector/ejector.go
+++ b/process/ejector/ejector.go
@@ -30,34 +30,34 @@
 type Health struct {
 	// Failures counts failures in a row.
 	Failures int
-	// Until is the end of the period without requests.
-	Until time.Time
-	// Trial is the time of the last trial request.
-	Trial time.Time
+	// EjectedUntil is the end of the period without requests.
+	EjectedUntil time.Time
+	// LastTrial is the time of the last trial request.
+	LastTrial time.Time
 }
 
 // WithFailure returns the health after a failure. Failures of requests that
 // were sent before the endpoint was ejected count once.
 func (hea Health) WithFailure(now time.Time) Health {
-	if now.Before(hea.Until) {
+	if now.Before(hea.EjectedUntil) {
 		return hea
 	}
 	per := min(MaxPeriod, BasePeriod<<min(hea.Failures, maxShift))
 	hea.Failures++
-	hea.Until = now.Add(per)
+	hea.EjectedUntil = now.Add(per)
 	return hea
 }
 
-// Takes reports whether the endpoint takes a request now, and the health after
+// Accepts reports whether the endpoint takes a request now, and the health after
 // it was placed there.
-func (hea Health) Takes(now time.Time) (Health, bool) {
+func (hea Health) Accepts(now time.Time) (Health, bool) {
 	switch {
 	case hea.Failures == 0:
 		return hea, true
-	case now.Before(hea.Until), now.Sub(hea.Trial) < TrialInterval:
+	case now.Before(hea.EjectedUntil), now.Sub(hea.LastTrial) < TrialInterval:
 		return hea, false
 	}
-	hea.Trial = now
+	hea.LastTrial = now
 	return hea, true
 }
 
@@ -68,8 +68,8 @@
 	ends map[string]Health
 }
 
-// Failed notes a failure of an endpoint.
-func (eje *Ejector) Failed(id string, now time.Time) {
+// RecordFailure notes a failure of an endpoint.
+func (eje *Ejector) RecordFailure(id string, now time.Time) {
 	eje.mu.Lock()
 	defer eje.mu.Unlock()
 	if eje.ends == nil {
@@ -78,8 +78,8 @@
 	eje.ends[id] = eje.ends[id].WithFailure(now)
 }
 
-// Succeeded notes that an endpoint served a request.
-func (eje *Ejector) Succeeded(id string) {
+// RecordSuccess notes that an endpoint served a request.
+func (eje *Ejector) RecordSuccess(id string) {
 	eje.mu.Lock()
 	defer eje.mu.Unlock()
 	delete(eje.ends, id)
@@ -96,7 +96,7 @@
 		if !has(id) {
 			continue
 		}
-		nex, ok := hea.Takes(now)
+		nex, ok := hea.Accepts(now)
 		eje.ends[id] = nex
 		if !ok {
 			out = append(out, id)
--- a/process/ejector/ejector_test.go
+++ b/process/ejector/ejector_test.go
@@ -26,9 +26,9 @@
 			fies := strings.Fields(lin)
 			switch fies[0] {
 			case "fail":
-				eje.Failed(fies[1], at(fies[2]))
+				eje.RecordFailure(fies[1], at(fies[2]))
 			case "ok":
-				eje.Succeeded(fies[1])
+				eje.RecordSuccess(fies[1])
 			case "excluded":
 				got := eje.Excluded(len(pool), len(fies) > 2, func(id string) bool { return slices.Contains(pool, id) }, at(fies[1]))
 				slices.Sort(got)
--- a/process/follower/follower.go
+++ b/process/follower/follower.go
@@ -51,8 +51,8 @@
 
 // Endpoints is a reading of the endpoints' entries.
 type Endpoints struct {
-	// Whole says that Endpoints are all entries; otherwise they have changed.
-	Whole     bool
+	// Complete says that Endpoints holds all entries; otherwise it holds those that changed.
+	Complete  bool
 	Endpoints []registrar.Endpoint
 	Revision  uint64
 }
@@ -71,17 +71,17 @@
 	// connection that is lost or in a store that drops its history, so Wait is a
 	// part of the time within which changes have to be in force. 0 is 700 ms.
 	Wait time.Duration
-	// Duty reports whether this host is to read the store.
-	Duty func(now time.Time) bool
-	// TakeTables and TakeEndpoints are told each reading and the time of the reply,
+	// ShouldRead reports whether this host is to read the store.
+	ShouldRead func(now time.Time) bool
+	// OnTables and OnEndpoints receive each reading and the time of the reply,
 	// at which the store held nothing newer. A watch that ends without a change
 	// tells so, too.
-	TakeTables    func(rea Tables, at time.Time)
-	TakeEndpoints func(rea Endpoints, at time.Time)
-	// Away and Back are told when the store stops and starts to answer.
-	Away func()
-	Back func(now time.Time)
-	Log  zerolog.Logger
+	OnTables    func(rea Tables, at time.Time)
+	OnEndpoints func(rea Endpoints, at time.Time)
+	// OnUnavailable and OnAvailable are called when the store stops and starts to answer.
+	OnUnavailable func()
+	OnAvailable   func(now time.Time)
+	Log           zerolog.Logger
 
 	mu   sync.Mutex
 	lost map[string]time.Time
@@ -103,7 +103,7 @@
 	if err != nil {
 		return after, err
 	}
-	fol.TakeTables(tab, time.Now())
+	fol.OnTables(tab, time.Now())
 	return tab.Revision, nil
 }
 
@@ -112,7 +112,7 @@
 	if err != nil {
 		return after, err
 	}
-	fol.TakeEndpoints(ends, time.Now())
+	fol.OnEndpoints(ends, time.Now())
 	return ends.Revision, nil
 }
 
@@ -122,7 +122,7 @@
 	bac.Reset()
 	var rev uint64
 	for ctx.Err() == nil {
-		if !fol.Duty(time.Now()) {
+		if !fol.ShouldRead(time.Now()) {
 			// What changes meanwhile comes from peers; the next read is a whole one.
 			rev = 0
 			fol.rest(ctx, what)
@@ -190,7 +190,7 @@
 	}
 	fol.lost[what] = now
 	fol.Log.Warn().Str("What", what).Uint64("Revision", rev).Err(err).Msg("store lost")
-	fol.Away()
+	fol.OnUnavailable()
 }
 
 func (fol *Follower) answered(what string, rev uint64, now time.Time) {
@@ -203,6 +203,6 @@
 	delete(fol.lost, what)
 	fol.Log.Info().Str("What", what).Uint64("Revision", rev).Dur("AwayMs", now.Sub(sin)).Msg("store back")
 	if len(fol.lost) == 0 {
-		fol.Back(now)
+		fol.OnAvailable(now)
 	}
 }
--- a/process/follower/follower_test.go
+++ b/process/follower/follower_test.go
@@ -71,7 +71,7 @@
 
 func (sto *store) Endpoints(ctx context.Context, after uint64, wait time.Duration) (Endpoints, error) {
 	rev, _, err := sto.read(ctx, after, wait)
-	return Endpoints{Whole: after == 0, Endpoints: []registrar.Endpoint{{ID: "a", Revision: rev}}, Revision: rev}, err
+	return Endpoints{Complete: after == 0, Endpoints: []registrar.Endpoint{{ID: "a", Revision: rev}}, Revision: rev}, err
 }
 
 // host follows a store.
@@ -100,19 +100,19 @@
 		sto, hos := &store{revision: 3}, &host{duty: true}
 		fol := &Follower{
 			Source: sto, Log: zerolog.Nop(),
-			Duty: func(time.Time) bool {
+			ShouldRead: func(time.Time) bool {
 				var dut bool
 				hos.get(func(hos *host) { dut = hos.duty })
 				return dut
 			},
-			TakeTables: func(rea Tables, _ time.Time) {
+			OnTables: func(rea Tables, _ time.Time) {
 				if rea.Found {
 					hos.get(func(hos *host) { hos.tables = rea.Tables.Revision })
 				}
 			},
-			TakeEndpoints: func(rea Endpoints, _ time.Time) { hos.get(func(hos *host) { hos.endpoints = rea.Revision }) },
-			Away:          func() { hos.get(func(hos *host) { hos.away++ }) },
-			Back:          func(time.Time) { hos.get(func(hos *host) { hos.back++ }) },
+			OnEndpoints:   func(rea Endpoints, _ time.Time) { hos.get(func(hos *host) { hos.endpoints = rea.Revision }) },
+			OnUnavailable: func() { hos.get(func(hos *host) { hos.away++ }) },
+			OnAvailable:   func(time.Time) { hos.get(func(hos *host) { hos.back++ }) },
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		don := make(chan struct{})
--- a/process/forwarder/forwarder.go
+++ b/process/forwarder/forwarder.go
@@ -90,8 +90,8 @@
 	requestDrain context.CancelFunc
 }
 
-// Incarnation chooses the incarnation of a host that starts now.
-func Incarnation(ctx context.Context, set configurer.Settings, now time.Time) uint64 {
+// ChooseIncarnation chooses the incarnation of a host that starts now.
+func ChooseIncarnation(ctx context.Context, set configurer.Settings, now time.Time) uint64 {
 	mul := &multiplexer.Multiplexer{}
 	defer mul.Close()
 	none := func(context.Context) ([]persister.Entry, error) { return nil, nil }
@@ -107,7 +107,7 @@
 	fwd.multiplexer = &multiplexer.Multiplexer{Handler: fwd.handlePeer, Panicked: fwd.notePanic}
 	fwd.joinPeers()
 	fwd.follower = &follower.Follower{
-		Source: pla.Source, Wait: fwd.watchWait(), Duty: fwd.duty, TakeTables: fwd.takeTables, TakeEndpoints: fwd.takeEndpoints, Away: fwd.away, Back: fwd.back, Log: log,
+		Source: pla.Source, Wait: fwd.watchWait(), ShouldRead: fwd.duty, OnTables: fwd.takeTables, OnEndpoints: fwd.takeEndpoints, OnUnavailable: fwd.away, OnAvailable: fwd.back, Log: log,
 	}
 	fwd.runner = &planner.Runner{
 		Loader: pla.Engines, Engines: fwd.engines, Pool: fwd.pool, Interval: set.LoadInterval, Clock: time.Now, Log: log, Scope: fwd.scope,
--- a/process/forwarder/knowledge.go
+++ b/process/forwarder/knowledge.go
@@ -34,11 +34,11 @@
 			CapacityMilli: capacityMilli(set),
 		},
 		Multiplexer: fwd.multiplexer, Publisher: fwd.publisher, Entries: func() []persister.Entry { return nil },
-		Seeds: set.SeedPeers, Scope: fwd.scope, Log: fwd.Log, Aged: fwd.detector.Aged,
+		Seeds: set.SeedPeers, Scope: fwd.scope, Log: fwd.Log, Aged: fwd.detector.Age,
 		Cargo: gossiper.Cargo{
 			Endpoints: func(now time.Time) (uint64, time.Duration) {
 				rev, _ := fwd.registry.Revision()
-				return rev, fwd.detector.Aged(fwd.registry.Confirmed(), now)
+				return rev, fwd.detector.Age(fwd.registry.Confirmed(), now)
 			},
 			SeeEndpoints: fwd.seeEndpoints,
 			Synced: func(ctx context.Context, address string) {
@@ -96,7 +96,7 @@
 // takeEndpoints takes a reading of the store that was true at a time.
 func (fwd *Forwarder) takeEndpoints(rea follower.Endpoints, at time.Time) {
 	var news []registrar.Endpoint
-	if rea.Whole {
+	if rea.Complete {
 		news = fwd.registry.Replace(rea.Endpoints, rea.Revision, time.Now())
 	} else {
 		news = fwd.registry.Merge(rea.Endpoints, rea.Revision, time.Now())
--- a/process/forwarder/peer_test.go
+++ b/process/forwarder/peer_test.go
@@ -40,7 +40,7 @@
 			Batching: &parser.Batching{Slots: 4, MemoryTokens: 100_000, StepMs: 1, Stride: 10, ReadRate: 100_000, PairsMs: 0.1},
 		}},
 	}}, time.Now())
-	fwd.takeEndpoints(follower.Endpoints{Whole: true, Revision: 1, Endpoints: []registrar.Endpoint{
+	fwd.takeEndpoints(follower.Endpoints{Complete: true, Revision: 1, Endpoints: []registrar.Endpoint{
 		{ID: "e1", Service: "llm", Address: "127.0.0.1:1", Revision: 1}, {ID: "e2", Service: "llm", Address: "127.0.0.1:2", Revision: 1},
 	}}, time.Now())
 	return fwd
--- a/process/forwarder/watch.go
+++ b/process/forwarder/watch.go
@@ -137,19 +137,19 @@
 // age is how long ago the store confirmed the host's knowledge, with the time for which
 // the host was suspended since.
 func (fwd *Forwarder) age(now time.Time) time.Duration {
-	return max(fwd.detector.Aged(fwd.publisher.Confirmed(), now), fwd.detector.Aged(fwd.registry.Confirmed(), now))
+	return max(fwd.detector.Age(fwd.publisher.Confirmed(), now), fwd.detector.Age(fwd.registry.Confirmed(), now))
 }
 
 // slept is the time for which the host was suspended in all.
 func (fwd *Forwarder) slept(now time.Time) time.Duration {
-	sle, _ := fwd.detector.Look(now)
+	sle, _ := fwd.detector.Suspensions(now)
 	return sle
 }
 
 // staleSinceWake reports whether the host was suspended and has not learned since what
 // has changed meanwhile.
 func (fwd *Forwarder) staleSinceWake(now time.Time) bool {
-	sle, wok := fwd.detector.Look(now)
+	sle, wok := fwd.detector.Suspensions(now)
 	return sle > 0 && (!fwd.registry.Confirmed().After(wok) || !fwd.publisher.Confirmed().After(wok))
 }
 
--- a/process/forwarder/watch_test.go
+++ b/process/forwarder/watch_test.go
@@ -122,7 +122,7 @@
 	fwd := newHost(t, 1, 60, 4*time.Second)
 	now := time.Now()
 	fwd.takeTables(follower.Tables{Revision: 1}, now)
-	fwd.takeEndpoints(follower.Endpoints{Whole: true, Revision: 1}, now)
+	fwd.takeEndpoints(follower.Endpoints{Complete: true, Revision: 1}, now)
 	require.False(t, fwd.duty(now))
 	require.False(t, fwd.patient(now))
 	require.NotEmpty(t, fwd.unready())
@@ -131,7 +131,7 @@
 
 func learn(fwd *Forwarder, at time.Time) {
 	fwd.takeTables(follower.Tables{Found: true, Tables: parser.Tables{Revision: 1}, Revision: 1}, at)
-	fwd.takeEndpoints(follower.Endpoints{Whole: true, Revision: 1}, at)
+	fwd.takeEndpoints(follower.Endpoints{Complete: true, Revision: 1}, at)
 }
 
 // TestPatience decides how long a host that starts waits for its peers before it reads
@@ -222,7 +222,7 @@
 	require.False(t, fwd.fresh(time.Now()))
 	at := time.Now()
 	wat.takeTables(follower.Tables{Found: true, Tables: parser.Tables{Revision: 9}, Revision: 9}, at)
-	wat.takeEndpoints(follower.Endpoints{Whole: true, Revision: 9}, at)
+	wat.takeEndpoints(follower.Endpoints{Complete: true, Revision: 9}, at)
 	fwd.gossiper.Ask(t.Context(), gossiper.Peer{ID: "host-0", Address: lis.Addr().String()})
 	require.Eventually(t, func() bool { return fwd.fresh(time.Now()) }, 5*time.Second, time.Millisecond)
 	require.EqualValues(t, 9, fwd.publisher.Current().Revision())
--- a/process/incarnator/incarnator.go
+++ b/process/incarnator/incarnator.go
@@ -42,12 +42,12 @@
 // answers in time, it rests on the clock; membership then outbids a newer
 // incarnation as soon as it is told of its end.
 func (inc *Incarnator) Choose(ctx context.Context, now time.Time) uint64 {
-	return Above(inc.known(ctx), now)
+	return Next(inc.known(ctx), now)
 }
 
-// Above returns the incarnation of a process that starts now, when the highest
+// Next returns the incarnation of a process that starts now, when the highest
 // known one of its host is as given.
-func Above(known uint64, now time.Time) uint64 { return max(known+1, uint64(max(0, now.UnixNano()))) }
+func Next(known uint64, now time.Time) uint64 { return max(known+1, uint64(max(0, now.UnixNano()))) }
 
 // known returns the highest incarnation that peers know; 0 if none does.
 func (inc *Incarnator) known(ctx context.Context) uint64 {
--- a/process/server/reclaim.go
+++ b/process/server/reclaim.go
@@ -89,7 +89,7 @@
 func (mem *members) DeadSince(host string) (time.Time, bool) {
 	now := time.Now()
 	inc, alive := mem.gossiper.Incarnation(host)
-	dead := inc > 0 && !alive && now.Sub(mem.watcher.Listed()) < freshList && !mem.listed(host)
+	dead := inc > 0 && !alive && now.Sub(mem.watcher.ListedAt()) < freshList && !mem.listed(host)
 	mem.mu.Lock()
 	defer mem.mu.Unlock()
 	if !dead {
--- a/process/server/server.go
+++ b/process/server/server.go
@@ -76,8 +76,8 @@
 	requestDrain context.CancelFunc
 }
 
-// Incarnation chooses the incarnation of a host that starts now.
-func Incarnation(ctx context.Context, set configurer.Settings, now time.Time) uint64 {
+// ChooseIncarnation chooses the incarnation of a host that starts now.
+func ChooseIncarnation(ctx context.Context, set configurer.Settings, now time.Time) uint64 {
 	mul := &multiplexer.Multiplexer{}
 	defer mul.Close()
 	per := &persister.Persister{BaseURL: set.Platform, Region: set.Region}
@@ -122,8 +122,8 @@
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var gro sync.WaitGroup
-	gro.Go(func() { ser.watcher.RunList(work, ser.Settings.ListInterval) })
-	gro.Go(func() { ser.watcher.RunLoads(work, ser.Settings.LoadInterval) })
+	gro.Go(func() { ser.watcher.PollList(work, ser.Settings.ListInterval) })
+	gro.Go(func() { ser.watcher.PollLoads(work, ser.Settings.LoadInterval) })
 	gro.Go(func() { ser.gossiper.Run(work, ser.Settings.Heartbeat) })
 	gro.Go(func() { ser.reclaimer.Run(work, reclaimInterval) })
 	gro.Go(func() { ser.scheduler.Run(work) })
--- a/process/server/tables.go
+++ b/process/server/tables.go
@@ -37,11 +37,11 @@
 		Multiplexer: ser.multiplexer, Publisher: ser.publisher, Entries: ser.watcher.Entries,
 		Lister: ser.lister, ListChanged: ser.relist, Seeds: set.SeedPeers, Scope: ser.scope, Log: ser.Log,
 		Cargo: gossiper.Cargo{
-			Notices: ser.watcher.Notices.Outgoing, TakeNotices: ser.watcher.Notices.Take, Cells: ser.farCells, TakeCells: ser.takeFarCells,
+			Notices: ser.watcher.Notices.Outgoing, TakeNotices: ser.watcher.Notices.Merge, Cells: ser.farCells, TakeCells: ser.takeFarCells,
 			Retries: ser.retries, TakeRetries: ser.takeRetries,
 		},
 	}
-	ser.watcher.Noticed = func(nots []*messenger.EndpointNotice) {
+	ser.watcher.OnNotices = func(nots []*messenger.EndpointNotice) {
 		go ser.forward(func(ctx context.Context) { ser.gossiper.SpreadNotices(ctx, nots, true) })
 	}
 	ser.publisher.Spread = func(ctx context.Context) (int, int) { return ser.gossiper.PushTables(ctx, true) }
@@ -75,7 +75,7 @@
 }
 
 // relist takes a list that peers passed on without waiting for the next look.
-func (ser *Server) relist() { go ser.forward(ser.watcher.Relist) }
+func (ser *Server) relist() { go ser.forward(ser.watcher.RefreshList) }
 
 // regionHosts returns the live peers of the own region.
 func (ser *Server) regionHosts() []string {
@@ -135,7 +135,7 @@
 func (loa noticingLoader) Load(ctx context.Context, address string) (invoker.Load, error) {
 	rep, err := loa.Invoker.Load(ctx, address)
 	if err == nil {
-		loa.watcher.Report(rep, time.Now())
+		loa.watcher.RecordLoad(rep, time.Now())
 	}
 	return rep, err
 }
@@ -144,7 +144,7 @@
 func (loa noticingLoader) Summary(ctx context.Context, address string) (invoker.Load, error) {
 	rep, err := loa.Invoker.Summary(ctx, address)
 	if err == nil {
-		loa.watcher.Report(rep, time.Now())
+		loa.watcher.RecordLoad(rep, time.Now())
 	}
 	return rep, err
 }
--- a/process/watcher/notices.go
+++ b/process/watcher/notices.go
@@ -91,8 +91,8 @@
 	return []*messenger.EndpointNotice{not.message(now)}
 }
 
-// Take merges the notices of a peer and returns those that were news.
-func (nots *Notices) Take(mess []*messenger.EndpointNotice, now time.Time) []*messenger.EndpointNotice {
+// Merge merges the notices of a peer and returns those that were news.
+func (nots *Notices) Merge(mess []*messenger.EndpointNotice, now time.Time) []*messenger.EndpointNotice {
 	nots.mu.Lock()
 	defer nots.mu.Unlock()
 	var news []*messenger.EndpointNotice
@@ -173,15 +173,15 @@
 
 // notice takes what an endpoint said of itself.
 func (wat *Watcher) notice(not Notice, now time.Time) {
-	if news := wat.Notices.Observe(not, now); len(news) > 0 && wat.Noticed != nil {
-		wat.Noticed(news)
+	if news := wat.Notices.Observe(not, now); len(news) > 0 && wat.OnNotices != nil {
+		wat.OnNotices(news)
 	}
 }
 
-// Report takes a load report that another part of the host has read.
-func (wat *Watcher) Report(loa invoker.Load, now time.Time) {
+// RecordLoad takes a load report that another part of the host has read.
+func (wat *Watcher) RecordLoad(loa invoker.Load, now time.Time) {
 	wat.notice(Notice{Endpoint: loa.Engine, Incarnation: loa.Incarnation, Leaving: loa.Leaving, At: now}, now)
 }
 
-// Relist takes the list at once.
-func (wat *Watcher) Relist(ctx context.Context) { wat.list(ctx, time.Now()) }
+// RefreshList takes the list at once.
+func (wat *Watcher) RefreshList(ctx context.Context) { wat.list(ctx, time.Now()) }
--- a/process/watcher/notices_test.go
+++ b/process/watcher/notices_test.go
@@ -52,8 +52,8 @@
 	news := one.Observe(leaving, now)
 	require.Len(t, news, 1)
 	require.Empty(t, one.Observe(leaving, now), "a repetition is no news")
-	require.Len(t, two.Take(news, now), 1)
-	require.Empty(t, two.Take(news, now))
+	require.Len(t, two.Merge(news, now), 1)
+	require.Empty(t, two.Merge(news, now))
 	require.True(t, two.Leaving("engine", now))
 
 	for range noticeTransmits {
@@ -62,20 +62,20 @@
 	require.Empty(t, two.Outgoing(now), "a notice is passed on a bounded number of times")
 
 	old := []*messenger.EndpointNotice{{Endpoint: "engine", Incarnation: 1}}
-	require.Empty(t, two.Take(old, now), "leaving is not taken back by the same process")
+	require.Empty(t, two.Merge(old, now), "leaving is not taken back by the same process")
 	require.True(t, two.Leaving("engine", now))
 
 	restarted := Notice{Endpoint: "engine", Incarnation: 2, At: now}
 	require.Len(t, two.Observe(restarted, now), 1)
 	require.False(t, two.Leaving("engine", now))
-	require.Empty(t, two.Take(news, now), "a notice of the earlier process changes nothing")
+	require.Empty(t, two.Merge(news, now), "a notice of the earlier process changes nothing")
 	require.False(t, two.Leaving("engine", now))
 
 	require.False(t, one.Leaving("engine", now.Add(noticeLife)), "a notice ends unless it is observed again")
 	later := now.Add(noticeRefresh)
 	require.Len(t, one.Observe(Notice{Endpoint: "engine", Incarnation: 1, Leaving: true, At: later}, later), 1)
 	require.True(t, one.Leaving("engine", now.Add(noticeLife)))
-	require.Empty(t, one.Take([]*messenger.EndpointNotice{{Endpoint: "late", Leaving: true, AgeMs: noticeLife.Milliseconds()}}, now))
+	require.Empty(t, one.Merge([]*messenger.EndpointNotice{{Endpoint: "late", Leaving: true, AgeMs: noticeLife.Milliseconds()}}, now))
 }
 
 // A host that reads no report of an engine leaves it out because another did.
@@ -83,12 +83,12 @@
 	poo := parser.Pool{Kind: parser.PoolEngine, Selector: parser.Selector{Service: "s"}}
 	ents := []persister.Entry{{ID: "engine", Kind: persister.KindEngine, Service: "s", Address: "10.0.0.1:1"}}
 	one, two := &Watcher{entries: ents}, &Watcher{entries: ents}
-	one.Noticed = func(nots []*messenger.EndpointNotice) { two.Notices.Take(nots, time.Now()) }
+	one.OnNotices = func(nots []*messenger.EndpointNotice) { two.Notices.Merge(nots, time.Now()) }
 	require.False(t, two.Pool(poo).Endpoints[0].Leaving)
 	version := two.Version()
-	one.Report(invoker.Load{Engine: "engine", Incarnation: 1, Leaving: true}, time.Now())
+	one.RecordLoad(invoker.Load{Engine: "engine", Incarnation: 1, Leaving: true}, time.Now())
 	require.Greater(t, two.Version(), version, "copies of the view are renewed")
 	require.True(t, two.Pool(poo).Endpoints[0].Leaving)
-	one.Report(invoker.Load{Engine: "engine", Incarnation: 2}, time.Now())
+	one.RecordLoad(invoker.Load{Engine: "engine", Incarnation: 2}, time.Now())
 	require.False(t, two.Pool(poo).Endpoints[0].Leaving)
 }
--- a/process/watcher/watcher.go
+++ b/process/watcher/watcher.go
@@ -37,8 +37,8 @@
 	PollLimit int
 	// Notices holds what hosts tell each other of endpoints.
 	Notices Notices
-	// Noticed is told of notices that this host found itself; nil for nobody.
-	Noticed func(nots []*messenger.EndpointNotice)
+	// OnNotices is told of notices that this host found itself; nil for nobody.
+	OnNotices func(nots []*messenger.EndpointNotice)
 
 	mu      sync.Mutex
 	entries []persister.Entry
@@ -52,13 +52,13 @@
 	at   time.Time
 }
 
-// RunList reads the list until ctx ends.
-func (wat *Watcher) RunList(ctx context.Context, every time.Duration) {
+// PollList reads the list until ctx ends.
+func (wat *Watcher) PollList(ctx context.Context, every time.Duration) {
 	repeat(ctx, every, func(now time.Time) { wat.list(ctx, now) })
 }
 
-// RunLoads reads load reports until ctx ends.
-func (wat *Watcher) RunLoads(ctx context.Context, every time.Duration) {
+// PollLoads reads load reports until ctx ends.
+func (wat *Watcher) PollLoads(ctx context.Context, every time.Duration) {
 	repeat(ctx, every, func(now time.Time) { wat.poll(ctx, now) })
 }
 
@@ -141,8 +141,8 @@
 	return wat.version + wat.Notices.changes()
 }
 
-// Listed returns when the list was last read.
-func (wat *Watcher) Listed() time.Time {
+// ListedAt returns when the list was last read.
+func (wat *Watcher) ListedAt() time.Time {
 	wat.mu.Lock()
 	defer wat.mu.Unlock()
 	return wat.listed
