--- a/process/forwarder/forwarder.go
+++ b/process/forwarder/forwarder.go
@@ -1,5 +1,5 @@
-// Package forwarder joins the parts of an entry host that forwards calls
-// unchanged to the endpoints of a platform.
+// Package forwarder runs an entry host that forwards calls unchanged to the
+// endpoints of a platform.
 package forwarder
 
 import (
@@ -37,16 +37,16 @@
 	"go.opentelemetry.io/otel"
 )
 
-// headerTimeout bounds the head of a request to the operators' address.
+// headerTimeout bounds the time for reading the header of a request.
 const headerTimeout = 10 * time.Second
 
-// Engines reads and orders engines.
+// Engines reads load reports of engines and reserves memory on them.
 type Engines interface {
 	planner.Loader
 	assigner.Reserver
 }
 
-// Platform is what a host needs of the platform's adapter.
+// Platform is the part of a platform's adapter that a host uses.
 type Platform struct {
 	Source  follower.Source
 	Codec   relayer.Codec
@@ -60,37 +60,38 @@
 	Log         zerolog.Logger
 	Incarnation uint64
 
-	scope       tally.Scope
-	metrics     http.Handler
-	multiplexer *multiplexer.Multiplexer
-	publisher   *publisher.Publisher
-	gossiper    *gossiper.Gossiper
-	registry    registrar.Registry
-	follower    *follower.Follower
-	runner      *planner.Runner
-	planners    *assigner.Planners
-	relayer     *relayer.Relayer
-	quota       *budgeter.Quota
-	bodies      receiver.Budget
-	endpoints   counter.Traffic
-	draining    atomic.Bool
-	inFlight    atomic.Int64
-	pulling     atomic.Bool
-	storeAway   atomic.Bool
-	started     time.Time
-	watching    watchers
-	detector    detector.Detector
-	// ready is closed once the host has tables and knows the endpoints.
+	scope            tally.Scope
+	metrics          http.Handler
+	multiplexer      *multiplexer.Multiplexer
+	publisher        *publisher.Publisher
+	gossiper         *gossiper.Gossiper
+	registry         registrar.Registry
+	follower         *follower.Follower
+	runner           *planner.Runner
+	planners         *assigner.Planners
+	relayer          *relayer.Relayer
+	quota            *budgeter.Quota
+	bodies           receiver.Budget
+	endpoints        counter.Traffic
+	draining         atomic.Bool
+	inFlight         atomic.Int64
+	pullingEndpoints atomic.Bool
+	storeUnavailable atomic.Bool
+	started          time.Time
+	watcherCache     watcherCache
+	detector         detector.Detector
+	// ready is closed once the host has tables and the list of endpoints.
 	ready     chan struct{}
 	readyOnce sync.Once
-	// news is what was learned of endpoints and waits to be passed on.
-	newsMu sync.Mutex
-	news   []registrar.Endpoint
-	// requestDrain has the effect of SIGTERM. It is set by Run.
+	// updates holds the changes of endpoints that are not yet broadcast to peers.
+	updatesMu sync.Mutex
+	updates   []registrar.Endpoint
+	// requestDrain starts a drain, as SIGTERM does. Run sets it.
 	requestDrain context.CancelFunc
 }
 
-// ChooseIncarnation chooses the incarnation of a host that starts now.
+// ChooseIncarnation returns the incarnation of a host that starts now. It asks the
+// seed peers for the highest one they have seen of this host.
 func ChooseIncarnation(ctx context.Context, set configurer.Settings, now time.Time) uint64 {
 	mul := &multiplexer.Multiplexer{}
 	defer mul.Close()
@@ -98,16 +99,16 @@
 	return (&incarnator.Incarnator{Host: set.HostID, Seeds: set.SeedPeers, Entries: none, Call: mul.Call}).Choose(ctx, now)
 }
 
-// New joins the parts of a host.
+// New returns a host that is ready to Run.
 func New(set configurer.Settings, pla Platform, log zerolog.Logger, incarnation uint64) *Forwarder {
 	fwd := &Forwarder{Settings: set, Platform: pla, Log: log, Incarnation: incarnation, started: time.Now(), ready: make(chan struct{})}
 	fwd.scope, fwd.metrics = measurer.New(log)
 	fwd.bodies.MaxBytes = set.BodyBytes()
 	fwd.publisher = &publisher.Publisher{}
-	fwd.multiplexer = &multiplexer.Multiplexer{Handler: fwd.handlePeer, Panicked: fwd.notePanic}
-	fwd.joinPeers()
+	fwd.multiplexer = &multiplexer.Multiplexer{Handler: fwd.handlePeer, Panicked: fwd.logPanic}
+	fwd.initGossiper()
 	fwd.follower = &follower.Follower{
-		Source: pla.Source, Wait: fwd.watchWait(), ShouldRead: fwd.duty, OnTables: fwd.takeTables, OnEndpoints: fwd.takeEndpoints, OnUnavailable: fwd.away, OnAvailable: fwd.back, Log: log,
+		Source: pla.Source, Wait: fwd.watchWait(), ShouldRead: fwd.shouldReadStore, OnTables: fwd.applyTables, OnEndpoints: fwd.applyEndpoints, OnUnavailable: fwd.storeLost, OnAvailable: fwd.storeBack, Log: log,
 	}
 	fwd.runner = &planner.Runner{
 		Loader: pla.Engines, Engines: fwd.engines, Pool: fwd.pool, Interval: set.LoadInterval, Clock: time.Now, Log: log, Scope: fwd.scope,
@@ -125,13 +126,13 @@
 		Placer: &assigner.Assigner{
 			Registry: &fwd.registry, Pool: fwd.pool, Planners: fwd.planners, Reserver: pla.Engines, DataCenter: set.DataCenter, Clock: time.Now, Log: log,
 		},
-		Bodies: &fwd.bodies, Ready: fwd.ready, Stale: fwd.staleSinceWake, Slept: fwd.slept, Draining: fwd.draining.Load, MaxBodyBytes: set.MaxBodyBytes, Clock: time.Now, Log: log, Scope: fwd.scope,
+		Bodies: &fwd.bodies, Ready: fwd.ready, Stale: fwd.staleSinceResume, Slept: fwd.suspendedTime, Draining: fwd.draining.Load, MaxBodyBytes: set.MaxBodyBytes, Clock: time.Now, Log: log, Scope: fwd.scope,
 		Tracer: otel.Tracer("hemlockpin"),
 	}
 	return fwd
 }
 
-// capacityMilli is the processor time of the host in thousandths of a core.
+// capacityMilli returns the processor time of the host in thousandths of a core.
 func capacityMilli(set configurer.Settings) uint32 { return uint32(set.CPUShare * 1000) }
 
 // pool finds a pool in the tables in force.
@@ -139,7 +140,7 @@
 	return fwd.publisher.Current().Pool(name)
 }
 
-// engines lists the engines of a pool that may get new requests.
+// engines returns the engines of a pool that accept new requests.
 func (fwd *Forwarder) engines(poo parser.Pool, now time.Time) []planner.Engine {
 	var out []planner.Engine
 	for _, end := range fwd.registry.Usable(poo.Selector.Service, now) {
@@ -148,7 +149,8 @@
 	return out
 }
 
-// Run serves until ctx ends, then drains.
+// Run serves until ctx ends, then drains. It returns an error if an address cannot
+// be listened on or if the drain aborts calls in progress.
 func (fwd *Forwarder) Run(ctx context.Context) error {
 	ctx, fwd.requestDrain = context.WithCancel(ctx)
 	defer fwd.requestDrain()
@@ -160,21 +162,21 @@
 	defer stop()
 	var gro sync.WaitGroup
 	gro.Go(func() { _ = fwd.multiplexer.Serve(liss.peer) })
-	gro.Go(func() { fwd.follow(work) })
+	gro.Go(func() { fwd.followStore(work) })
 	gro.Go(func() { fwd.gossiper.Run(work, fwd.Settings.Heartbeat) })
 	gro.Go(func() { fwd.runner.Run(work) })
-	gro.Go(func() { fwd.watchHosts(work) })
-	gro.Go(func() { fwd.askWatchers(work) })
-	cal := fwd.callerServer()
+	gro.Go(func() { fwd.monitorHosts(work) })
+	gro.Go(func() { fwd.pollWatchers(work) })
+	callerSrv := fwd.callerServer()
 	lis := &acceptor.Listener{Listener: liss.caller, Max: fwd.Settings.CallerConns(), Refused: fwd.scope.Counter("connections_refused")}
 	sers := []*http.Server{{Handler: fwd.readyRoutes(), ReadHeaderTimeout: headerTimeout}, {Handler: fwd.operatorRoutes(), ReadHeaderTimeout: headerTimeout}}
-	gro.Go(func() { _ = cal.Serve(lis) })
+	gro.Go(func() { _ = callerSrv.Serve(lis) })
 	gro.Go(func() { _ = sers[0].Serve(liss.ready) })
 	gro.Go(func() { _ = sers[1].Serve(liss.operator) })
 	fwd.Log.Info().Str("DataCenter", fwd.Settings.DataCenter).Str("Listen", fwd.Settings.Listen).
 		Uint64("Incarnation", fwd.Incarnation).Msg("host started")
 	<-ctx.Done()
-	err = fwd.drain(cal, lis)
+	err = fwd.drain(callerSrv, lis)
 	for _, ser := range sers {
 		_ = ser.Close()
 	}
@@ -204,7 +206,8 @@
 	return liss, nil
 }
 
-// Reload takes over those settings that can change while the host runs.
+// Reload applies the settings that can change while the host runs: the seed peers and
+// the budget of retries.
 func (fwd *Forwarder) Reload(set configurer.Settings) {
 	fwd.gossiper.SetSeeds(set.SeedPeers)
 	fwd.quota.SetTerms(budgeter.Terms{Ratio: set.RetryRatio, Slack: set.RetrySlack, Window: set.RetryWindow})
@@ -212,13 +215,13 @@
 		Dur("RetryWindowMs", set.RetryWindow).Msg("settings reloaded")
 }
 
-// notePanic logs a message of a peer that could not be answered.
-func (fwd *Forwarder) notePanic(env *messenger.Envelope, cause any, stack []byte) {
+// logPanic counts and logs a panic in the handler of a peer's message.
+func (fwd *Forwarder) logPanic(env *messenger.Envelope, cause any, stack []byte) {
 	fwd.scope.Counter("handler_panics").Inc(1)
-	fwd.Log.Error().Type("Message", env.GetBody()).Interface("Panic", cause).Str("Stack", string(stack)).Msg("a peer's message could not be answered")
+	fwd.Log.Error().Type("Message", env.GetBody()).Interface("Panic", cause).Str("Stack", string(stack)).Msg("handler of a peer's message panicked; the message is not answered")
 }
 
-// handlePeer answers one call of another host.
+// handlePeer answers one message of another host.
 func (fwd *Forwarder) handlePeer(ctx context.Context, env *messenger.Envelope) *messenger.Envelope {
 	now := time.Now()
 	switch bod := env.GetBody().(type) {
@@ -239,7 +242,7 @@
 	case *messenger.Envelope_EndpointsPush:
 		return fwd.receiveEndpoints(bod.EndpointsPush, now)
 	case *messenger.Envelope_EndpointsPull:
-		return fwd.offerEndpoints(bod.EndpointsPull)
+		return fwd.answerEndpointsPull(bod.EndpointsPull)
 	default:
 		return messenger.NewFailure("unknown_message", "this host does not know the message")
 	}
--- a/process/forwarder/knowledge.go
+++ b/process/forwarder/knowledge.go
@@ -13,20 +13,22 @@
 )
 
 const (
-	// spreadTimeout bounds the spreading of news to peers.
-	spreadTimeout = 2 * time.Second
-	// newsDelay collects news of endpoints, so that many travel in one message. News
-	// passes a dozen hosts on its way, within 2 s.
-	newsDelay = 15 * time.Millisecond
-	// notedEndpoints is the number of endpoints that get a line each in the log when
-	// they change at once.
-	notedEndpoints = 4
-	// hostsInterval is the interval at which replaced and dead hosts are looked for.
-	hostsInterval = 500 * time.Millisecond
+	// peerTimeout bounds a broadcast to peers and a pull from a peer.
+	peerTimeout = 2 * time.Second
+	// updateDelay is the time for which changes of endpoints are collected into one
+	// message. An update is relayed by up to a dozen hosts, each of which adds this
+	// delay, and has to reach all hosts within 2 s.
+	updateDelay = 15 * time.Millisecond
+	// maxEndpointLines is the largest number of simultaneous changes of endpoints that
+	// are logged with a line each.
+	maxEndpointLines = 4
+	// hostCheckInterval is the interval between checks for restarted and dead hosts.
+	hostCheckInterval = 500 * time.Millisecond
 )
 
-// joinPeers joins membership with the tables and the records of endpoints.
-func (fwd *Forwarder) joinPeers() {
+// initGossiper connects membership with the tables and the records of endpoints: both
+// travel between hosts with the membership messages.
+func (fwd *Forwarder) initGossiper() {
 	set := fwd.Settings
 	fwd.gossiper = &gossiper.Gossiper{
 		Self: &messenger.Member{
@@ -40,7 +42,7 @@
 				rev, _ := fwd.registry.Revision()
 				return rev, fwd.detector.Age(fwd.registry.Confirmed(), now)
 			},
-			SeeEndpoints: fwd.seeEndpoints,
+			SeeEndpoints: fwd.comparePeerRevision,
 			Synced: func(ctx context.Context, address string) {
 				if _, known := fwd.registry.Revision(); !known {
 					fwd.pullEndpoints(ctx, address, time.Time{})
@@ -54,97 +56,102 @@
 		fwd.Log.Info().Uint64("Revision", tab.Revision).Int("Routes", len(tab.Routes)).Int("Pools", len(tab.Pools)).Int("Teams", len(tab.Teams)).
 			Bool("FromStore", fromStore).Msg("tables in force")
 		fwd.runner.Refresh()
-		go fwd.spread(func(ctx context.Context) { fwd.gossiper.PushTables(ctx, true) })
+		go fwd.withPeerTimeout(func(ctx context.Context) { fwd.gossiper.PushTables(ctx, true) })
 	}
 }
 
-func (fwd *Forwarder) spread(fun func(context.Context)) {
-	ctx, stop := context.WithTimeout(context.Background(), spreadTimeout)
+func (fwd *Forwarder) withPeerTimeout(fn func(context.Context)) {
+	ctx, stop := context.WithTimeout(context.Background(), peerTimeout)
 	defer stop()
-	fun(ctx)
+	fn(ctx)
 }
 
-// knows reports whether the host has tables and knows the endpoints.
-func (fwd *Forwarder) knows() bool {
+// hasTablesAndEndpoints reports whether the host has received tables and a list of
+// endpoints.
+func (fwd *Forwarder) hasTablesAndEndpoints() bool {
 	_, known := fwd.registry.Revision()
 	return known && fwd.publisher.Current().Revision() > 0
 }
 
-// checkReady lets the calls go on that wait for the host's knowledge.
+// checkReady releases the waiting calls once the host has tables and endpoints.
 func (fwd *Forwarder) checkReady() {
-	if fwd.knows() {
+	if fwd.hasTablesAndEndpoints() {
 		fwd.readyOnce.Do(func() { close(fwd.ready) })
 	}
 }
 
-// takeTables takes a reading of the store that was true at a time.
-func (fwd *Forwarder) takeTables(rea follower.Tables, at time.Time) {
-	if !rea.Found {
+// applyTables applies tables read from the store, which held nothing newer at the
+// given time.
+func (fwd *Forwarder) applyTables(reading follower.Tables, at time.Time) {
+	if !reading.Found {
 		fwd.publisher.ConfirmAt(fwd.publisher.Current().Revision(), at)
 		return
 	}
-	ok, err := fwd.publisher.Accept(rea.Tables)
+	ok, err := fwd.publisher.Accept(reading.Tables)
 	switch {
 	case err != nil:
-		fwd.Log.Error().Uint64("Revision", rea.Tables.Revision).Err(err).Msg("tables not taken")
+		fwd.Log.Error().Uint64("Revision", reading.Tables.Revision).Err(err).Msg("tables from the store rejected; keeping the current ones")
 	case ok:
 		fwd.publisher.OnAccept(true)
 	}
-	fwd.publisher.ConfirmAt(rea.Tables.Revision, at)
+	fwd.publisher.ConfirmAt(reading.Tables.Revision, at)
 }
 
-// takeEndpoints takes a reading of the store that was true at a time.
-func (fwd *Forwarder) takeEndpoints(rea follower.Endpoints, at time.Time) {
-	var news []registrar.Endpoint
-	if rea.Complete {
-		news = fwd.registry.Replace(rea.Endpoints, rea.Revision, time.Now())
+// applyEndpoints applies endpoints read from the store, which held nothing newer at
+// the given time.
+func (fwd *Forwarder) applyEndpoints(reading follower.Endpoints, at time.Time) {
+	var changed []registrar.Endpoint
+	if reading.Complete {
+		changed = fwd.registry.Replace(reading.Endpoints, reading.Revision, time.Now())
 	} else {
-		news = fwd.registry.Merge(rea.Endpoints, rea.Revision, time.Now())
+		changed = fwd.registry.Merge(reading.Endpoints, reading.Revision, time.Now())
 	}
-	fwd.registry.Confirm(rea.Revision, at)
+	fwd.registry.Confirm(reading.Revision, at)
 	fwd.checkReady()
-	fwd.learned(news, "store")
+	fwd.handleChanges(changed, "store")
 }
 
-// learned acts on news of endpoints and passes them on.
-func (fwd *Forwarder) learned(news []registrar.Endpoint, from string) {
-	if len(news) == 0 {
+// handleChanges logs changes of endpoints, refreshes the plans and queues the changes
+// for the next broadcast to peers.
+func (fwd *Forwarder) handleChanges(changed []registrar.Endpoint, from string) {
+	if len(changed) == 0 {
 		return
 	}
-	fwd.noteEndpoints(news, from)
+	fwd.logEndpoints(changed, from)
 	fwd.runner.Refresh()
-	fwd.newsMu.Lock()
-	defer fwd.newsMu.Unlock()
-	if len(fwd.news) == 0 {
-		time.AfterFunc(newsDelay, fwd.passNews)
+	fwd.updatesMu.Lock()
+	defer fwd.updatesMu.Unlock()
+	if len(fwd.updates) == 0 {
+		time.AfterFunc(updateDelay, fwd.broadcastUpdates)
 	}
-	fwd.news = append(fwd.news, news...)
+	fwd.updates = append(fwd.updates, changed...)
 }
 
-// passNews passes on what was learned of endpoints lately.
-func (fwd *Forwarder) passNews() {
-	fwd.newsMu.Lock()
-	news := fwd.news
-	fwd.news = nil
-	fwd.newsMu.Unlock()
-	fwd.spread(func(ctx context.Context) {
+// broadcastUpdates sends the queued changes of endpoints to peers.
+func (fwd *Forwarder) broadcastUpdates() {
+	fwd.updatesMu.Lock()
+	changed := fwd.updates
+	fwd.updates = nil
+	fwd.updatesMu.Unlock()
+	fwd.withPeerTimeout(func(ctx context.Context) {
 		fwd.gossiper.Spread(ctx, func() *messenger.Envelope {
-			return &messenger.Envelope{Body: &messenger.Envelope_EndpointsPush{EndpointsPush: registrar.Message(news, 0)}}
+			return &messenger.Envelope{Body: &messenger.Envelope_EndpointsPush{EndpointsPush: registrar.Message(changed, 0)}}
 		})
 	})
 }
 
-// noteEndpoints logs a line for each endpoint, or one with counts for many at once.
-func (fwd *Forwarder) noteEndpoints(news []registrar.Endpoint, from string) {
-	if len(news) <= notedEndpoints {
-		for _, end := range news {
+// logEndpoints logs a line for each changed endpoint, or one line with counts if there
+// are more than maxEndpointLines.
+func (fwd *Forwarder) logEndpoints(changed []registrar.Endpoint, from string) {
+	if len(changed) <= maxEndpointLines {
+		for _, end := range changed {
 			fwd.Log.Info().Str("Endpoint", end.ID).Str("Service", end.Service).Str("Address", end.Address).Bool("Leaving", end.Leaving).
 				Bool("Gone", end.Gone).Uint64("Revision", end.Revision).Str("From", from).Msg("endpoint changed")
 		}
 		return
 	}
 	leaving, gone, rev := 0, 0, uint64(0)
-	for _, end := range news {
+	for _, end := range changed {
 		rev = max(rev, end.Revision)
 		switch {
 		case end.Gone:
@@ -153,72 +160,76 @@
 			leaving++
 		}
 	}
-	fwd.Log.Info().Int("Endpoints", len(news)).Int("Leaving", leaving).Int("Gone", gone).Uint64("Revision", rev).Str("From", from).Msg("endpoints changed")
+	fwd.Log.Info().Int("Endpoints", len(changed)).Int("Leaving", leaving).Int("Gone", gone).Uint64("Revision", rev).Str("From", from).Msg("endpoints changed")
 }
 
-// receiveEndpoints takes records that a peer spreads.
+// receiveEndpoints merges records that a peer broadcasts.
 func (fwd *Forwarder) receiveEndpoints(pus *messenger.EndpointsPush, now time.Time) *messenger.Envelope {
-	fwd.learned(fwd.registry.Merge(registrar.FromMessage(pus), 0, now), "peer")
+	fwd.handleChanges(fwd.registry.Merge(registrar.FromMessage(pus), 0, now), "peer")
 	return &messenger.Envelope{Body: &messenger.Envelope_Done{Done: &messenger.Done{}}}
 }
 
-// offerEndpoints answers with what a peer lacks.
-func (fwd *Forwarder) offerEndpoints(pul *messenger.EndpointsPull) *messenger.Envelope {
+// answerEndpointsPull answers with the records that are newer than the peer's revision.
+func (fwd *Forwarder) answerEndpointsPull(pul *messenger.EndpointsPull) *messenger.Envelope {
 	ends, rev := fwd.registry.After(pul.GetHaveRevision())
 	return &messenger.Envelope{Body: &messenger.Envelope_EndpointsPush{EndpointsPush: registrar.Message(ends, rev)}}
 }
 
-// seeEndpoints pulls the records of a peer that knows more than this host.
-func (fwd *Forwarder) seeEndpoints(address string, revision uint64, at time.Time) {
+// comparePeerRevision compares a peer's revision of the endpoints with this host's. At
+// an equal revision this host's records count as confirmed; a newer one is pulled.
+func (fwd *Forwarder) comparePeerRevision(address string, revision uint64, at time.Time) {
 	rev, _ := fwd.registry.Revision()
 	if revision == rev {
 		fwd.registry.Confirm(revision, at)
 	}
-	if revision <= rev || !fwd.pulling.CompareAndSwap(false, true) {
+	if revision <= rev || !fwd.pullingEndpoints.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer fwd.pulling.Store(false)
-		fwd.spread(func(ctx context.Context) { fwd.pullEndpoints(ctx, address, at) })
+		defer fwd.pullingEndpoints.Store(false)
+		fwd.withPeerTimeout(func(ctx context.Context) { fwd.pullEndpoints(ctx, address, at) })
 	}()
 }
 
-// pullEndpoints takes what a peer knows. At the time at, if it is not zero, the store held
-// nothing that the peer does not know: while records change all the time, a host never
-// hears of the revision that it has.
+// pullEndpoints merges the newer records of a peer. If the time at is not zero, the
+// peer's records were the store's newest then, and the merged records count as confirmed
+// at that time. Without this, a host would never be confirmed while records change all
+// the time, as each revision that peers announce is newer than its own.
 func (fwd *Forwarder) pullEndpoints(ctx context.Context, address string, at time.Time) {
 	have, _ := fwd.registry.Revision()
 	rep, err := fwd.multiplexer.Call(ctx, address, &messenger.Envelope{Body: &messenger.Envelope_EndpointsPull{EndpointsPull: &messenger.EndpointsPull{HaveRevision: have}}})
 	if err != nil {
-		fwd.Log.Warn().Str("Peer", address).Err(err).Msg("records of endpoints not pulled")
+		fwd.Log.Warn().Str("Peer", address).Err(err).Msg("pull of endpoint records from a peer failed")
 		return
 	}
 	pus := rep.GetEndpointsPush()
 	if pus.GetRevision() == 0 {
 		return
 	}
-	news := fwd.registry.Learn(registrar.FromMessage(pus), pus.GetRevision(), time.Now())
+	changed := fwd.registry.Learn(registrar.FromMessage(pus), pus.GetRevision(), time.Now())
 	if !at.IsZero() {
 		fwd.registry.Confirm(pus.GetRevision(), at)
 	}
 	fwd.checkReady()
-	fwd.learned(news, "peer")
+	fwd.handleChanges(changed, "peer")
 }
 
-// away and back follow whether the store answers this host, for operators.
-func (fwd *Forwarder) away()          { fwd.storeAway.Store(true) }
-func (fwd *Forwarder) back(time.Time) { fwd.storeAway.Store(false) }
+// storeLost and storeBack keep for the operators' status whether the store answers this
+// host.
+func (fwd *Forwarder) storeLost()          { fwd.storeUnavailable.Store(true) }
+func (fwd *Forwarder) storeBack(time.Time) { fwd.storeUnavailable.Store(false) }
 
-// watchHosts tells the plans of hosts that have died or were replaced.
-func (fwd *Forwarder) watchHosts(ctx context.Context) {
-	tic := time.NewTicker(hostsInterval)
+// monitorHosts reports hosts that have died or were restarted to the planner, and
+// announces this host's grants to new planners, until ctx ends.
+func (fwd *Forwarder) monitorHosts(ctx context.Context) {
+	tic := time.NewTicker(hostCheckInterval)
 	defer tic.Stop()
-	las := map[string]gossiper.Peer{}
+	last := map[string]gossiper.Peer{}
 	var seen uint64
 	for {
-		if num := fwd.gossiper.Changes(); num != seen {
-			seen = num
-			fwd.compareHosts(las)
+		if n := fwd.gossiper.Changes(); n != seen {
+			seen = n
+			fwd.reportRemovedHosts(last)
 		}
 		fwd.planners.Announce(time.Now())
 		select {
@@ -229,8 +240,9 @@
 	}
 }
 
-// compareHosts tells the plans of hosts that have died or were replaced since last.
-func (fwd *Forwarder) compareHosts(last map[string]gossiper.Peer) {
+// reportRemovedHosts reports the incarnations of hosts that have ended since last, by
+// death or restart, to the planner, and updates last.
+func (fwd *Forwarder) reportRemovedHosts(last map[string]gossiper.Peer) {
 	for _, per := range fwd.gossiper.Peers() {
 		old, ok := last[per.ID]
 		if ok && per.Started > old.Started {
--- a/process/forwarder/news_test.go
+++ b/process/forwarder/news_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestManyEndpointsChange has a host learn of many endpoints at once, as at its start
-// or when a service is replaced: it logs one line with counts, and passes all on in one
-// message.
+// TestManyEndpointsChange changes many endpoints at once, as at a host's start or when a
+// service is replaced. The host logs one line with counts instead of a line for each,
+// and queues all changes for one message.
 func TestManyEndpointsChange(t *testing.T) {
 	tts := []struct {
 		num   int
@@ -23,7 +23,7 @@
 		want  string
 	}{
 		{1, 1, `"Endpoint":"i-0"`},
-		{notedEndpoints, notedEndpoints, `"Leaving":true`},
+		{maxEndpointLines, maxEndpointLines, `"Leaving":true`},
 		{124, 1, `"Endpoints":124,"Leaving":42,"Gone":41,"Revision":124`},
 	}
 	for _, tt := range tts {
@@ -32,17 +32,17 @@
 			var log bytes.Buffer
 			fwd.Log = zerolog.New(&log)
 			var ends []registrar.Endpoint
-			for ind := range tt.num {
+			for i := range tt.num {
 				ends = append(ends, registrar.Endpoint{
-					ID: fmt.Sprintf("i-%d", ind), Service: "llm", Address: "127.0.0.1:1", Revision: uint64(ind + 1), Leaving: ind%3 == 0, Gone: ind%3 == 1,
+					ID: fmt.Sprintf("i-%d", i), Service: "llm", Address: "127.0.0.1:1", Revision: uint64(i + 1), Leaving: i%3 == 0, Gone: i%3 == 1,
 				})
 			}
-			fwd.learned(fwd.registry.Merge(ends, 200, time.Now()), "peer")
+			fwd.handleChanges(fwd.registry.Merge(ends, 200, time.Now()), "peer")
 			require.Equal(t, tt.lines, strings.Count(log.String(), "\n"))
 			require.Contains(t, log.String(), tt.want)
-			fwd.newsMu.Lock()
-			defer fwd.newsMu.Unlock()
-			require.Len(t, fwd.news, tt.num)
+			fwd.updatesMu.Lock()
+			defer fwd.updatesMu.Unlock()
+			require.Len(t, fwd.updates, tt.num)
 		})
 	}
 }
--- a/process/forwarder/peer_test.go
+++ b/process/forwarder/peer_test.go
@@ -17,40 +17,43 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// noEngines are engines that don't answer.
-type noEngines struct{}
+// unresponsiveEngines are engines that do not answer.
+type unresponsiveEngines struct{}
 
-func (noEngines) Load(context.Context, string) (planner.Load, error) {
+func (unresponsiveEngines) Load(context.Context, string) (planner.Load, error) {
 	return planner.Load{}, context.DeadlineExceeded
 }
 
-func (noEngines) Reserve(context.Context, string, string, int64, time.Duration) (bool, error) {
+func (unresponsiveEngines) Reserve(context.Context, string, string, int64, time.Duration) (bool, error) {
 	return false, context.DeadlineExceeded
 }
 
-func (noEngines) Release(context.Context, string, string) error { return context.DeadlineExceeded }
+func (unresponsiveEngines) Release(context.Context, string, string) error {
+	return context.DeadlineExceeded
+}
 
-// newPlannerHost makes a host that plans a pool of engines.
+// newPlannerHost returns a host that plans a pool of two engines.
 func newPlannerHost(t *testing.T) *Forwarder {
 	fwd := newHost(t, 0, 1, 2*time.Second)
-	fwd.runner.Loader = noEngines{}
-	fwd.takeTables(follower.Tables{Found: true, Revision: 1, Tables: parser.Tables{
+	fwd.runner.Loader = unresponsiveEngines{}
+	fwd.applyTables(follower.Tables{Found: true, Revision: 1, Tables: parser.Tables{
 		Revision: 1, Pools: []parser.Pool{{
 			Name: "llm", Kind: parser.PoolService, Selector: parser.Selector{Service: "llm"},
 			Batching: &parser.Batching{Slots: 4, MemoryTokens: 100_000, StepMs: 1, Stride: 10, ReadRate: 100_000, PairsMs: 0.1},
 		}},
 	}}, time.Now())
-	fwd.takeEndpoints(follower.Endpoints{Complete: true, Revision: 1, Endpoints: []registrar.Endpoint{
+	fwd.applyEndpoints(follower.Endpoints{Complete: true, Revision: 1, Endpoints: []registrar.Endpoint{
 		{ID: "e1", Service: "llm", Address: "127.0.0.1:1", Revision: 1}, {ID: "e2", Service: "llm", Address: "127.0.0.1:2", Revision: 1},
 	}}, time.Now())
 	return fwd
 }
 
-// fill sets the fields of a message to values that no host sends.
-func fill(ran *rand.Rand, msg protoreflect.Message, depth int) {
+// fillMessage sets the fields of a message to random values that no host sends, down to
+// the given depth of nested messages.
+func fillMessage(ran *rand.Rand, msg protoreflect.Message, depth int) {
 	fies := msg.Descriptor().Fields()
-	for ind := range fies.Len() {
-		fie := fies.Get(ind)
+	for i := range fies.Len() {
+		fie := fies.Get(i)
 		switch {
 		case ran.IntN(4) == 0:
 		case fie.IsMap():
@@ -58,28 +61,28 @@
 			lis := msg.Mutable(fie).List()
 			for range ran.IntN(3) {
 				if fie.Message() == nil {
-					lis.Append(scalar(ran, fie))
+					lis.Append(randomScalar(ran, fie))
 				} else if val := lis.NewElement(); depth > 0 {
-					fill(ran, val.Message(), depth-1)
+					fillMessage(ran, val.Message(), depth-1)
 					lis.Append(val)
 				}
 			}
 		case fie.Message() != nil:
 			if depth > 0 {
-				fill(ran, msg.Mutable(fie).Message(), depth-1)
+				fillMessage(ran, msg.Mutable(fie).Message(), depth-1)
 			}
 		default:
-			msg.Set(fie, scalar(ran, fie))
+			msg.Set(fie, randomScalar(ran, fie))
 		}
 	}
 }
 
-func scalar(ran *rand.Rand, fie protoreflect.FieldDescriptor) protoreflect.Value {
+func randomScalar(ran *rand.Rand, fie protoreflect.FieldDescriptor) protoreflect.Value {
 	nums := []int64{0, 1, -1, 7, 1 << 20, -1 << 40, 1<<62 - 1, -1 << 62}
-	num := nums[ran.IntN(len(nums))]
+	n := nums[ran.IntN(len(nums))]
 	switch fie.Kind() {
 	case protoreflect.BoolKind:
-		return protoreflect.ValueOfBool(num%2 == 0)
+		return protoreflect.ValueOfBool(n%2 == 0)
 	case protoreflect.StringKind:
 		return protoreflect.ValueOfString([]string{"", "llm", "e1", "host-0", "a/b", "127.0.0.1:1"}[ran.IntN(6)])
 	case protoreflect.BytesKind:
@@ -87,27 +90,28 @@
 	case protoreflect.EnumKind:
 		return protoreflect.ValueOfEnum(protoreflect.EnumNumber(ran.IntN(8)))
 	case protoreflect.Int32Kind:
-		return protoreflect.ValueOfInt32(int32(num))
+		return protoreflect.ValueOfInt32(int32(n))
 	case protoreflect.Uint32Kind:
-		return protoreflect.ValueOfUint32(uint32(num))
+		return protoreflect.ValueOfUint32(uint32(n))
 	case protoreflect.Uint64Kind:
-		return protoreflect.ValueOfUint64(uint64(num))
+		return protoreflect.ValueOfUint64(uint64(n))
 	case protoreflect.FloatKind:
-		return protoreflect.ValueOfFloat32(float32(num))
+		return protoreflect.ValueOfFloat32(float32(n))
 	case protoreflect.DoubleKind:
-		return protoreflect.ValueOfFloat64(float64(num))
+		return protoreflect.ValueOfFloat64(float64(n))
 	default:
-		return protoreflect.ValueOfInt64(num)
+		return protoreflect.ValueOfInt64(n)
 	}
 }
 
-// TestStrangeMessages sends every kind of message between hosts, empty and with values
-// that no host sends: each gets an answer, and the host goes on planning.
-func TestStrangeMessages(t *testing.T) {
+// TestUnexpectedMessages sends every kind of peer message to a host, empty and with
+// values that no host sends. Each has to be answered without a panic, and the host has
+// to plan requests afterwards.
+func TestUnexpectedMessages(t *testing.T) {
 	const seeds = 60
 	fies := (&messenger.Envelope{}).ProtoReflect().Descriptor().Oneofs().ByName("body").Fields()
-	for ind := range fies.Len() {
-		fie := fies.Get(ind)
+	for i := range fies.Len() {
+		fie := fies.Get(i)
 		t.Run(string(fie.Name()), func(t *testing.T) {
 			fwd := newPlannerHost(t)
 			fwd.multiplexer.Panicked = func(env *messenger.Envelope, cause any, stack []byte) {
@@ -117,10 +121,10 @@
 				env := &messenger.Envelope{}
 				bod := env.ProtoReflect().Mutable(fie).Message()
 				if seed > 0 {
-					fill(rand.New(rand.NewPCG(seed, 1)), bod, 3)
+					fillMessage(rand.New(rand.NewPCG(seed, 1)), bod, 3)
 				}
 				if req := env.GetPlanRequest(); req != nil {
-					// It would wait for its answer.
+					// A long hold would make the call wait for a plan.
 					req.HoldMs = min(req.GetHoldMs(), 1)
 				}
 				buf, err := proto.Marshal(env)
--- a/process/forwarder/serve.go
+++ b/process/forwarder/serve.go
@@ -22,45 +22,47 @@
 
 const leaveTimeout = time.Second
 
-// callerServer is the HTTP server that faces callers.
+// callerServer returns the HTTP server for callers.
 func (fwd *Forwarder) callerServer() *http.Server {
 	set := fwd.Settings
 	return &http.Server{
-		Handler: fwd.count(fwd.relayer), ReadHeaderTimeout: min(headerTimeout, set.ReadTimeout), ReadTimeout: set.ReadTimeout,
+		Handler: fwd.countCalls(fwd.relayer), ReadHeaderTimeout: min(headerTimeout, set.ReadTimeout), ReadTimeout: set.ReadTimeout,
 		IdleTimeout: set.IdleTimeout, MaxHeaderBytes: set.MaxHeader, ErrorLog: log.New(serverLog{fwd}, "", 0),
 	}
 }
 
-// count counts the calls in progress.
-func (fwd *Forwarder) count(nex http.Handler) http.Handler {
+// countCalls counts the calls in progress.
+func (fwd *Forwarder) countCalls(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
 		fwd.inFlight.Add(1)
 		defer fwd.inFlight.Add(-1)
-		nex.ServeHTTP(wri, htr)
+		next.ServeHTTP(wri, htr)
 	})
 }
 
-// serverLog counts what net/http reports of connections, and logs panics.
+// serverLog receives the error log of net/http: it counts errors of connections and
+// logs panics of handlers.
 type serverLog struct{ fwd *Forwarder }
 
-// Write takes one line.
-func (log serverLog) Write(lin []byte) (int, error) {
-	if bytes.Contains(lin, []byte("panic serving")) {
+// Write handles one line of the log.
+func (log serverLog) Write(line []byte) (int, error) {
+	if bytes.Contains(line, []byte("panic serving")) {
 		log.fwd.scope.Counter("handler_panics").Inc(1)
-		log.fwd.Log.Error().Str("Panic", string(lin)).Msg("a call's handler panicked")
+		log.fwd.Log.Error().Str("Panic", string(line)).Msg("handler of a call panicked; the connection is closed")
 	} else {
 		log.fwd.scope.Counter("connection_errors").Inc(1)
 	}
-	return len(lin), nil
+	return len(line), nil
 }
 
-// readyRoutes tells the platform's balancer whether the host takes calls.
+// readyRoutes answers the platform's load balancer with 200 if the host accepts calls,
+// otherwise with 503 and the reason.
 func (fwd *Forwarder) readyRoutes() http.Handler {
 	rou := mux.NewRouter()
 	rou.PathPrefix("/").HandlerFunc(func(wri http.ResponseWriter, _ *http.Request) {
-		if why := fwd.unready(); why != "" {
+		if reason := fwd.notReadyReason(); reason != "" {
 			wri.WriteHeader(http.StatusServiceUnavailable)
-			_, _ = wri.Write([]byte(why))
+			_, _ = wri.Write([]byte(reason))
 			return
 		}
 		wri.WriteHeader(http.StatusOK)
@@ -68,8 +70,8 @@
 	return rou
 }
 
-// unready returns why the host takes no calls, or nothing.
-func (fwd *Forwarder) unready() string {
+// notReadyReason returns why the host accepts no calls, or an empty string if it does.
+func (fwd *Forwarder) notReadyReason() string {
 	_, known := fwd.registry.Revision()
 	switch {
 	case fwd.draining.Load():
@@ -91,7 +93,7 @@
 	return rou
 }
 
-// status tells operators what the host believes.
+// status answers operators with the host's view of tables, peers and endpoints.
 func (fwd *Forwarder) status(wri http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
 	tab, age := fwd.publisher.Freshness(now)
@@ -108,18 +110,18 @@
 		Peers             []gossiper.Peer
 		Endpoints         []registrar.Endpoint
 	}{
-		fwd.Settings.HostID, fwd.Incarnation, fwd.unready(), fwd.inFlight.Load(), !fwd.storeAway.Load(), tab, age.Milliseconds(),
+		fwd.Settings.HostID, fwd.Incarnation, fwd.notReadyReason(), fwd.inFlight.Load(), !fwd.storeUnavailable.Load(), tab, age.Milliseconds(),
 		rev, fwd.gossiper.Peers(), ends,
 	}
 	wri.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(wri).Encode(out); err != nil {
-		fwd.Log.Warn().Err(err).Msg("status not sent")
+		fwd.Log.Warn().Err(err).Msg("writing the status to an operator failed")
 	}
 }
 
-// drain ends readiness, waits for the calls in progress and stops. A second
-// signal, or the drain timeout, ends it at once.
-func (fwd *Forwarder) drain(cal *http.Server, lis *acceptor.Listener) error {
+// drain reports the host as not ready, waits for the calls in progress and stops
+// serving. A second signal or the drain timeout aborts the calls left.
+func (fwd *Forwarder) drain(callerSrv *http.Server, lis *acceptor.Listener) error {
 	again := make(chan os.Signal, 1)
 	signal.Notify(again, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(again)
@@ -128,27 +130,28 @@
 		Announce: fwd.announceDrain,
 		Close: func() {
 			go func() {
-				lis.Drain(cal)
+				lis.Drain(callerSrv)
 				closed.Store(true)
 			}()
 		},
 		Requests: func() int {
-			// A connection may hold a call that has not reached its handler.
-			if num := int(fwd.inFlight.Load()); num > 0 || closed.Load() {
-				return num
+			// Until the listener is drained, a connection may hold a call that has not
+			// reached its handler, so at least one call counts as in progress.
+			if n := int(fwd.inFlight.Load()); n > 0 || closed.Load() {
+				return n
 			}
 			return 1
 		},
 		Writes: func() int { return 0 },
 	}, drainer.Settings{Notice: fwd.Settings.DrainNotice, Timeout: fwd.Settings.DrainTimeout}, again)
-	_ = cal.Close()
+	_ = callerSrv.Close()
 	fwd.Log.Info().Err(err).Int64("Calls", fwd.inFlight.Load()).Msg("host stopped")
 	return err
 }
 
 func (fwd *Forwarder) announceDrain() {
 	fwd.draining.Store(true)
-	fwd.Log.Info().Int64("Calls", fwd.inFlight.Load()).Msg("host drains")
+	fwd.Log.Info().Int64("Calls", fwd.inFlight.Load()).Msg("drain started; host reports not ready")
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), leaveTimeout)
 		defer stop()
--- a/process/forwarder/watch.go
+++ b/process/forwarder/watch.go
@@ -15,87 +15,94 @@
 
 const (
 	// watcherCount is the number of hosts of a region that watch the store. Each
-	// waiting watch is a call to the store, and one host confirms the knowledge of
+	// waiting watch is a call to the store, and one host's watch confirms the state of
 	// hundreds of others.
 	watcherCount = 3
-	// watchShare, askShare and staleShare are parts of the time within which changes
-	// have to be in force everywhere: how long one watch waits, how often a host asks
-	// a watcher for what is new, and the age from which a host reads the store itself.
-	watchShare = 0.35
-	askShare   = 0.15
-	staleShare = 0.65
-	// spreadShare is the part of that time over which hosts whose knowledge has become
-	// stale at once spread their reads: the first ones may find that a watcher answers
-	// again.
-	spreadShare = 0.1
-	// maxWatch, maxAsk and maxStale keep the knowledge of endpoints younger than the
-	// age that the registry takes for an outage of the store.
-	maxWatch = 800 * time.Millisecond
-	maxAsk   = 600 * time.Millisecond
-	maxStale = 2600 * time.Millisecond
-	// startPeriod is how long a host asks for the members after its start as long as it
-	// learns of more, as all hosts may be starting.
-	startPeriod = 4 * time.Second
-	// peerWait is how long any host that starts waits for a peer to tell it the tables
-	// and the endpoints before it reads them from the store. Peers answer within some
-	// milliseconds, or some dozens where processor time is short, and callers are
-	// waiting.
-	peerWait = 150 * time.Millisecond
-	// startInterval is how often a host that starts looks whether it knows enough.
-	startInterval = 10 * time.Millisecond
+	// watchWaitShare, pollShare and staleAgeShare are fractions of propagationLimit: how
+	// long one watch waits, how often a host polls a watcher for updates, and the age of
+	// a host's state from which it reads the store itself.
+	watchWaitShare = 0.35
+	pollShare      = 0.15
+	staleAgeShare  = 0.65
+	// staleJitterShare is the fraction of propagationLimit over which the reads of hosts
+	// are distributed whose state becomes stale at the same time. Later hosts can skip
+	// the read if a watcher answers again meanwhile.
+	staleJitterShare = 0.1
+	// maxWatchWait, maxPollInterval and maxStaleAge keep the records of endpoints younger
+	// than the age from which the registry assumes an outage of the store.
+	maxWatchWait    = 800 * time.Millisecond
+	maxPollInterval = 600 * time.Millisecond
+	maxStaleAge     = 2600 * time.Millisecond
+	// memberRefreshPeriod is the time after its start for which a host pulls the list of
+	// members again whenever it has grown, since all hosts may be starting at once.
+	memberRefreshPeriod = 4 * time.Second
+	// startPeerWait is how long a starting host waits to receive tables and endpoints
+	// from a peer before it reads them from the store. Peers answer within some
+	// milliseconds, or some tens of milliseconds where processor time is short, and
+	// callers are waiting.
+	startPeerWait = 150 * time.Millisecond
+	// startCheckInterval is the interval at which a starting host checks whether it still
+	// has to wait for its peers.
+	startCheckInterval = 10 * time.Millisecond
 )
 
-// within is the time within which changes have to be in force on all hosts.
-func (fwd *Forwarder) within() time.Duration {
+// propagationLimit returns the time within which changes have to be in force on all
+// hosts.
+func (fwd *Forwarder) propagationLimit() time.Duration {
 	return min(fwd.Settings.ApplyWithin, fwd.Settings.LeaveWithin)
 }
 
-// share is a part of the time within which changes have to be in force.
-func (fwd *Forwarder) share(sha float64) time.Duration {
-	return time.Duration(sha * float64(fwd.within()))
+// shareOfLimit returns a fraction of propagationLimit.
+func (fwd *Forwarder) shareOfLimit(part float64) time.Duration {
+	return time.Duration(part * float64(fwd.propagationLimit()))
 }
 
-func (fwd *Forwarder) watchWait() time.Duration { return min(maxWatch, fwd.share(watchShare)) }
+func (fwd *Forwarder) watchWait() time.Duration {
+	return min(maxWatchWait, fwd.shareOfLimit(watchWaitShare))
+}
 
-func (fwd *Forwarder) askInterval() time.Duration { return min(maxAsk, fwd.share(askShare)) }
+func (fwd *Forwarder) pollInterval() time.Duration {
+	return min(maxPollInterval, fwd.shareOfLimit(pollShare))
+}
 
-// staleAge differs between hosts by up to spreadShare.
+// staleAge returns the age from which the host's state is stale. It differs between
+// hosts by up to staleJitterShare.
 func (fwd *Forwarder) staleAge() time.Duration {
-	pla := float64(xxhash.Sum64String(fwd.Settings.HostID)) / math.MaxUint64
-	return min(maxStale, fwd.share(staleShare)) + fwd.share(spreadShare*pla)
+	fraction := float64(xxhash.Sum64String(fwd.Settings.HostID)) / math.MaxUint64
+	return min(maxStaleAge, fwd.shareOfLimit(staleAgeShare)) + fwd.shareOfLimit(staleJitterShare*fraction)
 }
 
-// watchers are the hosts of the region that watch the store, as they follow from the
-// membership at a number of its changes.
-type watchers struct {
-	mu       sync.Mutex
-	known    bool
-	changes  uint64
-	draining bool
-	peers    []gossiper.Peer
-	self     bool
+// watcherCache holds the hosts of the region that watch the store, as computed when the
+// membership had changed membershipChanges times.
+type watcherCache struct {
+	mu                sync.Mutex
+	valid             bool
+	membershipChanges uint64
+	draining          bool
+	peers             []gossiper.Peer
+	self              bool
 }
 
-// watchers returns the hosts of the region that watch the store: some of those with
-// much processor time. self says that this host is one of them, which one that drains
-// is not.
+// watchers returns the other hosts of the region that watch the store, chosen from those
+// with enough processor time. self reports whether this host watches it, too; a draining
+// host does not.
 func (fwd *Forwarder) watchers(now time.Time) (peers []gossiper.Peer, self bool) {
-	wat := &fwd.watching
+	wat := &fwd.watcherCache
 	wat.mu.Lock()
 	defer wat.mu.Unlock()
-	num, dra := fwd.gossiper.Changes(), fwd.draining.Load()
-	if !wat.known || wat.changes != num || wat.draining != dra {
-		wat.known, wat.changes, wat.draining = true, num, dra
-		wat.peers, wat.self = fwd.chooseWatchers(fwd.gossiper.Live(now), dra)
+	changes, draining := fwd.gossiper.Changes(), fwd.draining.Load()
+	if !wat.valid || wat.membershipChanges != changes || wat.draining != draining {
+		wat.valid, wat.membershipChanges, wat.draining = true, changes, draining
+		wat.peers, wat.self = fwd.chooseWatchers(fwd.gossiper.Live(now), draining)
 	}
 	return wat.peers, wat.self
 }
 
 func (fwd *Forwarder) chooseWatchers(live []gossiper.Peer, draining bool) (peers []gossiper.Peer, self bool) {
-	sel := gossiper.Peer{ID: fwd.Settings.HostID, CapacityMilli: capacityMilli(fwd.Settings)}
+	own := gossiper.Peer{ID: fwd.Settings.HostID, CapacityMilli: capacityMilli(fwd.Settings)}
 	all := make([]gossiper.Peer, 0, len(live)+1)
 	if !draining {
-		all = append(all, sel)
+		all = append(all, own)
 	}
 	for _, per := range live {
 		if per.Region == fwd.Settings.Region {
@@ -107,61 +114,63 @@
 	for _, per := range all {
 		ids = append(ids, per.ID)
 	}
-	for _, ind := range publisher.Watchers(ids, watcherCount) {
-		if all[ind].ID == sel.ID {
+	for _, i := range publisher.Watchers(ids, watcherCount) {
+		if all[i].ID == own.ID {
 			self = true
 			continue
 		}
-		peers = append(peers, all[ind])
+		peers = append(peers, all[i])
 	}
 	return peers, self
 }
 
-// duty reports whether this host is to read the store: as one of the watchers of
-// its region, or since nobody has confirmed its knowledge lately.
-func (fwd *Forwarder) duty(now time.Time) bool {
-	if !fwd.fresh(now) {
+// shouldReadStore reports whether this host has to read the store: it is one of the
+// watchers of its region, or no peer has confirmed its state recently.
+func (fwd *Forwarder) shouldReadStore(now time.Time) bool {
+	if !fwd.confirmedRecently(now) {
 		return true
 	}
 	_, self := fwd.watchers(now)
 	return self
 }
 
-// fresh reports whether the store has confirmed the host's knowledge lately. That may
-// be that it holds no tables yet.
-func (fwd *Forwarder) fresh(now time.Time) bool {
+// confirmedRecently reports whether the host's state was recently confirmed to be the
+// store's newest, directly or through a peer. A store without tables counts, too.
+func (fwd *Forwarder) confirmedRecently(now time.Time) bool {
 	_, known := fwd.registry.Revision()
-	return known && fwd.age(now) <= fwd.staleAge()
+	return known && fwd.sinceConfirmed(now) <= fwd.staleAge()
 }
 
-// age is how long ago the store confirmed the host's knowledge, with the time for which
-// the host was suspended since.
-func (fwd *Forwarder) age(now time.Time) time.Duration {
+// sinceConfirmed returns the time since the host's state was last confirmed, including
+// the time for which the host was suspended.
+func (fwd *Forwarder) sinceConfirmed(now time.Time) time.Duration {
 	return max(fwd.detector.Age(fwd.publisher.Confirmed(), now), fwd.detector.Age(fwd.registry.Confirmed(), now))
 }
 
-// slept is the time for which the host was suspended in all.
-func (fwd *Forwarder) slept(now time.Time) time.Duration {
-	sle, _ := fwd.detector.Suspensions(now)
-	return sle
+// suspendedTime returns the total time for which the host was suspended.
+func (fwd *Forwarder) suspendedTime(now time.Time) time.Duration {
+	suspended, _ := fwd.detector.Suspensions(now)
+	return suspended
 }
 
-// staleSinceWake reports whether the host was suspended and has not learned since what
-// has changed meanwhile.
-func (fwd *Forwarder) staleSinceWake(now time.Time) bool {
-	sle, wok := fwd.detector.Suspensions(now)
-	return sle > 0 && (!fwd.registry.Confirmed().After(wok) || !fwd.publisher.Confirmed().After(wok))
+// staleSinceResume reports whether the host was suspended and its state has not been
+// confirmed since it resumed.
+func (fwd *Forwarder) staleSinceResume(now time.Time) bool {
+	suspended, resumed := fwd.detector.Suspensions(now)
+	return suspended > 0 && (!fwd.registry.Confirmed().After(resumed) || !fwd.publisher.Confirmed().After(resumed))
 }
 
-// patient reports whether a host that starts leaves the store alone for now.
-func (fwd *Forwarder) patient(now time.Time) bool {
-	up := now.Sub(fwd.started)
+// waitsForPeers reports whether a starting host still waits for its peers' state instead
+// of reading the store. All hosts wait startPeerWait, those that are no watchers up to
+// the setting StartWait.
+func (fwd *Forwarder) waitsForPeers(now time.Time) bool {
+	uptime := now.Sub(fwd.started)
 	switch {
-	case fwd.fresh(now):
+	case fwd.confirmedRecently(now):
 		return false
-	case up < peerWait:
+	case uptime < startPeerWait:
 		return true
-	case up >= fwd.Settings.StartWait:
+	case uptime >= fwd.Settings.StartWait:
 		return false
 	default:
 		_, self := fwd.watchers(now)
@@ -169,11 +178,11 @@
 	}
 }
 
-// follow waits for what peers know, and then follows the store until ctx ends.
-func (fwd *Forwarder) follow(ctx context.Context) {
-	tic := time.NewTicker(startInterval)
+// followStore waits for the state of peers, and then follows the store until ctx ends.
+func (fwd *Forwarder) followStore(ctx context.Context) {
+	tic := time.NewTicker(startCheckInterval)
 	defer tic.Stop()
-	for fwd.patient(time.Now()) {
+	for fwd.waitsForPeers(time.Now()) {
 		select {
 		case <-tic.C:
 		case <-ctx.Done():
@@ -184,21 +193,22 @@
 	fwd.follower.Run(ctx)
 }
 
-// askWatchers asks the watchers in turn for what is new, until ctx ends.
-func (fwd *Forwarder) askWatchers(ctx context.Context) {
-	tic := time.NewTicker(fwd.askInterval())
+// pollWatchers polls the watchers in turn for updates until ctx ends. After the host's
+// start it also pulls the list of members.
+func (fwd *Forwarder) pollWatchers(ctx context.Context) {
+	tic := time.NewTicker(fwd.pollInterval())
 	defer tic.Stop()
 	turn := rand.IntN(watcherCount)
 	known := -1
 	for {
 		now := time.Now()
-		// A list of hundreds of members is worth its bytes only while it grows.
-		if num := len(fwd.gossiper.Live(now)); now.Sub(fwd.started) < startPeriod && num != known {
-			known = num
+		// A list of hundreds of members is large, so it is pulled only while it grows.
+		if n := len(fwd.gossiper.Live(now)); now.Sub(fwd.started) < memberRefreshPeriod && n != known {
+			known = n
 			go fwd.gossiper.Refresh(ctx)
 		}
-		// A watcher that the store turns away learns from the others.
-		if pers, self := fwd.watchers(now); len(pers) > 0 && (!self || fwd.storeAway.Load()) {
+		// A watcher that the store refuses gets its updates from the other watchers.
+		if pers, self := fwd.watchers(now); len(pers) > 0 && (!self || fwd.storeUnavailable.Load()) {
 			go fwd.gossiper.Ask(ctx, pers[turn%len(pers)])
 			turn++
 		}
--- a/process/forwarder/watch_test.go
+++ b/process/forwarder/watch_test.go
@@ -27,49 +27,49 @@
 	return follower.Endpoints{}, nil
 }
 
-// newHost makes a host among others that it knows, of which each twentieth has much
-// processor time.
+// newHost returns host number own of a cluster whose other hosts it knows. Each twentieth
+// host has 0.8 cores, the others 0.192.
 func newHost(t *testing.T, own, hosts int, within time.Duration) *Forwarder {
 	t.Helper()
 	set := configurer.Settings{
-		Host:       configurer.Host{HostID: fmt.Sprintf("host-%d", own), CPUShare: shareOf(own), Region: "western", DataCenter: "colombo"},
+		Host:       configurer.Host{HostID: fmt.Sprintf("host-%d", own), CPUShare: cpuShareOf(own), Region: "western", DataCenter: "colombo"},
 		Forwarding: configurer.Forwarding{ApplyWithin: within, LeaveWithin: within},
 	}
 	fwd := New(set, Platform{Source: noSource{}}, zerolog.Nop(), 1)
 	t.Cleanup(fwd.multiplexer.Close)
-	for ind := range hosts {
-		if ind != own {
+	for i := range hosts {
+		if i != own {
 			fwd.gossiper.Learn(gossiper.Peer{
-				ID: fmt.Sprintf("host-%d", ind), Address: fmt.Sprintf("127.0.0.1:%d", ind+1), Region: "western", Incarnation: 1,
-				State: gossiper.StateAlive, CapacityMilli: uint32(shareOf(ind) * 1000),
+				ID: fmt.Sprintf("host-%d", i), Address: fmt.Sprintf("127.0.0.1:%d", i+1), Region: "western", Incarnation: 1,
+				State: gossiper.StateAlive, CapacityMilli: uint32(cpuShareOf(i) * 1000),
 			})
 		}
 	}
 	return fwd
 }
 
-func shareOf(ind int) float64 {
-	if ind%20 == 0 {
+func cpuShareOf(i int) float64 {
+	if i%20 == 0 {
 		return 0.8
 	}
 	return 0.192
 }
 
-// TestWatchersAreCapable has 295 hosts choose who watches the store: all choose the
-// same few, which have much processor time.
-func TestWatchersAreCapable(t *testing.T) {
+// TestWatchersHaveProcessorTime checks that 295 hosts, each by itself, choose the same
+// watchers of the store, and only hosts with enough processor time.
+func TestWatchersHaveProcessorTime(t *testing.T) {
 	const hosts = 295
-	sel := map[string]bool{}
+	selected := map[string]bool{}
 	var all []string
-	for ind := range hosts {
-		pers, self := newHost(t, ind, hosts, 4*time.Second).watchers(time.Now())
+	for i := range hosts {
+		pers, self := newHost(t, i, hosts, 4*time.Second).watchers(time.Now())
 		var ids []string
 		for _, per := range pers {
 			ids = append(ids, per.ID)
 			require.EqualValues(t, 800, per.CapacityMilli)
 		}
 		if self {
-			sel[fmt.Sprintf("host-%d", ind)] = true
+			selected[fmt.Sprintf("host-%d", i)] = true
 			require.Len(t, ids, watcherCount-1)
 			continue
 		}
@@ -80,12 +80,12 @@
 	}
 	require.Len(t, all, watcherCount)
 	for _, id := range all {
-		require.True(t, sel[id], "%s knows its duty", id)
+		require.True(t, selected[id], "%s is chosen by other hosts but not by itself", id)
 	}
 }
 
-// TestDuty decides whether a host reads the store.
-func TestDuty(t *testing.T) {
+// TestShouldReadStore checks when a host reads the store itself.
+func TestShouldReadStore(t *testing.T) {
 	const hosts, within = 60, 4 * time.Second
 	pers, _ := newHost(t, 1, hosts, within).watchers(time.Now())
 	var watcher int
@@ -94,13 +94,13 @@
 	tts := []struct {
 		name string
 		own  int
-		// age is that of the knowledge.
+		// age is the age of the host's state.
 		age     time.Duration
 		leaving bool
 		want    bool
 	}{
-		{"a host whose knowledge is confirmed", 1, 2500 * time.Millisecond, false, false},
-		{"a host whose knowledge is stale", 1, 3050 * time.Millisecond, false, true},
+		{"a host whose state is confirmed", 1, 2500 * time.Millisecond, false, false},
+		{"a host whose state is stale", 1, 3050 * time.Millisecond, false, true},
 		{"a watcher", watcher, 0, false, true},
 		{"a watcher that drains", watcher, 0, true, false},
 	}
@@ -108,35 +108,35 @@
 		t.Run(tt.name, func(t *testing.T) {
 			fwd := newHost(t, tt.own, hosts, within)
 			now := time.Now()
-			require.True(t, fwd.duty(now), "a host that knows nothing reads the store")
+			require.True(t, fwd.shouldReadStore(now), "a host without state reads the store")
 			fwd.draining.Store(tt.leaving)
-			learn(fwd, now.Add(-tt.age))
-			require.Equal(t, tt.want, fwd.duty(now))
+			applyState(fwd, now.Add(-tt.age))
+			require.Equal(t, tt.want, fwd.shouldReadStore(now))
 		})
 	}
 }
 
-// TestNoTablesYet starts hosts before the operators' first edit: those that are told so
-// leave the store to the watchers.
+// TestNoTablesYet starts a host while the store holds no tables. Once this is confirmed,
+// the host must not read the store itself until its state becomes stale.
 func TestNoTablesYet(t *testing.T) {
 	fwd := newHost(t, 1, 60, 4*time.Second)
 	now := time.Now()
-	fwd.takeTables(follower.Tables{Revision: 1}, now)
-	fwd.takeEndpoints(follower.Endpoints{Complete: true, Revision: 1}, now)
-	require.False(t, fwd.duty(now))
-	require.False(t, fwd.patient(now))
-	require.NotEmpty(t, fwd.unready())
-	require.True(t, fwd.duty(now.Add(4*time.Second)))
+	fwd.applyTables(follower.Tables{Revision: 1}, now)
+	fwd.applyEndpoints(follower.Endpoints{Complete: true, Revision: 1}, now)
+	require.False(t, fwd.shouldReadStore(now))
+	require.False(t, fwd.waitsForPeers(now))
+	require.NotEmpty(t, fwd.notReadyReason())
+	require.True(t, fwd.shouldReadStore(now.Add(4*time.Second)))
 }
 
-func learn(fwd *Forwarder, at time.Time) {
-	fwd.takeTables(follower.Tables{Found: true, Tables: parser.Tables{Revision: 1}, Revision: 1}, at)
-	fwd.takeEndpoints(follower.Endpoints{Complete: true, Revision: 1}, at)
+func applyState(fwd *Forwarder, at time.Time) {
+	fwd.applyTables(follower.Tables{Found: true, Tables: parser.Tables{Revision: 1}, Revision: 1}, at)
+	fwd.applyEndpoints(follower.Endpoints{Complete: true, Revision: 1}, at)
 }
 
-// TestPatience decides how long a host that starts waits for its peers before it reads
+// TestWaitsForPeers checks how long a starting host waits for its peers before it reads
 // the store.
-func TestPatience(t *testing.T) {
+func TestWaitsForPeers(t *testing.T) {
 	const hosts, within = 60, 4 * time.Second
 	pers, _ := newHost(t, 1, hosts, within).watchers(time.Now())
 	var watcher int
@@ -150,12 +150,12 @@
 		knows bool
 		want  bool
 	}{
-		{"at once", 1, 0, peerWait, false, true},
-		{"peers have told", 1, 0, peerWait, true, false},
-		{"nobody has told", 1, peerWait, peerWait, false, false},
-		{"first start", 1, peerWait, time.Second, false, true},
-		{"a watcher at the first start", watcher, peerWait, time.Second, false, false},
-		{"first start, and no watcher has told", 1, time.Second, time.Second, false, false},
+		{"at once", 1, 0, startPeerWait, false, true},
+		{"peers have answered", 1, 0, startPeerWait, true, false},
+		{"no peer has answered", 1, startPeerWait, startPeerWait, false, false},
+		{"first start", 1, startPeerWait, time.Second, false, true},
+		{"a watcher at the first start", watcher, startPeerWait, time.Second, false, false},
+		{"first start, and no watcher has answered", 1, time.Second, time.Second, false, false},
 	}
 	for _, tt := range tts {
 		t.Run(tt.name, func(t *testing.T) {
@@ -164,71 +164,74 @@
 			now := time.Now()
 			fwd.started = now.Add(-tt.up)
 			if tt.knows {
-				learn(fwd, now)
+				applyState(fwd, now)
 				<-fwd.ready
 			}
-			require.Equal(t, tt.want, fwd.patient(now))
+			require.Equal(t, tt.want, fwd.waitsForPeers(now))
 		})
 	}
 }
 
-// TestIntervals derives the intervals from the time within which changes have to be in
-// force: a change that a watch misses is read in time all the same.
+// TestIntervals checks that a change that a watch misses is still read from the store
+// within the time in which changes have to be in force, and that a host that polls in
+// time never reads the store itself.
 func TestIntervals(t *testing.T) {
 	for _, within := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 10 * time.Second} {
-		for ind := range 40 {
-			fwd := newHost(t, ind, 5, within)
+		for i := range 40 {
+			fwd := newHost(t, i, 5, within)
 			const storeRead = 300 * time.Millisecond
 			require.Less(t, fwd.staleAge()+storeRead, within)
-			require.Less(t, fwd.watchWait()+fwd.askInterval(), fwd.staleAge(), "a host that asks in time never reads the store")
+			require.Less(t, fwd.watchWait()+fwd.pollInterval(), fwd.staleAge(), "a host that polls in time never reads the store")
 		}
 	}
 }
 
-// TestSuspendedHost suspends a host for longer than its steady clock shows: its knowledge
-// is stale, calls wait for news, and peers are told the true age.
+// TestSuspendedHost suspends a host, which its monotonic clock does not show. Its state
+// has to count as stale, calls have to wait for an update, and peers have to receive the
+// true age.
 func TestSuspendedHost(t *testing.T) {
 	fwd := newHost(t, 1, 60, 4*time.Second)
-	var slept time.Duration
-	fwd.detector.Clocks = func() (time.Duration, time.Duration, error) { return 0, slept, nil }
+	var suspended time.Duration
+	fwd.detector.Clocks = func() (time.Duration, time.Duration, error) { return 0, suspended, nil }
 	now := time.Now()
-	require.Zero(t, fwd.slept(now))
-	learn(fwd, now)
-	require.True(t, fwd.fresh(now))
-	slept = 5 * time.Second
+	require.Zero(t, fwd.suspendedTime(now))
+	applyState(fwd, now)
+	require.True(t, fwd.confirmedRecently(now))
+	suspended = 5 * time.Second
 	now = now.Add(100 * time.Millisecond)
-	require.Equal(t, slept, fwd.slept(now))
-	require.False(t, fwd.fresh(now))
-	require.True(t, fwd.duty(now), "it reads the store")
-	require.True(t, fwd.staleSinceWake(now))
+	require.Equal(t, suspended, fwd.suspendedTime(now))
+	require.False(t, fwd.confirmedRecently(now))
+	require.True(t, fwd.shouldReadStore(now), "a resumed host reads the store")
+	require.True(t, fwd.staleSinceResume(now))
 	_, age := fwd.gossiper.Cargo.Endpoints(now)
-	require.GreaterOrEqual(t, age, slept)
+	require.GreaterOrEqual(t, age, suspended)
 	now = now.Add(100 * time.Millisecond)
-	learn(fwd, now)
-	require.True(t, fwd.fresh(now))
-	require.False(t, fwd.staleSinceWake(now))
+	applyState(fwd, now)
+	require.True(t, fwd.confirmedRecently(now))
+	require.False(t, fwd.staleSinceResume(now))
 }
 
-// TestFreshWhileChanging has records and tables change between any two exchanges of a host
-// and a watcher: what the host pulls counts as confirmed, so that it leaves the store alone.
-func TestFreshWhileChanging(t *testing.T) {
+// TestConfirmedWhileChanging changes records and tables between any two exchanges of a
+// host and a watcher, so that the host never sees an equal revision. What it pulls has to
+// count as confirmed; otherwise each host would read the store.
+func TestConfirmedWhileChanging(t *testing.T) {
 	const within = 4 * time.Second
 	fwd, wat := newHost(t, 1, 2, within), newHost(t, 0, 2, within)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer lis.Close()
 	go func() { _ = wat.multiplexer.Serve(lis) }()
-	learn(fwd, time.Now().Add(-time.Minute))
-	require.False(t, fwd.fresh(time.Now()))
+	applyState(fwd, time.Now().Add(-time.Minute))
+	require.False(t, fwd.confirmedRecently(time.Now()))
 	at := time.Now()
-	wat.takeTables(follower.Tables{Found: true, Tables: parser.Tables{Revision: 9}, Revision: 9}, at)
-	wat.takeEndpoints(follower.Endpoints{Complete: true, Revision: 9}, at)
+	wat.applyTables(follower.Tables{Found: true, Tables: parser.Tables{Revision: 9}, Revision: 9}, at)
+	wat.applyEndpoints(follower.Endpoints{Complete: true, Revision: 9}, at)
 	fwd.gossiper.Ask(t.Context(), gossiper.Peer{ID: "host-0", Address: lis.Addr().String()})
-	require.Eventually(t, func() bool { return fwd.fresh(time.Now()) }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return fwd.confirmedRecently(time.Now()) }, 5*time.Second, time.Millisecond)
 	require.EqualValues(t, 9, fwd.publisher.Current().Revision())
 	rev, _ := fwd.registry.Revision()
 	require.EqualValues(t, 9, rev)
-	for _, con := range []time.Time{fwd.registry.Confirmed(), fwd.publisher.Confirmed()} {
-		require.WithinDuration(t, at, con, 100*time.Millisecond)
+	for _, confirmed := range []time.Time{fwd.registry.Confirmed(), fwd.publisher.Confirmed()} {
+		require.WithinDuration(t, at, confirmed, 100*time.Millisecond)
 	}
 }
