--- a/process/server/caller.go
+++ b/process/server/caller.go
@@ -15,11 +15,11 @@
 	"github.com/gorilla/mux"
 )
 
-// callerBufferBytes bounds what the kernel holds of an answer that a caller
-// does not read.
+// callerBufferBytes bounds the part of an answer that the kernel buffers for a caller
+// that does not read it.
 const callerBufferBytes = 64 << 10
 
-func boundCaller(ctx context.Context, con net.Conn) context.Context {
+func limitWriteBuffer(ctx context.Context, con net.Conn) context.Context {
 	if tcp, ok := con.(*net.TCPConn); ok {
 		_ = tcp.SetWriteBuffer(callerBufferBytes)
 	}
@@ -41,19 +41,19 @@
 	return rou
 }
 
-// ready tells the balancer, and a person who asks why, whether the host takes
-// requests.
+// ready answers the load balancer with 200 if the host accepts requests, otherwise with
+// 503 and the reason.
 func (ser *Server) ready(wri http.ResponseWriter, _ *http.Request) {
-	why := ser.unready()
-	if why == "" {
+	reason := ser.notReadyReason()
+	if reason == "" {
 		wri.WriteHeader(http.StatusOK)
 		return
 	}
-	responder.WriteJSON(wri, http.StatusServiceUnavailable, struct{ NotReady string }{why})
+	responder.WriteJSON(wri, http.StatusServiceUnavailable, struct{ NotReady string }{reason})
 }
 
-// unready returns why the host takes no requests, or nothing.
-func (ser *Server) unready() string {
+// notReadyReason returns why the host accepts no requests, or an empty string if it does.
+func (ser *Server) notReadyReason() string {
 	switch {
 	case ser.draining.Load():
 		return "the host drains"
@@ -66,11 +66,12 @@
 	}
 }
 
-// tables pins the version of the tables that a request begins with.
-func (ser *Server) tables(wri http.ResponseWriter) *matcher.Matcher {
+// pinTables returns the tables to use throughout a request, and adds their
+// revision, and their age if they may be stale, to the headers of the answer.
+func (ser *Server) pinTables(wri http.ResponseWriter) *matcher.Matcher {
 	mat := ser.publisher.Current()
 	wri.Header().Set(responder.RevisionHeader, strconv.FormatUint(mat.Revision(), 10))
-	ser.markStale(wri.Header(), time.Now())
+	ser.setTablesAge(wri.Header(), time.Now())
 	return mat
 }
 
@@ -78,18 +79,18 @@
 	return func(wri http.ResponseWriter, req *http.Request) {
 		ctx, spa := ser.startSpan(req, "prompt")
 		defer endRequest(spa, wri)
-		ser.executor.Generate(ctx, wri, req, ser.tables(wri), chat)
+		ser.executor.Generate(ctx, wri, req, ser.pinTables(wri), chat)
 	}
 }
 
 func (ser *Server) call(wri http.ResponseWriter, req *http.Request) {
 	ctx, spa := ser.startSpan(req, "call")
 	defer endRequest(spa, wri)
-	ser.executor.Call(ctx, wri, req, ser.tables(wri))
+	ser.executor.Call(ctx, wri, req, ser.pinTables(wri))
 }
 
 func (ser *Server) models(wri http.ResponseWriter, req *http.Request) {
-	mat := ser.tables(wri)
+	mat := ser.pinTables(wri)
 	key, err := receiver.BearerKey(req.Header)
 	tea, ok := mat.Team(key)
 	if err != nil || !ok {
@@ -103,8 +104,8 @@
 		OwnedBy string `json:"owned_by"`
 	}
 	mods := []model{}
-	for _, nam := range mat.Models(tea.Name) {
-		mods = append(mods, model{nam, "model", ser.started.Unix(), "hemlockpin"})
+	for _, name := range mat.Models(tea.Name) {
+		mods = append(mods, model{name, "model", ser.started.Unix(), "hemlockpin"})
 	}
 	responder.WriteJSON(wri, http.StatusOK, struct {
 		Object string  `json:"object"`
--- a/process/server/claims.go
+++ b/process/server/claims.go
@@ -7,11 +7,11 @@
 	"hemlockpin/process/journaler"
 )
 
-// liveHosts names the live hosts that don't leave.
-type liveHosts struct{ gossiper *gossiper.Gossiper }
+// liveMembers lists the live hosts that are not leaving, for the journal.
+type liveMembers struct{ gossiper *gossiper.Gossiper }
 
-// Live returns the hosts believed to be live.
-func (liv liveHosts) Live() []journaler.Member {
+// Live returns the hosts that are live in this host's view.
+func (liv liveMembers) Live() []journaler.Member {
 	var out []journaler.Member
 	for _, pee := range liv.gossiper.Live(time.Now()) {
 		out = append(out, journaler.Member{ID: pee.ID, Address: pee.Address})
@@ -22,6 +22,6 @@
 func (ser *Server) newJournal() *journaler.Journal {
 	return &journaler.Journal{
 		Store: ser.persister, Self: journaler.Member{ID: ser.Settings.HostID, Address: ser.Settings.PeerListen},
-		Members: liveHosts{ser.gossiper}, Peers: tracedPeers{ser.multiplexer}, Scope: ser.scope,
+		Members: liveMembers{ser.gossiper}, Peers: tracedPeers{ser.multiplexer}, Scope: ser.scope,
 	}
 }
--- a/process/server/counters.go
+++ b/process/server/counters.go
@@ -8,68 +8,68 @@
 )
 
 const (
-	// maxSeries bounds the counters of one name, and so their memory. What is
-	// beyond is counted together.
-	maxSeries = 4000
-	restTag   = "rest"
+	// maxSeries bounds the counters of one name, and so their memory. Further series
+	// share a counter with the tag overflowTag.
+	maxSeries   = 4000
+	overflowTag = "rest"
 )
 
-// series are the tags of a counter. rest drops the tag that tables may make
-// many values of.
+// series is the set of tags of one counter. overflow replaces the tag with an unbounded
+// number of values, such as the name of a route or team, by overflowTag.
 type series[T any] interface {
 	comparable
 	tags() map[string]string
-	rest() T
+	overflow() T
 }
 
-// counters are the counters of one name by their tags.
-type counters[T series[T]] struct {
+// seriesCounters holds the counters of one name by their tags.
+type seriesCounters[T series[T]] struct {
 	scope tally.Scope
 	name  string
 
-	mu    sync.Mutex
-	known map[T]*counted
+	mu       sync.Mutex
+	bySeries map[T]*seriesCounter
 }
 
-// counted is a counter that can be read, too.
-type counted struct {
+// seriesCounter is a metrics counter whose total can be read.
+type seriesCounter struct {
 	counter tally.Counter
 	total   atomic.Int64
 }
 
-// Inc counts.
-func (cou *counted) Inc(num int64) {
-	cou.counter.Inc(num)
-	cou.total.Add(num)
+// Inc adds n to the counter.
+func (cou *seriesCounter) Inc(n int64) {
+	cou.counter.Inc(n)
+	cou.total.Add(n)
 }
 
-// totals returns what was counted since the start.
-func (cou *counters[T]) totals() map[T]int64 {
+// totals returns the total of each series since the start.
+func (cou *seriesCounters[T]) totals() map[T]int64 {
 	cou.mu.Lock()
 	defer cou.mu.Unlock()
-	out := make(map[T]int64, len(cou.known))
-	for ser, one := range cou.known {
-		out[ser] = one.total.Load()
+	out := make(map[T]int64, len(cou.bySeries))
+	for ser, entry := range cou.bySeries {
+		out[ser] = entry.total.Load()
 	}
 	return out
 }
 
-func (cou *counters[T]) get(ser T) *counted {
+func (cou *seriesCounters[T]) get(ser T) *seriesCounter {
 	cou.mu.Lock()
 	defer cou.mu.Unlock()
-	if one, ok := cou.known[ser]; ok {
-		return one
+	if entry, ok := cou.bySeries[ser]; ok {
+		return entry
 	}
-	if len(cou.known) >= maxSeries {
-		ser = ser.rest()
-		if one, ok := cou.known[ser]; ok {
-			return one
+	if len(cou.bySeries) >= maxSeries {
+		ser = ser.overflow()
+		if entry, ok := cou.bySeries[ser]; ok {
+			return entry
 		}
 	}
-	if cou.known == nil {
-		cou.known = map[T]*counted{}
+	if cou.bySeries == nil {
+		cou.bySeries = map[T]*seriesCounter{}
 	}
-	one := &counted{counter: cou.scope.Tagged(ser.tags()).Counter(cou.name)}
-	cou.known[ser] = one
-	return one
+	entry := &seriesCounter{counter: cou.scope.Tagged(ser.tags()).Counter(cou.name)}
+	cou.bySeries[ser] = entry
+	return entry
 }
--- a/process/server/drain.go
+++ b/process/server/drain.go
@@ -17,22 +17,22 @@
 	leaveTimeout = time.Second
 )
 
-// countRequests counts the callers' requests in progress. While the host
-// drains, it asks callers to close their connections after the answer.
-func (ser *Server) countRequests(nex http.Handler) http.Handler {
+// countRequests counts the callers' requests in progress. While the host drains, answers
+// carry "Connection: close".
+func (ser *Server) countRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		ser.inFlight.Add(1)
 		defer ser.inFlight.Add(-1)
 		if ser.draining.Load() {
 			wri.Header().Set("Connection", "close")
 		}
-		nex.ServeHTTP(wri, req)
+		next.ServeHTTP(wri, req)
 	})
 }
 
-// drain ends readiness, waits for the requests in progress and stops. A second
-// signal, or the drain timeout, ends it at once.
-func (ser *Server) drain(cal *http.Server, lis *acceptor.Listener) error {
+// drain reports the host as not ready, waits for the requests in progress and stops
+// serving. A second signal or the drain timeout aborts the requests left.
+func (ser *Server) drain(callerSrv *http.Server, lis *acceptor.Listener) error {
 	again := make(chan os.Signal, 1)
 	signal.Notify(again, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(again)
@@ -41,20 +41,21 @@
 		Announce: ser.announceDrain,
 		Close: func() {
 			go func() {
-				lis.Drain(cal)
+				lis.Drain(callerSrv)
 				closed.Store(true)
 			}()
 		},
 		Requests: func() int {
-			// A connection may hold a request that has not reached its handler.
-			if num := int(ser.inFlight.Load()); num > 0 || closed.Load() {
-				return num
+			// Until the listener is drained, a connection may hold a request that has not
+			// reached its handler, so at least one request counts as in progress.
+			if n := int(ser.inFlight.Load()); n > 0 || closed.Load() {
+				return n
 			}
 			return 1
 		},
 		Writes: ser.pendingWrites,
 	}, drainer.Settings{Notice: ser.Settings.DrainNotice, Timeout: ser.Settings.DrainTimeout}, again)
-	_ = cal.Close()
+	_ = callerSrv.Close()
 	ser.executor.Settle()
 	ser.Log.Info().Err(err).Msg("host stopped")
 	return err
@@ -62,7 +63,7 @@
 
 func (ser *Server) announceDrain() {
 	ser.draining.Store(true)
-	ser.Log.Info().Int64("Requests", ser.inFlight.Load()).Msg("host drains")
+	ser.Log.Info().Int64("Requests", ser.inFlight.Load()).Msg("drain started; host reports not ready")
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), leaveTimeout)
 		defer stop()
@@ -70,8 +71,8 @@
 	}()
 }
 
-// pendingWrites counts claimed calls whose callers have left and outcomes that
-// are not yet recorded.
+// pendingWrites counts the claimed calls in progress, also those whose callers have
+// disconnected, and the outcomes that are not yet recorded in the journal.
 func (ser *Server) pendingWrites() int {
 	return ser.executor.CallsInProgress() + ser.journal.Pending()
 }
--- a/process/server/edge.go
+++ b/process/server/edge.go
@@ -14,8 +14,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// edge guards the callers' routes: it checks headers before anything is read,
-// bounds the memory of bodies and the time of slow readers, and counts the
+// edge wraps the callers' routes. It validates headers before the body is read, bounds
+// the memory of request bodies and the time for writing to slow readers, and counts the
 // outcome of every request.
 func (ser *Server) edge(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
@@ -23,15 +23,16 @@
 			next.ServeHTTP(wri, htr)
 			return
 		}
-		beg := time.Now()
-		rec := &responder.Recorder{ResponseWriter: wri, Clock: time.Now, WriteTimeout: ser.Settings.WriteTimeout, Interval: ser.meter.interval}
+		began := time.Now()
+		rec := &responder.Recorder{ResponseWriter: wri, Clock: time.Now, WriteTimeout: ser.Settings.WriteTimeout, Interval: ser.meter.recordInterval}
 		bod := receiver.NewBody(htr.Body, &ser.bodies, htr.ContentLength, ser.Settings.MaxBodyBytes)
-		// net/http looks at the body of its own request, so that stays as it is.
+		// net/http inspects the body of its own request, so the wrapped body goes into a
+		// copy of the request.
 		htr = htr.WithContext(htr.Context())
 		htr.Body = bod
 		defer bod.Release()
-		defer func() { ser.meter.observe(rec, beg, time.Now()) }()
-		if err := receiver.ValidateHeaders(htr.Header, beg); err != nil {
+		defer func() { ser.meter.observe(rec, began, time.Now()) }()
+		if err := receiver.ValidateHeaders(htr.Header, began); err != nil {
 			writeBadRequest(rec, err)
 			return
 		}
@@ -48,7 +49,7 @@
 	responder.WriteProblem(wri, pro)
 }
 
-// wrongMethod answers a known path that was called by another method.
+// wrongMethod refuses a request for a known path with a method that it does not allow.
 func wrongMethod(allowed string) http.HandlerFunc {
 	return func(wri http.ResponseWriter, htr *http.Request) {
 		wri.Header().Set("Allow", allowed)
@@ -59,31 +60,31 @@
 	}
 }
 
-// gone reports whether the caller could not be written to.
-func gone(rec *responder.Recorder) bool {
+// callerDisconnected reports whether writing the answer to the caller failed.
+func callerDisconnected(rec *responder.Recorder) bool {
 	return rec.Err != nil && !errors.Is(rec.Err, http.ErrBodyNotAllowed)
 }
 
-// callerServer is the HTTP server that faces callers.
+// callerServer returns the HTTP server for callers.
 func (ser *Server) callerServer(han http.Handler) *http.Server {
 	return &http.Server{
 		Handler: han, ReadHeaderTimeout: min(headerTimeout, ser.Settings.ReadTimeout), ReadTimeout: ser.Settings.ReadTimeout,
 		IdleTimeout: ser.Settings.IdleTimeout, MaxHeaderBytes: ser.Settings.MaxHeader, ErrorLog: log.New(serverLog{ser}, "", 0),
-		ConnContext: boundCaller,
+		ConnContext: limitWriteBuffer,
 	}
 }
 
-// serverLog counts what net/http reports, a line for each broken connection,
-// and logs only panics of handlers.
+// serverLog receives the error log of net/http. It logs panics of handlers, and only
+// counts all other lines: net/http writes one for each broken connection.
 type serverLog struct{ ser *Server }
 
-// Write takes one line.
-func (log serverLog) Write(lin []byte) (int, error) {
-	if bytes.Contains(lin, []byte("panic serving")) {
+// Write handles one line of the log.
+func (log serverLog) Write(line []byte) (int, error) {
+	if bytes.Contains(line, []byte("panic serving")) {
 		log.ser.scope.Counter("handler_panics").Inc(1)
-		log.ser.Log.Error().Str("Panic", string(lin)).Msg("a request's handler panicked")
+		log.ser.Log.Error().Str("Panic", string(line)).Msg("handler of a request panicked; the connection is closed")
 	} else {
 		log.ser.scope.Counter("connection_errors").Inc(1)
 	}
-	return len(lin), nil
+	return len(line), nil
 }
--- a/process/server/edge_test.go
+++ b/process/server/edge_test.go
@@ -55,8 +55,8 @@
 	return set
 }
 
-// startEdge serves the callers' routes of a host without endpoints; han
-// replaces the routes unless it is nil.
+// startEdge serves the callers' routes of a host without endpoints; han replaces the
+// routes if it is not nil.
 func startEdge(t *testing.T, set configurer.Settings, han http.Handler) (ser *Server, address string) {
 	t.Helper()
 	ser = New(set, zerolog.Nop(), 1, time.Now())
@@ -66,9 +66,9 @@
 	}
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	htt := ser.callerServer(ser.edge(han))
-	go htt.Serve(&acceptor.Listener{Listener: lis, Max: int64(set.MaxConns), Refused: tally.NoopScope.Counter("")})
-	t.Cleanup(func() { htt.Close() })
+	srv := ser.callerServer(ser.edge(han))
+	go srv.Serve(&acceptor.Listener{Listener: lis, Max: int64(set.MaxConns), Refused: tally.NoopScope.Counter("")})
+	t.Cleanup(func() { srv.Close() })
 	return ser, lis.Addr().String()
 }
 
@@ -81,7 +81,7 @@
 	return con
 }
 
-// answer reads one answer and tells its status, code and run.
+// answer reads one answer and returns its status, error type, code and run header.
 func answer(t *testing.T, rea *bufio.Reader) string {
 	t.Helper()
 	res, err := http.ReadResponse(rea, nil)
@@ -92,15 +92,15 @@
 	var bod struct {
 		Error struct{ Type, Code string }
 	}
-	// A connection may be reset after an answer to a header that is too long.
-	txt, _ := io.ReadAll(res.Body)
-	_ = json.Unmarshal(txt, &bod)
+	// After a header that is too long the connection may be reset, so an error is ignored.
+	text, _ := io.ReadAll(res.Body)
+	_ = json.Unmarshal(text, &bod)
 	return strings.Join(strings.Fields(fmt.Sprintln(res.StatusCode, bod.Error.Type, bod.Error.Code, res.Header.Get(responder.RunHeader))), " ") + "\n"
 }
 
-// TestEdge sends the raw requests of testdata/edge. BODY(n) stands for a prompt
-// of n bytes, LENGTH for the length of what follows the header, KEY for a key
-// of a team, LONG for 13,000 bytes, \r and \x00 for themselves.
+// TestEdge sends the raw requests of testdata/edge. BODY(n) stands for a prompt of n
+// bytes, LENGTH for the length of the body, KEY for a key of a team, LONG for 13,000
+// bytes, \r and \x00 for these control characters.
 func TestEdge(t *testing.T) {
 	_, add := startEdge(t, edgeSettings(), nil)
 	datadriven.RunTest(t, "testdata/edge", func(t *testing.T, dat *datadriven.TestData) string {
@@ -114,26 +114,27 @@
 	})
 }
 
-func rawRequest(txt string) []byte {
-	hea, bod, _ := strings.Cut(txt, "\n\n")
-	var siz int
-	if _, err := fmt.Sscanf(bod, "BODY(%d)", &siz); err == nil {
-		bod = promptBody(siz)
+func rawRequest(text string) []byte {
+	header, body, _ := strings.Cut(text, "\n\n")
+	var size int
+	if _, err := fmt.Sscanf(body, "BODY(%d)", &size); err == nil {
+		body = promptBody(size)
 	}
-	if strings.Contains(hea, "chunked") {
-		bod = strings.ReplaceAll(bod, "\n", "\r\n") + "\r\n\r\n"
+	if strings.Contains(header, "chunked") {
+		body = strings.ReplaceAll(body, "\n", "\r\n") + "\r\n\r\n"
 	}
-	hea = strings.NewReplacer("\n", "\r\n", "LENGTH", fmt.Sprint(len(bod)), "KEY", "Bearer "+edgeKey, `\r`, "\r", `\x00`, "\x00", "LONG", strings.Repeat("y", 13_000)).Replace(hea)
-	return []byte(hea + "\r\n\r\n" + bod)
+	header = strings.NewReplacer("\n", "\r\n", "LENGTH", fmt.Sprint(len(body)), "KEY", "Bearer "+edgeKey, `\r`, "\r", `\x00`, "\x00", "LONG", strings.Repeat("y", 13_000)).Replace(header)
+	return []byte(header + "\r\n\r\n" + body)
 }
 
-// promptBody is a prompt of exactly siz bytes.
-func promptBody(siz int) string {
-	hea, end := `{"model":"`+edgeModel+`","max_tokens":1,"prompt":"`, `"}`
-	return hea + strings.Repeat("x", max(siz-len(hea)-len(end), 1)) + end
+// promptBody returns a prompt of exactly size bytes.
+func promptBody(size int) string {
+	head, end := `{"model":"`+edgeModel+`","max_tokens":1,"prompt":"`, `"}`
+	return head + strings.Repeat("x", max(size-len(head)-len(end), 1)) + end
 }
 
-// TestSlowSender stops in the middle of a body, and then of a header.
+// TestSlowSender sends only a part of a body, and then only a part of a header: both are
+// refused after the read time-out.
 func TestSlowSender(t *testing.T) {
 	_, add := startEdge(t, edgeSettings(), nil)
 	con := dial(t, add)
@@ -144,7 +145,8 @@
 	require.Equal(t, "400\n", answer(t, bufio.NewReader(con)))
 }
 
-// TestSlowReader leaves a long answer unread: the host gives it up.
+// TestSlowReader does not read a long answer: the host has to abort writing it after the
+// write time-out.
 func TestSlowReader(t *testing.T) {
 	end := make(chan error, 1)
 	_, add := startEdge(t, edgeSettings(), http.HandlerFunc(func(wri http.ResponseWriter, _ *http.Request) {
@@ -166,7 +168,8 @@
 	}
 }
 
-// TestLongStream goes on past the read time-out: it bounds the request only.
+// TestLongStream checks that an answer may take longer than the read time-out, which
+// bounds only the reading of the request.
 func TestLongStream(t *testing.T) {
 	set := edgeSettings()
 	_, add := startEdge(t, set, http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
@@ -183,12 +186,13 @@
 	res, err := http.Post("http://"+add+"/", "text/plain", strings.NewReader("hum"))
 	require.NoError(t, err)
 	defer res.Body.Close()
-	txt, err := io.ReadAll(res.Body)
+	text, err := io.ReadAll(res.Body)
 	require.NoError(t, err)
-	require.Equal(t, strings.Repeat("token\n", 5), string(txt))
+	require.Equal(t, strings.Repeat("token\n", 5), string(text))
 }
 
-// TestConnectionLimit opens more connections than allowed.
+// TestConnectionLimit opens more connections than allowed: the further one is refused,
+// until another one is closed.
 func TestConnectionLimit(t *testing.T) {
 	set := edgeSettings()
 	set.MaxConns = 2
@@ -213,7 +217,8 @@
 	}, edgeTimeout, 10*time.Millisecond)
 }
 
-// TestBodyMemory lets callers announce more than the host may hold.
+// TestBodyMemory announces bodies that need more memory than the host may use: the
+// request beyond the limit is refused, and a closed connection releases its memory.
 func TestBodyMemory(t *testing.T) {
 	set := edgeSettings()
 	set.MaxBodyMemory = 10_000
@@ -229,8 +234,8 @@
 	require.Eventually(t, func() bool { return ser.bodies.Used() == 0 }, edgeTimeout, time.Millisecond)
 }
 
-// TestUnauthorizedBody announces a large body without a key: nothing of it is
-// asked for or reserved.
+// TestUnauthorizedBody announces a large body without a key: the request is refused
+// before the body is requested or memory is reserved for it.
 func TestUnauthorizedBody(t *testing.T) {
 	ser, add := startEdge(t, edgeSettings(), nil)
 	con := dial(t, add)
@@ -240,8 +245,8 @@
 	require.Zero(t, ser.bodies.Used())
 }
 
-// TestKeptConnection lets the write deadline of a request pass on an idle
-// connection: it must not hold for what comes later.
+// TestKeptConnection sends requests on a kept connection after the write deadline of an
+// earlier request has passed: the old deadline must not apply to them.
 func TestKeptConnection(t *testing.T) {
 	set := edgeSettings()
 	set.IdleTimeout = time.Minute
@@ -258,7 +263,7 @@
 	}
 }
 
-// TestReady asks why a host is not ready.
+// TestReady checks the reasons that a host gives for not being ready.
 func TestReady(t *testing.T) {
 	ser, add := startEdge(t, edgeSettings(), nil)
 	tt := []struct {
@@ -275,10 +280,10 @@
 			res, err := http.Get("http://" + add + "/readyz")
 			require.NoError(t, err)
 			defer res.Body.Close()
-			txt, err := io.ReadAll(res.Body)
+			text, err := io.ReadAll(res.Body)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusServiceUnavailable, res.StatusCode)
-			require.Contains(t, string(txt), tc.want)
+			require.Contains(t, string(text), tc.want)
 		})
 	}
 }
--- a/process/server/explain.go
+++ b/process/server/explain.go
@@ -15,7 +15,7 @@
 	"hemlockpin/version/parser"
 )
 
-// ExplainRequest describes a request that need not be sent.
+// ExplainRequest describes a request whose routing and placement are to be explained.
 type ExplainRequest struct {
 	Team string
 	// Model is set for prompts, Path for calls of services.
@@ -25,30 +25,30 @@
 	MaxTokens    int64  `json:",omitempty"`
 }
 
-// Explanation says which route, pool and endpoint would take a request.
+// Explanation reports the route, the pool and the endpoint that a request would get.
 type Explanation struct {
 	Host string
 	explainer.Explanation
-	// Cell and Scheduler name the queue that a prompt would wait in and the host
-	// that grants endpoints from it; empty if this host places by itself.
+	// Cell is the cell in whose queue a prompt would wait, and Scheduler the host that
+	// grants its endpoints; empty if this host places requests by itself.
 	Cell      string `json:",omitempty"`
 	Scheduler string `json:",omitempty"`
-	// Decision is what this host would do now by itself. A scheduler that knows
-	// more of its cell may choose another endpoint.
+	// Decision is the placement that this host would choose by itself now. A scheduler
+	// has newer data of its cell and may choose another endpoint.
 	Decision string
-	// Refused says that no route or no endpoint would take the request.
+	// Refused reports that no route or no endpoint accepts the request.
 	Refused   bool
 	Endpoint  string `json:",omitempty"`
 	Endpoints []EndpointView
 }
 
-// EndpointView is one endpoint of the pool as this host knows it.
+// EndpointView is this host's view of one endpoint of the pool.
 type EndpointView struct {
 	ID         string
 	Address    string
 	DataCenter string
 	Takes      bool
-	// Reasons keep the request off the endpoint.
+	// Reasons lists why the endpoint cannot take the request.
 	Reasons      []string `json:",omitempty"`
 	ReportAgeMs  int64
 	MemoryTokens int64
@@ -72,7 +72,7 @@
 	responder.WriteJSON(wri, http.StatusOK, ser.Explain(mat, req, time.Now()))
 }
 
-// Explain finds the way that a request would take now.
+// Explain returns how a request would be routed and placed now.
 func (ser *Server) Explain(mat *matcher.Matcher, req ExplainRequest, now time.Time) Explanation {
 	que := matcher.Query{Kind: parser.PoolService, Model: req.Model, Team: req.Team, Path: req.Path, PromptTokens: req.PromptTokens}
 	if req.Model != "" {
@@ -94,7 +94,7 @@
 	seed := uint64(now.UnixNano())
 	dec := placer.Decide(placer.Policy(ser.Settings.Placement), pla, vie, now, rand.New(rand.NewPCG(seed, seed)))
 	_, exp.Refused = dec.(placer.Refuse)
-	exp.Decision, exp.Endpoint = describe(dec)
+	exp.Decision, exp.Endpoint = describeDecision(dec)
 	return exp
 }
 
@@ -118,16 +118,16 @@
 	return vie
 }
 
-func describe(dec placer.Decision) (text, endpoint string) {
+func describeDecision(dec placer.Decision) (text, endpoint string) {
 	switch dec := dec.(type) {
 	case placer.Place:
 		return "Place", dec.Endpoint
 	case placer.PlaceGroup:
-		txt := "PlaceGroup:"
+		parts := "PlaceGroup:"
 		for _, par := range dec.Parts {
-			txt += fmt.Sprintf(" %s (%d tokens)", par.Endpoint, par.Tokens)
+			parts += fmt.Sprintf(" %s (%d tokens)", par.Endpoint, par.Tokens)
 		}
-		return txt, ""
+		return parts, ""
 	case placer.Wait:
 		return "Wait", ""
 	case placer.Refuse:
--- a/process/server/hosts.go
+++ b/process/server/hosts.go
@@ -19,17 +19,18 @@
 
 const (
 	hostCallTimeout = 2 * time.Second
-	// statusTimeout bounds asking all hosts; those left then count as silent.
+	// statusTimeout bounds a query of all hosts; hosts that have not answered by then
+	// count as unresponsive.
 	statusTimeout = 6 * time.Second
-	// hostCalls bounds the peers asked at a time, so that a data centre of dead
-	// hosts among a thousand is asked within statusTimeout.
-	hostCalls       = 128
+	// maxHostCalls is the number of hosts queried at a time. It is large enough that a
+	// thousand hosts, of which a data centre is dead, are queried within statusTimeout.
+	maxHostCalls    = 128
 	maxOperatorBody = 1 << 20
 )
 
-var errOtherMessage = errors.New("the host answered with another message")
+var errUnexpectedReply = errors.New("the host answered with another message")
 
-// HostStatus is one host as it answered for itself, or the error of asking it.
+// HostStatus is the status that one host reports of itself, or the error of querying it.
 type HostStatus struct {
 	Host            string
 	DataCenter      string
@@ -47,7 +48,7 @@
 	Error string `json:",omitempty"`
 }
 
-// EndpointStatus is one endpoint as the answering host knows it.
+// EndpointStatus is the answering host's view of one endpoint.
 type EndpointStatus struct {
 	persister.Entry
 	// ReportAgeMs is -1 if the host has no load report of the endpoint.
@@ -59,7 +60,7 @@
 	Outstanding int
 }
 
-func (ser *Server) report() *messenger.StatusReport {
+func (ser *Server) statusReport() *messenger.StatusReport {
 	return &messenger.StatusReport{
 		Host: ser.Settings.HostID, DataCenter: ser.Settings.DataCenter, Incarnation: ser.Incarnation,
 		Draining: ser.draining.Load(), Requests: int64(ser.admitter.Current()),
@@ -77,52 +78,52 @@
 	}
 }
 
-// statusHosts asks every listed host. It is made for operators, not for polling.
+// statusHosts queries every listed host. It is meant for operators, not for polling.
 func (ser *Server) statusHosts(wri http.ResponseWriter, htr *http.Request) {
-	ents := ser.hosts()
+	ents := ser.otherHosts()
 	stas := make([]HostStatus, len(ents), len(ents)+1)
-	ser.askHosts(htr.Context(), ents, func(ctx context.Context, ind int, ent persister.Entry) {
-		stas[ind] = ser.askStatus(ctx, ent)
+	ser.callHosts(htr.Context(), ents, func(ctx context.Context, i int, ent persister.Entry) {
+		stas[i] = ser.fetchStatus(ctx, ent)
 	})
-	stas = append(stas, newHostStatus(ser.report()))
-	slices.SortFunc(stas, func(one, two HostStatus) int { return cmp.Compare(one.Host, two.Host) })
+	stas = append(stas, newHostStatus(ser.statusReport()))
+	slices.SortFunc(stas, func(a, b HostStatus) int { return cmp.Compare(a.Host, b.Host) })
 	responder.WriteJSON(wri, http.StatusOK, stas)
 }
 
-// askHosts asks many hosts at a time within statusTimeout.
-func (ser *Server) askHosts(ctx context.Context, ents []persister.Entry, ask func(ctx context.Context, ind int, ent persister.Entry)) {
+// callHosts runs call for each host, up to maxHostCalls at a time, within statusTimeout.
+func (ser *Server) callHosts(ctx context.Context, ents []persister.Entry, call func(ctx context.Context, i int, ent persister.Entry)) {
 	ctx, stop := context.WithTimeout(ctx, statusTimeout)
 	defer stop()
-	sem := make(chan struct{}, hostCalls)
+	sem := make(chan struct{}, maxHostCalls)
 	var gro sync.WaitGroup
-	for ind, ent := range ents {
+	for i, ent := range ents {
 		sem <- struct{}{}
 		gro.Go(func() {
 			defer func() { <-sem }()
-			ask(ctx, ind, ent)
+			call(ctx, i, ent)
 		})
 	}
 	gro.Wait()
 }
 
-// askHost calls one host on behalf of an operator.
-func (ser *Server) askHost(ctx context.Context, ent persister.Entry, env *messenger.Envelope) (*messenger.Envelope, error) {
+// callHost sends one message to a host within hostCallTimeout, for an operator's request.
+func (ser *Server) callHost(ctx context.Context, ent persister.Entry, env *messenger.Envelope) (*messenger.Envelope, error) {
 	ctx, stop := context.WithTimeout(ctx, hostCallTimeout)
 	defer stop()
 	return ser.multiplexer.Call(ctx, ent.Address, env)
 }
 
-// hosts lists the other entry hosts.
-func (ser *Server) hosts() []persister.Entry {
+// otherHosts returns the listed entry hosts but this one.
+func (ser *Server) otherHosts() []persister.Entry {
 	return slices.DeleteFunc(slices.Clone(ser.watcher.Entries()), func(ent persister.Entry) bool {
 		return ent.Kind != persister.KindEntry || ent.ID == ser.Settings.HostID
 	})
 }
 
-func (ser *Server) askStatus(ctx context.Context, ent persister.Entry) HostStatus {
-	rep, err := ser.askHost(ctx, ent, &messenger.Envelope{Body: &messenger.Envelope_StatusQuery{StatusQuery: &messenger.StatusQuery{}}})
+func (ser *Server) fetchStatus(ctx context.Context, ent persister.Entry) HostStatus {
+	rep, err := ser.callHost(ctx, ent, &messenger.Envelope{Body: &messenger.Envelope_StatusQuery{StatusQuery: &messenger.StatusQuery{}}})
 	if err == nil && rep.GetStatusReport() == nil {
-		err = errOtherMessage
+		err = errUnexpectedReply
 	}
 	if err != nil {
 		return HostStatus{Host: ent.ID, DataCenter: ent.DataCenter, Error: err.Error()}
@@ -132,15 +133,15 @@
 
 func (ser *Server) statusEndpoints(wri http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
-	outs := []EndpointStatus{}
+	statuses := []EndpointStatus{}
 	for _, ent := range ser.watcher.Entries() {
 		if ent.Kind == persister.KindEntry {
 			continue
 		}
-		outs = append(outs, ser.endpointStatus(ent, now))
+		statuses = append(statuses, ser.endpointStatus(ent, now))
 	}
-	slices.SortFunc(outs, func(one, two EndpointStatus) int { return cmp.Compare(one.ID, two.ID) })
-	responder.WriteJSON(wri, http.StatusOK, outs)
+	slices.SortFunc(statuses, func(a, b EndpointStatus) int { return cmp.Compare(a.ID, b.ID) })
+	responder.WriteJSON(wri, http.StatusOK, statuses)
 }
 
 func (ser *Server) endpointStatus(ent persister.Entry, now time.Time) EndpointStatus {
@@ -157,7 +158,8 @@
 	return out
 }
 
-// DrainRequest names the host to drain; empty stands for the host asked.
+// DrainRequest names the host to drain; an empty Host stands for the host that receives
+// the request.
 type DrainRequest struct{ Host string }
 
 func (ser *Server) postDrain(wri http.ResponseWriter, htr *http.Request) {
@@ -175,13 +177,13 @@
 }
 
 func (ser *Server) forwardDrain(ctx context.Context, wri http.ResponseWriter, req DrainRequest) {
-	hoss := ser.hosts()
-	ind := slices.IndexFunc(hoss, func(ent persister.Entry) bool { return ent.ID == req.Host })
-	if ind < 0 {
+	hoss := ser.otherHosts()
+	i := slices.IndexFunc(hoss, func(ent persister.Entry) bool { return ent.ID == req.Host })
+	if i < 0 {
 		responder.WriteJSON(wri, http.StatusNotFound, OperatorError{Code: "unknown_host", Message: fmt.Sprintf("no host %q is listed", req.Host)})
 		return
 	}
-	_, err := ser.askHost(ctx, hoss[ind], &messenger.Envelope{Body: &messenger.Envelope_DrainOrder{DrainOrder: &messenger.DrainOrder{Host: req.Host}}})
+	_, err := ser.callHost(ctx, hoss[i], &messenger.Envelope{Body: &messenger.Envelope_DrainOrder{DrainOrder: &messenger.DrainOrder{Host: req.Host}}})
 	if err != nil {
 		responder.WriteJSON(wri, http.StatusBadGateway, OperatorError{Code: "unknown", Message: err.Error()})
 		return
@@ -198,6 +200,6 @@
 }
 
 func (ser *Server) beginDrain() {
-	ser.Log.Info().Msg("an operator asked for a drain")
+	ser.Log.Info().Msg("operator requested a drain of this host")
 	ser.requestDrain()
 }
--- a/process/server/meter.go
+++ b/process/server/meter.go
@@ -9,7 +9,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Outcomes of a request, as counted.
+// Outcomes of a request, as tags of its counters.
 const (
 	outcomeWhole   = "whole"
 	outcomeRefused = "refused"
@@ -24,20 +24,22 @@
 	longTokens   = 100_000
 )
 
-func firstTokenBuckets() tally.DurationBuckets {
+// latencyBuckets returns the buckets of the histograms of complete requests and of first
+// tokens.
+func latencyBuckets() tally.DurationBuckets {
 	return tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 15)
 }
 
-func tokenBuckets() tally.DurationBuckets {
+func interTokenBuckets() tally.DurationBuckets {
 	return tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 13)
 }
 
 // meter counts the outcomes of callers' requests.
 type meter struct {
-	scope    tally.Scope
-	tokens   tally.Histogram
-	requests counters[requestSeries]
-	teams    counters[teamSeries]
+	scope      tally.Scope
+	interToken tally.Histogram
+	requests   seriesCounters[requestSeries]
+	teams      seriesCounters[teamSeries]
 }
 
 // requestSeries are the tags of one counter of requests.
@@ -54,28 +56,28 @@
 	return map[string]string{"team": ser.team, "outcome": ser.outcome}
 }
 
-func (ser requestSeries) rest() requestSeries {
-	ser.route = restTag
+func (ser requestSeries) overflow() requestSeries {
+	ser.route = overflowTag
 	return ser
 }
 
-func (ser teamSeries) rest() teamSeries {
-	ser.team = restTag
+func (ser teamSeries) overflow() teamSeries {
+	ser.team = overflowTag
 	return ser
 }
 
 func newMeter(sco tally.Scope) *meter {
 	return &meter{
-		scope: sco, tokens: sco.Histogram("inter_token_seconds", tokenBuckets()),
-		requests: counters[requestSeries]{scope: sco, name: "requests"},
-		teams:    counters[teamSeries]{scope: sco, name: "team_requests"},
+		scope: sco, interToken: sco.Histogram("inter_token_seconds", interTokenBuckets()),
+		requests: seriesCounters[requestSeries]{scope: sco, name: "requests"},
+		teams:    seriesCounters[teamSeries]{scope: sco, name: "team_requests"},
 	}
 }
 
-func (met *meter) interval(dur time.Duration) { met.tokens.RecordDuration(dur) }
+func (met *meter) recordInterval(gap time.Duration) { met.interToken.RecordDuration(gap) }
 
-// observe counts one finished request.
-func (met *meter) observe(rec *responder.Recorder, beg, end time.Time) {
+// observe records the outcome and the latency of one finished request.
+func (met *meter) observe(rec *responder.Recorder, began, end time.Time) {
 	out := outcomeOf(rec)
 	met.requests.get(requestSeries{orNone(rec.Labels.Route), orNone(rec.Code), orNone(rec.Header().Get(responder.RunHeader)), out}).Inc(1)
 	if rec.Labels.Team != "" {
@@ -84,17 +86,18 @@
 	if out != outcomeWhole {
 		return
 	}
-	// Histograms by route would take more memory than the rest of the host.
-	cla := met.scope.Tagged(map[string]string{"length": lengthClass(rec.Labels.PromptTokens)})
-	cla.Histogram("request_seconds", firstTokenBuckets()).RecordDuration(end.Sub(beg))
-	if streamed(rec) {
-		cla.Histogram("first_token_seconds", firstTokenBuckets()).RecordDuration(rec.First.Sub(beg))
+	// Histograms have no tag for the route: with it they would take more memory than the
+	// rest of the host.
+	byLength := met.scope.Tagged(map[string]string{"length": lengthClass(rec.Labels.PromptTokens)})
+	byLength.Histogram("request_seconds", latencyBuckets()).RecordDuration(end.Sub(began))
+	if isStream(rec) {
+		byLength.Histogram("first_token_seconds", latencyBuckets()).RecordDuration(rec.First.Sub(began))
 	}
 }
 
 func outcomeOf(rec *responder.Recorder) string {
 	switch {
-	case gone(rec):
+	case callerDisconnected(rec):
 		return outcomeCut
 	case rec.Code == "" && rec.Status != 0:
 		return outcomeWhole
@@ -107,7 +110,7 @@
 	}
 }
 
-func streamed(rec *responder.Recorder) bool {
+func isStream(rec *responder.Recorder) bool {
 	return rec.Header().Get("Content-Type") == "text/event-stream" && rec.Status == http.StatusOK
 }
 
@@ -126,9 +129,9 @@
 	}
 }
 
-func orNone(txt string) string {
-	if txt == "" {
+func orNone(text string) string {
+	if text == "" {
 		return "none"
 	}
-	return txt
+	return text
 }
--- a/process/server/meter_bench_test.go
+++ b/process/server/meter_bench_test.go
@@ -23,7 +23,7 @@
 	return mem.HeapAlloc
 }
 
-// observed counts one whole streamed request of a route and a team.
+// observed records one complete streamed request of a route and a team.
 func observed(met *meter, route, team string) {
 	now := time.Unix(1000, 0)
 	rec := &responder.Recorder{ResponseWriter: httptest.NewRecorder(), Status: http.StatusOK, First: now, Last: now}
@@ -33,20 +33,20 @@
 	met.observe(rec, now, now.Add(time.Second))
 }
 
-// BenchmarkMeterMemory reports the memory that metrics take for each route with
-// a team of its own.
+// BenchmarkMeterMemory reports the memory of the metrics for each route that has its own
+// team.
 func BenchmarkMeterMemory(b *testing.B) {
-	for _, rous := range []int{100, 1000, 5000} {
-		b.Run(fmt.Sprintf("routes=%d", rous), func(b *testing.B) {
+	for _, routes := range []int{100, 1000, 5000} {
+		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
 			for range b.N {
 				sco, han := measurer.New(zerolog.Nop())
 				met := newMeter(sco)
-				bef := heapBytes()
-				for ind := range rous {
-					observed(met, fmt.Sprintf("route-%d", ind), fmt.Sprintf("team-%d", ind))
+				before := heapBytes()
+				for i := range routes {
+					observed(met, fmt.Sprintf("route-%d", i), fmt.Sprintf("team-%d", i))
 				}
-				aft := heapBytes()
-				b.ReportMetric(float64(aft-bef)/float64(rous), "B/route")
+				after := heapBytes()
+				b.ReportMetric(float64(after-before)/float64(routes), "B/route")
 				runtime.KeepAlive(han)
 				_ = sco.(io.Closer).Close()
 			}
@@ -54,7 +54,7 @@
 	}
 }
 
-// BenchmarkObserve counts one request of a known route.
+// BenchmarkObserve measures recording one request of a known route.
 func BenchmarkObserve(b *testing.B) {
 	sco, _ := measurer.New(zerolog.Nop())
 	met := newMeter(sco)
@@ -63,11 +63,11 @@
 	}
 }
 
-// BenchmarkRecorderWrite passes one token on.
+// BenchmarkRecorderWrite measures writing one token to the caller.
 func BenchmarkRecorderWrite(b *testing.B) {
 	sco, _ := measurer.New(zerolog.Nop())
 	met := newMeter(sco)
-	rec := &responder.Recorder{ResponseWriter: discard{}, Clock: time.Now, WriteTimeout: time.Second, Interval: met.interval}
+	rec := &responder.Recorder{ResponseWriter: discard{}, Clock: time.Now, WriteTimeout: time.Second, Interval: met.recordInterval}
 	buf := []byte("data: x\n\n")
 	for b.Loop() {
 		_, _ = rec.Write(buf)
--- a/process/server/meter_test.go
+++ b/process/server/meter_test.go
@@ -18,8 +18,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// stream answers one prompt of the given length in three events; it ends with a
-// problem if the path says so.
+// stream answers a prompt of the given length with three events, followed by an error if
+// the path is /fail.
 func stream(tokens int64) http.HandlerFunc {
 	return func(wri http.ResponseWriter, htr *http.Request) {
 		responder.Describe(wri, responder.Labels{Route: "questions", Pool: "pedal", Team: "tailors", PromptTokens: tokens})
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestOutcomes reads the counters of refused, whole and failed requests.
+// TestOutcomes checks the metrics of refused, complete and failed requests.
 func TestOutcomes(t *testing.T) {
 	tt := []struct {
 		name string
@@ -65,8 +65,8 @@
 			require.NoError(t, err)
 			_, _ = io.Copy(io.Discard, res.Body)
 			res.Body.Close()
-			for _, lin := range tc.want {
-				require.Eventually(t, func() bool { return hasLine(ser, lin) }, edgeTimeout, 50*time.Millisecond, "%s", lin)
+			for _, line := range tc.want {
+				require.Eventually(t, func() bool { return hasLine(ser, line) }, edgeTimeout, 50*time.Millisecond, "%s", line)
 			}
 		})
 	}
@@ -88,25 +88,26 @@
 	return false
 }
 
-// TestMetricNames holds every metric to the naming of Prometheus.
+// TestMetricNames checks that every metric's name follows the rules of Prometheus.
 func TestMetricNames(t *testing.T) {
 	ser, _ := startEdge(t, edgeSettings(), nil)
-	ser.gauge()
+	ser.updateGauges()
 	require.Eventually(t, func() bool { return strings.Contains(scrape(ser), "hemlockpin_draining 0") }, edgeTimeout, 50*time.Millisecond)
-	nam := regexp.MustCompile(`^hemlockpin_[a-z0-9_]+$`)
-	for _, lin := range strings.Split(scrape(ser), "\n") {
-		if fie := strings.Fields(lin); len(fie) > 2 && fie[1] == "TYPE" && strings.HasPrefix(fie[2], "hemlockpin") {
-			require.Regexp(t, nam, fie[2])
+	name := regexp.MustCompile(`^hemlockpin_[a-z0-9_]+$`)
+	for _, line := range strings.Split(scrape(ser), "\n") {
+		if fie := strings.Fields(line); len(fie) > 2 && fie[1] == "TYPE" && strings.HasPrefix(fie[2], "hemlockpin") {
+			require.Regexp(t, name, fie[2])
 		}
 	}
 }
 
-// TestSeriesBound counts more routes than there may be counters.
+// TestSeriesBound counts requests of more routes than there may be counters: the further
+// routes share one counter.
 func TestSeriesBound(t *testing.T) {
-	cou := counters[requestSeries]{scope: tally.NoopScope, name: "requests"}
-	for ind := range 2 * maxSeries {
-		cou.get(requestSeries{route: fmt.Sprintf("route-%d", ind), outcome: outcomeWhole}).Inc(1)
+	cou := seriesCounters[requestSeries]{scope: tally.NoopScope, name: "requests"}
+	for i := range 2 * maxSeries {
+		cou.get(requestSeries{route: fmt.Sprintf("route-%d", i), outcome: outcomeWhole}).Inc(1)
 	}
-	require.Len(t, cou.known, maxSeries+1)
-	require.Contains(t, cou.known, requestSeries{route: restTag, outcome: outcomeWhole})
+	require.Len(t, cou.bySeries, maxSeries+1)
+	require.Contains(t, cou.bySeries, requestSeries{route: overflowTag, outcome: outcomeWhole})
 }
--- a/process/server/monitor.go
+++ b/process/server/monitor.go
@@ -9,7 +9,8 @@
 	monitorInterval = time.Second
 )
 
-// monitor sets the gauges and logs changes of state until ctx ends.
+// monitor updates the gauges, and logs when the tables become stale and when they are
+// confirmed again, until ctx ends.
 func (ser *Server) monitor(ctx context.Context) {
 	tic := time.NewTicker(monitorInterval)
 	defer tic.Stop()
@@ -17,16 +18,16 @@
 	for {
 		select {
 		case now := <-tic.C:
-			ser.gauge()
-			ser.gaugeTables(now)
-			sta = ser.logChanges(sta, now)
+			ser.updateGauges()
+			ser.updateTablesGauges(now)
+			sta = ser.logStaleTables(sta, now)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (ser *Server) gauge() {
+func (ser *Server) updateGauges() {
 	ser.scope.Gauge("requests_in_progress").Update(float64(ser.admitter.Current()))
 	ser.scope.Gauge("endpoints_listed").Update(float64(len(ser.watcher.Entries())))
 	ser.scope.Gauge("body_memory_bytes").Update(float64(ser.bodies.Used()))
@@ -40,10 +41,10 @@
 	return 0
 }
 
-// monitorState is what was last logged.
+// monitorState is the state that was last logged.
 type monitorState struct{ stale bool }
 
-func (ser *Server) logChanges(sta monitorState, now time.Time) monitorState {
+func (ser *Server) logStaleTables(sta monitorState, now time.Time) monitorState {
 	rev, age := ser.publisher.Freshness(now)
 	if rev == 0 || (age >= staleAfter) == sta.stale {
 		return sta
--- a/process/server/operator.go
+++ b/process/server/operator.go
@@ -18,7 +18,7 @@
 	operatorIdleTimeout = 2 * time.Minute
 )
 
-// Status is what a host says of itself to operators.
+// Status is the state that a host reports of itself to operators.
 type Status struct {
 	Host            string
 	DataCenter      string
@@ -27,17 +27,16 @@
 	Requests        int
 	TablesRevision  uint64
 	TablesConfirmed time.Time
-	// TablesAgeMs is how long ago the store confirmed the tables, as far as the
-	// host knows directly or through peers.
+	// TablesAgeMs is the time since the store last confirmed the tables, directly or
+	// through peers.
 	TablesAgeMs int64
-	// TablesWatched says that the host watches the store.
+	// TablesWatched reports whether the host watches the store.
 	TablesWatched bool
 	Peers         []gossiper.Peer
 	Endpoints     []persister.Entry
 }
 
-// operatorServer is the HTTP server that faces operators and the collector of
-// metrics.
+// operatorServer returns the HTTP server for operators and the collector of metrics.
 func (ser *Server) operatorServer() *http.Server {
 	return &http.Server{
 		Handler: ser.operatorRoutes(), ReadHeaderTimeout: headerTimeout, ReadTimeout: operatorTimeout,
--- a/process/server/operator_tables.go
+++ b/process/server/operator_tables.go
@@ -20,7 +20,7 @@
 	rou.HandleFunc("/v1/tables", ser.getTables).Methods(http.MethodGet)
 	rou.HandleFunc("/v1/tables", ser.putTables).Methods(http.MethodPut)
 	rou.HandleFunc("/v1/tables/history", ser.getHistory).Methods(http.MethodGet)
-	rou.HandleFunc("/v1/tables/history/{revision:[0-9]+}", ser.getPast).Methods(http.MethodGet)
+	rou.HandleFunc("/v1/tables/history/{revision:[0-9]+}", ser.getRevision).Methods(http.MethodGet)
 }
 
 func writeTables(wri http.ResponseWriter, status int, tab parser.Tables) {
@@ -29,7 +29,7 @@
 }
 
 func (ser *Server) getTables(wri http.ResponseWriter, _ *http.Request) {
-	ser.markStale(wri.Header(), time.Now())
+	ser.setTablesAge(wri.Header(), time.Now())
 	writeTables(wri, http.StatusOK, ser.publisher.Current().Tables())
 }
 
@@ -37,7 +37,7 @@
 	responder.WriteJSON(wri, http.StatusOK, ser.publisher.History())
 }
 
-func (ser *Server) getPast(wri http.ResponseWriter, req *http.Request) {
+func (ser *Server) getRevision(wri http.ResponseWriter, req *http.Request) {
 	rev, err := strconv.ParseUint(mux.Vars(req)["revision"], 10, 64)
 	if err != nil {
 		responder.WriteJSON(wri, http.StatusBadRequest, OperatorError{Code: "bad_revision", Message: err.Error()})
@@ -54,12 +54,12 @@
 	}
 }
 
-// OperatorError is the body of a refused operator request.
+// OperatorError is the body of the answer to an operator's request that failed.
 type OperatorError struct {
 	Code    string
 	Message string
 	Faults  []string `json:",omitempty"`
-	// Current holds the tables that won a race.
+	// Current holds the tables in force if another edit was accepted first.
 	Current *parser.Tables `json:",omitempty"`
 }
 
@@ -85,13 +85,13 @@
 		writeEditError(wri, fin.Tables, err)
 		return
 	}
-	ser.accepted(wri, fin)
+	ser.writeAccepted(wri, fin)
 }
 
-// accepted answers an accepted edit. It is 202 while no other host is known to
-// have it, so that it would be lost from sight if this host and the store failed
-// now.
-func (ser *Server) accepted(wri http.ResponseWriter, fin publisher.Finish) {
+// writeAccepted answers an accepted edit. The status is 202 as long as no other host is
+// known to have the edit: it would not be available anywhere if this host and the store
+// failed now.
+func (ser *Server) writeAccepted(wri http.ResponseWriter, fin publisher.Finish) {
 	ser.scope.Tagged(map[string]string{"result": string(fin.Result)}).Counter("tables_edits").Inc(1)
 	ser.Log.Info().Uint64("Revision", fin.Tables.Revision).Int("InForce", fin.InForce).Msg("tables accepted")
 	wri.Header().Set(responder.InForceHeader, strconv.Itoa(fin.InForce))
--- a/process/server/orders.go
+++ b/process/server/orders.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	defaultOrderTime = 15 * time.Second
-	maxOrderTime     = 5 * time.Minute
-	maxOrderBytes    = 64 << 10
+	defaultOrderTimeout = 15 * time.Second
+	maxOrderTimeout     = 5 * time.Minute
+	maxOrderBytes       = 64 << 10
 )
 
-// OrderRequest asks a host to give an order to an engine.
+// OrderRequest asks a host to issue an order to an engine.
 type OrderRequest struct {
 	Endpoint string
 	Kind     string
@@ -29,19 +29,20 @@
 	Adapter  string `json:",omitempty"`
 	Version  string `json:",omitempty"`
 	Role     string `json:",omitempty"`
-	// ID repeats an order whose effect was unknown; empty for a new one.
+	// ID is the ID of an earlier order to repeat, whose effect is unknown; empty for a
+	// new order.
 	ID string `json:",omitempty"`
-	// TimeMs bounds the order; 0 stands for 15 seconds.
+	// TimeMs is the time limit of the order in milliseconds; 0 stands for 15 seconds.
 	TimeMs int64 `json:",omitempty"`
 }
 
-// OrderReply says what became of an order.
+// OrderReply reports the effect of an order.
 type OrderReply struct {
 	ID string
 	orderer.End
-	// ChecksFencing says whether every pool of the engine is declared to check
-	// fencing numbers. Otherwise only the generation of the engine's
-	// configuration keeps out a delayed order of an earlier lease holder.
+	// ChecksFencing reports whether every pool of the engine is declared to check
+	// fencing numbers. Otherwise a delayed order of an earlier lease holder is rejected
+	// only by the generation of the engine's configuration.
 	ChecksFencing bool
 }
 
@@ -51,27 +52,27 @@
 
 // faults lists every fault of the request.
 func (ord OrderRequest) faults() []string {
-	var fas []string
-	need := func(ok bool, fault string) {
+	var faults []string
+	require := func(ok bool, fault string) {
 		if !ok {
-			fas = append(fas, fault)
+			faults = append(faults, fault)
 		}
 	}
-	need(ord.Endpoint != "", "Endpoint is missing")
-	need(ord.TimeMs >= 0 && ord.TimeMs <= maxOrderTime.Milliseconds(), "TimeMs must be 0 to 300000")
+	require(ord.Endpoint != "", "Endpoint is missing")
+	require(ord.TimeMs >= 0 && ord.TimeMs <= maxOrderTimeout.Milliseconds(), "TimeMs must be 0 to 300000")
 	switch ord.Kind {
 	case invoker.LoadModel:
-		need(ord.Model != "" && ord.Version != "", "Model or Version is missing")
+		require(ord.Model != "" && ord.Version != "", "Model or Version is missing")
 	case invoker.LoadAdapter:
-		need(ord.Model != "" && ord.Version != "" && ord.Adapter != "", "Model, Version or Adapter is missing")
+		require(ord.Model != "" && ord.Version != "" && ord.Adapter != "", "Model, Version or Adapter is missing")
 	case invoker.LoadVersion:
-		need(ord.Model != "" && ord.Version != "", "Model or Version is missing")
+		require(ord.Model != "" && ord.Version != "", "Model or Version is missing")
 	case invoker.ChangeRole:
-		need(ord.Role != "", "Role is missing")
+		require(ord.Role != "", "Role is missing")
 	default:
-		need(false, "Kind must be LoadModel, LoadAdapter, LoadVersion or ChangeRole")
+		require(false, "Kind must be LoadModel, LoadAdapter, LoadVersion or ChangeRole")
 	}
-	return fas
+	return faults
 }
 
 func (ser *Server) postOrder(wri http.ResponseWriter, req *http.Request) {
@@ -92,17 +93,17 @@
 	if ord.ID == "" {
 		ord.ID = uuid.NewString()
 	}
-	end := ser.giveOrder(req.Context(), ent, ord)
+	end := ser.issueOrder(req.Context(), ent, ord)
 	responder.WriteJSON(wri, orderStatus(end), OrderReply{ID: ord.ID, End: end, ChecksFencing: ser.checksFencing(ent)})
 }
 
-// giveOrder goes on when the operator leaves, up to its time.
-func (ser *Server) giveOrder(ctx context.Context, ent persister.Entry, ord OrderRequest) orderer.End {
-	dur := defaultOrderTime
+// issueOrder issues an order within its time limit, also if the operator disconnects.
+func (ser *Server) issueOrder(ctx context.Context, ent persister.Entry, ord OrderRequest) orderer.End {
+	timeout := defaultOrderTimeout
 	if ord.TimeMs > 0 {
-		dur = time.Duration(ord.TimeMs) * time.Millisecond
+		timeout = time.Duration(ord.TimeMs) * time.Millisecond
 	}
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), dur)
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), timeout)
 	defer stop()
 	giv := &orderer.Giver{Store: ser.persister, Weights: ser.persister, Engine: ser.invoker, Host: ser.Settings.HostID}
 	end := giv.Give(ctx, ent.ID, ent.Address, invoker.Order{
@@ -133,18 +134,18 @@
 	return persister.Entry{}, false
 }
 
-// checksFencing reports whether some pool has the engine and all that do
-// declare that their endpoints check fencing numbers.
+// checksFencing reports whether at least one pool contains the engine and all pools that
+// contain it declare that their endpoints check fencing numbers.
 func (ser *Server) checksFencing(ent persister.Entry) bool {
-	fou := false
+	found := false
 	for _, poo := range ser.publisher.Current().Tables().Pools {
 		if poo.Selector.Service != ent.Service {
 			continue
 		}
-		fou = true
+		found = true
 		if !poo.ChecksFencing {
 			return false
 		}
 	}
-	return fou
+	return found
 }
--- a/process/server/peers.go
+++ b/process/server/peers.go
@@ -7,7 +7,7 @@
 	"hemlockpin/connection/messenger"
 )
 
-// handlePeer answers one call of another host.
+// handlePeer answers one message of another host.
 func (ser *Server) handlePeer(ctx context.Context, env *messenger.Envelope) *messenger.Envelope {
 	now := time.Now()
 	switch bod := env.GetBody().(type) {
@@ -30,7 +30,7 @@
 	case *messenger.Envelope_ClaimCommit:
 		return &messenger.Envelope{Body: &messenger.Envelope_ClaimResult{ClaimResult: ser.journal.Write(ctx, bod.ClaimCommit)}}
 	case *messenger.Envelope_StatusQuery:
-		return &messenger.Envelope{Body: &messenger.Envelope_StatusReport{StatusReport: ser.report()}}
+		return &messenger.Envelope{Body: &messenger.Envelope_StatusReport{StatusReport: ser.statusReport()}}
 	case *messenger.Envelope_TeamsQuery:
 		return &messenger.Envelope{Body: &messenger.Envelope_TeamsReport{TeamsReport: ser.teamsReport()}}
 	case *messenger.Envelope_OwnerQuery:
--- a/process/server/platform.go
+++ b/process/server/platform.go
@@ -10,12 +10,13 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// platformFailures in a row make the platform count as lost.
-const platformFailures = 3
+// lostAfterFailures is the number of failed reads in a row from which the platform
+// counts as lost.
+const lostAfterFailures = 3
 
-// platformWatch logs when the platform is lost and when it is back, as seen by
-// the regular reads of its list. One goroutine at a time may use it.
-type platformWatch struct {
+// platformMonitor logs when the regular reads of the platform's list begin to fail and
+// when they succeed again. It is not safe for concurrent use.
+type platformMonitor struct {
 	watcher.Lister
 	log   zerolog.Logger
 	scope tally.Scope
@@ -23,28 +24,28 @@
 	failures int
 }
 
-// Entries reads the list.
-func (pla *platformWatch) Entries(ctx context.Context) ([]persister.Entry, error) {
-	ents, err := pla.Lister.Entries(ctx)
+// Entries reads the list and records whether the read failed.
+func (mon *platformMonitor) Entries(ctx context.Context) ([]persister.Entry, error) {
+	ents, err := mon.Lister.Entries(ctx)
 	if err != nil && ctx.Err() == context.Canceled {
 		return ents, err
 	}
-	pla.note(err)
+	mon.record(err)
 	return ents, err
 }
 
-func (pla *platformWatch) note(err error) {
+func (mon *platformMonitor) record(err error) {
 	if err != nil {
-		pla.scope.Counter("platform_list_failed").Inc(1)
-		if pla.failures++; pla.failures == platformFailures {
-			pla.scope.Gauge("platform_lost").Update(1)
-			pla.log.Warn().Err(err).Msg("platform lost")
+		mon.scope.Counter("platform_list_failed").Inc(1)
+		if mon.failures++; mon.failures == lostAfterFailures {
+			mon.scope.Gauge("platform_lost").Update(1)
+			mon.log.Warn().Err(err).Msg("platform lost")
 		}
 		return
 	}
-	if pla.failures >= platformFailures {
-		pla.log.Info().Msg("platform back")
+	if mon.failures >= lostAfterFailures {
+		mon.log.Info().Msg("platform back")
 	}
-	pla.scope.Gauge("platform_lost").Update(0)
-	pla.failures = 0
+	mon.scope.Gauge("platform_lost").Update(0)
+	mon.failures = 0
 }
--- a/process/server/platform_test.go
+++ b/process/server/platform_test.go
@@ -13,7 +13,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// answers fails where the text has a minus.
+// answers is a Lister whose reads fail where the text has a minus.
 type answers struct{ left string }
 
 func (ans *answers) Entries(context.Context) ([]persister.Entry, error) {
@@ -36,14 +36,14 @@
 	for _, tc := range tt {
 		t.Run(tc.name, func(t *testing.T) {
 			var buf bytes.Buffer
-			pla := &platformWatch{Lister: &answers{tc.answers}, log: zerolog.New(&buf), scope: tally.NoopScope}
+			mon := &platformMonitor{Lister: &answers{tc.answers}, log: zerolog.New(&buf), scope: tally.NoopScope}
 			for range tc.answers {
-				_, _ = pla.Entries(t.Context())
+				_, _ = mon.Entries(t.Context())
 			}
 			var got []string
-			for _, lin := range strings.Split(buf.String(), "\n") {
-				if _, mes, ok := strings.Cut(lin, `"message":"`); ok {
-					got = append(got, strings.TrimSuffix(mes, `"}`))
+			for _, line := range strings.Split(buf.String(), "\n") {
+				if _, message, ok := strings.Cut(line, `"message":"`); ok {
+					got = append(got, strings.TrimSuffix(message, `"}`))
 				}
 			}
 			require.Equal(t, tc.want, strings.Join(got, ","))
--- a/process/server/reclaim.go
+++ b/process/server/reclaim.go
@@ -17,11 +17,12 @@
 
 const (
 	reclaimInterval = 5 * time.Second
-	// freshList is the age below which the platform's list counts as true.
-	freshList = 10 * time.Second
+	// maxListAge is the age up to which the platform's list is used to decide that a
+	// host is dead.
+	maxListAge = 10 * time.Second
 )
 
-// newReclaimer joins the reclaimer to the membership and the engines.
+// newReclaimer returns a reclaimer that uses this host's membership and list of engines.
 func (ser *Server) newReclaimer(own invoker.Owner) *reclaimer.Runner {
 	mem := &members{gossiper: ser.gossiper, watcher: ser.watcher, region: ser.Settings.Region}
 	return &reclaimer.Runner{
@@ -47,14 +48,15 @@
 	return out
 }
 
-// members shows the reclaimer what gossiper and list know of the hosts.
+// members gives the reclaimer the state of hosts, from membership and from the platform's
+// list.
 type members struct {
 	gossiper *gossiper.Gossiper
 	watcher  *watcher.Watcher
 	region   string
 
-	mu    sync.Mutex
-	since map[string]time.Time
+	mu        sync.Mutex
+	deadSince map[string]time.Time
 }
 
 func (mem *members) peer(host string) (gossiper.Peer, bool) {
@@ -66,14 +68,14 @@
 	return gossiper.Peer{}, false
 }
 
-// Incarnation returns the owner's incarnation of the newest process of a host
-// that was heard of.
+// Incarnation returns the incarnation with which the newest known process of a host owns
+// work, and whether one is known.
 func (mem *members) Incarnation(host string) (uint64, bool) {
 	inc := mem.gossiper.Started(host)
 	return inc, inc > 0
 }
 
-// live returns the live hosts of the region. Only they list its engines.
+// live returns the live hosts of the region. Other hosts do not list the region's engines.
 func (mem *members) live(now time.Time) []string {
 	var out []string
 	for _, per := range mem.gossiper.Live(now) {
@@ -84,25 +86,25 @@
 	return out
 }
 
-// DeadSince returns since when a host that was known is dead and not listed.
-// With an old list nobody is taken for dead.
+// DeadSince returns since when a known host is dead and not listed, and whether it is.
+// While the list is older than maxListAge, no host counts as dead.
 func (mem *members) DeadSince(host string) (time.Time, bool) {
 	now := time.Now()
 	inc, alive := mem.gossiper.Incarnation(host)
-	dead := inc > 0 && !alive && now.Sub(mem.watcher.ListedAt()) < freshList && !mem.listed(host)
+	dead := inc > 0 && !alive && now.Sub(mem.watcher.ListedAt()) < maxListAge && !mem.listed(host)
 	mem.mu.Lock()
 	defer mem.mu.Unlock()
 	if !dead {
-		delete(mem.since, host)
+		delete(mem.deadSince, host)
 		return time.Time{}, false
 	}
-	if mem.since == nil {
-		mem.since = map[string]time.Time{}
+	if mem.deadSince == nil {
+		mem.deadSince = map[string]time.Time{}
 	}
-	if mem.since[host].IsZero() {
-		mem.since[host] = now
+	if mem.deadSince[host].IsZero() {
+		mem.deadSince[host] = now
 	}
-	return mem.since[host], true
+	return mem.deadSince[host], true
 }
 
 func (mem *members) listed(host string) bool {
--- a/process/server/retries.go
+++ b/process/server/retries.go
@@ -7,13 +7,14 @@
 	"hemlockpin/request/budgeter"
 )
 
-// retries returns what the host's retry budget has left, for other hosts.
-func (ser *Server) retries(now time.Time) *messenger.RetryBudget {
+// retryBudget returns the unused part of this host's retry budget, for other hosts.
+func (ser *Server) retryBudget(now time.Time) *messenger.RetryBudget {
 	return &messenger.RetryBudget{Available: float32(ser.executor.Retries.Digest(now).Available)}
 }
 
-// takeRetries lets the host's budget follow those of other hosts.
-func (ser *Server) takeRetries(host string, ret *messenger.RetryBudget, now time.Time) {
-	dig := budgeter.Digest{Available: float64(ret.GetAvailable())}
+// applyRetryBudget records the retry budget that another host reports and adjusts this
+// host's budget to those of all hosts.
+func (ser *Server) applyRetryBudget(host string, bud *messenger.RetryBudget, now time.Time) {
+	dig := budgeter.Digest{Available: float64(bud.GetAvailable())}
 	ser.executor.Retries.SetFleet(ser.budgets.Note(host, dig, now))
 }
--- a/process/server/schedule.go
+++ b/process/server/schedule.go
@@ -15,20 +15,22 @@
 	"hemlockpin/version/parser"
 )
 
-// cellPollLimit bounds the engines whose load a host reads at each interval
-// when schedulers of cells place. It keeps the view for placing without them.
+// cellPollLimit is the number of engines whose load a host polls at each interval when
+// the schedulers of cells place requests. The reports are used for placement when no
+// scheduler can be reached.
 const cellPollLimit = 2
 
-// ownerInterval is the interval at which replaced hosts are looked for.
-const ownerInterval = time.Second
+// ownerCheckInterval is the interval between checks for restarted hosts.
+const ownerCheckInterval = time.Second
 
-// newAllocator joins placement with the scheduling of cells.
+// newAllocator returns the allocator, and creates the scheduler and the cells that it
+// uses under the cell policy.
 func (ser *Server) newAllocator(own invoker.Owner) *allocator.Allocator {
 	all := &allocator.Allocator{Policy: placer.Policy(ser.Settings.Placement), Watcher: ser.watcher, Invoker: ser.invoker, Owner: own}
 	ser.scheduler = &scheduler.Scheduler{
-		Loader:   noticingLoader{ser.invoker, ser.watcher},
+		Loader:   recordingLoader{ser.invoker, ser.watcher},
 		Engines:  func(poo parser.Pool) []placer.Endpoint { return ser.watcher.Pool(poo).Endpoints },
-		Pool:     func(nam string) (parser.Pool, bool) { return ser.publisher.Current().Pool(nam) },
+		Pool:     func(name string) (parser.Pool, bool) { return ser.publisher.Current().Pool(name) },
 		Interval: ser.Settings.LoadInterval, Clock: time.Now, Scope: ser.scope,
 	}
 	ser.cells = &allocator.Cells{
@@ -42,16 +44,17 @@
 	return all
 }
 
-// farCells returns digests of cells for a host of a region.
+// farCells returns the digests of cells to send to a host of a region.
 func (ser *Server) farCells(region string, now time.Time) []*messenger.CellDigest {
 	return ser.cells.Far.Outgoing(region, now)
 }
 
-func (ser *Server) takeFarCells(digs []*messenger.CellDigest, now time.Time) {
+func (ser *Server) mergeFarCells(digs []*messenger.CellDigest, now time.Time) {
 	ser.cells.Far.Take(digs, now)
 }
 
-// announceCells lets other regions know what the cells of this host can take.
+// announceCells announces the free capacity of this host's cells to other regions until
+// ctx ends.
 func (ser *Server) announceCells(ctx context.Context) {
 	tic := time.NewTicker(overflower.AnnounceInterval)
 	defer tic.Stop()
@@ -70,7 +73,8 @@
 	}
 }
 
-// newExchanger joins the limits of the teams' rates over all hosts.
+// newExchanger returns the exchanger that divides the rate limits of teams between all
+// hosts.
 func (ser *Server) newExchanger() *limiter.Exchanger {
 	lim := &limiter.Limiter{}
 	ser.admitter.Limiter = lim
@@ -88,18 +92,18 @@
 	return out
 }
 
-// watchOwners tells the scheduler when a host has been replaced, so that what
-// its last process held is given back.
-func (ser *Server) watchOwners(ctx context.Context) {
-	tic := time.NewTicker(ownerInterval)
+// monitorOwners reports restarted hosts to the scheduler, which then releases what the
+// previous process of the host held, until ctx ends.
+func (ser *Server) monitorOwners(ctx context.Context) {
+	tic := time.NewTicker(ownerCheckInterval)
 	defer tic.Stop()
-	las := map[string]uint64{}
+	last := map[string]uint64{}
 	for {
 		for _, per := range ser.gossiper.Peers() {
-			if old, ok := las[per.ID]; ok && per.Started > old {
+			if old, ok := last[per.ID]; ok && per.Started > old {
 				ser.scheduler.OwnerGone(scheduler.OwnerGone{Host: per.ID, Incarnation: old})
 			}
-			las[per.ID] = per.Started
+			last[per.ID] = per.Started
 		}
 		select {
 		case <-tic.C:
@@ -109,8 +113,8 @@
 	}
 }
 
-// handleSchedule answers the calls of other hosts to the scheduler, or returns
-// nil for any other call.
+// handleSchedule answers the messages of other hosts to the scheduler and the exchanger,
+// or returns nil for any other message.
 func (ser *Server) handleSchedule(ctx context.Context, env *messenger.Envelope) *messenger.Envelope {
 	switch bod := env.GetBody().(type) {
 	case *messenger.Envelope_GrantRequest:
@@ -124,9 +128,9 @@
 	}
 }
 
-// liveEntries lists the live hosts that don't leave, as membership knows them.
-// The platform's list lags, and a scheduler that is gone costs each request a
-// time-out.
+// liveEntries returns the live hosts that are not leaving, from membership. The
+// platform's list lags behind, and each request to a removed scheduler would have to
+// wait for a time-out.
 func (ser *Server) liveEntries() []persister.Entry {
 	var out []persister.Entry
 	for _, per := range ser.gossiper.Live(time.Now()) {
--- a/process/server/server.go
+++ b/process/server/server.go
@@ -1,5 +1,5 @@
-// Package server joins the parts of an entry host and serves callers, peers and
-// operators.
+// Package server runs an entry host: it connects the parts of the host and serves
+// callers, peers and operators.
 package server
 
 import (
@@ -72,11 +72,12 @@
 	started     time.Time
 
 	platformTraffic counter.Traffic
-	// requestDrain has the effect of SIGTERM. It is set by Run.
+	// requestDrain starts a drain, as SIGTERM does. Run sets it.
 	requestDrain context.CancelFunc
 }
 
-// ChooseIncarnation chooses the incarnation of a host that starts now.
+// ChooseIncarnation returns the incarnation of a host that starts now. It asks peers for
+// the highest one they have seen of this host.
 func ChooseIncarnation(ctx context.Context, set configurer.Settings, now time.Time) uint64 {
 	mul := &multiplexer.Multiplexer{}
 	defer mul.Close()
@@ -84,7 +85,7 @@
 	return (&incarnator.Incarnator{Host: set.HostID, Seeds: set.SeedPeers, Entries: per.Entries, Call: mul.Call}).Choose(ctx, now)
 }
 
-// New joins the parts of a host.
+// New returns a host that is ready to Run.
 func New(set configurer.Settings, log zerolog.Logger, incarnation uint64, now time.Time) *Server {
 	ser := &Server{Settings: set, Log: log, Incarnation: incarnation, started: now}
 	ser.scope, ser.metrics = measurer.New(log)
@@ -97,8 +98,8 @@
 	ser.lister = ser.newLister()
 	ser.watcher = &watcher.Watcher{Lister: ser.lister, Loader: summaryLoader{ser.invoker}}
 	ser.admitter = &admitter.Admitter{MaxRequests: set.MaxRequests}
-	ser.multiplexer = &multiplexer.Multiplexer{Handler: ser.servePeer, Panicked: ser.notePanic}
-	ser.joinTables()
+	ser.multiplexer = &multiplexer.Multiplexer{Handler: ser.servePeer, Panicked: ser.logPanic}
+	ser.initGossiper()
 	ser.journal = ser.newJournal()
 	ser.allocator = ser.newAllocator(own)
 	ser.exchanger = ser.newExchanger()
@@ -111,7 +112,8 @@
 	return ser
 }
 
-// Run serves until ctx ends, then drains.
+// Run serves until ctx ends, then drains. It returns an error if an address cannot be
+// listened on or if the drain aborts requests in progress.
 func (ser *Server) Run(ctx context.Context) error {
 	ctx, ser.requestDrain = context.WithCancel(ctx)
 	defer ser.requestDrain()
@@ -130,19 +132,19 @@
 	gro.Go(func() { ser.cells.Run(work) })
 	gro.Go(func() { ser.announceCells(work) })
 	gro.Go(func() { ser.exchanger.Run(work) })
-	gro.Go(func() { ser.watchOwners(work) })
+	gro.Go(func() { ser.monitorOwners(work) })
 	gro.Go(func() { ser.refresher.Run(work) })
 	gro.Go(func() { ser.monitor(work) })
 	gro.Go(func() { _ = ser.multiplexer.Serve(liss.peer) })
-	cal := ser.callerServer(ser.countRequests(ser.edge(ser.callerRoutes())))
-	ope := ser.operatorServer()
+	callerSrv := ser.callerServer(ser.countRequests(ser.edge(ser.callerRoutes())))
+	operatorSrv := ser.operatorServer()
 	lis := &acceptor.Listener{Listener: liss.caller, Max: ser.Settings.CallerConns(), Refused: ser.scope.Counter("connections_refused")}
-	gro.Go(func() { _ = cal.Serve(lis) })
-	gro.Go(func() { _ = ope.Serve(liss.operator) })
+	gro.Go(func() { _ = callerSrv.Serve(lis) })
+	gro.Go(func() { _ = operatorSrv.Serve(liss.operator) })
 	ser.Log.Info().Str("Listen", ser.Settings.Listen).Msg("host started")
 	<-ctx.Done()
-	err = ser.drain(cal, lis)
-	_ = ope.Close()
+	err = ser.drain(callerSrv, lis)
+	_ = operatorSrv.Close()
 	stop()
 	_ = liss.peer.Close()
 	ser.multiplexer.Close()
--- a/process/server/starting.go
+++ b/process/server/starting.go
@@ -10,12 +10,12 @@
 
 const startRetryAfter = time.Second
 
-// requireTables refuses requests while the host has no tables, since it can't
-// tell then which keys are valid.
-func (ser *Server) requireTables(nex http.Handler) http.Handler {
+// requireTables refuses requests while the host has no tables, since it cannot check
+// keys without them.
+func (ser *Server) requireTables(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		if ser.publisher.Current().Revision() > 0 || req.URL.Path == "/healthz" || req.URL.Path == "/readyz" {
-			nex.ServeHTTP(wri, req)
+			next.ServeHTTP(wri, req)
 			return
 		}
 		responder.WriteProblem(wri, responder.Problem{
--- a/process/server/tables.go
+++ b/process/server/tables.go
@@ -18,36 +18,38 @@
 )
 
 const (
-	// staleAfter is the age from which answers tell that the tables may be old.
+	// staleAfter is the age of the tables from which answers carry it in a header, as
+	// the tables may be outdated.
 	staleAfter          = 30 * time.Second
 	platformDialTimeout = time.Second
 	platformIdleTimeout = 90 * time.Second
 	platformIdleConns   = 8
-	// forwardTimeout bounds the forwarding of news to peers.
+	// forwardTimeout bounds the forwarding of updates to peers.
 	forwardTimeout = 5 * time.Second
 )
 
-// joinTables joins membership, the tables and the notices of endpoints.
-func (ser *Server) joinTables() {
+// initGossiper connects membership with the tables, the platform's list and the notices
+// of endpoints, which hosts exchange.
+func (ser *Server) initGossiper() {
 	set := ser.Settings
 	ser.gossiper = &gossiper.Gossiper{
 		Self: &messenger.Member{
 			Id: set.HostID, Address: set.PeerListen, DataCenter: set.DataCenter, Region: set.Region, Incarnation: ser.Incarnation,
 		},
 		Multiplexer: ser.multiplexer, Publisher: ser.publisher, Entries: ser.watcher.Entries,
-		Lister: ser.lister, ListChanged: ser.relist, Seeds: set.SeedPeers, Scope: ser.scope, Log: ser.Log,
+		Lister: ser.lister, ListChanged: ser.refreshList, Seeds: set.SeedPeers, Scope: ser.scope, Log: ser.Log,
 		Cargo: gossiper.Cargo{
-			Notices: ser.watcher.Notices.Outgoing, TakeNotices: ser.watcher.Notices.Merge, Cells: ser.farCells, TakeCells: ser.takeFarCells,
-			Retries: ser.retries, TakeRetries: ser.takeRetries,
+			Notices: ser.watcher.Notices.Outgoing, TakeNotices: ser.watcher.Notices.Merge, Cells: ser.farCells, TakeCells: ser.mergeFarCells,
+			Retries: ser.retryBudget, TakeRetries: ser.applyRetryBudget,
 		},
 	}
 	ser.watcher.OnNotices = func(nots []*messenger.EndpointNotice) {
-		go ser.forward(func(ctx context.Context) { ser.gossiper.SpreadNotices(ctx, nots, true) })
+		go ser.withForwardTimeout(func(ctx context.Context) { ser.gossiper.SpreadNotices(ctx, nots, true) })
 	}
 	ser.publisher.Spread = func(ctx context.Context) (int, int) { return ser.gossiper.PushTables(ctx, true) }
 	ser.publisher.OnAccept = func(fromStore bool) {
 		ser.Log.Info().Uint64("Revision", ser.publisher.Current().Revision()).Bool("FromStore", fromStore).Msg("tables in force")
-		go ser.forward(func(ctx context.Context) { ser.gossiper.PushTables(ctx, fromStore) })
+		go ser.withForwardTimeout(func(ctx context.Context) { ser.gossiper.PushTables(ctx, fromStore) })
 	}
 	ser.refresher = &publisher.Refresher{
 		Publisher: ser.publisher, Self: set.HostID, Region: ser.regionHosts,
@@ -55,29 +57,29 @@
 	}
 }
 
-func (ser *Server) forward(fun func(context.Context)) {
+func (ser *Server) withForwardTimeout(fn func(context.Context)) {
 	ctx, stop := context.WithTimeout(context.Background(), forwardTimeout)
 	defer stop()
-	fun(ctx)
+	fn(ctx)
 }
 
-// newLister returns the host's holder of the platform's list.
+// newLister returns the lister, which keeps the host's copy of the platform's list.
 func (ser *Server) newLister() *lister.Lister {
 	inc := func() uint64 {
-		num, _ := ser.gossiper.Incarnation(ser.Settings.HostID)
-		return num
+		current, _ := ser.gossiper.Incarnation(ser.Settings.HostID)
+		return current
 	}
 	return &lister.Lister{
-		Platform: &platformWatch{Lister: ser.persister, log: ser.Log, scope: ser.scope}, Self: ser.Settings.HostID, Incarnation: inc, Region: ser.regionHosts,
+		Platform: &platformMonitor{Lister: ser.persister, log: ser.Log, scope: ser.scope}, Self: ser.Settings.HostID, Incarnation: inc, Region: ser.regionHosts,
 		Every: ser.Settings.ListInterval, Cost: ser.persister.ListCost, Clock: time.Now,
-		OnChange: func() { go ser.forward(ser.gossiper.PushList) },
+		OnChange: func() { go ser.withForwardTimeout(ser.gossiper.PushList) },
 	}
 }
 
-// relist takes a list that peers passed on without waiting for the next look.
-func (ser *Server) relist() { go ser.forward(ser.watcher.RefreshList) }
+// refreshList applies a list received from peers without waiting for the next interval.
+func (ser *Server) refreshList() { go ser.withForwardTimeout(ser.watcher.RefreshList) }
 
-// regionHosts returns the live peers of the own region.
+// regionHosts returns the live peers of this host's region.
 func (ser *Server) regionHosts() []string {
 	var out []string
 	for _, per := range ser.gossiper.Live(time.Now()) {
@@ -88,28 +90,29 @@
 	return out
 }
 
-// gaugeTables reports the tables, membership and the traffic that control
-// causes, which is counted from the start.
-func (ser *Server) gaugeTables(now time.Time) {
+// updateTablesGauges updates the gauges of the tables, of membership and of the control
+// traffic since the start.
+func (ser *Server) updateTablesGauges(now time.Time) {
 	rev, age := ser.publisher.Freshness(now)
 	ser.scope.Gauge("tables_revision").Update(float64(rev))
 	ser.scope.Gauge("tables_age_seconds").Update(age.Seconds())
 	ser.scope.Gauge("peers_live").Update(float64(len(ser.gossiper.Live(now))))
 	ser.scope.Gauge("far_cells").Update(float64(ser.cells.Far.Count(ser.Settings.Region, now)))
 	ser.scope.Gauge("peer_sessions").Update(float64(ser.multiplexer.Sessions()))
-	for kin, tra := range map[string]*counter.Traffic{
+	for target, tra := range map[string]*counter.Traffic{
 		"peer": &ser.multiplexer.Traffic, "platform": &ser.platformTraffic, "endpoint": &ser.invoker.Control,
 	} {
 		tot := tra.Totals()
-		sco := ser.scope.Tagged(map[string]string{"with": kin})
+		sco := ser.scope.Tagged(map[string]string{"with": target})
 		sco.Gauge("control_bytes_sent").Update(float64(tot.Sent))
 		sco.Gauge("control_bytes_received").Update(float64(tot.Received))
 		sco.Gauge("control_connections_opened").Update(float64(tot.Opened))
 	}
 }
 
-// markStale tells a caller how old the tables are, once they may be outdated.
-func (ser *Server) markStale(hea http.Header, now time.Time) {
+// setTablesAge adds the age of the tables to the headers of an answer if it is at least
+// staleAfter.
+func (ser *Server) setTablesAge(hea http.Header, now time.Time) {
 	if _, age := ser.publisher.Freshness(now); age >= staleAfter {
 		hea.Set(responder.AgeHeader, strconv.FormatInt(int64(age/time.Second), 10))
 	}
@@ -124,15 +127,16 @@
 	return &persister.Persister{BaseURL: ser.Settings.Platform, Client: http.Client{Transport: tra}, Region: ser.Settings.Region}
 }
 
-// noticingLoader passes on what the engines of a cell say of themselves, for
-// most hosts do not read their reports.
-type noticingLoader struct {
+// recordingLoader records the load reports that the scheduler reads in the watcher, which
+// then notifies the other hosts of leaving engines: most hosts do not read the reports of
+// the cell.
+type recordingLoader struct {
 	*invoker.Invoker
 	watcher *watcher.Watcher
 }
 
 // Load reads an engine's load report.
-func (loa noticingLoader) Load(ctx context.Context, address string) (invoker.Load, error) {
+func (loa recordingLoader) Load(ctx context.Context, address string) (invoker.Load, error) {
 	rep, err := loa.Invoker.Load(ctx, address)
 	if err == nil {
 		loa.watcher.RecordLoad(rep, time.Now())
@@ -140,8 +144,8 @@
 	return rep, err
 }
 
-// Summary reads an engine's load report without the holders of its memory.
-func (loa noticingLoader) Summary(ctx context.Context, address string) (invoker.Load, error) {
+// Summary reads an engine's load report without its list of sequences.
+func (loa recordingLoader) Summary(ctx context.Context, address string) (invoker.Load, error) {
 	rep, err := loa.Invoker.Summary(ctx, address)
 	if err == nil {
 		loa.watcher.RecordLoad(rep, time.Now())
@@ -149,10 +153,10 @@
 	return rep, err
 }
 
-// summaryLoader reads the short form of load reports.
+// summaryLoader reads the short form of load reports, without the list of sequences.
 type summaryLoader struct{ *invoker.Invoker }
 
-// Load reads an engine's load report without the holders of its memory.
+// Load reads an engine's load report without its list of sequences.
 func (loa summaryLoader) Load(ctx context.Context, address string) (invoker.Load, error) {
 	return loa.Summary(ctx, address)
 }
--- a/process/server/teams.go
+++ b/process/server/teams.go
@@ -21,37 +21,37 @@
 	Cut     int64
 }
 
-// TeamsStatus is the sum over the hosts that answered.
+// TeamsStatus holds the counts of all teams, summed over the hosts that answered.
 type TeamsStatus struct {
 	Teams []TeamStatus
-	// Hosts counts the hosts in the sum, Silent names those that did not answer.
+	// Hosts is the number of hosts in the sum, Silent the names of the hosts that did
+	// not answer.
 	Hosts  int
 	Silent []string
 }
 
 func (ser *Server) teamsReport() *messenger.TeamsReport {
 	rep := &messenger.TeamsReport{Host: ser.Settings.HostID}
-	for key, num := range ser.meter.teams.totals() {
-		rep.Counts = append(rep.Counts, &messenger.TeamCount{Team: key.team, Outcome: key.outcome, Requests: num})
+	for key, n := range ser.meter.teams.totals() {
+		rep.Counts = append(rep.Counts, &messenger.TeamCount{Team: key.team, Outcome: key.outcome, Requests: n})
 	}
 	return rep
 }
 
-// statusTeams sums the counts of all hosts. It is made for operators, not for
-// polling.
+// statusTeams sums the counts of all hosts. It is meant for operators, not for polling.
 func (ser *Server) statusTeams(wri http.ResponseWriter, htr *http.Request) {
-	ents := ser.hosts()
+	ents := ser.otherHosts()
 	reps := make([]*messenger.TeamsReport, len(ents), len(ents)+1)
-	ser.askHosts(htr.Context(), ents, func(ctx context.Context, ind int, ent persister.Entry) {
-		rep, err := ser.askHost(ctx, ent, &messenger.Envelope{Body: &messenger.Envelope_TeamsQuery{TeamsQuery: &messenger.TeamsQuery{}}})
+	ser.callHosts(htr.Context(), ents, func(ctx context.Context, i int, ent persister.Entry) {
+		rep, err := ser.callHost(ctx, ent, &messenger.Envelope{Body: &messenger.Envelope_TeamsQuery{TeamsQuery: &messenger.TeamsQuery{}}})
 		if err == nil {
-			reps[ind] = rep.GetTeamsReport()
+			reps[i] = rep.GetTeamsReport()
 		}
 	})
 	out := TeamsStatus{Silent: []string{}}
-	for ind, rep := range reps {
+	for i, rep := range reps {
 		if rep == nil {
-			out.Silent = append(out.Silent, ents[ind].ID)
+			out.Silent = append(out.Silent, ents[i].ID)
 		}
 	}
 	reps = append(reps, ser.teamsReport())
@@ -64,13 +64,13 @@
 	sums := map[string]TeamStatus{}
 	for _, rep := range reps {
 		for _, cou := range rep.GetCounts() {
-			sums[cou.GetTeam()] = sums[cou.GetTeam()].with(cou)
+			sums[cou.GetTeam()] = sums[cou.GetTeam()].add(cou)
 		}
 	}
-	return slices.SortedFunc(maps.Values(sums), func(one, two TeamStatus) int { return cmp.Compare(one.Team, two.Team) })
+	return slices.SortedFunc(maps.Values(sums), func(a, b TeamStatus) int { return cmp.Compare(a.Team, b.Team) })
 }
 
-func (sta TeamStatus) with(cou *messenger.TeamCount) TeamStatus {
+func (sta TeamStatus) add(cou *messenger.TeamCount) TeamStatus {
 	sta.Team = cou.GetTeam()
 	switch cou.GetOutcome() {
 	case outcomeWhole:
--- a/process/server/trace.go
+++ b/process/server/trace.go
@@ -25,7 +25,7 @@
 	messagePrefix = "*messenger.Envelope_"
 )
 
-// startSpan continues the caller's trace with this host's span.
+// startSpan starts a span of this host in the caller's trace.
 func (ser *Server) startSpan(req *http.Request, name string) (context.Context, trace.Span) {
 	ctx := otel.GetTextMapPropagator().Extract(req.Context(), propagation.HeaderCarrier(req.Header))
 	return otel.Tracer(traceScope).Start(ctx, name, trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(attribute.String("Host", ser.Settings.HostID)))
@@ -39,7 +39,7 @@
 	spa.End()
 }
 
-// endRequest ends the span of a request with what became of it.
+// endRequest ends the span of a request with the attributes of its outcome.
 func endRequest(spa trace.Span, wri http.ResponseWriter) {
 	defer spa.End()
 	rec, ok := wri.(*responder.Recorder)
@@ -61,7 +61,8 @@
 	Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
 
-// tracedPeers gives each call that serves a request a span and passes the trace on.
+// tracedPeers creates a span for each call to a peer that is part of a request's trace,
+// and propagates the trace to the peer.
 type tracedPeers struct{ peerCaller }
 
 // Call sends env within a span.
@@ -83,13 +84,14 @@
 	return strings.TrimPrefix(fmt.Sprintf("%T", env.GetBody()), messagePrefix)
 }
 
-// notePanic logs a message of a peer that could not be answered.
-func (ser *Server) notePanic(env *messenger.Envelope, cause any, stack []byte) {
+// logPanic counts and logs a panic in the handler of a peer's message.
+func (ser *Server) logPanic(env *messenger.Envelope, cause any, stack []byte) {
 	ser.scope.Counter("handler_panics").Inc(1)
-	ser.Log.Error().Type("Message", env.GetBody()).Interface("Panic", cause).Str("Stack", string(stack)).Msg("a peer's message could not be answered")
+	ser.Log.Error().Type("Message", env.GetBody()).Interface("Panic", cause).Str("Stack", string(stack)).Msg("handler of a peer's message panicked; the message is not answered")
 }
 
-// servePeer continues the trace of the request that a peer's call serves.
+// servePeer answers a message of another host, within a span if the message carries a
+// trace.
 func (ser *Server) servePeer(ctx context.Context, env *messenger.Envelope) *messenger.Envelope {
 	if env.GetTraceParent() == "" {
 		return ser.handlePeer(ctx, env)
@@ -101,10 +103,10 @@
 	return ser.handlePeer(ctx, env)
 }
 
-// tracedAllocator gives each placement a span.
+// tracedAllocator creates a span for each placement.
 type tracedAllocator struct{ executor.Allocator }
 
-// Acquire places within a span.
+// Acquire places a request within a span.
 func (all tracedAllocator) Acquire(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
 	ctx, spa := otel.Tracer(traceScope).Start(ctx, "placement", trace.WithAttributes(
 		attribute.String("Pool", poo.Name), attribute.Int64("PromptTokens", req.PromptTokens)))
@@ -114,10 +116,10 @@
 	return lea, err
 }
 
-// tracedClaims gives each change of a claim a span.
+// tracedClaims creates a span for each change of a claim.
 type tracedClaims struct{ executor.Claims }
 
-// Commit commits within a span.
+// Commit commits a step of a claim within a span.
 func (cla tracedClaims) Commit(ctx context.Context, com *messenger.ClaimCommit) *messenger.ClaimResult {
 	ctx, spa := otel.Tracer(traceScope).Start(ctx, "claim", trace.WithAttributes(attribute.String("Step", com.GetStep().String())))
 	defer spa.End()
--- a/process/server/usage.go
+++ b/process/server/usage.go
@@ -10,7 +10,7 @@
 	"hemlockpin/request/responder"
 )
 
-// Usage is what the process has used since its start.
+// Usage is the resource usage of the process since its start.
 type Usage struct {
 	Host        string
 	Incarnation uint64
@@ -20,9 +20,9 @@
 	MemoryBytes int64
 	// PeerBytes counts bytes sent to and received from other hosts.
 	PeerBytes int64
-	// EndpointBytes counts those exchanged with endpoints, without requests.
+	// EndpointBytes counts the control bytes exchanged with endpoints, without requests.
 	EndpointBytes int64
-	// PlatformBytes counts those exchanged with the platform.
+	// PlatformBytes counts bytes exchanged with the platform.
 	PlatformBytes int64
 	// PlatformCalls counts calls to the platform.
 	PlatformCalls int64
@@ -44,12 +44,13 @@
 	return seconds(rus.Utime) + seconds(rus.Stime)
 }
 
-func seconds(tim syscall.Timeval) float64 {
+func seconds(val syscall.Timeval) float64 {
 	const microseconds = 1e6
-	return float64(tim.Sec) + float64(tim.Usec)/microseconds
+	return float64(val.Sec) + float64(val.Usec)/microseconds
 }
 
-// residentBytes reads the second field of /proc/self/statm, in pages.
+// residentBytes returns the resident memory: the second field of /proc/self/statm, in
+// pages.
 func residentBytes() int64 {
 	buf, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -59,6 +60,6 @@
 	if len(fies) < 2 {
 		return 0
 	}
-	pag, _ := strconv.ParseInt(fies[1], 10, 64)
-	return pag * int64(os.Getpagesize())
+	pages, _ := strconv.ParseInt(fies[1], 10, 64)
+	return pages * int64(os.Getpagesize())
 }
