--- a/process/follower/follower.go
+++ b/process/follower/follower.go
@@ -1,9 +1,9 @@
 // Package follower keeps the tables and the records of endpoints up to date with
 // the platform's store.
 //
-// Some hosts have the duty to watch the store. What they learn goes to the others,
-// which read the store themselves only when nobody has confirmed lately that
-// their knowledge is still the newest.
+// Only some hosts watch the store. They pass changes on to the other hosts, which
+// read the store themselves only when no peer has recently confirmed that their
+// state is up to date.
 package follower
 
 import (
@@ -21,44 +21,47 @@
 )
 
 const (
-	// defaultWait stands in for a Wait that is not set.
+	// defaultWait is the Wait of a Follower that sets none.
 	defaultWait = 700 * time.Millisecond
-	// watchGrace is added to the wait of a watch before it counts as lost.
-	watchGrace = 300 * time.Millisecond
-	// readTimeout bounds a read without a wait. A slow store answers within 250 ms.
+	// watchTimeoutMargin is added to the wait of a watch to get its time-out.
+	watchTimeoutMargin = 300 * time.Millisecond
+	// readTimeout is the least time-out of a read. A slow store answers within 250 ms.
 	readTimeout = 900 * time.Millisecond
-	// dutyInterval is how often a host without a duty looks whether it has one. Each
-	// look wakes the process.
-	dutyInterval = 200 * time.Millisecond
-	// retryFirst and retryMax bound the pauses after failed calls. The store
+	// idleCheckInterval is the interval at which a host that does not read the store
+	// checks whether it has to. Each check wakes the process.
+	idleCheckInterval = 200 * time.Millisecond
+	// retryMinPause and retryMaxPause bound the pauses after failed calls. The store
 	// answers within milliseconds, and hosts have to be up to date within seconds
-	// of its return.
-	retryFirst = 100 * time.Millisecond
-	retryMax   = 800 * time.Millisecond
+	// after it answers again.
+	retryMinPause = 100 * time.Millisecond
+	retryMaxPause = 800 * time.Millisecond
 )
 
-// ErrCompacted says that the store no longer holds the history after a revision.
-var ErrCompacted = eris.New("follower: the store has dropped this history")
+// ErrCompacted means that the store no longer holds the changes after a revision, so
+// that everything has to be read again.
+var ErrCompacted = eris.New("follower: store has compacted the history after this revision")
 
-// Tables is a reading of the tables.
+// Tables is the result of one read of the tables.
 type Tables struct {
-	// Found is false where the store holds no tables, or no newer ones.
+	// Found is false if the store holds no tables, or no newer ones.
 	Found  bool
 	Tables parser.Tables
-	// Revision is the store's revision of the reading.
+	// Revision is the store's revision at the read.
 	Revision uint64
 }
 
-// Endpoints is a reading of the endpoints' entries.
+// Endpoints is the result of one read of the endpoints.
 type Endpoints struct {
-	// Complete says that Endpoints holds all entries; otherwise it holds those that changed.
+	// Complete reports whether Endpoints holds all endpoints; otherwise it holds only
+	// those that have changed.
 	Complete  bool
 	Endpoints []registrar.Endpoint
 	Revision  uint64
 }
 
-// Source reads the store. After revision 0 it reads everything at once; after
-// any other it waits for changes.
+// Source reads the store. With after 0 it returns everything at once; with any other
+// revision it waits up to the given time for changes after it. It returns ErrCompacted
+// if the store no longer holds these changes.
 type Source interface {
 	Tables(ctx context.Context, after uint64, wait time.Duration) (Tables, error)
 	Endpoints(ctx context.Context, after uint64, wait time.Duration) (Endpoints, error)
@@ -67,24 +70,25 @@
 // Follower follows a Source. All its fields but Wait are needed.
 type Follower struct {
 	Source Source
-	// Wait is how long one watch waits for a change. A watch may go silent, on a
-	// connection that is lost or in a store that drops its history, so Wait is a
-	// part of the time within which changes have to be in force. 0 is 700 ms.
+	// Wait is how long one watch waits for a change. A watch may stall on a lost
+	// connection or when the store compacts its history, so Wait has to be a fraction
+	// of the time within which changes have to be in force. 0 stands for 700 ms.
 	Wait time.Duration
-	// ShouldRead reports whether this host is to read the store.
+	// ShouldRead reports whether this host has to read the store.
 	ShouldRead func(now time.Time) bool
-	// OnTables and OnEndpoints receive each reading and the time of the reply,
-	// at which the store held nothing newer. A watch that ends without a change
-	// tells so, too.
-	OnTables    func(rea Tables, at time.Time)
-	OnEndpoints func(rea Endpoints, at time.Time)
-	// OnUnavailable and OnAvailable are called when the store stops and starts to answer.
+	// OnTables and OnEndpoints receive the result of each read and the time of the
+	// reply, at which the store held nothing newer. They are called for a watch that
+	// ends without a change, too.
+	OnTables    func(reading Tables, at time.Time)
+	OnEndpoints func(reading Endpoints, at time.Time)
+	// OnUnavailable is called when reads of tables or of endpoints begin to fail,
+	// OnAvailable when both succeed again.
 	OnUnavailable func()
 	OnAvailable   func(now time.Time)
 	Log           zerolog.Logger
 
-	mu   sync.Mutex
-	lost map[string]time.Time
+	mu          sync.Mutex
+	failedSince map[string]time.Time
 }
 
 // Run follows the store until ctx ends.
@@ -95,8 +99,8 @@
 	gro.Go(func() { fol.follow(ctx, "endpoints", fol.readEndpoints) })
 }
 
-// reader reads once and returns the revision to go on after.
-type reader func(ctx context.Context, after uint64, wait time.Duration) (uint64, error)
+// readFunc reads once and returns the revision after which to read next.
+type readFunc func(ctx context.Context, after uint64, wait time.Duration) (uint64, error)
 
 func (fol *Follower) readTables(ctx context.Context, after uint64, wait time.Duration) (uint64, error) {
 	tab, err := fol.Source.Tables(ctx, after, wait)
@@ -116,33 +120,33 @@
 	return ends.Revision, nil
 }
 
-// follow reads everything once and then watches, with pauses after failures.
-func (fol *Follower) follow(ctx context.Context, what string, read reader) {
-	bac := &backoff.ExponentialBackOff{InitialInterval: retryFirst, MaxInterval: retryMax, Multiplier: 2, RandomizationFactor: 0.3}
+// follow reads everything once and then watches for changes, with pauses after failures.
+func (fol *Follower) follow(ctx context.Context, kind string, read readFunc) {
+	bac := &backoff.ExponentialBackOff{InitialInterval: retryMinPause, MaxInterval: retryMaxPause, Multiplier: 2, RandomizationFactor: 0.3}
 	bac.Reset()
 	var rev uint64
 	for ctx.Err() == nil {
 		if !fol.ShouldRead(time.Now()) {
-			// What changes meanwhile comes from peers; the next read is a whole one.
+			// Changes come from peers meanwhile, so the next read has to be a full one.
 			rev = 0
-			fol.rest(ctx, what)
+			fol.waitIdle(ctx, kind)
 			continue
 		}
-		nex, err := fol.once(ctx, what, rev, read)
+		next, err := fol.readOnce(ctx, kind, rev, read)
 		switch {
 		case err == nil:
-			fol.answered(what, rev, time.Now())
-			rev = nex
+			fol.recordSuccess(kind, rev, time.Now())
+			rev = next
 			bac.Reset()
 			continue
 		case eris.Is(err, ErrCompacted):
-			fol.Log.Info().Str("What", what).Uint64("Revision", rev).Msg("store history dropped; reading everything again")
+			fol.Log.Info().Str("What", kind).Uint64("Revision", rev).Msg("store compacted its history; reading everything again")
 			rev = 0
 			continue
 		case ctx.Err() != nil:
 			return
 		}
-		fol.failed(what, rev, err, time.Now())
+		fol.recordFailure(kind, rev, err, time.Now())
 		select {
 		case <-time.After(bac.NextBackOff()):
 		case <-ctx.Done():
@@ -150,59 +154,59 @@
 	}
 }
 
-// rest waits without reading. A host without a duty does not know whether the
-// store answers it.
-func (fol *Follower) rest(ctx context.Context, what string) {
-	fol.answered(what, 0, time.Now())
+// waitIdle waits without reading. Whether the store answers is unknown meanwhile, so
+// earlier failures are cleared.
+func (fol *Follower) waitIdle(ctx context.Context, kind string) {
+	fol.recordSuccess(kind, 0, time.Now())
 	select {
-	case <-time.After(dutyInterval):
+	case <-time.After(idleCheckInterval):
 	case <-ctx.Done():
 	}
 }
 
-// once reads with a bound on the time. After a failure it does not wait for
-// changes, so that a store that is back is noticed at once.
-func (fol *Follower) once(ctx context.Context, what string, rev uint64, read reader) (uint64, error) {
+// readOnce reads once, within a time-out. After a failure it does not wait for changes,
+// so that a store that answers again is noticed at once.
+func (fol *Follower) readOnce(ctx context.Context, kind string, rev uint64, read readFunc) (uint64, error) {
 	wait := cmp.Or(fol.Wait, defaultWait)
-	if rev == 0 || fol.isLost(what) {
+	if rev == 0 || fol.isFailing(kind) {
 		wait = 0
 	}
-	one, stop := context.WithTimeout(ctx, max(readTimeout, wait+watchGrace))
+	readCtx, stop := context.WithTimeout(ctx, max(readTimeout, wait+watchTimeoutMargin))
 	defer stop()
-	return read(one, rev, wait)
+	return read(readCtx, rev, wait)
 }
 
-func (fol *Follower) isLost(what string) bool {
+func (fol *Follower) isFailing(kind string) bool {
 	fol.mu.Lock()
 	defer fol.mu.Unlock()
-	_, ok := fol.lost[what]
+	_, ok := fol.failedSince[kind]
 	return ok
 }
 
-func (fol *Follower) failed(what string, rev uint64, err error, now time.Time) {
+func (fol *Follower) recordFailure(kind string, rev uint64, err error, now time.Time) {
 	fol.mu.Lock()
 	defer fol.mu.Unlock()
-	if fol.lost == nil {
-		fol.lost = map[string]time.Time{}
+	if fol.failedSince == nil {
+		fol.failedSince = map[string]time.Time{}
 	}
-	if _, ok := fol.lost[what]; ok {
+	if _, ok := fol.failedSince[kind]; ok {
 		return
 	}
-	fol.lost[what] = now
-	fol.Log.Warn().Str("What", what).Uint64("Revision", rev).Err(err).Msg("store lost")
+	fol.failedSince[kind] = now
+	fol.Log.Warn().Str("What", kind).Uint64("Revision", rev).Err(err).Msg("reading the store failed; retrying")
 	fol.OnUnavailable()
 }
 
-func (fol *Follower) answered(what string, rev uint64, now time.Time) {
+func (fol *Follower) recordSuccess(kind string, rev uint64, now time.Time) {
 	fol.mu.Lock()
 	defer fol.mu.Unlock()
-	sin, ok := fol.lost[what]
+	since, ok := fol.failedSince[kind]
 	if !ok {
 		return
 	}
-	delete(fol.lost, what)
-	fol.Log.Info().Str("What", what).Uint64("Revision", rev).Dur("AwayMs", now.Sub(sin)).Msg("store back")
-	if len(fol.lost) == 0 {
+	delete(fol.failedSince, kind)
+	fol.Log.Info().Str("What", kind).Uint64("Revision", rev).Dur("AwayMs", now.Sub(since)).Msg("store no longer counts as failed")
+	if len(fol.failedSince) == 0 {
 		fol.OnAvailable(now)
 	}
 }
