--- a/process/drainer/drainer.go
+++ b/process/drainer/drainer.go
@@ -1,24 +1,25 @@
-// Package drainer ends a host without cutting off requests in progress.
+// Package drainer stops a host without aborting requests in progress.
 //
-// A draining host is not ready at once but serves new requests for a notice, so
-// that the balancer can turn away. Then it takes no more connections, and ends
-// when its requests and background writes have.
+// A draining host reports itself as not ready at once, but accepts new requests for a
+// notice period, in which the load balancer takes it out of rotation. Then it closes its
+// listener, and stops once its requests and background writes have ended.
 package drainer
 
 import "time"
 
-// Settings are the times of a drain.
+// Settings holds the time limits of a drain.
 type Settings struct {
-	// Notice is how long a host that is not ready still takes requests.
+	// Notice is how long a host that reports not ready still accepts requests.
 	Notice time.Duration
-	// Timeout bounds the requests in progress after the notice.
+	// Timeout bounds the time for the requests in progress after the notice.
 	Timeout time.Duration
 }
 
-// Phase is how far a drain is.
+// Phase is the phase of a drain.
 type Phase string
 
-// Phases of a drain.
+// Phases of a drain: no drain yet; not ready, but accepting connections; accepting no
+// connections; and ended.
 const (
 	Serving  Phase = ""
 	Noticing Phase = "Noticing"
@@ -26,19 +27,19 @@
 	Ended    Phase = "Ended"
 )
 
-// State is what is known of a drain. It is an immutable value; its zero value
-// serves.
+// State is the state of a drain. It is an immutable value; the zero value is a host that
+// is not draining.
 type State struct {
-	Settings Settings
-	Phase    Phase
-	Began    time.Time
-	Closed   time.Time
+	Settings  Settings
+	Phase     Phase
+	StartedAt time.Time
+	ClosedAt  time.Time
 }
 
-// Event is something that a drain learns: Signal or Progress.
+// Event is an input to a drain: Signal or Progress.
 type Event interface{ event() }
 
-// Signal is the order to end. A second one ends at once.
+// Signal starts the drain. A second signal ends it at once.
 type Signal struct{}
 
 // Progress reports the work in progress.
@@ -51,19 +52,19 @@
 func (Signal) event()   {}
 func (Progress) event() {}
 
-// Action is what a drain does next: Announce, Close, End or Cut.
+// Action is the next step of a drain: Announce, Close, End or Cut.
 type Action interface{ action() }
 
-// Announce ends readiness and tells peers that the host leaves.
+// Announce reports the host as not ready, and as leaving to its peers.
 type Announce struct{}
 
-// Close takes no more connections.
+// Close stops accepting connections.
 type Close struct{}
 
-// End ends the host with nothing left to do.
+// End ends the drain with no work left.
 type End struct{}
 
-// Cut ends the host although work is in progress.
+// Cut ends the drain and aborts the work in progress.
 type Cut struct{ Reason string }
 
 func (Announce) action() {}
@@ -71,13 +72,13 @@
 func (End) action()      {}
 func (Cut) action()      {}
 
-// Next decides on an event. A nil action asks for nothing.
+// Next returns the state after an event and the action to take; a nil action means none.
 func (sta State) Next(eve Event, now time.Time) (State, Action) {
 	switch eve := eve.(type) {
 	case Signal:
 		return sta.signal(now)
 	case Progress:
-		return sta.look(eve, now)
+		return sta.progress(eve, now)
 	default:
 		return sta, nil
 	}
@@ -87,7 +88,7 @@
 	switch sta.Phase {
 	case Serving:
 		sta.Phase = Noticing
-		sta.Began = now
+		sta.StartedAt = now
 		return sta, Announce{}
 	case Noticing, Closing:
 		sta.Phase = Ended
@@ -97,14 +98,14 @@
 	}
 }
 
-func (sta State) look(eve Progress, now time.Time) (State, Action) {
+func (sta State) progress(eve Progress, now time.Time) (State, Action) {
 	switch sta.Phase {
 	case Noticing:
-		if now.Sub(sta.Began) < sta.Settings.Notice {
+		if now.Sub(sta.StartedAt) < sta.Settings.Notice {
 			return sta, nil
 		}
 		sta.Phase = Closing
-		sta.Closed = now
+		sta.ClosedAt = now
 		return sta, Close{}
 	case Closing:
 		return sta.closing(eve, now)
@@ -118,7 +119,7 @@
 	case eve.Requests == 0 && eve.Writes == 0:
 		sta.Phase = Ended
 		return sta, End{}
-	case now.Sub(sta.Closed) >= sta.Settings.Timeout:
+	case now.Sub(sta.ClosedAt) >= sta.Settings.Timeout:
 		sta.Phase = Ended
 		return sta, Cut{Reason: "drain timeout"}
 	default:
--- a/process/drainer/drainer_test.go
+++ b/process/drainer/drainer_test.go
@@ -12,36 +12,36 @@
 )
 
 var (
-	epoch    = time.Unix(1_700_000_000, 0)
-	settings = Settings{Notice: 2 * time.Second, Timeout: 10 * time.Second}
-	phases   = []Phase{Serving, Noticing, Closing, Ended}
-	works    = []Progress{{}, {Requests: 1}, {Writes: 1}, {Requests: 2, Writes: 3}}
-	times    = []time.Duration{0, 2 * time.Second, 10 * time.Second, time.Hour}
+	epoch     = time.Unix(1_700_000_000, 0)
+	settings  = Settings{Notice: 2 * time.Second, Timeout: 10 * time.Second}
+	phases    = []Phase{Serving, Noticing, Closing, Ended}
+	workloads = []Progress{{}, {Requests: 1}, {Writes: 1}, {Requests: 2, Writes: 3}}
+	times     = []time.Duration{0, 2 * time.Second, 10 * time.Second, time.Hour}
 )
 
-// TestDrainMatrix runs every event in every phase. The data file holds a
-// directive for each phase.
+// TestDrainMatrix checks the next phase and action for every event in every phase. The
+// data file has a directive for each phase.
 func TestDrainMatrix(t *testing.T) {
-	see := map[Phase]bool{}
+	seen := map[Phase]bool{}
 	datadriven.RunTest(t, "testdata/drain", func(t *testing.T, dat *datadriven.TestData) string {
-		var nam string
-		dat.ScanArgs(t, "phase", &nam)
-		pha := Phase(strings.TrimPrefix(nam, "Serving"))
-		see[pha] = true
-		sta := State{Settings: settings, Phase: pha, Began: epoch, Closed: epoch}
+		var name string
+		dat.ScanArgs(t, "phase", &name)
+		pha := Phase(strings.TrimPrefix(name, "Serving"))
+		seen[pha] = true
+		sta := State{Settings: settings, Phase: pha, StartedAt: epoch, ClosedAt: epoch}
 		var bui strings.Builder
-		nex, act := sta.Next(Signal{}, epoch)
-		fmt.Fprintf(&bui, "signal: %s, %T%+v\n", nex.Phase, act, act)
-		for _, wor := range works {
-			for _, aft := range times {
-				nex, act := sta.Next(wor, epoch.Add(aft))
-				fmt.Fprintf(&bui, "%d requests, %d writes after %s: %s, %T%+v\n", wor.Requests, wor.Writes, aft, nex.Phase, act, act)
+		next, act := sta.Next(Signal{}, epoch)
+		fmt.Fprintf(&bui, "signal: %s, %T%+v\n", next.Phase, act, act)
+		for _, work := range workloads {
+			for _, after := range times {
+				next, act := sta.Next(work, epoch.Add(after))
+				fmt.Fprintf(&bui, "%d requests, %d writes after %s: %s, %T%+v\n", work.Requests, work.Writes, after, next.Phase, act, act)
 			}
 		}
 		return strings.ReplaceAll(strings.ReplaceAll(bui.String(), "<nil><nil>", "-"), "drainer.", "")
 	})
 	for _, pha := range phases {
-		require.True(t, see[pha], "no cell for phase %q", pha)
+		require.True(t, seen[pha], "no cell for phase %q", pha)
 	}
 }
 
@@ -50,7 +50,7 @@
 		name    string
 		set     Settings
 		signals int
-		// left is the work that never ends.
+		// left is the number of requests and of writes that never end.
 		left int
 		cut  bool
 	}{
--- a/process/drainer/runner.go
+++ b/process/drainer/runner.go
@@ -6,26 +6,29 @@
 	"github.com/rotisserie/eris"
 )
 
-const lookInterval = 20 * time.Millisecond
+const checkInterval = 20 * time.Millisecond
 
-// ErrCut means that a host ended with work in progress.
-var ErrCut = eris.New("drainer: work in progress was cut")
+// ErrCut means that a drain ended with work in progress.
+var ErrCut = eris.New("drainer: work in progress aborted")
 
-// Host is what a drain acts on.
+// Host holds the operations of a host that a drain uses.
 type Host struct {
-	// Announce ends readiness and tells peers; it must not block for long.
+	// Announce reports the host as not ready, and as leaving to its peers. It must not
+	// block for long.
 	Announce func()
-	// Close takes no more connections; it must not block.
+	// Close stops accepting connections. It must not block.
 	Close func()
-	// Requests and Writes count the work in progress.
+	// Requests and Writes return the number of requests and of background writes in
+	// progress.
 	Requests func() int
 	Writes   func() int
 }
 
-// Run drains a host. Each value of again is a further signal.
-func Run[T any](hos Host, set Settings, again <-chan T) error {
+// Run drains a host and returns when the drain has ended. Each value received from
+// signals is a further signal. It returns ErrCut if work was aborted.
+func Run[T any](hos Host, set Settings, signals <-chan T) error {
 	sta, act := State{Settings: set}.Next(Signal{}, time.Now())
-	tic := time.NewTicker(lookInterval)
+	tic := time.NewTicker(checkInterval)
 	defer tic.Stop()
 	for {
 		switch act := act.(type) {
@@ -41,7 +44,7 @@
 		select {
 		case <-tic.C:
 			sta, act = sta.Next(Progress{Requests: hos.Requests(), Writes: hos.Writes()}, time.Now())
-		case <-again:
+		case <-signals:
 			sta, act = sta.Next(Signal{}, time.Now())
 		}
 	}
