--- a/process/detector/detector.go
+++ b/process/detector/detector.go
@@ -1,6 +1,6 @@
-// Package detector finds out that a host was suspended. The steady clock, by which
-// ages and deadlines are counted, stands still meanwhile; what the host knows and may do
-// grows old all the same.
+// Package detector detects that a host was suspended. The monotonic clock, which measures
+// ages and deadlines, stands still during a suspension, although the host's state becomes
+// stale and its permissions expire.
 package detector
 
 import (
@@ -11,68 +11,71 @@
 	"golang.org/x/sys/unix"
 )
 
-// least is the shortest suspension that counts. The two clocks are read one after the
-// other.
-const least = 200 * time.Millisecond
+// minSuspension is the shortest suspension that counts. The two clocks are read one after
+// the other, so small differences are no suspension.
+const minSuspension = 200 * time.Millisecond
 
-// Clocks reads the time since the machine's start, without and with suspensions.
-type Clocks func() (steady, whole time.Duration, err error)
+// Clocks returns the time since the boot of the machine, without (monotonic) and with
+// (boot) suspensions.
+type Clocks func() (monotonic, boot time.Duration, err error)
 
-// SystemClocks reads the clocks of the machine.
-func SystemClocks() (steady, whole time.Duration, err error) {
-	var one, two unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &one); err != nil {
-		return 0, 0, eris.Wrap(err, "detector.SystemClocks: steady clock")
+// SystemClocks reads the clocks CLOCK_MONOTONIC and CLOCK_BOOTTIME of the machine.
+func SystemClocks() (monotonic, boot time.Duration, err error) {
+	var mono, bootTime unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &mono); err != nil {
+		return 0, 0, eris.Wrap(err, "detector.SystemClocks: monotonic clock")
 	}
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &two); err != nil {
-		return 0, 0, eris.Wrap(err, "detector.SystemClocks: whole clock")
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &bootTime); err != nil {
+		return 0, 0, eris.Wrap(err, "detector.SystemClocks: boot-time clock")
 	}
-	return time.Duration(one.Nano()), time.Duration(two.Nano()), nil
+	return time.Duration(mono.Nano()), time.Duration(bootTime.Nano()), nil
 }
 
-// Detector adds up for how long the host was suspended since the first call. Its zero
-// value reads the clocks of the machine.
+// Detector adds up the time for which the host was suspended since the first call of
+// Suspensions. Its zero value reads the clocks of the machine.
 type Detector struct {
-	// Clocks stands in for SystemClocks where it is not nil.
+	// Clocks replaces SystemClocks if it is not nil.
 	Clocks Clocks
 
 	mu sync.Mutex
-	// offset is how far the clocks were apart at the last suspension.
-	offset  time.Duration
-	started bool
-	slept   time.Duration
-	woke    time.Time
+	// clockOffset is the difference of the clocks after the last suspension.
+	clockOffset time.Duration
+	started     bool
+	suspended   time.Duration
+	resumedAt   time.Time
 }
 
-// Suspensions reports the time for which the host was suspended in all, and when it was last
-// found to have woken. Clocks that can't be read show no suspension.
-func (det *Detector) Suspensions(now time.Time) (slept time.Duration, woke time.Time) {
-	rea := det.Clocks
-	if rea == nil {
-		rea = SystemClocks
+// Suspensions returns the total time for which the host was suspended, and the time at
+// which the last suspension was detected. If the clocks cannot be read, no further
+// suspension is detected.
+func (det *Detector) Suspensions(now time.Time) (suspended time.Duration, resumedAt time.Time) {
+	readClocks := det.Clocks
+	if readClocks == nil {
+		readClocks = SystemClocks
 	}
-	ste, who, err := rea()
+	monotonic, boot, err := readClocks()
 	det.mu.Lock()
 	defer det.mu.Unlock()
 	if err != nil {
-		return det.slept, det.woke
+		return det.suspended, det.resumedAt
 	}
-	dif := who - ste - det.offset
+	suspension := boot - monotonic - det.clockOffset
 	switch {
 	case !det.started:
-		det.started, det.offset = true, who-ste
-	case dif >= least:
-		det.offset, det.slept, det.woke = who-ste, det.slept+dif, now
+		det.started, det.clockOffset = true, boot-monotonic
+	case suspension >= minSuspension:
+		det.clockOffset, det.suspended, det.resumedAt = boot-monotonic, det.suspended+suspension, now
 	}
-	return det.slept, det.woke
+	return det.suspended, det.resumedAt
 }
 
-// Age is the age of something that was true at a time, with the suspensions since.
+// Age returns the age of data that was current at a time. If a suspension was detected
+// after that time, the total time of all suspensions is added.
 func (det *Detector) Age(at, now time.Time) time.Duration {
-	sle, wok := det.Suspensions(now)
+	suspended, resumedAt := det.Suspensions(now)
 	age := max(0, now.Sub(at))
-	if at.Before(wok) {
-		age += sle
+	if at.Before(resumedAt) {
+		age += suspended
 	}
 	return age
 }
