--- a/process/ejector/ejector.go
+++ b/process/ejector/ejector.go
@@ -1,8 +1,8 @@
-// Package ejector keeps endpoints that fail out of placement for a while. An
-// ejected endpoint gets single trial requests until one succeeds.
+// Package ejector excludes failing endpoints from placement for a while. After this
+// period an endpoint gets single trial requests until one of them succeeds.
 //
-// The knowledge is that of one host alone: it only makes placement faster, and
-// an endpoint is used all the same where nothing else is left.
+// Each host ejects endpoints by its own requests alone. This only makes placement
+// faster: ejected endpoints are used all the same if no others are left.
 package ejector
 
 import (
@@ -11,45 +11,45 @@
 )
 
 const (
-	// BasePeriod is how long an endpoint is out after its first failure in a row.
+	// BasePeriod is how long an endpoint is ejected after its first failure in a row.
 	BasePeriod = 500 * time.Millisecond
 	// MaxPeriod bounds the period, which doubles with each failure in a row.
 	MaxPeriod = 8 * time.Second
-	// TrialInterval is the least time between two trial requests.
+	// TrialInterval is the least time between two trial requests to an endpoint.
 	TrialInterval = 250 * time.Millisecond
 
-	// maxShare is the share of a pool's endpoints that may be out at a time.
-	// Beyond it the failure is more likely on this host's side, and nothing is
-	// ejected.
-	maxShare = 0.5
-	maxShift = 8
+	// maxEjectedShare is the largest share of a pool's endpoints that may be ejected at
+	// a time. If more fail, the fault is more likely on this host's side, and no
+	// endpoint of the pool is ejected.
+	maxEjectedShare = 0.5
+	maxDoublings    = 8
 )
 
-// Health is what is known of one endpoint. It is an immutable value; the zero
-// value is healthy.
+// Health is the record of one endpoint's failures. It is an immutable value; the zero
+// value is a healthy endpoint.
 type Health struct {
-	// Failures counts failures in a row.
+	// Failures is the number of failures in a row.
 	Failures int
-	// EjectedUntil is the end of the period without requests.
+	// EjectedUntil is the end of the period in which the endpoint gets no requests.
 	EjectedUntil time.Time
 	// LastTrial is the time of the last trial request.
 	LastTrial time.Time
 }
 
-// WithFailure returns the health after a failure. Failures of requests that
-// were sent before the endpoint was ejected count once.
+// WithFailure returns the health after a failure. Failures while the endpoint is ejected,
+// of requests that were sent before, are not counted.
 func (hea Health) WithFailure(now time.Time) Health {
 	if now.Before(hea.EjectedUntil) {
 		return hea
 	}
-	per := min(MaxPeriod, BasePeriod<<min(hea.Failures, maxShift))
+	period := min(MaxPeriod, BasePeriod<<min(hea.Failures, maxDoublings))
 	hea.Failures++
-	hea.EjectedUntil = now.Add(per)
+	hea.EjectedUntil = now.Add(period)
 	return hea
 }
 
-// Accepts reports whether the endpoint takes a request now, and the health after
-// it was placed there.
+// Accepts reports whether the endpoint may get a request now, and returns the health
+// after the request was placed there.
 func (hea Health) Accepts(now time.Time) (Health, bool) {
 	switch {
 	case hea.Failures == 0:
@@ -61,56 +61,57 @@
 	return hea, true
 }
 
-// Ejector keeps the health of the endpoints that failed. Its zero value is
-// ready.
+// Ejector holds the health of the endpoints that have failed. Its zero value is ready to
+// use.
 type Ejector struct {
-	mu   sync.Mutex
-	ends map[string]Health
+	mu     sync.Mutex
+	failed map[string]Health
 }
 
-// RecordFailure notes a failure of an endpoint.
+// RecordFailure records a failure of an endpoint.
 func (eje *Ejector) RecordFailure(id string, now time.Time) {
 	eje.mu.Lock()
 	defer eje.mu.Unlock()
-	if eje.ends == nil {
-		eje.ends = map[string]Health{}
+	if eje.failed == nil {
+		eje.failed = map[string]Health{}
 	}
-	eje.ends[id] = eje.ends[id].WithFailure(now)
+	eje.failed[id] = eje.failed[id].WithFailure(now)
 }
 
-// RecordSuccess notes that an endpoint served a request.
+// RecordSuccess records that an endpoint served a request, which ends its ejection.
 func (eje *Ejector) RecordSuccess(id string) {
 	eje.mu.Lock()
 	defer eje.mu.Unlock()
-	delete(eje.ends, id)
+	delete(eje.failed, id)
 }
 
-// Excluded returns the endpoints of a pool that take no request now. One whose
-// trial is due is left in, once. elsewhere says that requests can be served
-// without the pool's endpoints, so that all of them may be out.
+// Excluded returns the endpoints of a pool that get no requests now. size is the number
+// of the pool's endpoints and has reports whether an endpoint belongs to the pool. An
+// endpoint whose trial is due is not excluded for one call. elsewhere reports that
+// requests can be served without this pool, so that all its endpoints may be excluded.
 func (eje *Ejector) Excluded(size int, elsewhere bool, has func(id string) bool, now time.Time) []string {
 	eje.mu.Lock()
 	defer eje.mu.Unlock()
 	var out []string
-	for id, hea := range eje.ends {
+	for id, hea := range eje.failed {
 		if !has(id) {
 			continue
 		}
-		nex, ok := hea.Accepts(now)
-		eje.ends[id] = nex
+		next, ok := hea.Accepts(now)
+		eje.failed[id] = next
 		if !ok {
 			out = append(out, id)
 		}
 	}
-	if !elsewhere && float64(len(out)) > maxShare*float64(size) {
+	if !elsewhere && float64(len(out)) > maxEjectedShare*float64(size) {
 		return nil
 	}
 	return out
 }
 
-// Ejected returns the number of endpoints that are out or on trial.
+// Ejected returns the number of endpoints that are ejected or on trial.
 func (eje *Ejector) Ejected() int {
 	eje.mu.Lock()
 	defer eje.mu.Unlock()
-	return len(eje.ends)
+	return len(eje.failed)
 }
