--- a/process/watcher/endpoint.go
+++ b/process/watcher/endpoint.go
@@ -4,7 +4,8 @@
 	"hemlockpin/request/placer"
 )
 
-// Endpoint returns the view of one endpoint; its ID is empty if none is listed.
+// Endpoint returns the view of one endpoint; its ID is empty if the endpoint is not
+// listed.
 func (wat *Watcher) Endpoint(id string) placer.Endpoint {
 	wat.mu.Lock()
 	defer wat.mu.Unlock()
--- a/process/watcher/notices.go
+++ b/process/watcher/notices.go
@@ -11,50 +11,52 @@
 )
 
 const (
-	// noticeLife is how long a notice holds after its endpoint was last seen so.
-	noticeLife = time.Minute
-	// noticeRefresh is the age from which a repeated observation is passed on.
-	noticeRefresh = 20 * time.Second
-	// noticeTransmits bounds how often a host adds a notice to its probes.
-	noticeTransmits = 12
-	// maxNotices bounds the notices that one probe carries.
-	maxNotices = 16
+	// noticeLifetime is how long a notice is valid after the state was last observed.
+	noticeLifetime = time.Minute
+	// noticeRefreshAge is the age of a notice from which a repeated observation is sent
+	// to other hosts again.
+	noticeRefreshAge = 20 * time.Second
+	// maxNoticeTransmits bounds how often a host adds the same notice to its probes.
+	maxNoticeTransmits = 12
+	// maxProbeNotices bounds the notices in one probe.
+	maxProbeNotices = 16
 )
 
-// Notice is a change of an endpoint's state that hosts tell each other.
+// Notice is an observed state of an endpoint that hosts send each other.
 type Notice struct {
 	Endpoint string
-	// Incarnation identifies the process of the endpoint; 0 where it gives none.
+	// Incarnation identifies the process of the endpoint; 0 if the endpoint reports none.
 	Incarnation uint64
 	Leaving     bool
 	// At is when a host last observed the state.
 	At time.Time
 }
 
-// Merge returns what holds after another notice of the same endpoint. It does
-// not depend on the order of notices: of two processes the newer counts, and
-// of one process the leaving state, for it does not come back.
-func (not Notice) Merge(oth Notice) Notice {
+// Merge returns the notice that is valid after another one of the same endpoint. The
+// result does not depend on the order of notices: of two processes the newer one counts,
+// and of the same process the leaving state, since a leaving process never returns.
+func (not Notice) Merge(other Notice) Notice {
 	switch {
-	case oth.Incarnation > not.Incarnation:
-		return oth
-	case oth.Incarnation < not.Incarnation:
+	case other.Incarnation > not.Incarnation:
+		return other
+	case other.Incarnation < not.Incarnation:
 		return not
-	case oth.Leaving != not.Leaving && oth.Leaving:
-		return oth
-	case oth.Leaving == not.Leaving && oth.At.After(not.At):
-		return oth
+	case other.Leaving != not.Leaving && other.Leaving:
+		return other
+	case other.Leaving == not.Leaving && other.At.After(not.At):
+		return other
 	default:
 		return not
 	}
 }
 
-// news reports whether a host that held old should pass not on.
-func (not Notice) news(old Notice) bool {
-	return not.Incarnation != old.Incarnation || not.Leaving != old.Leaving || not.At.Sub(old.At) >= noticeRefresh
+// worthSending reports whether a host that held the notice old should send this one to
+// other hosts.
+func (not Notice) worthSending(old Notice) bool {
+	return not.Incarnation != old.Incarnation || not.Leaving != old.Leaving || not.At.Sub(old.At) >= noticeRefreshAge
 }
 
-// Notices holds the notices in force on one host. Its zero value is ready.
+// Notices holds the valid notices of one host. Its zero value is ready to use.
 type Notices struct {
 	mu      sync.Mutex
 	known   map[string]Notice
@@ -62,8 +64,8 @@
 	version uint64
 }
 
-// changes counts the notices that were news.
-func (nots *Notices) changes() uint64 {
+// changeCount returns the number of merged notices that changed the view.
+func (nots *Notices) changeCount() uint64 {
 	nots.mu.Lock()
 	defer nots.mu.Unlock()
 	return nots.version
@@ -74,43 +76,43 @@
 	nots.mu.Lock()
 	defer nots.mu.Unlock()
 	not, ok := nots.known[endpoint]
-	return ok && not.Leaving && now.Sub(not.At) < noticeLife
+	return ok && not.Leaving && now.Sub(not.At) < noticeLifetime
 }
 
-// Observe takes what an endpoint says of itself. It returns the notice to
-// spread, if that is news.
+// Observe merges the state that an endpoint reports of itself. It returns the notice to
+// broadcast, or nil if other hosts need not receive it.
 func (nots *Notices) Observe(not Notice, now time.Time) []*messenger.EndpointNotice {
 	nots.mu.Lock()
 	defer nots.mu.Unlock()
 	if _, ok := nots.known[not.Endpoint]; !ok && !not.Leaving {
 		return nil
 	}
-	if !nots.take(not, now) {
+	if !nots.merge(not, now) {
 		return nil
 	}
 	return []*messenger.EndpointNotice{not.message(now)}
 }
 
-// Merge merges the notices of a peer and returns those that were news.
+// Merge merges the notices of a peer and returns those to send to other hosts.
 func (nots *Notices) Merge(mess []*messenger.EndpointNotice, now time.Time) []*messenger.EndpointNotice {
 	nots.mu.Lock()
 	defer nots.mu.Unlock()
-	var news []*messenger.EndpointNotice
+	var changed []*messenger.EndpointNotice
 	for _, mes := range mess {
 		not := Notice{
 			Endpoint: mes.GetEndpoint(), Incarnation: mes.GetIncarnation(), Leaving: mes.GetLeaving(),
 			At: now.Add(-time.Duration(max(0, mes.GetAgeMs())) * time.Millisecond),
 		}
-		if nots.take(not, now) {
-			news = append(news, not.message(now))
+		if nots.merge(not, now) {
+			changed = append(changed, not.message(now))
 		}
 	}
-	return news
+	return changed
 }
 
-// take merges one notice and reports whether it was news.
-func (nots *Notices) take(not Notice, now time.Time) bool {
-	if not.Endpoint == "" || now.Sub(not.At) >= noticeLife {
+// merge merges one notice and reports whether it has to be sent to other hosts.
+func (nots *Notices) merge(not Notice, now time.Time) bool {
+	if not.Endpoint == "" || now.Sub(not.At) >= noticeLifetime {
 		return false
 	}
 	if nots.known == nil {
@@ -118,19 +120,20 @@
 		nots.pending = map[string]int{}
 	}
 	old, ok := nots.known[not.Endpoint]
-	if ok && now.Sub(old.At) < noticeLife {
+	if ok && now.Sub(old.At) < noticeLifetime {
 		not = old.Merge(not)
 	}
 	if ok && not == old {
 		return false
 	}
-	fresh := !ok || not.news(old)
-	if !fresh {
-		// An observation that is not passed on must not hide the next ones.
+	changed := !ok || not.worthSending(old)
+	if !changed {
+		// A repeated observation that is not sent is not stored either: with its newer
+		// time, later ones would never reach noticeRefreshAge.
 		return false
 	}
 	nots.known[not.Endpoint] = not
-	nots.pending[not.Endpoint] = noticeTransmits
+	nots.pending[not.Endpoint] = maxNoticeTransmits
 	nots.version++
 	return true
 }
@@ -144,9 +147,9 @@
 	for id := range nots.pending {
 		ids = append(ids, id)
 	}
-	slices.SortFunc(ids, func(one, two string) int { return nots.pending[two] - nots.pending[one] })
+	slices.SortFunc(ids, func(a, b string) int { return nots.pending[b] - nots.pending[a] })
 	var out []*messenger.EndpointNotice
-	for _, id := range ids[:min(len(ids), maxNotices)] {
+	for _, id := range ids[:min(len(ids), maxProbeNotices)] {
 		out = append(out, nots.known[id].message(now))
 		if nots.pending[id]--; nots.pending[id] <= 0 {
 			delete(nots.pending, id)
@@ -157,7 +160,7 @@
 
 func (nots *Notices) expire(now time.Time) {
 	for id, not := range nots.known {
-		if now.Sub(not.At) >= noticeLife {
+		if now.Sub(not.At) >= noticeLifetime {
 			delete(nots.known, id)
 			delete(nots.pending, id)
 		}
@@ -171,17 +174,18 @@
 	}
 }
 
-// notice takes what an endpoint said of itself.
-func (wat *Watcher) notice(not Notice, now time.Time) {
-	if news := wat.Notices.Observe(not, now); len(news) > 0 && wat.OnNotices != nil {
-		wat.OnNotices(news)
+// recordNotice records the state that an endpoint reported of itself.
+func (wat *Watcher) recordNotice(not Notice, now time.Time) {
+	if changed := wat.Notices.Observe(not, now); len(changed) > 0 && wat.OnNotices != nil {
+		wat.OnNotices(changed)
 	}
 }
 
-// RecordLoad takes a load report that another part of the host has read.
+// RecordLoad records whether an engine is leaving, from a load report that another part
+// of the host has read.
 func (wat *Watcher) RecordLoad(loa invoker.Load, now time.Time) {
-	wat.notice(Notice{Endpoint: loa.Engine, Incarnation: loa.Incarnation, Leaving: loa.Leaving, At: now}, now)
+	wat.recordNotice(Notice{Endpoint: loa.Engine, Incarnation: loa.Incarnation, Leaving: loa.Leaving, At: now}, now)
 }
 
-// RefreshList takes the list at once.
-func (wat *Watcher) RefreshList(ctx context.Context) { wat.list(ctx, time.Now()) }
+// RefreshList reads the platform's list at once.
+func (wat *Watcher) RefreshList(ctx context.Context) { wat.readList(ctx, time.Now()) }
--- a/process/watcher/notices_test.go
+++ b/process/watcher/notices_test.go
@@ -27,17 +27,18 @@
 	return out
 }
 
-// What holds does not depend on the order or number of notices.
-func TestNoticeMergeIsMonotone(t *testing.T) {
-	for _, one := range noticeVariants() {
-		require.Equal(t, one, one.Merge(one))
-		for _, two := range noticeVariants() {
-			both := one.Merge(two)
-			require.Equal(t, both, two.Merge(one))
-			require.Equal(t, both, both.Merge(one))
-			require.GreaterOrEqual(t, both.Incarnation, max(one.Incarnation, two.Incarnation))
-			for _, three := range noticeVariants() {
-				require.Equal(t, both.Merge(three), one.Merge(two.Merge(three)))
+// TestNoticeMergeOrder checks that the result of merging notices depends neither on their
+// order nor on repetitions.
+func TestNoticeMergeOrder(t *testing.T) {
+	for _, a := range noticeVariants() {
+		require.Equal(t, a, a.Merge(a))
+		for _, b := range noticeVariants() {
+			merged := a.Merge(b)
+			require.Equal(t, merged, b.Merge(a))
+			require.Equal(t, merged, merged.Merge(a))
+			require.GreaterOrEqual(t, merged.Incarnation, max(a.Incarnation, b.Incarnation))
+			for _, c := range noticeVariants() {
+				require.Equal(t, merged.Merge(c), a.Merge(b.Merge(c)))
 			}
 		}
 	}
@@ -45,50 +46,51 @@
 
 func TestNotices(t *testing.T) {
 	now := noticeEpoch
-	one, two := &Notices{}, &Notices{}
+	first, second := &Notices{}, &Notices{}
 	leaving := Notice{Endpoint: "engine", Incarnation: 1, Leaving: true, At: now}
 
-	require.Empty(t, one.Observe(Notice{Endpoint: "engine", Incarnation: 1, At: now}, now), "an endpoint that stays is no news")
-	news := one.Observe(leaving, now)
-	require.Len(t, news, 1)
-	require.Empty(t, one.Observe(leaving, now), "a repetition is no news")
-	require.Len(t, two.Merge(news, now), 1)
-	require.Empty(t, two.Merge(news, now))
-	require.True(t, two.Leaving("engine", now))
+	require.Empty(t, first.Observe(Notice{Endpoint: "engine", Incarnation: 1, At: now}, now), "an endpoint that is not leaving needs no notice")
+	changed := first.Observe(leaving, now)
+	require.Len(t, changed, 1)
+	require.Empty(t, first.Observe(leaving, now), "a repeated notice is not sent again")
+	require.Len(t, second.Merge(changed, now), 1)
+	require.Empty(t, second.Merge(changed, now))
+	require.True(t, second.Leaving("engine", now))
 
-	for range noticeTransmits {
-		require.Len(t, two.Outgoing(now), 1)
+	for range maxNoticeTransmits {
+		require.Len(t, second.Outgoing(now), 1)
 	}
-	require.Empty(t, two.Outgoing(now), "a notice is passed on a bounded number of times")
+	require.Empty(t, second.Outgoing(now), "a notice is sent a bounded number of times")
 
 	old := []*messenger.EndpointNotice{{Endpoint: "engine", Incarnation: 1}}
-	require.Empty(t, two.Merge(old, now), "leaving is not taken back by the same process")
-	require.True(t, two.Leaving("engine", now))
+	require.Empty(t, second.Merge(old, now), "a notice that is not leaving does not end the leaving state of the same process")
+	require.True(t, second.Leaving("engine", now))
 
 	restarted := Notice{Endpoint: "engine", Incarnation: 2, At: now}
-	require.Len(t, two.Observe(restarted, now), 1)
-	require.False(t, two.Leaving("engine", now))
-	require.Empty(t, two.Merge(news, now), "a notice of the earlier process changes nothing")
-	require.False(t, two.Leaving("engine", now))
+	require.Len(t, second.Observe(restarted, now), 1)
+	require.False(t, second.Leaving("engine", now))
+	require.Empty(t, second.Merge(changed, now), "a notice of the earlier process changes nothing")
+	require.False(t, second.Leaving("engine", now))
 
-	require.False(t, one.Leaving("engine", now.Add(noticeLife)), "a notice ends unless it is observed again")
-	later := now.Add(noticeRefresh)
-	require.Len(t, one.Observe(Notice{Endpoint: "engine", Incarnation: 1, Leaving: true, At: later}, later), 1)
-	require.True(t, one.Leaving("engine", now.Add(noticeLife)))
-	require.Empty(t, one.Merge([]*messenger.EndpointNotice{{Endpoint: "late", Leaving: true, AgeMs: noticeLife.Milliseconds()}}, now))
+	require.False(t, first.Leaving("engine", now.Add(noticeLifetime)), "a notice expires unless its state is observed again")
+	later := now.Add(noticeRefreshAge)
+	require.Len(t, first.Observe(Notice{Endpoint: "engine", Incarnation: 1, Leaving: true, At: later}, later), 1)
+	require.True(t, first.Leaving("engine", now.Add(noticeLifetime)))
+	require.Empty(t, first.Merge([]*messenger.EndpointNotice{{Endpoint: "late", Leaving: true, AgeMs: noticeLifetime.Milliseconds()}}, now))
 }
 
-// A host that reads no report of an engine leaves it out because another did.
+// TestNoticeOfAnotherHost checks that a host that reads no load report of an engine sees
+// it as leaving from the notice of another host.
 func TestNoticeOfAnotherHost(t *testing.T) {
 	poo := parser.Pool{Kind: parser.PoolEngine, Selector: parser.Selector{Service: "s"}}
 	ents := []persister.Entry{{ID: "engine", Kind: persister.KindEngine, Service: "s", Address: "10.0.0.1:1"}}
-	one, two := &Watcher{entries: ents}, &Watcher{entries: ents}
-	one.OnNotices = func(nots []*messenger.EndpointNotice) { two.Notices.Merge(nots, time.Now()) }
-	require.False(t, two.Pool(poo).Endpoints[0].Leaving)
-	version := two.Version()
-	one.RecordLoad(invoker.Load{Engine: "engine", Incarnation: 1, Leaving: true}, time.Now())
-	require.Greater(t, two.Version(), version, "copies of the view are renewed")
-	require.True(t, two.Pool(poo).Endpoints[0].Leaving)
-	one.RecordLoad(invoker.Load{Engine: "engine", Incarnation: 2}, time.Now())
-	require.False(t, two.Pool(poo).Endpoints[0].Leaving)
+	first, second := &Watcher{entries: ents}, &Watcher{entries: ents}
+	first.OnNotices = func(nots []*messenger.EndpointNotice) { second.Notices.Merge(nots, time.Now()) }
+	require.False(t, second.Pool(poo).Endpoints[0].Leaving)
+	version := second.Version()
+	first.RecordLoad(invoker.Load{Engine: "engine", Incarnation: 1, Leaving: true}, time.Now())
+	require.Greater(t, second.Version(), version, "the view's version increases, so that copies are refreshed")
+	require.True(t, second.Pool(poo).Endpoints[0].Leaving)
+	first.RecordLoad(invoker.Load{Engine: "engine", Incarnation: 2}, time.Now())
+	require.False(t, second.Pool(poo).Endpoints[0].Leaving)
 }
--- a/process/watcher/watcher.go
+++ b/process/watcher/watcher.go
@@ -1,5 +1,5 @@
-// Package watcher keeps a host's view of the endpoints: who is listed, who is
-// leaving, and each engine's last load report.
+// Package watcher keeps a host's view of the endpoints: which ones are listed, which
+// ones are leaving, and each engine's last load report.
 package watcher
 
 import (
@@ -16,7 +16,7 @@
 	"hemlockpin/version/parser"
 )
 
-const pollTimeout = time.Second
+const readTimeout = time.Second
 
 // Lister reads the platform's list.
 type Lister interface {
@@ -28,23 +28,24 @@
 	Load(ctx context.Context, address string) (invoker.Load, error)
 }
 
-// Watcher is the view of one host. It needs Lister and Loader.
+// Watcher holds the view of one host. Lister and Loader have to be set.
 type Watcher struct {
 	Lister Lister
 	Loader Loader
-	// PollLimit bounds the engines that one round of load reports reads, so
-	// that the cost does not grow with the fleet; 0 reads all.
+	// PollLimit is the number of engines whose load report is read in one round, so
+	// that the cost does not grow with the number of engines; 0 stands for all.
 	PollLimit int
-	// Notices holds what hosts tell each other of endpoints.
+	// Notices holds the notices of endpoints that hosts send each other.
 	Notices Notices
-	// OnNotices is told of notices that this host found itself; nil for nobody.
+	// OnNotices, if not nil, receives the notices that this host has to broadcast from
+	// its own observations.
 	OnNotices func(nots []*messenger.EndpointNotice)
 
-	mu      sync.Mutex
-	entries []persister.Entry
-	listed  time.Time
-	loads   map[string]report
-	version uint64
+	mu       sync.Mutex
+	entries  []persister.Entry
+	listedAt time.Time
+	loads    map[string]report
+	version  uint64
 }
 
 type report struct {
@@ -52,32 +53,32 @@
 	at   time.Time
 }
 
-// PollList reads the list until ctx ends.
-func (wat *Watcher) PollList(ctx context.Context, every time.Duration) {
-	repeat(ctx, every, func(now time.Time) { wat.list(ctx, now) })
+// PollList reads the platform's list at an interval until ctx ends.
+func (wat *Watcher) PollList(ctx context.Context, interval time.Duration) {
+	repeat(ctx, interval, func(now time.Time) { wat.readList(ctx, now) })
 }
 
-// PollLoads reads load reports until ctx ends.
-func (wat *Watcher) PollLoads(ctx context.Context, every time.Duration) {
-	repeat(ctx, every, func(now time.Time) { wat.poll(ctx, now) })
+// PollLoads reads load reports at an interval until ctx ends.
+func (wat *Watcher) PollLoads(ctx context.Context, interval time.Duration) {
+	repeat(ctx, interval, func(now time.Time) { wat.readLoads(ctx, now) })
 }
 
-func repeat(ctx context.Context, every time.Duration, fun func(time.Time)) {
-	tic := time.NewTicker(every)
+func repeat(ctx context.Context, interval time.Duration, fn func(time.Time)) {
+	tic := time.NewTicker(interval)
 	defer tic.Stop()
-	fun(time.Now())
+	fn(time.Now())
 	for {
 		select {
 		case now := <-tic.C:
-			fun(now)
+			fn(now)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (wat *Watcher) list(ctx context.Context, now time.Time) {
-	ctx, stop := context.WithTimeout(ctx, pollTimeout)
+func (wat *Watcher) readList(ctx context.Context, now time.Time) {
+	ctx, stop := context.WithTimeout(ctx, readTimeout)
 	defer stop()
 	ents, err := wat.Lister.Entries(ctx)
 	if err != nil {
@@ -86,21 +87,21 @@
 	wat.mu.Lock()
 	defer wat.mu.Unlock()
 	wat.entries = ents
-	wat.listed = now
+	wat.listedAt = now
 	wat.version++
 }
 
-func (wat *Watcher) poll(ctx context.Context, now time.Time) {
+func (wat *Watcher) readLoads(ctx context.Context, now time.Time) {
 	var gro sync.WaitGroup
-	for _, ent := range wat.batch() {
-		gro.Go(func() { wat.pollOne(ctx, ent, now) })
+	for _, ent := range wat.enginesToPoll() {
+		gro.Go(func() { wat.readLoad(ctx, ent, now) })
 	}
 	gro.Wait()
 }
 
-// batch returns the engines to read in this round: all, or PollLimit drawn at
-// random.
-func (wat *Watcher) batch() []persister.Entry {
+// enginesToPoll returns the engines whose load reports are read in this round: all, or
+// PollLimit engines drawn at random, possibly repeated.
+func (wat *Watcher) enginesToPoll() []persister.Entry {
 	var ents []persister.Entry
 	for _, ent := range wat.Entries() {
 		if ent.Kind == persister.KindEngine {
@@ -111,20 +112,20 @@
 		return ents
 	}
 	out := make([]persister.Entry, wat.PollLimit)
-	for ind := range out {
-		out[ind] = ents[rand.IntN(len(ents))]
+	for i := range out {
+		out[i] = ents[rand.IntN(len(ents))]
 	}
 	return out
 }
 
-func (wat *Watcher) pollOne(ctx context.Context, ent persister.Entry, now time.Time) {
-	ctx, stop := context.WithTimeout(ctx, pollTimeout)
+func (wat *Watcher) readLoad(ctx context.Context, ent persister.Entry, now time.Time) {
+	ctx, stop := context.WithTimeout(ctx, readTimeout)
 	defer stop()
 	loa, err := wat.Loader.Load(ctx, ent.Address)
 	if err != nil {
 		return
 	}
-	wat.notice(Notice{Endpoint: ent.ID, Incarnation: loa.Incarnation, Leaving: loa.Leaving, At: now}, now)
+	wat.recordNotice(Notice{Endpoint: ent.ID, Incarnation: loa.Incarnation, Leaving: loa.Leaving, At: now}, now)
 	wat.mu.Lock()
 	defer wat.mu.Unlock()
 	if wat.loads == nil {
@@ -134,21 +135,21 @@
 	wat.version++
 }
 
-// Version counts the changes of the view.
+// Version returns a number that increases with each change of the view.
 func (wat *Watcher) Version() uint64 {
 	wat.mu.Lock()
 	defer wat.mu.Unlock()
-	return wat.version + wat.Notices.changes()
+	return wat.version + wat.Notices.changeCount()
 }
 
 // ListedAt returns when the list was last read.
 func (wat *Watcher) ListedAt() time.Time {
 	wat.mu.Lock()
 	defer wat.mu.Unlock()
-	return wat.listed
+	return wat.listedAt
 }
 
-// Entries returns the last list that was read.
+// Entries returns the list as last read.
 func (wat *Watcher) Entries() []persister.Entry {
 	wat.mu.Lock()
 	defer wat.mu.Unlock()
