--- a/process/incarnator/incarnator.go
+++ b/process/incarnator/incarnator.go
@@ -1,8 +1,8 @@
-// Package incarnator chooses the incarnation of a starting process: one above
-// all that peers know of its host's name, whatever the clocks say.
+// Package incarnator chooses the incarnation of a starting process: a number higher
+// than all that peers have seen of its host, also if the host's clock was set back.
 //
-// A process whose incarnation were lower than that of one before it would be
-// ignored by its peers, which would free the memory of its work.
+// Peers would ignore a process whose incarnation is lower than that of an earlier
+// process of the host, and would free the memory that its requests use.
 package incarnator
 
 import (
@@ -16,21 +16,23 @@
 )
 
 const (
-	// patience bounds the start of a host whose platform or peers are silent, and
-	// laterPatience what it waits for further answers after the first one: one of few
-	// seeds may be down.
-	patience      = time.Second
-	laterPatience = 100 * time.Millisecond
-	// enough is the number of answers that are waited for.
-	enough = 3
-	// maxAsked bounds the peers that are asked.
-	maxAsked = 8
+	// queryTimeout bounds each of two steps: reading the platform's list and querying
+	// peers. So a host starts also if these do not answer.
+	queryTimeout = time.Second
+	// furtherAnswersWait is the time to wait for further answers after the first one, so
+	// that a start is not delayed if one of few seeds is down.
+	furtherAnswersWait = 100 * time.Millisecond
+	// enoughAnswers is the number of peers' answers after which no more are awaited.
+	enoughAnswers = 3
+	// maxPeers bounds the number of peers that are queried.
+	maxPeers = 8
 )
 
-// Incarnator asks peers. All its fields but Seeds are needed.
+// Incarnator queries peers for the incarnations of a host. All fields but Seeds have to
+// be set.
 type Incarnator struct {
 	Host string
-	// Seeds are addresses of peers that are asked first.
+	// Seeds holds the addresses of peers that are queried first.
 	Seeds []string
 	// Entries reads the platform's list.
 	Entries func(ctx context.Context) ([]persister.Entry, error)
@@ -38,67 +40,68 @@
 	Call func(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
 
-// Choose returns the incarnation of a process that starts now. When no peer
-// answers in time, it rests on the clock; membership then outbids a newer
-// incarnation as soon as it is told of its end.
+// Choose returns the incarnation of a process that starts now. If no peer answers in
+// time, it is the clock's time; should an earlier process have had a higher incarnation,
+// membership raises this one as soon as a peer reports the end of the earlier process.
 func (inc *Incarnator) Choose(ctx context.Context, now time.Time) uint64 {
-	return Next(inc.known(ctx), now)
+	return Next(inc.highestKnown(ctx), now)
 }
 
-// Next returns the incarnation of a process that starts now, when the highest
-// known one of its host is as given.
+// Next returns the incarnation of a process that starts now: the time in nanoseconds,
+// or one more than the highest known incarnation of the host if that is higher.
 func Next(known uint64, now time.Time) uint64 { return max(known+1, uint64(max(0, now.UnixNano()))) }
 
-// known returns the highest incarnation that peers know; 0 if none does.
-func (inc *Incarnator) known(ctx context.Context) uint64 {
-	ctx, stop := context.WithTimeout(ctx, patience)
+// highestKnown returns the highest incarnation of the host that peers have seen, or 0.
+func (inc *Incarnator) highestKnown(ctx context.Context) uint64 {
+	ctx, stop := context.WithTimeout(ctx, queryTimeout)
 	defer stop()
 	adds := inc.peers(ctx)
-	ctx, stopAsking := context.WithTimeout(context.WithoutCancel(ctx), patience)
-	defer stopAsking()
+	ctx, stopPulls := context.WithTimeout(context.WithoutCancel(ctx), queryTimeout)
+	defer stopPulls()
 	anss := make(chan *messenger.MembersPush, len(adds))
 	for _, add := range adds {
-		go func() { anss <- inc.ask(ctx, add) }()
+		go func() { anss <- inc.pullMembers(ctx, add) }()
 	}
-	var hig uint64
+	var highest uint64
 	var late <-chan time.Time
-	got := 0
+	answered := 0
 	for range adds {
 		select {
 		case ans := <-anss:
 			if ans == nil {
 				continue
 			}
-			hig = max(hig, highest(ans, inc.Host))
-			if got++; got == enough {
-				return hig
+			highest = max(highest, highestOf(ans, inc.Host))
+			if answered++; answered == enoughAnswers {
+				return highest
 			}
 			if late == nil {
-				late = time.After(laterPatience)
+				late = time.After(furtherAnswersWait)
 			}
 		case <-late:
-			return hig
+			return highest
 		}
 	}
-	return hig
+	return highest
 }
 
-// peers returns the addresses to ask, drawn from the list after the seeds.
+// peers returns the addresses to query: the seeds, then hosts of the list in random
+// order.
 func (inc *Incarnator) peers(ctx context.Context) []string {
-	var lis []string
+	var listed []string
 	ents, _ := inc.Entries(ctx)
 	for _, ent := range ents {
 		if ent.Kind == persister.KindEntry && ent.ID != inc.Host {
-			lis = append(lis, ent.Address)
+			listed = append(listed, ent.Address)
 		}
 	}
-	rand.Shuffle(len(lis), func(one, two int) { lis[one], lis[two] = lis[two], lis[one] })
-	out := slices.Concat(inc.Seeds, lis)
-	return out[:min(maxAsked, len(out))]
+	rand.Shuffle(len(listed), func(i, j int) { listed[i], listed[j] = listed[j], listed[i] })
+	out := slices.Concat(inc.Seeds, listed)
+	return out[:min(maxPeers, len(out))]
 }
 
-// ask returns nil when the peer does not answer.
-func (inc *Incarnator) ask(ctx context.Context, address string) *messenger.MembersPush {
+// pullMembers returns the members that a peer knows, or nil if it does not answer.
+func (inc *Incarnator) pullMembers(ctx context.Context, address string) *messenger.MembersPush {
 	env, err := inc.Call(ctx, address, &messenger.Envelope{Body: &messenger.Envelope_MembersPull{MembersPull: &messenger.MembersPull{From: &messenger.Member{Id: inc.Host}}}})
 	if err != nil {
 		return nil
@@ -106,12 +109,12 @@
 	return env.GetMembersPush()
 }
 
-func highest(pus *messenger.MembersPush, host string) uint64 {
-	var hig uint64
+func highestOf(pus *messenger.MembersPush, host string) uint64 {
+	var highest uint64
 	for _, mem := range pus.GetMembers() {
 		if mem.GetId() == host {
-			hig = max(hig, mem.GetIncarnation())
+			highest = max(highest, mem.GetIncarnation())
 		}
 	}
-	return hig
+	return highest
 }
--- a/process/incarnator/incarnator_test.go
+++ b/process/incarnator/incarnator_test.go
@@ -14,16 +14,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestChoose starts host-a with its clock at 100. Each line of the input is a
-// peer with the incarnation of host-a that it knows, or silent.
+// TestChoose starts host-a with its clock at 100. Each argument of the input is a peer
+// with the incarnation of host-a that it has seen, or silent if it does not answer.
 func TestChoose(t *testing.T) {
 	datadriven.RunTest(t, "testdata/choose", func(t *testing.T, dat *datadriven.TestData) string {
 		inc := &Incarnator{Host: "host-a", Entries: func(context.Context) ([]persister.Entry, error) { return nil, eris.New("out") }}
 		knows := map[string]uint64{}
 		for _, arg := range dat.CmdArgs {
-			var num uint64
-			if _, err := fmt.Sscan(arg.Vals[0], &num); err == nil {
-				knows[arg.Key] = num
+			var incarnation uint64
+			if _, err := fmt.Sscan(arg.Vals[0], &incarnation); err == nil {
+				knows[arg.Key] = incarnation
 			}
 			inc.Seeds = append(inc.Seeds, arg.Key)
 		}
@@ -39,14 +39,14 @@
 			}
 		}
 		inc.Call = func(_ context.Context, add string, _ *messenger.Envelope) (*messenger.Envelope, error) {
-			num, ok := knows[add]
+			incarnation, ok := knows[add]
 			if !ok {
 				require.NotEqual(t, "self", add)
 				require.NotEqual(t, "engine", add)
 				return nil, eris.New("silent")
 			}
 			return &messenger.Envelope{Body: &messenger.Envelope_MembersPush{MembersPush: &messenger.MembersPush{Members: []*messenger.Member{
-				{Id: "host-b", Incarnation: 1 << 40}, {Id: "host-a", Incarnation: num, State: messenger.Member_STATE_DEAD},
+				{Id: "host-b", Incarnation: 1 << 40}, {Id: "host-a", Incarnation: incarnation, State: messenger.Member_STATE_DEAD},
 			}}}}, nil
 		}
 		return fmt.Sprintln(inc.Choose(t.Context(), time.Unix(0, 100)))
