--- a/process/forwarder/forwarder.go
+++ b/process/forwarder/forwarder.go
@@ -95,8 +95,8 @@
 func ChooseIncarnation(ctx context.Context, set configurer.Settings, now time.Time) uint64 {
 	mul := &multiplexer.Multiplexer{}
 	defer mul.Close()
-	none := func(context.Context) ([]persister.Entry, error) { return nil, nil }
-	return (&incarnator.Incarnator{Host: set.HostID, Seeds: set.SeedPeers, Entries: none, Call: mul.Call}).Choose(ctx, now)
+	noEntries := func(context.Context) ([]persister.Entry, error) { return nil, nil }
+	return (&incarnator.Incarnator{Host: set.HostID, Seeds: set.SeedPeers, Entries: noEntries, Call: mul.Call}).Choose(ctx, now)
 }
 
 // New returns a host that is ready to Run.
@@ -192,16 +192,16 @@
 func (fwd *Forwarder) listen() (listeners, error) {
 	var liss listeners
 	set := fwd.Settings
-	outs := []struct {
+	targets := []struct {
 		lis  *net.Listener
 		addr string
 	}{{&liss.caller, set.Listen}, {&liss.ready, set.ReadyListen}, {&liss.peer, set.PeerListen}, {&liss.operator, set.Operator}}
-	for _, out := range outs {
-		lis, err := net.Listen("tcp", out.addr)
+	for _, target := range targets {
+		lis, err := net.Listen("tcp", target.addr)
 		if err != nil {
-			return liss, eris.Wrapf(err, "Forwarder.listen: %s", out.addr)
+			return liss, eris.Wrapf(err, "Forwarder.listen: %s", target.addr)
 		}
-		*out.lis = lis
+		*target.lis = lis
 	}
 	return liss, nil
 }
--- a/process/forwarder/knowledge.go
+++ b/process/forwarder/knowledge.go
@@ -26,8 +26,8 @@
 	hostCheckInterval = 500 * time.Millisecond
 )
 
-// initGossiper connects membership with the tables and the records of endpoints: both
-// travel between hosts with the membership messages.
+// initGossiper connects membership with the tables and the records of endpoints.
+// Membership messages carry their revisions, and hosts pull what is newer.
 func (fwd *Forwarder) initGossiper() {
 	set := fwd.Settings
 	fwd.gossiper = &gossiper.Gossiper{
@@ -150,17 +150,17 @@
 		}
 		return
 	}
-	leaving, gone, rev := 0, 0, uint64(0)
+	leaving, removed, rev := 0, 0, uint64(0)
 	for _, end := range changed {
 		rev = max(rev, end.Revision)
 		switch {
 		case end.Gone:
-			gone++
+			removed++
 		case end.Leaving:
 			leaving++
 		}
 	}
-	fwd.Log.Info().Int("Endpoints", len(changed)).Int("Leaving", leaving).Int("Gone", gone).Uint64("Revision", rev).Str("From", from).Msg("endpoints changed")
+	fwd.Log.Info().Int("Endpoints", len(changed)).Int("Leaving", leaving).Int("Gone", removed).Uint64("Revision", rev).Str("From", from).Msg("endpoints changed")
 }
 
 // receiveEndpoints merges records that a peer broadcasts.
@@ -227,8 +227,8 @@
 	last := map[string]gossiper.Peer{}
 	var seen uint64
 	for {
-		if n := fwd.gossiper.Changes(); n != seen {
-			seen = n
+		if changes := fwd.gossiper.Changes(); changes != seen {
+			seen = changes
 			fwd.reportRemovedHosts(last)
 		}
 		fwd.planners.Announce(time.Now())
--- a/process/forwarder/peer_test.go
+++ b/process/forwarder/peer_test.go
@@ -78,11 +78,11 @@
 }
 
 func randomScalar(ran *rand.Rand, fie protoreflect.FieldDescriptor) protoreflect.Value {
-	nums := []int64{0, 1, -1, 7, 1 << 20, -1 << 40, 1<<62 - 1, -1 << 62}
-	n := nums[ran.IntN(len(nums))]
+	values := []int64{0, 1, -1, 7, 1 << 20, -1 << 40, 1<<62 - 1, -1 << 62}
+	value := values[ran.IntN(len(values))]
 	switch fie.Kind() {
 	case protoreflect.BoolKind:
-		return protoreflect.ValueOfBool(n%2 == 0)
+		return protoreflect.ValueOfBool(value%2 == 0)
 	case protoreflect.StringKind:
 		return protoreflect.ValueOfString([]string{"", "llm", "e1", "host-0", "a/b", "127.0.0.1:1"}[ran.IntN(6)])
 	case protoreflect.BytesKind:
@@ -90,17 +90,17 @@
 	case protoreflect.EnumKind:
 		return protoreflect.ValueOfEnum(protoreflect.EnumNumber(ran.IntN(8)))
 	case protoreflect.Int32Kind:
-		return protoreflect.ValueOfInt32(int32(n))
+		return protoreflect.ValueOfInt32(int32(value))
 	case protoreflect.Uint32Kind:
-		return protoreflect.ValueOfUint32(uint32(n))
+		return protoreflect.ValueOfUint32(uint32(value))
 	case protoreflect.Uint64Kind:
-		return protoreflect.ValueOfUint64(uint64(n))
+		return protoreflect.ValueOfUint64(uint64(value))
 	case protoreflect.FloatKind:
-		return protoreflect.ValueOfFloat32(float32(n))
+		return protoreflect.ValueOfFloat32(float32(value))
 	case protoreflect.DoubleKind:
-		return protoreflect.ValueOfFloat64(float64(n))
+		return protoreflect.ValueOfFloat64(float64(value))
 	default:
-		return protoreflect.ValueOfInt64(n)
+		return protoreflect.ValueOfInt64(value)
 	}
 }
 
--- a/process/forwarder/watch.go
+++ b/process/forwarder/watch.go
@@ -203,8 +203,8 @@
 	for {
 		now := time.Now()
 		// A list of hundreds of members is large, so it is pulled only while it grows.
-		if n := len(fwd.gossiper.Live(now)); now.Sub(fwd.started) < memberRefreshPeriod && n != known {
-			known = n
+		if live := len(fwd.gossiper.Live(now)); now.Sub(fwd.started) < memberRefreshPeriod && live != known {
+			known = live
 			go fwd.gossiper.Refresh(ctx)
 		}
 		// A watcher that the store refuses gets its updates from the other watchers.
--- a/process/incarnator/incarnator.go
+++ b/process/incarnator/incarnator.go
@@ -55,23 +55,23 @@
 func (inc *Incarnator) highestKnown(ctx context.Context) uint64 {
 	ctx, stop := context.WithTimeout(ctx, queryTimeout)
 	defer stop()
-	adds := inc.peers(ctx)
+	addrs := inc.peers(ctx)
 	ctx, stopPulls := context.WithTimeout(context.WithoutCancel(ctx), queryTimeout)
 	defer stopPulls()
-	anss := make(chan *messenger.MembersPush, len(adds))
-	for _, add := range adds {
-		go func() { anss <- inc.pullMembers(ctx, add) }()
+	answers := make(chan *messenger.MembersPush, len(addrs))
+	for _, addr := range addrs {
+		go func() { answers <- inc.pullMembers(ctx, addr) }()
 	}
 	var highest uint64
 	var late <-chan time.Time
 	answered := 0
-	for range adds {
+	for range addrs {
 		select {
-		case ans := <-anss:
-			if ans == nil {
+		case members := <-answers:
+			if members == nil {
 				continue
 			}
-			highest = max(highest, highestOf(ans, inc.Host))
+			highest = max(highest, highestOf(members, inc.Host))
 			if answered++; answered == enoughAnswers {
 				return highest
 			}
--- a/process/incarnator/incarnator_test.go
+++ b/process/incarnator/incarnator_test.go
@@ -28,21 +28,21 @@
 			inc.Seeds = append(inc.Seeds, arg.Key)
 		}
 		if dat.Cmd == "listed" {
-			adds := inc.Seeds
+			addrs := inc.Seeds
 			inc.Seeds = nil
 			inc.Entries = func(context.Context) ([]persister.Entry, error) {
 				ents := []persister.Entry{{ID: "host-a", Kind: persister.KindEntry, Address: "self"}, {ID: "engine", Kind: persister.KindEngine, Address: "engine"}}
-				for _, add := range adds {
-					ents = append(ents, persister.Entry{ID: add, Kind: persister.KindEntry, Address: add})
+				for _, addr := range addrs {
+					ents = append(ents, persister.Entry{ID: addr, Kind: persister.KindEntry, Address: addr})
 				}
 				return ents, nil
 			}
 		}
-		inc.Call = func(_ context.Context, add string, _ *messenger.Envelope) (*messenger.Envelope, error) {
-			incarnation, ok := knows[add]
+		inc.Call = func(_ context.Context, addr string, _ *messenger.Envelope) (*messenger.Envelope, error) {
+			incarnation, ok := knows[addr]
 			if !ok {
-				require.NotEqual(t, "self", add)
-				require.NotEqual(t, "engine", add)
+				require.NotEqual(t, "self", addr)
+				require.NotEqual(t, "engine", addr)
 				return nil, eris.New("silent")
 			}
 			return &messenger.Envelope{Body: &messenger.Envelope_MembersPush{MembersPush: &messenger.MembersPush{Members: []*messenger.Member{
--- a/process/server/claims.go
+++ b/process/server/claims.go
@@ -13,8 +13,8 @@
 // Live returns the hosts that are live in this host's view.
 func (liv liveMembers) Live() []journaler.Member {
 	var out []journaler.Member
-	for _, pee := range liv.gossiper.Live(time.Now()) {
-		out = append(out, journaler.Member{ID: pee.ID, Address: pee.Address})
+	for _, per := range liv.gossiper.Live(time.Now()) {
+		out = append(out, journaler.Member{ID: per.ID, Address: per.Address})
 	}
 	return out
 }
--- a/process/server/edge_test.go
+++ b/process/server/edge_test.go
@@ -102,9 +102,9 @@
 // bytes, LENGTH for the length of the body, KEY for a key of a team, LONG for 13,000
 // bytes, \r and \x00 for these control characters.
 func TestEdge(t *testing.T) {
-	_, add := startEdge(t, edgeSettings(), nil)
+	_, addr := startEdge(t, edgeSettings(), nil)
 	datadriven.RunTest(t, "testdata/edge", func(t *testing.T, dat *datadriven.TestData) string {
-		con := dial(t, add)
+		con := dial(t, addr)
 		_, err := con.Write(rawRequest(dat.Input))
 		require.NoError(t, err)
 		if dat.HasArg("half-close") {
@@ -136,11 +136,11 @@
 // TestSlowSender sends only a part of a body, and then only a part of a header: both are
 // refused after the read time-out.
 func TestSlowSender(t *testing.T) {
-	_, add := startEdge(t, edgeSettings(), nil)
-	con := dial(t, add)
+	_, addr := startEdge(t, edgeSettings(), nil)
+	con := dial(t, addr)
 	fmt.Fprintf(con, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 100\r\n\r\n{", edgeKey)
 	require.Equal(t, "408 invalid_request_error body_too_slow NotRun\n", answer(t, bufio.NewReader(con)))
-	con = dial(t, add)
+	con = dial(t, addr)
 	fmt.Fprint(con, "POST /v1/completions HTTP/1.1\r\nHost")
 	require.Equal(t, "400\n", answer(t, bufio.NewReader(con)))
 }
@@ -149,7 +149,7 @@
 // write time-out.
 func TestSlowReader(t *testing.T) {
 	end := make(chan error, 1)
-	_, add := startEdge(t, edgeSettings(), http.HandlerFunc(func(wri http.ResponseWriter, _ *http.Request) {
+	_, addr := startEdge(t, edgeSettings(), http.HandlerFunc(func(wri http.ResponseWriter, _ *http.Request) {
 		buf := bytes.Repeat([]byte("x"), 1<<20)
 		for {
 			if _, err := wri.Write(buf); err != nil {
@@ -158,7 +158,7 @@
 			}
 		}
 	}))
-	con := dial(t, add)
+	con := dial(t, addr)
 	fmt.Fprint(con, "GET /slots HTTP/1.1\r\nHost: x\r\n\r\n")
 	select {
 	case err := <-end:
@@ -172,7 +172,7 @@
 // bounds only the reading of the request.
 func TestLongStream(t *testing.T) {
 	set := edgeSettings()
-	_, add := startEdge(t, set, http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
+	_, addr := startEdge(t, set, http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
 		for range 5 {
 			fmt.Fprintln(wri, "token")
 			_ = http.NewResponseController(wri).Flush()
@@ -183,7 +183,7 @@
 			}
 		}
 	}))
-	res, err := http.Post("http://"+add+"/", "text/plain", strings.NewReader("hum"))
+	res, err := http.Post("http://"+addr+"/", "text/plain", strings.NewReader("hum"))
 	require.NoError(t, err)
 	defer res.Body.Close()
 	text, err := io.ReadAll(res.Body)
@@ -198,20 +198,20 @@
 	set.MaxConns = 2
 	set.IdleTimeout = time.Minute
 	set.ReadTimeout = time.Minute
-	_, add := startEdge(t, set, nil)
+	_, addr := startEdge(t, set, nil)
 	var cons []net.Conn
 	for range set.MaxConns {
-		con := dial(t, add)
+		con := dial(t, addr)
 		fmt.Fprint(con, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 		require.Equal(t, "200\n", answer(t, bufio.NewReader(con)))
 		cons = append(cons, con)
 	}
-	con := dial(t, add)
+	con := dial(t, addr)
 	fmt.Fprint(con, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	require.Equal(t, "503 server_error host_full NotRun\n", answer(t, bufio.NewReader(con)))
 	cons[0].Close()
 	require.Eventually(t, func() bool {
-		con := dial(t, add)
+		con := dial(t, addr)
 		fmt.Fprint(con, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 		return answer(t, bufio.NewReader(con)) == "200\n"
 	}, edgeTimeout, 10*time.Millisecond)
@@ -223,11 +223,11 @@
 	set := edgeSettings()
 	set.MaxBodyMemory = 10_000
 	set.ReadTimeout = time.Minute
-	ser, add := startEdge(t, set, nil)
-	hold := dial(t, add)
+	ser, addr := startEdge(t, set, nil)
+	hold := dial(t, addr)
 	fmt.Fprintf(hold, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 3000\r\n\r\n{", edgeKey)
 	require.Eventually(t, func() bool { return ser.bodies.Used() == 9000 }, edgeTimeout, time.Millisecond)
-	con := dial(t, add)
+	con := dial(t, addr)
 	con.Write(rawRequest("POST /v1/completions HTTP/1.1\nHost: x\nAuthorization: KEY\nContent-Length: LENGTH\n\nBODY(1000)"))
 	require.Equal(t, "503 server_error host_memory_full NotRun\n", answer(t, bufio.NewReader(con)))
 	hold.Close()
@@ -237,8 +237,8 @@
 // TestUnauthorizedBody announces a large body without a key: the request is refused
 // before the body is requested or memory is reserved for it.
 func TestUnauthorizedBody(t *testing.T) {
-	ser, add := startEdge(t, edgeSettings(), nil)
-	con := dial(t, add)
+	ser, addr := startEdge(t, edgeSettings(), nil)
+	con := dial(t, addr)
 	fmt.Fprint(con, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 3000\r\nExpect: 100-continue\r\n\r\n")
 	rea := bufio.NewReader(con)
 	require.Equal(t, "401 authentication_error invalid_api_key NotRun\n", answer(t, rea))
@@ -251,8 +251,8 @@
 	set := edgeSettings()
 	set.IdleTimeout = time.Minute
 	set.ReadTimeout = time.Minute
-	_, add := startEdge(t, set, nil)
-	con := dial(t, add)
+	_, addr := startEdge(t, set, nil)
+	con := dial(t, addr)
 	rea := bufio.NewReader(con)
 	fmt.Fprint(con, "GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n")
 	require.Equal(t, "401 authentication_error invalid_api_key NotRun\n", answer(t, rea))
@@ -265,7 +265,7 @@
 
 // TestReady checks the reasons that a host gives for not being ready.
 func TestReady(t *testing.T) {
-	ser, add := startEdge(t, edgeSettings(), nil)
+	ser, addr := startEdge(t, edgeSettings(), nil)
 	tt := []struct {
 		name   string
 		change func()
@@ -277,7 +277,7 @@
 	for _, tc := range tt {
 		t.Run(tc.name, func(t *testing.T) {
 			tc.change()
-			res, err := http.Get("http://" + add + "/readyz")
+			res, err := http.Get("http://" + addr + "/readyz")
 			require.NoError(t, err)
 			defer res.Body.Close()
 			text, err := io.ReadAll(res.Body)
--- a/process/server/meter.go
+++ b/process/server/meter.go
@@ -114,15 +114,15 @@
 	return rec.Header().Get("Content-Type") == "text/event-stream" && rec.Status == http.StatusOK
 }
 
-func lengthClass(tok int64) string {
+func lengthClass(tokens int64) string {
 	switch {
-	case tok == 0:
+	case tokens == 0:
 		return "none"
-	case tok <= shortTokens:
+	case tokens <= shortTokens:
 		return "to_4k"
-	case tok <= mediumTokens:
+	case tokens <= mediumTokens:
 		return "to_32k"
-	case tok <= longTokens:
+	case tokens <= longTokens:
 		return "to_100k"
 	default:
 		return "over_100k"
--- a/process/server/meter_test.go
+++ b/process/server/meter_test.go
@@ -60,8 +60,8 @@
 	}
 	for _, tc := range tt {
 		t.Run(tc.name, func(t *testing.T) {
-			ser, add := startEdge(t, edgeSettings(), tc.han)
-			res, err := http.Post("http://"+add+tc.path, "application/json", strings.NewReader("{}"))
+			ser, addr := startEdge(t, edgeSettings(), tc.han)
+			res, err := http.Post("http://"+addr+tc.path, "application/json", strings.NewReader("{}"))
 			require.NoError(t, err)
 			_, _ = io.Copy(io.Discard, res.Body)
 			res.Body.Close()
--- a/process/server/platform_test.go
+++ b/process/server/platform_test.go
@@ -17,9 +17,9 @@
 type answers struct{ left string }
 
 func (ans *answers) Entries(context.Context) ([]persister.Entry, error) {
-	bad := ans.left[0] == '-'
+	failed := ans.left[0] == '-'
 	ans.left = ans.left[1:]
-	if bad {
+	if failed {
 		return nil, persister.ErrUnavailable
 	}
 	return nil, nil
--- a/process/server/server.go
+++ b/process/server/server.go
@@ -156,16 +156,16 @@
 
 func (ser *Server) listen() (listeners, error) {
 	var liss listeners
-	outs := []struct {
+	targets := []struct {
 		lis  *net.Listener
 		addr string
 	}{{&liss.caller, ser.Settings.Listen}, {&liss.peer, ser.Settings.PeerListen}, {&liss.operator, ser.Settings.Operator}}
-	for _, out := range outs {
-		lis, err := net.Listen("tcp", out.addr)
+	for _, target := range targets {
+		lis, err := net.Listen("tcp", target.addr)
 		if err != nil {
-			return liss, eris.Wrapf(err, "Server.listen: %s", out.addr)
+			return liss, eris.Wrapf(err, "Server.listen: %s", target.addr)
 		}
-		*out.lis = lis
+		*target.lis = lis
 	}
 	return liss, nil
 }
--- a/process/server/tables.go
+++ b/process/server/tables.go
@@ -28,8 +28,8 @@
 	forwardTimeout = 5 * time.Second
 )
 
-// initGossiper connects membership with the tables, the platform's list and the notices
-// of endpoints, which hosts exchange.
+// initGossiper connects membership with the tables, the platform's list, the notices of
+// endpoints, the digests of cells and the retry budgets, which hosts exchange.
 func (ser *Server) initGossiper() {
 	set := ser.Settings
 	ser.gossiper = &gossiper.Gossiper{
@@ -102,11 +102,11 @@
 	for target, tra := range map[string]*counter.Traffic{
 		"peer": &ser.multiplexer.Traffic, "platform": &ser.platformTraffic, "endpoint": &ser.invoker.Control,
 	} {
-		tot := tra.Totals()
+		totals := tra.Totals()
 		sco := ser.scope.Tagged(map[string]string{"with": target})
-		sco.Gauge("control_bytes_sent").Update(float64(tot.Sent))
-		sco.Gauge("control_bytes_received").Update(float64(tot.Received))
-		sco.Gauge("control_connections_opened").Update(float64(tot.Opened))
+		sco.Gauge("control_bytes_sent").Update(float64(totals.Sent))
+		sco.Gauge("control_bytes_received").Update(float64(totals.Received))
+		sco.Gauge("control_connections_opened").Update(float64(totals.Opened))
 	}
 }
 
--- a/process/server/trace.go
+++ b/process/server/trace.go
@@ -66,16 +66,16 @@
 type tracedPeers struct{ peerCaller }
 
 // Call sends env within a span.
-func (pee tracedPeers) Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error) {
+func (per tracedPeers) Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error) {
 	if !trace.SpanContextFromContext(ctx).IsValid() {
-		return pee.peerCaller.Call(ctx, address, env)
+		return per.peerCaller.Call(ctx, address, env)
 	}
 	ctx, spa := otel.Tracer(traceScope).Start(ctx, "peer call", trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.String("Peer", address), attribute.String("Message", messageName(env))))
 	car := propagation.MapCarrier{}
 	otel.GetTextMapPropagator().Inject(ctx, car)
 	env.TraceParent = car[traceParent]
-	rep, err := pee.peerCaller.Call(ctx, address, env)
+	rep, err := per.peerCaller.Call(ctx, address, env)
 	endSpan(spa, err)
 	return rep, err
 }
--- a/process/watcher/notices_test.go
+++ b/process/watcher/notices_test.go
@@ -18,9 +18,9 @@
 func noticeVariants() []Notice {
 	var out []Notice
 	for inc := range uint64(3) {
-		for _, lea := range []bool{false, true} {
-			for _, sec := range []time.Duration{0, 5, 30} {
-				out = append(out, Notice{"engine", inc, lea, noticeEpoch.Add(sec * time.Second)})
+		for _, leaving := range []bool{false, true} {
+			for _, seconds := range []time.Duration{0, 5, 30} {
+				out = append(out, Notice{"engine", inc, leaving, noticeEpoch.Add(seconds * time.Second)})
 			}
 		}
 	}
