--- a/process/allocator/health.go
+++ b/process/allocator/health.go
@@ -72,9 +72,9 @@
 func (all *Allocator) reporter(id string) func(bool, time.Time) {
 	return func(healthy bool, now time.Time) {
 		if healthy {
-			all.Ejector.Succeeded(id)
+			all.Ejector.RecordSuccess(id)
 			return
 		}
-		all.Ejector.Failed(id, now)
+		all.Ejector.RecordFailure(id, now)
 	}
 }
--- a/process/assigner/assigner.go
+++ b/process/assigner/assigner.go
@@ -106,11 +106,11 @@
 		Began:    func() {},
 		Failed: func(string) {
 			failed = true
-			ass.Ejector.Failed(end.ID, ass.Clock())
+			ass.Ejector.RecordFailure(end.ID, ass.Clock())
 		},
 		End: sync.OnceFunc(func() {
 			if !failed {
-				ass.Ejector.Succeeded(end.ID)
+				ass.Ejector.RecordSuccess(end.ID)
 			}
 			ass.mu.Lock()
 			defer ass.mu.Unlock()
--- a/process/server/edge_test.go
+++ b/process/server/edge_test.go
@@ -55,8 +55,8 @@
 	return set
 }
 
-// startEdge serves the callers' routes of a host without endpoints; han
-// replaces the routes unless it is nil.
+// startEdge serves the callers' routes of a host without endpoints; han replaces the
+// routes if it is not nil.
 func startEdge(t *testing.T, set configurer.Settings, han http.Handler) (ser *Server, address string) {
 	t.Helper()
 	ser = New(set, zerolog.Nop(), 1, time.Now())
@@ -66,9 +66,9 @@
 	}
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	htt := ser.callerServer(ser.edge(han))
-	go htt.Serve(&acceptor.Listener{Listener: lis, Max: int64(set.MaxConns), Refused: tally.NoopScope.Counter("")})
-	t.Cleanup(func() { htt.Close() })
+	srv := ser.callerServer(ser.edge(han))
+	go srv.Serve(&acceptor.Listener{Listener: lis, Max: int64(set.MaxConns), Refused: tally.NoopScope.Counter("")})
+	t.Cleanup(func() { srv.Close() })
 	return ser, lis.Addr().String()
 }
 
@@ -81,7 +81,7 @@
 	return con
 }
 
-// answer reads one answer and tells its status, code and run.
+// answer reads one answer and returns its status, error type, code and run header.
 func answer(t *testing.T, rea *bufio.Reader) string {
 	t.Helper()
 	res, err := http.ReadResponse(rea, nil)
@@ -92,19 +92,19 @@
 	var bod struct {
 		Error struct{ Type, Code string }
 	}
-	// A connection may be reset after an answer to a header that is too long.
-	txt, _ := io.ReadAll(res.Body)
-	_ = json.Unmarshal(txt, &bod)
+	// After a header that is too long the connection may be reset, so an error is ignored.
+	text, _ := io.ReadAll(res.Body)
+	_ = json.Unmarshal(text, &bod)
 	return strings.Join(strings.Fields(fmt.Sprintln(res.StatusCode, bod.Error.Type, bod.Error.Code, res.Header.Get(responder.RunHeader))), " ") + "\n"
 }
 
-// TestEdge sends the raw requests of testdata/edge. BODY(n) stands for a prompt
-// of n bytes, LENGTH for the length of what follows the header, KEY for a key
-// of a team, LONG for 13,000 bytes, \r and \x00 for themselves.
+// TestEdge sends the raw requests of testdata/edge. BODY(n) stands for a prompt of n
+// bytes, LENGTH for the length of the body, KEY for a key of a team, LONG for 13,000
+// bytes, \r and \x00 for these control characters.
 func TestEdge(t *testing.T) {
-	_, add := startEdge(t, edgeSettings(), nil)
+	_, addr := startEdge(t, edgeSettings(), nil)
 	datadriven.RunTest(t, "testdata/edge", func(t *testing.T, dat *datadriven.TestData) string {
-		con := dial(t, add)
+		con := dial(t, addr)
 		_, err := con.Write(rawRequest(dat.Input))
 		require.NoError(t, err)
 		if dat.HasArg("half-close") {
@@ -114,40 +114,42 @@
 	})
 }
 
-func rawRequest(txt string) []byte {
-	hea, bod, _ := strings.Cut(txt, "\n\n")
-	var siz int
-	if _, err := fmt.Sscanf(bod, "BODY(%d)", &siz); err == nil {
-		bod = promptBody(siz)
+func rawRequest(text string) []byte {
+	header, body, _ := strings.Cut(text, "\n\n")
+	var size int
+	if _, err := fmt.Sscanf(body, "BODY(%d)", &size); err == nil {
+		body = promptBody(size)
 	}
-	if strings.Contains(hea, "chunked") {
-		bod = strings.ReplaceAll(bod, "\n", "\r\n") + "\r\n\r\n"
+	if strings.Contains(header, "chunked") {
+		body = strings.ReplaceAll(body, "\n", "\r\n") + "\r\n\r\n"
 	}
-	hea = strings.NewReplacer("\n", "\r\n", "LENGTH", fmt.Sprint(len(bod)), "KEY", "Bearer "+edgeKey, `\r`, "\r", `\x00`, "\x00", "LONG", strings.Repeat("y", 13_000)).Replace(hea)
-	return []byte(hea + "\r\n\r\n" + bod)
+	header = strings.NewReplacer("\n", "\r\n", "LENGTH", fmt.Sprint(len(body)), "KEY", "Bearer "+edgeKey, `\r`, "\r", `\x00`, "\x00", "LONG", strings.Repeat("y", 13_000)).Replace(header)
+	return []byte(header + "\r\n\r\n" + body)
 }
 
-// promptBody is a prompt of exactly siz bytes.
-func promptBody(siz int) string {
-	hea, end := `{"model":"`+edgeModel+`","max_tokens":1,"prompt":"`, `"}`
-	return hea + strings.Repeat("x", max(siz-len(hea)-len(end), 1)) + end
+// promptBody returns a prompt of exactly size bytes.
+func promptBody(size int) string {
+	head, end := `{"model":"`+edgeModel+`","max_tokens":1,"prompt":"`, `"}`
+	return head + strings.Repeat("x", max(size-len(head)-len(end), 1)) + end
 }
 
-// TestSlowSender stops in the middle of a body, and then of a header.
+// TestSlowSender sends only a part of a body, and then only a part of a header: both are
+// refused after the read time-out.
 func TestSlowSender(t *testing.T) {
-	_, add := startEdge(t, edgeSettings(), nil)
-	con := dial(t, add)
+	_, addr := startEdge(t, edgeSettings(), nil)
+	con := dial(t, addr)
 	fmt.Fprintf(con, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 100\r\n\r\n{", edgeKey)
 	require.Equal(t, "408 invalid_request_error body_too_slow NotRun\n", answer(t, bufio.NewReader(con)))
-	con = dial(t, add)
+	con = dial(t, addr)
 	fmt.Fprint(con, "POST /v1/completions HTTP/1.1\r\nHost")
 	require.Equal(t, "400\n", answer(t, bufio.NewReader(con)))
 }
 
-// TestSlowReader leaves a long answer unread: the host gives it up.
+// TestSlowReader does not read a long answer: the host has to abort writing it after the
+// write time-out.
 func TestSlowReader(t *testing.T) {
 	end := make(chan error, 1)
-	_, add := startEdge(t, edgeSettings(), http.HandlerFunc(func(wri http.ResponseWriter, _ *http.Request) {
+	_, addr := startEdge(t, edgeSettings(), http.HandlerFunc(func(wri http.ResponseWriter, _ *http.Request) {
 		buf := bytes.Repeat([]byte("x"), 1<<20)
 		for {
 			if _, err := wri.Write(buf); err != nil {
@@ -156,7 +158,7 @@
 			}
 		}
 	}))
-	con := dial(t, add)
+	con := dial(t, addr)
 	fmt.Fprint(con, "GET /slots HTTP/1.1\r\nHost: x\r\n\r\n")
 	select {
 	case err := <-end:
@@ -166,10 +168,11 @@
 	}
 }
 
-// TestLongStream goes on past the read time-out: it bounds the request only.
+// TestLongStream checks that an answer may take longer than the read time-out, which
+// bounds only the reading of the request.
 func TestLongStream(t *testing.T) {
 	set := edgeSettings()
-	_, add := startEdge(t, set, http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
+	_, addr := startEdge(t, set, http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
 		for range 5 {
 			fmt.Fprintln(wri, "token")
 			_ = http.NewResponseController(wri).Flush()
@@ -180,74 +183,76 @@
 			}
 		}
 	}))
-	res, err := http.Post("http://"+add+"/", "text/plain", strings.NewReader("hum"))
+	res, err := http.Post("http://"+addr+"/", "text/plain", strings.NewReader("hum"))
 	require.NoError(t, err)
 	defer res.Body.Close()
-	txt, err := io.ReadAll(res.Body)
+	text, err := io.ReadAll(res.Body)
 	require.NoError(t, err)
-	require.Equal(t, strings.Repeat("token\n", 5), string(txt))
+	require.Equal(t, strings.Repeat("token\n", 5), string(text))
 }
 
-// TestConnectionLimit opens more connections than allowed.
+// TestConnectionLimit opens more connections than allowed: the further one is refused,
+// until another one is closed.
 func TestConnectionLimit(t *testing.T) {
 	set := edgeSettings()
 	set.MaxConns = 2
 	set.IdleTimeout = time.Minute
 	set.ReadTimeout = time.Minute
-	_, add := startEdge(t, set, nil)
+	_, addr := startEdge(t, set, nil)
 	var cons []net.Conn
 	for range set.MaxConns {
-		con := dial(t, add)
+		con := dial(t, addr)
 		fmt.Fprint(con, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 		require.Equal(t, "200\n", answer(t, bufio.NewReader(con)))
 		cons = append(cons, con)
 	}
-	con := dial(t, add)
+	con := dial(t, addr)
 	fmt.Fprint(con, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	require.Equal(t, "503 server_error host_full NotRun\n", answer(t, bufio.NewReader(con)))
 	cons[0].Close()
 	require.Eventually(t, func() bool {
-		con := dial(t, add)
+		con := dial(t, addr)
 		fmt.Fprint(con, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 		return answer(t, bufio.NewReader(con)) == "200\n"
 	}, edgeTimeout, 10*time.Millisecond)
 }
 
-// TestBodyMemory lets callers announce more than the host may hold.
+// TestBodyMemory announces bodies that need more memory than the host may use: the
+// request beyond the limit is refused, and a closed connection releases its memory.
 func TestBodyMemory(t *testing.T) {
 	set := edgeSettings()
 	set.MaxBodyMemory = 10_000
 	set.ReadTimeout = time.Minute
-	ser, add := startEdge(t, set, nil)
-	hold := dial(t, add)
+	ser, addr := startEdge(t, set, nil)
+	hold := dial(t, addr)
 	fmt.Fprintf(hold, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 3000\r\n\r\n{", edgeKey)
 	require.Eventually(t, func() bool { return ser.bodies.Used() == 9000 }, edgeTimeout, time.Millisecond)
-	con := dial(t, add)
+	con := dial(t, addr)
 	con.Write(rawRequest("POST /v1/completions HTTP/1.1\nHost: x\nAuthorization: KEY\nContent-Length: LENGTH\n\nBODY(1000)"))
 	require.Equal(t, "503 server_error host_memory_full NotRun\n", answer(t, bufio.NewReader(con)))
 	hold.Close()
 	require.Eventually(t, func() bool { return ser.bodies.Used() == 0 }, edgeTimeout, time.Millisecond)
 }
 
-// TestUnauthorizedBody announces a large body without a key: nothing of it is
-// asked for or reserved.
+// TestUnauthorizedBody announces a large body without a key: the request is refused
+// before the body is requested or memory is reserved for it.
 func TestUnauthorizedBody(t *testing.T) {
-	ser, add := startEdge(t, edgeSettings(), nil)
-	con := dial(t, add)
+	ser, addr := startEdge(t, edgeSettings(), nil)
+	con := dial(t, addr)
 	fmt.Fprint(con, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 3000\r\nExpect: 100-continue\r\n\r\n")
 	rea := bufio.NewReader(con)
 	require.Equal(t, "401 authentication_error invalid_api_key NotRun\n", answer(t, rea))
 	require.Zero(t, ser.bodies.Used())
 }
 
-// TestKeptConnection lets the write deadline of a request pass on an idle
-// connection: it must not hold for what comes later.
+// TestKeptConnection sends requests on a kept connection after the write deadline of an
+// earlier request has passed: the old deadline must not apply to them.
 func TestKeptConnection(t *testing.T) {
 	set := edgeSettings()
 	set.IdleTimeout = time.Minute
 	set.ReadTimeout = time.Minute
-	_, add := startEdge(t, set, nil)
-	con := dial(t, add)
+	_, addr := startEdge(t, set, nil)
+	con := dial(t, addr)
 	rea := bufio.NewReader(con)
 	fmt.Fprint(con, "GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n")
 	require.Equal(t, "401 authentication_error invalid_api_key NotRun\n", answer(t, rea))
@@ -258,9 +263,9 @@
 	}
 }
 
-// TestReady asks why a host is not ready.
+// TestReady checks the reasons that a host gives for not being ready.
 func TestReady(t *testing.T) {
-	ser, add := startEdge(t, edgeSettings(), nil)
+	ser, addr := startEdge(t, edgeSettings(), nil)
 	tt := []struct {
 		name   string
 		change func()
@@ -272,13 +277,13 @@
 	for _, tc := range tt {
 		t.Run(tc.name, func(t *testing.T) {
 			tc.change()
-			res, err := http.Get("http://" + add + "/readyz")
+			res, err := http.Get("http://" + addr + "/readyz")
 			require.NoError(t, err)
 			defer res.Body.Close()
-			txt, err := io.ReadAll(res.Body)
+			text, err := io.ReadAll(res.Body)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusServiceUnavailable, res.StatusCode)
-			require.Contains(t, string(txt), tc.want)
+			require.Contains(t, string(text), tc.want)
 		})
 	}
 }
