--- a/process/assigner/plan.go
+++ b/process/assigner/plan.go
@@ -57,7 +57,7 @@
 func (ass *Assigner) granted(ctx context.Context, ask relayer.Ask, act planner.Assign) (relayer.Lease, bool) {
 	now := ass.Clock()
 	for _, par := range act.Parts {
-		if ass.Registry.Barred(par.Endpoint, now) {
+		if ass.Registry.Unusable(par.Endpoint, now) {
 			// The planner has not heard of it yet.
 			ass.Log.Info().Str("RequestID", ask.ID).Str("Endpoint", par.Endpoint).Msg("the plan names an endpoint that is leaving; asking again")
 			ass.Planners.tell(act.ID, planner.Failed{ID: act.ID, Endpoint: par.Endpoint})
--- a/process/assigner/planners.go
+++ b/process/assigner/planners.go
@@ -132,7 +132,7 @@
 		}
 	}
 	pla.mu.Unlock()
-	out = gossiper.Capable(out)
+	out = gossiper.WithEnoughCapacity(out)
 	slices.SortFunc(out, func(one, two gossiper.Peer) int {
 		return cmp.Or(cmp.Compare(one.Started, two.Started), cmp.Compare(one.ID, two.ID))
 	})
--- a/process/forwarder/forwarder.go
+++ b/process/forwarder/forwarder.go
@@ -229,13 +229,13 @@
 	case *messenger.Envelope_Ping:
 		return fwd.gossiper.HandlePing(ctx, bod.Ping, now)
 	case *messenger.Envelope_PingIndirect:
-		return fwd.gossiper.HandleIndirect(ctx, bod.PingIndirect)
+		return fwd.gossiper.HandlePingIndirect(ctx, bod.PingIndirect)
 	case *messenger.Envelope_MembersPull:
 		return fwd.gossiper.HandleMembersPull(ctx, bod.MembersPull, now)
 	case *messenger.Envelope_TablesPull:
-		return fwd.gossiper.HandlePull(bod.TablesPull)
+		return fwd.gossiper.HandleTablesPull(bod.TablesPull)
 	case *messenger.Envelope_TablesPush:
-		return fwd.gossiper.HandlePush(bod.TablesPush)
+		return fwd.gossiper.HandleTablesPush(bod.TablesPush)
 	case *messenger.Envelope_EndpointsPush:
 		return fwd.receiveEndpoints(bod.EndpointsPush, now)
 	case *messenger.Envelope_EndpointsPull:
--- a/process/forwarder/knowledge.go
+++ b/process/forwarder/knowledge.go
@@ -34,13 +34,13 @@
 			CapacityMilli: capacityMilli(set),
 		},
 		Multiplexer: fwd.multiplexer, Publisher: fwd.publisher, Entries: func() []persister.Entry { return nil },
-		Seeds: set.SeedPeers, Scope: fwd.scope, Log: fwd.Log, Aged: fwd.detector.Aged,
-		Cargo: gossiper.Cargo{
+		Seeds: set.SeedPeers, Scope: fwd.scope, Log: fwd.Log, AgeOf: fwd.detector.Aged,
+		Payload: gossiper.Payload{
 			Endpoints: func(now time.Time) (uint64, time.Duration) {
 				rev, _ := fwd.registry.Revision()
 				return rev, fwd.detector.Aged(fwd.registry.Confirmed(), now)
 			},
-			SeeEndpoints: fwd.seeEndpoints,
+			ObserveEndpoints: fwd.seeEndpoints,
 			Synced: func(ctx context.Context, address string) {
 				if _, known := fwd.registry.Revision(); !known {
 					fwd.pullEndpoints(ctx, address, time.Time{})
@@ -80,7 +80,7 @@
 // takeTables takes a reading of the store that was true at a time.
 func (fwd *Forwarder) takeTables(rea follower.Tables, at time.Time) {
 	if !rea.Found {
-		fwd.publisher.ConfirmAt(fwd.publisher.Current().Revision(), at)
+		fwd.publisher.ConfirmRevision(fwd.publisher.Current().Revision(), at)
 		return
 	}
 	ok, err := fwd.publisher.Accept(rea.Tables)
@@ -90,7 +90,7 @@
 	case ok:
 		fwd.publisher.OnAccept(true)
 	}
-	fwd.publisher.ConfirmAt(rea.Tables.Revision, at)
+	fwd.publisher.ConfirmRevision(rea.Tables.Revision, at)
 }
 
 // takeEndpoints takes a reading of the store that was true at a time.
@@ -128,7 +128,7 @@
 	fwd.news = nil
 	fwd.newsMu.Unlock()
 	fwd.spread(func(ctx context.Context) {
-		fwd.gossiper.Spread(ctx, func() *messenger.Envelope {
+		fwd.gossiper.Broadcast(ctx, func() *messenger.Envelope {
 			return &messenger.Envelope{Body: &messenger.Envelope_EndpointsPush{EndpointsPush: registrar.Message(news, 0)}}
 		})
 	})
@@ -197,7 +197,7 @@
 	if pus.GetRevision() == 0 {
 		return
 	}
-	news := fwd.registry.Learn(registrar.FromMessage(pus), pus.GetRevision(), time.Now())
+	news := fwd.registry.MergeFromPeer(registrar.FromMessage(pus), pus.GetRevision(), time.Now())
 	if !at.IsZero() {
 		fwd.registry.Confirm(pus.GetRevision(), at)
 	}
--- a/process/forwarder/watch.go
+++ b/process/forwarder/watch.go
@@ -102,7 +102,7 @@
 			all = append(all, per)
 		}
 	}
-	all = gossiper.Capable(all)
+	all = gossiper.WithEnoughCapacity(all)
 	ids := make([]string, 0, len(all))
 	for _, per := range all {
 		ids = append(ids, per.ID)
@@ -195,11 +195,11 @@
 		// A list of hundreds of members is worth its bytes only while it grows.
 		if num := len(fwd.gossiper.Live(now)); now.Sub(fwd.started) < startPeriod && num != known {
 			known = num
-			go fwd.gossiper.Refresh(ctx)
+			go fwd.gossiper.Sync(ctx)
 		}
 		// A watcher that the store turns away learns from the others.
 		if pers, self := fwd.watchers(now); len(pers) > 0 && (!self || fwd.storeAway.Load()) {
-			go fwd.gossiper.Ask(ctx, pers[turn%len(pers)])
+			go fwd.gossiper.ProbeNow(ctx, pers[turn%len(pers)])
 			turn++
 		}
 		select {
--- a/process/forwarder/watch_test.go
+++ b/process/forwarder/watch_test.go
@@ -39,7 +39,7 @@
 	t.Cleanup(fwd.multiplexer.Close)
 	for ind := range hosts {
 		if ind != own {
-			fwd.gossiper.Learn(gossiper.Peer{
+			fwd.gossiper.MergePeer(gossiper.Peer{
 				ID: fmt.Sprintf("host-%d", ind), Address: fmt.Sprintf("127.0.0.1:%d", ind+1), Region: "western", Incarnation: 1,
 				State: gossiper.StateAlive, CapacityMilli: uint32(shareOf(ind) * 1000),
 			})
@@ -201,7 +201,7 @@
 	require.False(t, fwd.fresh(now))
 	require.True(t, fwd.duty(now), "it reads the store")
 	require.True(t, fwd.staleSinceWake(now))
-	_, age := fwd.gossiper.Cargo.Endpoints(now)
+	_, age := fwd.gossiper.Payload.Endpoints(now)
 	require.GreaterOrEqual(t, age, slept)
 	now = now.Add(100 * time.Millisecond)
 	learn(fwd, now)
@@ -223,7 +223,7 @@
 	at := time.Now()
 	wat.takeTables(follower.Tables{Found: true, Tables: parser.Tables{Revision: 9}, Revision: 9}, at)
 	wat.takeEndpoints(follower.Endpoints{Whole: true, Revision: 9}, at)
-	fwd.gossiper.Ask(t.Context(), gossiper.Peer{ID: "host-0", Address: lis.Addr().String()})
+	fwd.gossiper.ProbeNow(t.Context(), gossiper.Peer{ID: "host-0", Address: lis.Addr().String()})
 	require.Eventually(t, func() bool { return fwd.fresh(time.Now()) }, 5*time.Second, time.Millisecond)
 	require.EqualValues(t, 9, fwd.publisher.Current().Revision())
 	rev, _ := fwd.registry.Revision()
--- a/process/gossiper/bench_test.go
+++ b/process/gossiper/bench_test.go
@@ -54,7 +54,7 @@
 			buf, _ := proto.Marshal(&messenger.Ping{From: ros.Self.Member(), Updates: membersOf(ros.Updates("host-1"))})
 			var pin messenger.Ping
 			_ = proto.Unmarshal(buf, &pin)
-			ros.Step(Heard{From: Peer{ID: "host-1", Incarnation: 1, State: StateAlive}, Updates: peersOf(pin.GetUpdates())}, epoch)
+			ros.Step(Received{From: Peer{ID: "host-1", Incarnation: 1, State: StateAlive}, Updates: peersOf(pin.GetUpdates())}, epoch)
 			size = len(buf)
 		}
 		b.ReportMetric(float64(size), "bytes/message")
--- a/process/gossiper/exchange.go
+++ b/process/gossiper/exchange.go
@@ -49,53 +49,53 @@
 
 // aged is the age that peers are told of something that was true at a time.
 func (gos *Gossiper) aged(at, now time.Time) time.Duration {
-	if gos.Aged != nil {
-		return gos.Aged(at, now)
+	if gos.AgeOf != nil {
+		return gos.AgeOf(at, now)
 	}
 	return max(0, now.Sub(at))
 }
 
 func (gos *Gossiper) cells(region string, now time.Time) []*messenger.CellDigest {
-	if gos.Cargo.Cells == nil {
+	if gos.Payload.Cells == nil {
 		return nil
 	}
-	return gos.Cargo.Cells(region, now)
+	return gos.Payload.Cells(region, now)
 }
 
 func (gos *Gossiper) takeCells(digs []*messenger.CellDigest, now time.Time) {
-	if gos.Cargo.TakeCells != nil {
-		gos.Cargo.TakeCells(digs, now)
+	if gos.Payload.MergeCells != nil {
+		gos.Payload.MergeCells(digs, now)
 	}
 }
 
 func (gos *Gossiper) retries(now time.Time) *messenger.RetryBudget {
-	if gos.Cargo.Retries == nil {
+	if gos.Payload.Retries == nil {
 		return nil
 	}
-	return gos.Cargo.Retries(now)
+	return gos.Payload.Retries(now)
 }
 
 func (gos *Gossiper) takeRetries(host string, ret *messenger.RetryBudget, now time.Time) {
-	if gos.Cargo.TakeRetries != nil && ret != nil {
-		gos.Cargo.TakeRetries(host, ret, now)
+	if gos.Payload.MergeRetries != nil && ret != nil {
+		gos.Payload.MergeRetries(host, ret, now)
 	}
 }
 
 func (gos *Gossiper) endpoints(now time.Time) (revision uint64, age time.Duration) {
-	if gos.Cargo.Endpoints == nil {
+	if gos.Payload.Endpoints == nil {
 		return 0, 0
 	}
-	return gos.Cargo.Endpoints(now)
+	return gos.Payload.Endpoints(now)
 }
 
 func (gos *Gossiper) seeEndpoints(address string, revision uint64, ageMs int64, now time.Time) {
-	if gos.Cargo.SeeEndpoints != nil && address != "" && revision > 0 {
-		gos.Cargo.SeeEndpoints(address, revision, now.Add(-time.Duration(ageMs)*time.Millisecond))
+	if gos.Payload.ObserveEndpoints != nil && address != "" && revision > 0 {
+		gos.Payload.ObserveEndpoints(address, revision, now.Add(-time.Duration(ageMs)*time.Millisecond))
 	}
 }
 
-// Spread sends a message to the peers to which news goes at once.
-func (gos *Gossiper) Spread(ctx context.Context, env func() *messenger.Envelope) {
+// Broadcast sends a message to the peers to which news goes at once.
+func (gos *Gossiper) Broadcast(ctx context.Context, env func() *messenger.Envelope) {
 	var gro sync.WaitGroup
 	for _, per := range gos.fan(true) {
 		gro.Go(func() {
@@ -108,10 +108,10 @@
 }
 
 func (gos *Gossiper) notices(now time.Time) []*messenger.EndpointNotice {
-	if gos.Cargo.Notices == nil {
+	if gos.Payload.Notices == nil {
 		return nil
 	}
-	return gos.Cargo.Notices(now)
+	return gos.Payload.Notices(now)
 }
 
 // HandlePing answers a probe.
@@ -121,13 +121,13 @@
 		return messenger.NewFailure("wrong_target", "the probe is not for this host")
 	}
 	fro.TablesRevision = pin.GetTablesRevision()
-	gos.step(ctx, Heard{From: fro, Updates: peersOf(pin.GetUpdates())}, now)
+	gos.step(ctx, Received{From: fro, Updates: peersOf(pin.GetUpdates())}, now)
 	gos.takeCargo(ctx, pin.GetNotices(), now)
 	gos.takeCells(pin.GetCells(), now)
 	gos.takeRetries(pin.GetFrom().GetId(), pin.GetRetries(), now)
 	gos.seeEndpoints(gos.address(fro), pin.GetEndpointsRevision(), pin.GetEndpointsAgeMs(), now)
 	at := now.Add(-time.Duration(pin.GetTablesAgeMs()) * time.Millisecond)
-	gos.Publisher.ConfirmAt(pin.GetTablesRevision(), at)
+	gos.Publisher.ConfirmRevision(pin.GetTablesRevision(), at)
 	if gos.wantsList(pin.GetList(), now) {
 		go gos.pullList(context.WithoutCancel(ctx), gos.address(fro))
 	}
@@ -137,8 +137,8 @@
 	return gos.pong(fro.ID)
 }
 
-// HandleIndirect probes a peer on behalf of another host.
-func (gos *Gossiper) HandleIndirect(ctx context.Context, ind *messenger.PingIndirect) *messenger.Envelope {
+// HandlePingIndirect probes a peer on behalf of another host.
+func (gos *Gossiper) HandlePingIndirect(ctx context.Context, ind *messenger.PingIndirect) *messenger.Envelope {
 	rep, err := gos.call(ctx, indirectTimeout, ind.GetAddress(), &messenger.Envelope{Body: &messenger.Envelope_Ping{Ping: ind.GetPing()}})
 	if err != nil {
 		return messenger.NewFailure("unreached", err.Error())
@@ -151,7 +151,7 @@
 func (gos *Gossiper) HandleMembersPull(ctx context.Context, pul *messenger.MembersPull, now time.Time) *messenger.Envelope {
 	fro, ok := PeerOf(pul.GetFrom())
 	if ok = ok && fro.Incarnation > 0; ok {
-		gos.step(ctx, Heard{From: fro}, now)
+		gos.step(ctx, Received{From: fro}, now)
 	}
 	gos.mu.Lock()
 	pers := gos.state().Known()
@@ -175,13 +175,13 @@
 		return
 	}
 	fro.TablesRevision = pon.GetTablesRevision()
-	gos.step(ctx, Heard{From: fro, Reached: reached, Updates: peersOf(pon.GetUpdates())}, now)
+	gos.step(ctx, Received{From: fro, DialAddress: reached, Updates: peersOf(pon.GetUpdates())}, now)
 	gos.takeCargo(ctx, pon.GetNotices(), now)
 	gos.takeCells(pon.GetCells(), now)
 	gos.takeRetries(pon.GetFrom().GetId(), pon.GetRetries(), now)
 	gos.seeEndpoints(reached, pon.GetEndpointsRevision(), pon.GetEndpointsAgeMs(), now)
 	at := now.Add(-time.Duration(pon.GetTablesAgeMs()) * time.Millisecond)
-	gos.Publisher.ConfirmAt(pon.GetTablesRevision(), at)
+	gos.Publisher.ConfirmRevision(pon.GetTablesRevision(), at)
 	if reached != "" && gos.wantsList(pon.GetList(), now) {
 		gos.pullList(ctx, reached)
 	}
@@ -191,17 +191,17 @@
 }
 
 func (gos *Gossiper) takeCargo(ctx context.Context, nots []*messenger.EndpointNotice, now time.Time) {
-	if len(nots) == 0 || gos.Cargo.TakeNotices == nil {
+	if len(nots) == 0 || gos.Payload.MergeNotices == nil {
 		return
 	}
-	if news := gos.Cargo.TakeNotices(nots, now); len(news) > 0 {
-		go gos.SpreadNotices(context.WithoutCancel(ctx), news, false)
+	if news := gos.Payload.MergeNotices(nots, now); len(news) > 0 {
+		go gos.BroadcastNotices(context.WithoutCancel(ctx), news, false)
 	}
 }
 
-// SpreadNotices pushes notices that are news to this host. cross adds peers of
+// BroadcastNotices pushes notices that are news to this host. cross adds peers of
 // other regions.
-func (gos *Gossiper) SpreadNotices(ctx context.Context, nots []*messenger.EndpointNotice, cross bool) {
+func (gos *Gossiper) BroadcastNotices(ctx context.Context, nots []*messenger.EndpointNotice, cross bool) {
 	env := func() *messenger.Envelope {
 		return &messenger.Envelope{Body: &messenger.Envelope_NoticesPush{NoticesPush: &messenger.NoticesPush{Notices: nots}}}
 	}
--- a/process/gossiper/gossiper.go
+++ b/process/gossiper/gossiper.go
@@ -33,21 +33,21 @@
 	fanOut = 4
 )
 
-// Cargo is what probes carry for other parts of a host. Nil fields carry nothing.
-type Cargo struct {
+// Payload is what probes carry for other parts of a host. Nil fields carry nothing.
+type Payload struct {
 	Notices func(now time.Time) []*messenger.EndpointNotice
-	// TakeNotices merges notices and returns those that were news.
-	TakeNotices func(nots []*messenger.EndpointNotice, now time.Time) []*messenger.EndpointNotice
+	// MergeNotices merges notices and returns those that were news.
+	MergeNotices func(nots []*messenger.EndpointNotice, now time.Time) []*messenger.EndpointNotice
 	// Cells returns digests of cells that are of use to hosts of a region.
-	Cells     func(region string, now time.Time) []*messenger.CellDigest
-	TakeCells func(digs []*messenger.CellDigest, now time.Time)
+	Cells      func(region string, now time.Time) []*messenger.CellDigest
+	MergeCells func(digs []*messenger.CellDigest, now time.Time)
 	// Retries returns what this host's retry budget has left.
-	Retries     func(now time.Time) *messenger.RetryBudget
-	TakeRetries func(host string, ret *messenger.RetryBudget, now time.Time)
+	Retries      func(now time.Time) *messenger.RetryBudget
+	MergeRetries func(host string, ret *messenger.RetryBudget, now time.Time)
 	// Endpoints returns the revision of the host's records of endpoints, and how
-	// long ago the store confirmed it. SeeEndpoints is told that of a peer.
-	Endpoints    func(now time.Time) (revision uint64, age time.Duration)
-	SeeEndpoints func(address string, revision uint64, at time.Time)
+	// long ago the store confirmed it. ObserveEndpoints is told that of a peer.
+	Endpoints        func(now time.Time) (revision uint64, age time.Duration)
+	ObserveEndpoints func(address string, revision uint64, at time.Time)
 	// Synced is told of a peer from which this host has taken members and tables.
 	Synced func(ctx context.Context, address string)
 }
@@ -64,11 +64,11 @@
 	// ListChanged is called when a peer's reading of the list was adopted.
 	ListChanged func()
 	// Seeds are the peers to ask when the platform's list can't be read.
-	Seeds []string
-	Cargo Cargo
-	// Aged is the age of something that was true at a time, with suspensions of the host;
+	Seeds   []string
+	Payload Payload
+	// AgeOf is the age of something that was true at a time, with suspensions of the host;
 	// nil for a host that never is.
-	Aged func(at, now time.Time) time.Duration
+	AgeOf func(at, now time.Time) time.Duration
 	// Scope counts probes and changes; nil counts nothing.
 	Scope tally.Scope
 	Log   zerolog.Logger
@@ -114,9 +114,9 @@
 		switch act := act.(type) {
 		case Probe:
 			go gos.probe(ctx, act.Peer)
-		case ProbeVia:
+		case IndirectProbe:
 			go gos.probeVia(ctx, act)
-		case Note:
+		case StateChange:
 			gos.note(act)
 		}
 	}
@@ -131,9 +131,9 @@
 	return gos.roster
 }
 
-func (gos *Gossiper) note(not Note) {
-	gos.count("membership_changes", map[string]string{"state": string(not.Is)})
-	gos.Log.Info().Str("Peer", not.ID).Str("Was", string(not.Was)).Str("Is", string(not.Is)).Msg("peer changed")
+func (gos *Gossiper) note(not StateChange) {
+	gos.count("membership_changes", map[string]string{"state": string(not.New)})
+	gos.Log.Info().Str("Peer", not.ID).Str("Was", string(not.Old)).Str("Is", string(not.New)).Msg("peer changed")
 }
 
 func (gos *Gossiper) count(name string, tags map[string]string) {
@@ -171,30 +171,30 @@
 		}
 	}
 	gos.count("probes_missed", nil)
-	gos.step(ctx, Missed{per.ID}, time.Now())
+	gos.step(ctx, ProbeFailed{per.ID}, time.Now())
 }
 
-// Ask probes a peer outside the random order, for what it knows.
-func (gos *Gossiper) Ask(ctx context.Context, per Peer) { gos.probe(ctx, per) }
+// ProbeNow probes a peer outside the random order, for what it knows.
+func (gos *Gossiper) ProbeNow(ctx context.Context, per Peer) { gos.probe(ctx, per) }
 
-func (gos *Gossiper) probeVia(ctx context.Context, act ProbeVia) {
+func (gos *Gossiper) probeVia(ctx context.Context, act IndirectProbe) {
 	pin := gos.ping(act.Peer.ID).GetPing()
-	pons := make(chan *messenger.Pong, len(act.Vias))
-	for _, via := range act.Vias {
+	pons := make(chan *messenger.Pong, len(act.Relays))
+	for _, via := range act.Relays {
 		env := &messenger.Envelope{Body: &messenger.Envelope_PingIndirect{PingIndirect: &messenger.PingIndirect{Ping: pin, Address: act.Peer.Address}}}
 		go func() {
 			rep, _ := gos.call(ctx, indirectTimeout, via.Address, env)
 			pons <- rep.GetPong()
 		}()
 	}
-	for range act.Vias {
+	for range act.Relays {
 		if pon := <-pons; pon.GetFrom().GetId() == act.Peer.ID {
 			gos.takePong(ctx, pon, "")
 			return
 		}
 	}
 	if ctx.Err() == nil {
-		gos.step(ctx, Unreached{act.Peer.ID}, time.Now())
+		gos.step(ctx, IndirectProbeFailed{act.Peer.ID}, time.Now())
 	}
 }
 
@@ -234,9 +234,9 @@
 	return gos.live
 }
 
-// Learn takes what somebody else holds of a peer.
-func (gos *Gossiper) Learn(per Peer) {
-	gos.step(context.Background(), Heard{Updates: []Peer{per}}, time.Now())
+// MergePeer takes what somebody else holds of a peer.
+func (gos *Gossiper) MergePeer(per Peer) {
+	gos.step(context.Background(), Received{Updates: []Peer{per}}, time.Now())
 }
 
 // Changes counts the changes of membership, for callers that keep what they have
@@ -308,7 +308,7 @@
 		return out
 	}
 	regs := map[string]bool{ros.Self.Region: true}
-	for _, per := range ros.Pick(len(ros.members), func(per Peer) bool { return per.Region != ros.Self.Region }) {
+	for _, per := range ros.Sample(len(ros.members), func(per Peer) bool { return per.Region != ros.Self.Region }) {
 		if !regs[per.Region] {
 			regs[per.Region] = true
 			out = append(out, per)
--- a/process/gossiper/history_test.go
+++ b/process/gossiper/history_test.go
@@ -18,7 +18,7 @@
 	ids     []string
 	cut     map[[2]string]bool
 	now     time.Time
-	notes   []Note
+	notes   []StateChange
 }
 
 func newFabric(regs map[string]int) *fabric {
@@ -62,23 +62,23 @@
 		switch act := act.(type) {
 		case Probe:
 			if !fab.call(id, id, act.Peer.ID) {
-				fab.step(id, Missed{act.Peer.ID})
+				fab.step(id, ProbeFailed{act.Peer.ID})
 			}
-		case ProbeVia:
+		case IndirectProbe:
 			fab.via(id, act)
-		case Note:
+		case StateChange:
 			fab.notes = append(fab.notes, act)
 		}
 	}
 }
 
-func (fab *fabric) via(id string, act ProbeVia) {
-	for _, via := range act.Vias {
+func (fab *fabric) via(id string, act IndirectProbe) {
+	for _, via := range act.Relays {
 		if !fab.cut[[2]string{id, via.ID}] && fab.call(id, via.ID, act.Peer.ID) {
 			return
 		}
 	}
-	fab.step(id, Unreached{act.Peer.ID})
+	fab.step(id, IndirectProbeFailed{act.Peer.ID})
 }
 
 // call carries a probe of one host over another to a third.
@@ -87,12 +87,12 @@
 		return false
 	}
 	fro, tar := fab.rosters[from], fab.rosters[to]
-	fab.step(to, Heard{From: fro.Self, Updates: fro.Updates(to)})
+	fab.step(to, Received{From: fro.Self, Updates: fro.Updates(to)})
 	rea := ""
 	if over == from {
 		rea = to
 	}
-	fab.step(from, Heard{From: tar.Self, Reached: rea, Updates: tar.Updates(from)})
+	fab.step(from, Received{From: tar.Self, DialAddress: rea, Updates: tar.Updates(from)})
 	return true
 }
 
@@ -271,7 +271,7 @@
 	see := map[string]bool{}
 	for _, not := range fab.notes {
 		see[not.ID] = true
-		require.NotEqual(t, StateDead, not.Is)
+		require.NotEqual(t, StateDead, not.New)
 	}
 	require.Less(t, len(see), doubtAfter)
 }
--- a/process/gossiper/join.go
+++ b/process/gossiper/join.go
@@ -64,7 +64,7 @@
 		if _, ok := asked[add]; ok || answers >= joinPeers {
 			continue
 		}
-		asked[add] = gos.sync(ctx, add)
+		asked[add] = gos.syncFrom(ctx, add)
 		if asked[add] {
 			answers++
 		}
@@ -100,9 +100,9 @@
 	}
 }
 
-// Refresh learns the members from some contact. A host calls it often after its
+// Sync learns the members from some contact. A host calls it often after its
 // start, when many hosts may be starting.
-func (gos *Gossiper) Refresh(ctx context.Context) { gos.syncAny(ctx) }
+func (gos *Gossiper) Sync(ctx context.Context) { gos.syncAny(ctx) }
 
 // syncAny learns the members from any peer, and from the seeds only if no other one
 // is known or answers: hundreds of hosts may start at once, and a list of them all
@@ -113,7 +113,7 @@
 	sees := adds[fir:]
 	rand.Shuffle(len(sees), func(one, two int) { sees[one], sees[two] = sees[two], sees[one] })
 	for _, add := range adds {
-		if gos.sync(ctx, add) {
+		if gos.syncFrom(ctx, add) {
 			return true
 		}
 	}
@@ -121,13 +121,13 @@
 }
 
 // sync learns the members and the tables from one peer.
-func (gos *Gossiper) sync(ctx context.Context, address string) bool {
+func (gos *Gossiper) syncFrom(ctx context.Context, address string) bool {
 	if !gos.pullMembers(ctx, address) {
 		return false
 	}
-	gos.Pull(ctx, address)
-	if gos.Cargo.Synced != nil {
-		gos.Cargo.Synced(ctx, address)
+	gos.PullTables(ctx, address)
+	if gos.Payload.Synced != nil {
+		gos.Payload.Synced(ctx, address)
 	}
 	return true
 }
@@ -139,7 +139,7 @@
 	if err != nil {
 		return false
 	}
-	gos.step(ctx, Heard{Updates: peersOf(rep.GetMembersPush().GetMembers())}, time.Now())
+	gos.step(ctx, Received{Updates: peersOf(rep.GetMembersPush().GetMembers())}, time.Now())
 	return true
 }
 
@@ -149,7 +149,7 @@
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
 	var out []string
-	pers := gos.state().Pick(num, func(Peer) bool { return true })
+	pers := gos.state().Sample(num, func(Peer) bool { return true })
 	if len(pers) == 0 {
 		pers = gos.state().All()
 	}
--- a/process/gossiper/join_test.go
+++ b/process/gossiper/join_test.go
@@ -38,7 +38,7 @@
 		case *messenger.Envelope_MembersPull:
 			return gos.HandleMembersPull(ctx, bod.MembersPull, time.Now())
 		case *messenger.Envelope_TablesPull:
-			return gos.HandlePull(bod.TablesPull)
+			return gos.HandleTablesPull(bod.TablesPull)
 		default:
 			return messenger.NewFailure("unknown", "unknown")
 		}
@@ -96,8 +96,8 @@
 func TestStartAsksForOneName(t *testing.T) {
 	gos, add := startPeer(t, "peer", 1, nil)
 	for ind := range 50 {
-		gos.Learn(Peer{ID: fmt.Sprintf("host-%d", ind), Address: "127.0.0.1:1", Incarnation: uint64(ind + 1), State: StateDead})
-		gos.Learn(Peer{ID: fmt.Sprintf("host-%d", ind), Address: "127.0.0.1:1", Incarnation: uint64(ind + 2), State: StateAlive})
+		gos.MergePeer(Peer{ID: fmt.Sprintf("host-%d", ind), Address: "127.0.0.1:1", Incarnation: uint64(ind + 1), State: StateDead})
+		gos.MergePeer(Peer{ID: fmt.Sprintf("host-%d", ind), Address: "127.0.0.1:1", Incarnation: uint64(ind + 2), State: StateAlive})
 	}
 	mul := &multiplexer.Multiplexer{}
 	defer mul.Close()
--- a/process/gossiper/merge.go
+++ b/process/gossiper/merge.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func (ros *Roster) heard(eve Heard, now time.Time) []Action {
+func (ros *Roster) heard(eve Received, now time.Time) []Action {
 	var acts []Action
 	for _, upd := range eve.Updates {
 		acts = append(acts, ros.merge(upd, now)...)
@@ -23,8 +23,8 @@
 	}
 	mem.Heard = now
 	mem.TablesRevision = max(mem.TablesRevision, eve.From.TablesRevision)
-	if eve.Reached != "" {
-		ros.reached(mem, eve.Reached)
+	if eve.DialAddress != "" {
+		ros.reached(mem, eve.DialAddress)
 	}
 	return acts
 }
@@ -33,8 +33,8 @@
 // answers in its place: the one that answers was started with its clock behind,
 // and takes an incarnation above the newer one once it hears of its death. If
 // the newer one lives elsewhere it refutes.
-func (ros *Roster) outlived(mem *member, eve Heard, now time.Time) []Action {
-	if eve.Reached == "" || eve.Reached != mem.peer().Address || mem.State == StateDead {
+func (ros *Roster) outlived(mem *member, eve Received, now time.Time) []Action {
+	if eve.DialAddress == "" || eve.DialAddress != mem.peer().Address || mem.State == StateDead {
 		return nil
 	}
 	return ros.set(mem, StateDead, now)
@@ -94,7 +94,7 @@
 	if was == upd.State {
 		return nil
 	}
-	return []Action{Note{upd.ID, was, upd.State}}
+	return []Action{StateChange{upd.ID, was, upd.State}}
 }
 
 // refute answers a false report about this process. A newer process of this
@@ -126,11 +126,11 @@
 		ros.regions[mem.Region]++
 	}
 	mem.unreachable = !ros.cut(mem.Region)
-	vias := ros.Pick(indirectProbes, func(per Peer) bool { return per.ID != id && per.Region == mem.Region })
+	vias := ros.Sample(indirectProbes, func(per Peer) bool { return per.ID != id && per.Region == mem.Region })
 	if len(vias) == 0 {
 		return ros.unreached(id, now)
 	}
-	return []Action{ProbeVia{mem.peer(), vias}}
+	return []Action{IndirectProbe{mem.peer(), vias}}
 }
 
 func (ros *Roster) unreached(id string, now time.Time) []Action {
@@ -173,7 +173,7 @@
 	mem.since = now
 	ros.changes++
 	ros.broadcast(mem.ID)
-	return []Action{Note{mem.ID, was, sta}}
+	return []Action{StateChange{mem.ID, was, sta}}
 }
 
 // live reports whether a peer may be given work.
@@ -214,8 +214,8 @@
 	return out
 }
 
-// Pick draws up to num live peers that fit.
-func (ros *Roster) Pick(num int, fit func(Peer) bool) []Peer {
+// Sample draws up to num live peers that fit.
+func (ros *Roster) Sample(num int, fit func(Peer) bool) []Peer {
 	pers := slices.DeleteFunc(ros.Live(), func(per Peer) bool { return !fit(per) })
 	ros.Random.Shuffle(len(pers), func(one, two int) { pers[one], pers[two] = pers[two], pers[one] })
 	return pers[:min(num, len(pers))]
--- a/process/gossiper/peer.go
+++ b/process/gossiper/peer.go
@@ -61,9 +61,9 @@
 // duties for others.
 const capableShare = 0.5
 
-// Capable returns the hosts with enough processor time to take duties for others. It
+// WithEnoughCapacity returns the hosts with enough processor time to take duties for others. It
 // changes the slice.
-func Capable(pers []Peer) []Peer {
+func WithEnoughCapacity(pers []Peer) []Peer {
 	var most uint32
 	for _, per := range pers {
 		most = max(most, per.CapacityMilli)
--- a/process/gossiper/roster.go
+++ b/process/gossiper/roster.go
@@ -44,29 +44,29 @@
 // Listed reports the hosts of the platform's list, or the configured seeds.
 type Listed struct{ Peers []Peer }
 
-// Heard reports a message of a peer. Reached is the address at which this host
+// Received reports a message of a peer. DialAddress is the address at which this host
 // called it; it is empty when the peer was the caller.
-type Heard struct {
-	From    Peer
-	Reached string
-	Updates []Peer
+type Received struct {
+	From        Peer
+	DialAddress string
+	Updates     []Peer
 }
 
-// Missed reports that a peer did not answer a direct probe.
-type Missed struct{ ID string }
+// ProbeFailed reports that a peer did not answer a direct probe.
+type ProbeFailed struct{ ID string }
 
-// Unreached reports that a peer did not answer an indirect probe either.
-type Unreached struct{ ID string }
+// IndirectProbeFailed reports that a peer did not answer an indirect probe either.
+type IndirectProbeFailed struct{ ID string }
 
 // Leave reports that this host begins to drain.
 type Leave struct{}
 
-func (Tick) event()      {}
-func (Listed) event()    {}
-func (Heard) event()     {}
-func (Missed) event()    {}
-func (Unreached) event() {}
-func (Leave) event()     {}
+func (Tick) event()                {}
+func (Listed) event()              {}
+func (Received) event()            {}
+func (ProbeFailed) event()         {}
+func (IndirectProbeFailed) event() {}
+func (Leave) event()               {}
 
 // Action is what a host does next: Probe, ProbeVia or Note.
 type Action interface{ action() }
@@ -74,22 +74,22 @@
 // Probe sends a probe to a peer.
 type Probe struct{ Peer Peer }
 
-// ProbeVia asks other peers to probe one.
-type ProbeVia struct {
-	Peer Peer
-	Vias []Peer
+// IndirectProbe asks other peers to probe one.
+type IndirectProbe struct {
+	Peer   Peer
+	Relays []Peer
 }
 
-// Note reports a change of a peer's state.
-type Note struct {
+// StateChange reports a change of a peer's state.
+type StateChange struct {
 	ID  string
-	Was State
-	Is  State
+	Old State
+	New State
 }
 
-func (Probe) action()    {}
-func (ProbeVia) action() {}
-func (Note) action()     {}
+func (Probe) action()         {}
+func (IndirectProbe) action() {}
+func (StateChange) action()   {}
 
 // Roster decides on membership. It does no input or output and reads no clock.
 type Roster struct {
@@ -148,11 +148,11 @@
 	case Listed:
 		ros.list(eve.Peers, now)
 		return nil
-	case Heard:
+	case Received:
 		return ros.heard(eve, now)
-	case Missed:
+	case ProbeFailed:
 		return ros.missed(eve.ID, now)
-	case Unreached:
+	case IndirectProbeFailed:
 		return ros.unreached(eve.ID, now)
 	case Leave:
 		ros.Self.State = StateLeaving
--- a/process/gossiper/roster_test.go
+++ b/process/gossiper/roster_test.go
@@ -32,15 +32,15 @@
 	after time.Duration
 	event func(sub Peer) Event
 }{
-	{"Missed", 0, func(Peer) Event { return Missed{subject} }},
-	{"Unreached", 0, func(Peer) Event { return Unreached{subject} }},
-	{"Reached", 0, func(sub Peer) Event { return Heard{From: sub.is(StateAlive), Reached: "proxy"} }},
-	{"Called", 0, func(sub Peer) Event { return Heard{From: sub.is(StateAlive)} }},
-	{"ReachedRefuted", 0, func(sub Peer) Event { return Heard{From: sub.is(StateAlive).refuted(), Reached: "proxy"} }},
-	{"ReachedRestarted", 0, func(sub Peer) Event { return Heard{From: sub.is(StateAlive).restarted(1), Reached: "proxy"} }},
-	{"ReachedOlder", 0, func(sub Peer) Event { return Heard{From: sub.is(StateAlive).restarted(-1), Reached: "direct"} }},
-	{"ReachedOlderElsewhere", 0, func(sub Peer) Event { return Heard{From: sub.is(StateAlive).restarted(-1), Reached: "proxy"} }},
-	{"CalledOlder", 0, func(sub Peer) Event { return Heard{From: sub.is(StateAlive).restarted(-1)} }},
+	{"Missed", 0, func(Peer) Event { return ProbeFailed{subject} }},
+	{"Unreached", 0, func(Peer) Event { return IndirectProbeFailed{subject} }},
+	{"Reached", 0, func(sub Peer) Event { return Received{From: sub.is(StateAlive), DialAddress: "proxy"} }},
+	{"Called", 0, func(sub Peer) Event { return Received{From: sub.is(StateAlive)} }},
+	{"ReachedRefuted", 0, func(sub Peer) Event { return Received{From: sub.is(StateAlive).refuted(), DialAddress: "proxy"} }},
+	{"ReachedRestarted", 0, func(sub Peer) Event { return Received{From: sub.is(StateAlive).restarted(1), DialAddress: "proxy"} }},
+	{"ReachedOlder", 0, func(sub Peer) Event { return Received{From: sub.is(StateAlive).restarted(-1), DialAddress: "direct"} }},
+	{"ReachedOlderElsewhere", 0, func(sub Peer) Event { return Received{From: sub.is(StateAlive).restarted(-1), DialAddress: "proxy"} }},
+	{"CalledOlder", 0, func(sub Peer) Event { return Received{From: sub.is(StateAlive).restarted(-1)} }},
 	{"ToldAlive", 0, func(sub Peer) Event { return told(sub.is(StateAlive)) }},
 	{"ToldSuspect", 0, func(sub Peer) Event { return told(sub.is(StateSuspect)) }},
 	{"ToldDead", 0, func(sub Peer) Event { return told(sub.is(StateDead)) }},
@@ -62,13 +62,13 @@
 	per.Refutation = 0
 	return per
 }
-func told(per Peer) Event { return Heard{Updates: []Peer{per}} }
+func told(per Peer) Event { return Received{Updates: []Peer{per}} }
 
 // rosterWith builds a roster that holds a subject in a state and region.
 func rosterWith(sta, reg string) (*Roster, Peer) {
 	ros := &Roster{Self: Peer{ID: "self", Region: "near", State: StateAlive, Incarnation: 1}, Random: rand.New(rand.NewPCG(1, 2))}
 	for _, id := range []string{"near-1", "near-2", "far-1", "far-2"} {
-		ros.Step(Heard{From: Peer{ID: id, Region: id[:len(id)-2], State: StateAlive, Incarnation: 1}, Reached: id}, epoch)
+		ros.Step(Received{From: Peer{ID: id, Region: id[:len(id)-2], State: StateAlive, Incarnation: 1}, DialAddress: id}, epoch)
 	}
 	sub := Peer{ID: subject, Address: "direct", Region: reg, Incarnation: subjectInc, Refutation: subjectRef}
 	switch sta {
@@ -99,10 +99,10 @@
 	}
 	for _, act := range acts {
 		switch act := act.(type) {
-		case Note:
-			out += fmt.Sprintf(" note(%s to %s)", act.Was, act.Is)
-		case ProbeVia:
-			out += fmt.Sprintf(" probe via %d", len(act.Vias))
+		case StateChange:
+			out += fmt.Sprintf(" note(%s to %s)", act.Old, act.New)
+		case IndirectProbe:
+			out += fmt.Sprintf(" probe via %d", len(act.Relays))
 		case Probe:
 		}
 	}
--- a/process/gossiper/tables.go
+++ b/process/gossiper/tables.go
@@ -9,8 +9,8 @@
 	"hemlockpin/connection/messenger"
 )
 
-// Pull asks a host for the newest tables that it knows.
-func (gos *Gossiper) Pull(ctx context.Context, address string) {
+// PullTables asks a host for the newest tables that it knows.
+func (gos *Gossiper) PullTables(ctx context.Context, address string) {
 	for _, whole := range []bool{false, true} {
 		rep, err := gos.call(ctx, syncTimeout, address, &messenger.Envelope{Body: &messenger.Envelope_TablesPull{TablesPull: &messenger.TablesPull{
 			HaveRevision: gos.Publisher.Current().Revision(), Whole: whole,
@@ -29,14 +29,14 @@
 // as its newest at a time. While tables change all the time, a host never hears of the
 // revision that it has.
 func (gos *Gossiper) pullConfirmed(ctx context.Context, address string, revision uint64, at time.Time) {
-	gos.Pull(ctx, address)
+	gos.PullTables(ctx, address)
 	if gos.Publisher.Current().Revision() >= revision {
 		gos.Publisher.Confirm(at)
 	}
 }
 
-// HandlePull answers with what the peer lacks.
-func (gos *Gossiper) HandlePull(pul *messenger.TablesPull) *messenger.Envelope {
+// HandleTablesPull answers with what the peer lacks.
+func (gos *Gossiper) HandleTablesPull(pul *messenger.TablesPull) *messenger.Envelope {
 	pus := gos.Publisher.Offer(pul.GetHaveRevision(), pul.GetWhole())
 	if pus.GetRevision() <= pul.GetHaveRevision() {
 		pus = &messenger.TablesPush{Revision: pus.GetRevision()}
@@ -44,8 +44,8 @@
 	return &messenger.Envelope{Body: &messenger.Envelope_TablesPush{TablesPush: pus}}
 }
 
-// HandlePush takes tables that a peer offers.
-func (gos *Gossiper) HandlePush(pus *messenger.TablesPush) *messenger.Envelope {
+// HandleTablesPush takes tables that a peer offers.
+func (gos *Gossiper) HandleTablesPush(pus *messenger.TablesPush) *messenger.Envelope {
 	ack, err := gos.Publisher.Receive(pus)
 	if err != nil {
 		return messenger.NewFailure("bad_tables", err.Error())
--- a/process/lister/lister.go
+++ b/process/lister/lister.go
@@ -93,12 +93,12 @@
 	Incarnation func() uint64
 	// Region returns the IDs of the live peers of the region.
 	Region func() []string
-	// Every is the shortest time between two reads of the reader.
-	Every time.Duration
+	// MinInterval is the shortest time between two reads of the reader.
+	MinInterval time.Duration
 	// OnChange is called when a new reading came into force; nil for nobody.
 	OnChange func()
-	// Cost returns the bytes that the last read took; nil counts the whole list.
-	Cost func() int
+	// LastReadBytes returns the bytes that the last read took; nil counts the whole list.
+	LastReadBytes func() int
 	// Clock returns the present time.
 	Clock func() time.Time
 
@@ -163,7 +163,7 @@
 	case now.Before(lis.next):
 		return false
 	case red:
-		lis.next = now.Add(lis.Every / 2)
+		lis.next = now.Add(lis.MinInterval / 2)
 		return true
 	case now.Sub(lis.held.stamp.At) < staleAfter:
 		return false
@@ -178,10 +178,10 @@
 	lis.mu.Lock()
 	defer lis.mu.Unlock()
 	cos := lis.held.size
-	if lis.Cost != nil {
-		cos = lis.Cost()
+	if lis.LastReadBytes != nil {
+		cos = lis.LastReadBytes()
 	}
-	lis.next = now.Add(max(lis.Every/2, time.Duration(cos)*time.Second/bytesPerSecond))
+	lis.next = now.Add(max(lis.MinInterval/2, time.Duration(cos)*time.Second/bytesPerSecond))
 }
 
 // install takes this host's own reading and reports whether it changed.
--- a/process/lister/lister_test.go
+++ b/process/lister/lister_test.go
@@ -60,7 +60,7 @@
 	reg.live[id] = true
 	inc := uint64(reg.now.UnixNano())
 	reg.listers[id] = &Lister{
-		Platform: reg, Self: id, Incarnation: func() uint64 { return inc }, Every: time.Second,
+		Platform: reg, Self: id, Incarnation: func() uint64 { return inc }, MinInterval: time.Second,
 		Clock: func() time.Time { return reg.now },
 		Region: func() []string {
 			var out []string
--- a/process/publisher/edit.go
+++ b/process/publisher/edit.go
@@ -43,7 +43,7 @@
 	target  parser.Tables
 }
 
-// EditEvent is a step of an edit: Begun, Read, Kept, Wrote, Spread or Elapsed.
+// EditEvent is a step of an edit: Begun, Read, HistoryWritten, Wrote, BroadcastDone or TimedOut.
 type EditEvent interface{ editEvent() }
 
 // Begun starts an edit.
@@ -56,28 +56,28 @@
 	Err     error
 }
 
-// Kept reports the write of the revision before to the history.
-type Kept struct{ Err error }
+// HistoryWritten reports the write of the revision before to the history.
+type HistoryWritten struct{ Err error }
 
 // Wrote reports the conditional write of the new revision.
 type Wrote struct{ Err error }
 
-// Spread reports how many peers were asked to take the new revision, and how
+// BroadcastDone reports how many peers were asked to take the new revision, and how
 // many have it in force.
-type Spread struct{ Asked, Confirmed int }
+type BroadcastDone struct{ Asked, Confirmed int }
 
-// Elapsed reports that the time for the edit is over.
-type Elapsed struct{}
+// TimedOut reports that the time for the edit is over.
+type TimedOut struct{}
 
-func (Begun) editEvent()   {}
-func (Read) editEvent()    {}
-func (Kept) editEvent()    {}
-func (Wrote) editEvent()   {}
-func (Spread) editEvent()  {}
-func (Elapsed) editEvent() {}
+func (Begun) editEvent()          {}
+func (Read) editEvent()           {}
+func (HistoryWritten) editEvent() {}
+func (Wrote) editEvent()          {}
+func (BroadcastDone) editEvent()  {}
+func (TimedOut) editEvent()       {}
 
-// EditAction is what an edit does next: ReadStore, ReadAgain, KeepHistory,
-// WriteStore, SpreadTables or Finish.
+// EditAction is what an edit does next: ReadStore, ReadAgain, WriteHistory,
+// WriteStore, BroadcastTables or Finish.
 type EditAction interface{ editAction() }
 
 // ReadStore reads the stored tables.
@@ -86,8 +86,8 @@
 // ReadAgain reads the stored tables after a pause.
 type ReadAgain struct{}
 
-// KeepHistory writes a revision to the history, unless it stands there.
-type KeepHistory struct{ Tables parser.Tables }
+// WriteHistory writes a revision to the history, unless it stands there.
+type WriteHistory struct{ Tables parser.Tables }
 
 // WriteStore writes the tables if the object still has the version.
 type WriteStore struct {
@@ -95,8 +95,8 @@
 	Version uint64
 }
 
-// SpreadTables puts accepted tables in force and offers them to peers.
-type SpreadTables struct{ Tables parser.Tables }
+// BroadcastTables puts accepted tables in force and offers them to peers.
+type BroadcastTables struct{ Tables parser.Tables }
 
 // Finish ends the edit. Tables are those accepted, or those that won a race.
 type Finish struct {
@@ -109,17 +109,17 @@
 	Err   error
 }
 
-func (ReadStore) editAction()    {}
-func (ReadAgain) editAction()    {}
-func (KeepHistory) editAction()  {}
-func (WriteStore) editAction()   {}
-func (SpreadTables) editAction() {}
-func (Finish) editAction()       {}
+func (ReadStore) editAction()       {}
+func (ReadAgain) editAction()       {}
+func (WriteHistory) editAction()    {}
+func (WriteStore) editAction()      {}
+func (BroadcastTables) editAction() {}
+func (Finish) editAction()          {}
 
 // Next decides on an event. An event that does not fit the step ends the edit
 // as unknown, which is always truthful.
 func (sta EditState) Next(eve EditEvent) (EditState, EditAction) {
-	if _, ok := eve.(Elapsed); ok {
+	if _, ok := eve.(TimedOut); ok {
 		return sta.elapsed()
 	}
 	switch sta.step {
@@ -133,7 +133,7 @@
 			return sta.read(eve)
 		}
 	case stepKeeping:
-		if eve, ok := eve.(Kept); ok {
+		if eve, ok := eve.(HistoryWritten); ok {
 			return sta.kept(eve)
 		}
 	case stepWriting:
@@ -145,7 +145,7 @@
 			return sta.readBack(eve)
 		}
 	case stepSpreading:
-		if eve, ok := eve.(Spread); ok {
+		if eve, ok := eve.(BroadcastDone); ok {
 			return sta.finish(Finish{Result: Accepted, Tables: sta.target, InForce: eve.Confirmed + 1, Asked: eve.Asked})
 		}
 	}
@@ -179,7 +179,7 @@
 		return sta.write()
 	}
 	sta.step = stepKeeping
-	return sta, KeepHistory{cur}
+	return sta, WriteHistory{cur}
 }
 
 func (sta EditState) write() (EditState, EditAction) {
@@ -187,7 +187,7 @@
 	return sta, WriteStore{Tables: sta.target, Version: sta.version}
 }
 
-func (sta EditState) kept(eve Kept) (EditState, EditAction) {
+func (sta EditState) kept(eve HistoryWritten) (EditState, EditAction) {
 	if eve.Err != nil {
 		return sta.finish(Finish{Result: NotAccepted, Err: eve.Err})
 	}
@@ -198,7 +198,7 @@
 	switch {
 	case eve.Err == nil:
 		sta.step = stepSpreading
-		return sta, SpreadTables{sta.target}
+		return sta, BroadcastTables{sta.target}
 	case eris.Is(eve.Err, persister.ErrTooLarge), eris.Is(eve.Err, persister.ErrRateLimited):
 		return sta.finish(Finish{Result: NotAccepted, Err: eve.Err})
 	default:
@@ -217,7 +217,7 @@
 	case inc:
 		sta.step = stepSpreading
 		sta.target = eve.Tables
-		return sta, SpreadTables{eve.Tables}
+		return sta, BroadcastTables{eve.Tables}
 	case eve.Tables.Revision+1 == sta.target.Revision:
 		// The write may still be on its way. A second one is harmless: it has the
 		// same nonce, and only one of them can meet the version.
--- a/process/publisher/edit_test.go
+++ b/process/publisher/edit_test.go
@@ -44,36 +44,36 @@
 	{"ReadOthersBelow", Read{Tables: at(base+3, "old", "a", "b", "c"), Version: 90}},
 	{"ReadMuchLater", Read{Tables: at(base+50, "x", "y"), Version: 99}},
 	{"ReadFailed", Read{Err: persister.ErrUnavailable}},
-	{"Kept", Kept{}},
-	{"KeepFailed", Kept{Err: persister.ErrUnavailable}},
+	{"Kept", HistoryWritten{}},
+	{"KeepFailed", HistoryWritten{Err: persister.ErrUnavailable}},
 	{"Wrote", Wrote{}},
 	{"WroteConflict", Wrote{Err: persister.ErrConflict}},
 	{"WroteNoAnswer", Wrote{Err: eris.New("connection lost")}},
 	{"WroteUnavailable", Wrote{Err: persister.ErrUnavailable}},
 	{"WroteTooLarge", Wrote{Err: persister.ErrTooLarge}},
 	{"WroteRateLimited", Wrote{Err: persister.ErrRateLimited}},
-	{"SpreadNoPeers", Spread{}},
-	{"SpreadNone", Spread{Asked: 3}},
-	{"SpreadSome", Spread{Asked: 3, Confirmed: 2}},
-	{"Elapsed", Elapsed{}},
+	{"SpreadNoPeers", BroadcastDone{}},
+	{"SpreadNone", BroadcastDone{Asked: 3}},
+	{"SpreadSome", BroadcastDone{Asked: 3, Confirmed: 2}},
+	{"Elapsed", TimedOut{}},
 }
 
 var editSteps = map[string][]EditEvent{
 	"New":         nil,
 	"Reading":     {Begun{}},
 	"Keeping":     {Begun{}, Read{Tables: at(base, "old"), Version: 70}},
-	"Writing":     {Begun{}, Read{Tables: at(base, "old"), Version: 70}, Kept{}},
-	"ReadingBack": {Begun{}, Read{Tables: at(base, "old"), Version: 70}, Kept{}, Wrote{Err: persister.ErrConflict}},
-	"Spreading":   {Begun{}, Read{Tables: at(base, "old"), Version: 70}, Kept{}, Wrote{}},
+	"Writing":     {Begun{}, Read{Tables: at(base, "old"), Version: 70}, HistoryWritten{}},
+	"ReadingBack": {Begun{}, Read{Tables: at(base, "old"), Version: 70}, HistoryWritten{}, Wrote{Err: persister.ErrConflict}},
+	"Spreading":   {Begun{}, Read{Tables: at(base, "old"), Version: 70}, HistoryWritten{}, Wrote{}},
 }
 
 func describeAction(act EditAction) string {
 	switch act := act.(type) {
-	case KeepHistory:
+	case WriteHistory:
 		return fmt.Sprintf("keep history of %d", act.Tables.Revision)
 	case WriteStore:
 		return fmt.Sprintf("write %d over version %d", act.Tables.Revision, act.Version)
-	case SpreadTables:
+	case BroadcastTables:
 		return fmt.Sprintf("spread %d", act.Tables.Revision)
 	case ReadStore:
 		return "read"
--- a/process/publisher/editor.go
+++ b/process/publisher/editor.go
@@ -66,13 +66,13 @@
 	switch act := act.(type) {
 	case ReadAgain:
 		return pub.readAgain(ctx)
-	case KeepHistory:
+	case WriteHistory:
 		one, stop := context.WithTimeout(ctx, stepTimeout)
 		defer stop()
-		return ended(ctx, Kept{pub.keep(one, act.Tables)})
+		return ended(ctx, HistoryWritten{pub.keep(one, act.Tables)})
 	case WriteStore:
 		return ended(ctx, Wrote{pub.write(ctx, act)})
-	case SpreadTables:
+	case BroadcastTables:
 		return pub.spread(ctx, act.Tables)
 	default:
 		return ended(ctx, pub.read(ctx))
@@ -89,7 +89,7 @@
 		if one.Err == nil {
 			return eve
 		}
-	case Kept:
+	case HistoryWritten:
 		if one.Err == nil {
 			return eve
 		}
@@ -98,7 +98,7 @@
 			return eve
 		}
 	}
-	return Elapsed{}
+	return TimedOut{}
 }
 
 func (pub *Publisher) read(ctx context.Context) Read {
@@ -118,7 +118,7 @@
 func (pub *Publisher) readAgain(ctx context.Context) EditEvent {
 	select {
 	case <-ctx.Done():
-		return Elapsed{}
+		return TimedOut{}
 	case <-time.After(readBackPause):
 		return ended(ctx, pub.read(ctx))
 	}
@@ -143,13 +143,13 @@
 
 func (pub *Publisher) spread(ctx context.Context, tab parser.Tables) EditEvent {
 	_, _ = pub.Accept(tab)
-	pub.ConfirmAt(tab.Revision, time.Now())
+	pub.ConfirmRevision(tab.Revision, time.Now())
 	go pub.prune(tab.Revision)
-	if pub.Spread == nil {
-		return Spread{}
+	if pub.Broadcast == nil {
+		return BroadcastDone{}
 	}
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), spreadTimeout)
 	defer stop()
-	ask, con := pub.Spread(ctx)
-	return Spread{Asked: ask, Confirmed: con}
+	ask, con := pub.Broadcast(ctx)
+	return BroadcastDone{Asked: ask, Confirmed: con}
 }
--- a/process/publisher/history.go
+++ b/process/publisher/history.go
@@ -27,8 +27,8 @@
 func (pub *Publisher) History() History {
 	tab := pub.Current().Tables()
 	his := History{Newest: tab.Revision, Oldest: min(1, tab.Revision), Edits: []parser.Edit{}}
-	if tab.Revision > HistoryKept {
-		his.Oldest = tab.Revision - HistoryKept
+	if tab.Revision > HistoryLength {
+		his.Oldest = tab.Revision - HistoryLength
 	}
 	for ind := len(tab.Recent) - 1; ind >= 0; ind-- {
 		his.Edits = append(his.Edits, tab.Recent[ind])
@@ -36,8 +36,8 @@
 	return his
 }
 
-// Past reads an accepted revision.
-func (pub *Publisher) Past(ctx context.Context, revision uint64) (parser.Tables, error) {
+// ReadRevision reads an accepted revision.
+func (pub *Publisher) ReadRevision(ctx context.Context, revision uint64) (parser.Tables, error) {
 	if tab := pub.Current().Tables(); tab.Revision == revision {
 		return tab, nil
 	}
@@ -79,12 +79,12 @@
 
 // prune removes the revision that falls out of the history.
 func (pub *Publisher) prune(revision uint64) {
-	if revision <= HistoryKept+1 {
+	if revision <= HistoryLength+1 {
 		return
 	}
 	ctx, stop := context.WithTimeout(context.Background(), pruneTimeout)
 	defer stop()
-	obj, err := pub.Store.Get(ctx, pathOf(revision-HistoryKept-1))
+	obj, err := pub.Store.Get(ctx, pathOf(revision-HistoryLength-1))
 	if err == nil {
 		_ = pub.Store.Delete(ctx, obj.Path, obj.Version)
 	}
--- a/process/publisher/publisher.go
+++ b/process/publisher/publisher.go
@@ -25,8 +25,8 @@
 	TablesPath = "tables/current"
 	// historyPath is the prefix of the objects that hold past revisions.
 	historyPath = "tables/history/"
-	// HistoryKept is the number of past revisions that are kept.
-	HistoryKept = 1000
+	// HistoryLength is the number of past revisions that are kept.
+	HistoryLength = 1000
 )
 
 // Store is the part of the platform that the publisher needs.
@@ -40,9 +40,9 @@
 // Publisher holds the tables in force. It needs a Store.
 type Publisher struct {
 	Store Store
-	// Spread offers the tables in force to peers and returns how many were
+	// Broadcast offers the tables in force to peers and returns how many were
 	// asked and how many have that revision in force now; nil for no peers.
-	Spread func(ctx context.Context) (asked, confirmed int)
+	Broadcast func(ctx context.Context) (asked, confirmed int)
 	// OnAccept is called after a revision came into force that this host read
 	// from the store, or that a peer offered; nil for nobody.
 	OnAccept func(fromStore bool)
@@ -104,9 +104,9 @@
 	}
 }
 
-// ConfirmAt notes that the store held a revision at a time. It counts only if
+// ConfirmRevision notes that the store held a revision at a time. It counts only if
 // that revision is in force here.
-func (pub *Publisher) ConfirmAt(revision uint64, at time.Time) {
+func (pub *Publisher) ConfirmRevision(revision uint64, at time.Time) {
 	if revision == pub.Current().Revision() {
 		pub.Confirm(at)
 	}
@@ -154,7 +154,7 @@
 func (pub *Publisher) Refresh(ctx context.Context, now time.Time) error {
 	obj, err := pub.Store.Get(ctx, TablesPath)
 	if eris.Is(err, persister.ErrNotFound) {
-		pub.ConfirmAt(0, now)
+		pub.ConfirmRevision(0, now)
 		return nil
 	}
 	if err != nil {
@@ -174,7 +174,7 @@
 	if pub.accept(tab, obj.Value, differ.Delta{}) {
 		defer pub.announce(true)
 	}
-	pub.ConfirmAt(tab.Revision, now)
+	pub.ConfirmRevision(tab.Revision, now)
 	return nil
 }
 
--- a/process/publisher/refresher.go
+++ b/process/publisher/refresher.go
@@ -64,8 +64,8 @@
 	Self      string
 	// Region returns the IDs of the live hosts of the region.
 	Region func() []string
-	// Failed is told of each read of the store that failed; nil for nobody.
-	Failed func(error)
+	// OnError is told of each read of the store that failed; nil for nobody.
+	OnError func(error)
 }
 
 // Run reads the store until ctx ends.
@@ -77,8 +77,8 @@
 		err := ref.read(ctx, wat)
 		switch {
 		case err != nil:
-			if ref.Failed != nil && ctx.Err() == nil {
-				ref.Failed(err)
+			if ref.OnError != nil && ctx.Err() == nil {
+				ref.OnError(err)
 			}
 			ref.pause(ctx, bac.NextBackOff(), wat)
 		case !wat:
@@ -150,6 +150,6 @@
 			return pub.take(obj, time.Now())
 		}
 	}
-	pub.ConfirmAt(see.revision, beg)
+	pub.ConfirmRevision(see.revision, beg)
 	return nil
 }
--- a/process/publisher/spread_test.go
+++ b/process/publisher/spread_test.go
@@ -286,23 +286,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		sto := &fakeStore{}
 		pub := &Publisher{Store: sto}
-		for rev := range uint64(HistoryKept + 5) {
+		for rev := range uint64(HistoryLength + 5) {
 			_, err := pub.Edit(t.Context(), routesTables(limited{0, int(rev) + 1}), rev, time.Now())
 			require.NoError(t, err)
 		}
 		synctest.Wait()
 		his := pub.History()
-		require.Equal(t, uint64(HistoryKept+5), his.Newest)
+		require.Equal(t, uint64(HistoryLength+5), his.Newest)
 		require.Len(t, his.Edits, parser.MaxRecentEdits)
 		require.Equal(t, his.Newest, his.Edits[0].Revision)
 		for _, rev := range []uint64{his.Newest, his.Newest - 1, his.Oldest} {
-			tab, err := pub.Past(t.Context(), rev)
+			tab, err := pub.ReadRevision(t.Context(), rev)
 			require.NoError(t, err)
 			require.Equal(t, rev, tab.Revision)
 			require.Equal(t, parser.Duration(time.Duration(rev)*time.Second), tab.Routes[0].TimeLimit)
 		}
-		_, err := pub.Past(t.Context(), his.Oldest-1)
+		_, err := pub.ReadRevision(t.Context(), his.Oldest-1)
 		require.Error(t, err)
-		require.LessOrEqual(t, len(sto.objects), HistoryKept+2)
+		require.LessOrEqual(t, len(sto.objects), HistoryLength+2)
 	})
 }
--- a/process/registrar/registrar.go
+++ b/process/registrar/registrar.go
@@ -228,8 +228,8 @@
 	return out
 }
 
-// Barred reports whether an endpoint is known to be leaving or gone.
-func (reg *Registry) Barred(id string, now time.Time) bool {
+// Unusable reports whether an endpoint is known to be leaving or gone.
+func (reg *Registry) Unusable(id string, now time.Time) bool {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	rec := reg.recs[id]
@@ -264,8 +264,8 @@
 	return out, reg.revision
 }
 
-// Learn takes all that a peer knows after the revision of this host's records.
-func (reg *Registry) Learn(ends []Endpoint, revision uint64, now time.Time) []Endpoint {
+// MergeFromPeer takes all that a peer knows after the revision of this host's records.
+func (reg *Registry) MergeFromPeer(ends []Endpoint, revision uint64, now time.Time) []Endpoint {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	news := reg.merge(ends, revision, now)
--- a/process/registrar/registrar_test.go
+++ b/process/registrar/registrar_test.go
@@ -81,11 +81,11 @@
 // it never uses it, although nothing has confirmed its records yet.
 func TestGoneBeforeTheStart(t *testing.T) {
 	var reg Registry
-	reg.Learn([]Endpoint{ready("a", 1), ready("b", 3).gone()}, 3, epoch)
+	reg.MergeFromPeer([]Endpoint{ready("a", 1), ready("b", 3).gone()}, 3, epoch)
 	require.Equal(t, []string{"a"}, ids(reg.Usable("s", epoch)))
-	require.True(t, reg.Barred("b", epoch))
-	require.False(t, reg.Barred("a", epoch))
-	require.False(t, reg.Barred("unknown", epoch))
+	require.True(t, reg.Unusable("b", epoch))
+	require.False(t, reg.Unusable("a", epoch))
+	require.False(t, reg.Unusable("unknown", epoch))
 }
 
 // TestOutage removes an entry at different times of an outage. Where the store
@@ -156,7 +156,7 @@
 	one.Replace([]Endpoint{ready("a", 1), ready("b", 2)}, 5, epoch)
 	ends, rev := one.After(0)
 	push := Message(ends, rev)
-	two.Learn(FromMessage(push), push.GetRevision(), epoch)
+	two.MergeFromPeer(FromMessage(push), push.GetRevision(), epoch)
 	require.Equal(t, []string{"a", "b"}, ids(two.Usable("s", epoch)))
 	rev, known := two.Revision()
 	require.True(t, known)
@@ -164,7 +164,7 @@
 	one.Merge([]Endpoint{ready("c", 6), ready("a", 1).gone()}, 6, epoch)
 	ends, rev = one.After(5)
 	require.Len(t, ends, 2, "what changed, and what is gone")
-	two.Learn(ends, rev, epoch)
+	two.MergeFromPeer(ends, rev, epoch)
 	require.Equal(t, []string{"b", "c"}, ids(two.Usable("s", epoch)))
 }
 
--- a/process/server/operator_tables.go
+++ b/process/server/operator_tables.go
@@ -43,7 +43,7 @@
 		responder.WriteJSON(wri, http.StatusBadRequest, OperatorError{Code: "bad_revision", Message: err.Error()})
 		return
 	}
-	tab, err := ser.publisher.Past(req.Context(), rev)
+	tab, err := ser.publisher.ReadRevision(req.Context(), rev)
 	switch {
 	case eris.Is(err, persister.ErrNotFound):
 		responder.WriteJSON(wri, http.StatusNotFound, OperatorError{Code: "unknown_revision", Message: "no such revision is kept"})
--- a/process/server/peers.go
+++ b/process/server/peers.go
@@ -14,7 +14,7 @@
 	case *messenger.Envelope_Ping:
 		return ser.gossiper.HandlePing(ctx, bod.Ping, now)
 	case *messenger.Envelope_PingIndirect:
-		return ser.gossiper.HandleIndirect(ctx, bod.PingIndirect)
+		return ser.gossiper.HandlePingIndirect(ctx, bod.PingIndirect)
 	case *messenger.Envelope_MembersPull:
 		return ser.gossiper.HandleMembersPull(ctx, bod.MembersPull, now)
 	case *messenger.Envelope_NoticesPush:
@@ -24,9 +24,9 @@
 	case *messenger.Envelope_ListPull:
 		return ser.gossiper.HandleListPull(bod.ListPull, now)
 	case *messenger.Envelope_TablesPull:
-		return ser.gossiper.HandlePull(bod.TablesPull)
+		return ser.gossiper.HandleTablesPull(bod.TablesPull)
 	case *messenger.Envelope_TablesPush:
-		return ser.gossiper.HandlePush(bod.TablesPush)
+		return ser.gossiper.HandleTablesPush(bod.TablesPush)
 	case *messenger.Envelope_ClaimCommit:
 		return &messenger.Envelope{Body: &messenger.Envelope_ClaimResult{ClaimResult: ser.journal.Write(ctx, bod.ClaimCommit)}}
 	case *messenger.Envelope_StatusQuery:
--- a/process/server/tables.go
+++ b/process/server/tables.go
@@ -36,22 +36,22 @@
 		},
 		Multiplexer: ser.multiplexer, Publisher: ser.publisher, Entries: ser.watcher.Entries,
 		Lister: ser.lister, ListChanged: ser.relist, Seeds: set.SeedPeers, Scope: ser.scope, Log: ser.Log,
-		Cargo: gossiper.Cargo{
-			Notices: ser.watcher.Notices.Outgoing, TakeNotices: ser.watcher.Notices.Take, Cells: ser.farCells, TakeCells: ser.takeFarCells,
-			Retries: ser.retries, TakeRetries: ser.takeRetries,
+		Payload: gossiper.Payload{
+			Notices: ser.watcher.Notices.Outgoing, MergeNotices: ser.watcher.Notices.Take, Cells: ser.farCells, MergeCells: ser.takeFarCells,
+			Retries: ser.retries, MergeRetries: ser.takeRetries,
 		},
 	}
 	ser.watcher.Noticed = func(nots []*messenger.EndpointNotice) {
-		go ser.forward(func(ctx context.Context) { ser.gossiper.SpreadNotices(ctx, nots, true) })
+		go ser.forward(func(ctx context.Context) { ser.gossiper.BroadcastNotices(ctx, nots, true) })
 	}
-	ser.publisher.Spread = func(ctx context.Context) (int, int) { return ser.gossiper.PushTables(ctx, true) }
+	ser.publisher.Broadcast = func(ctx context.Context) (int, int) { return ser.gossiper.PushTables(ctx, true) }
 	ser.publisher.OnAccept = func(fromStore bool) {
 		ser.Log.Info().Uint64("Revision", ser.publisher.Current().Revision()).Bool("FromStore", fromStore).Msg("tables in force")
 		go ser.forward(func(ctx context.Context) { ser.gossiper.PushTables(ctx, fromStore) })
 	}
 	ser.refresher = &publisher.Refresher{
 		Publisher: ser.publisher, Self: set.HostID, Region: ser.regionHosts,
-		Failed: func(error) { ser.scope.Counter("tables_refresh_failed").Inc(1) },
+		OnError: func(error) { ser.scope.Counter("tables_refresh_failed").Inc(1) },
 	}
 }
 
@@ -69,7 +69,7 @@
 	}
 	return &lister.Lister{
 		Platform: &platformWatch{Lister: ser.persister, log: ser.Log, scope: ser.scope}, Self: ser.Settings.HostID, Incarnation: inc, Region: ser.regionHosts,
-		Every: ser.Settings.ListInterval, Cost: ser.persister.ListCost, Clock: time.Now,
+		MinInterval: ser.Settings.ListInterval, LastReadBytes: ser.persister.ListCost, Clock: time.Now,
 		OnChange: func() { go ser.forward(ser.gossiper.PushList) },
 	}
 }
