--- a/process/gossiper/bench_test.go
+++ b/process/gossiper/bench_test.go
@@ -11,20 +11,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// fullRoster holds num hosts of four regions.
+// fullRoster returns a roster with num live hosts in four regions.
 func fullRoster(num int) *Roster {
 	ros := &Roster{Self: Peer{ID: "self", Region: "region-0", State: StateAlive, Incarnation: 1}, Random: rand.New(rand.NewPCG(1, 2))}
-	for ind := range num {
-		ros.Step(told(Peer{
-			ID: fmt.Sprintf("host-%d", ind), Address: "10.0.0.1:8081", DataCenter: fmt.Sprintf("centre-%d", ind%14),
-			Region: fmt.Sprintf("region-%d", ind%4), Incarnation: 1, State: StateAlive,
+	for i := range num {
+		ros.Step(reported(Peer{
+			ID: fmt.Sprintf("host-%d", i), Address: "10.0.0.1:8081", DataCenter: fmt.Sprintf("centre-%d", i%14),
+			Region: fmt.Sprintf("region-%d", i%4), Incarnation: 1, State: StateAlive,
 		}), epoch)
 	}
 	clear(ros.pending)
 	return ros
 }
 
-func sizes(b *testing.B, run func(b *testing.B, ros *Roster)) {
+func benchmarkSizes(b *testing.B, run func(b *testing.B, ros *Roster)) {
 	for _, num := range []int{20, 200, 920} {
 		b.Run(fmt.Sprintf("%d hosts", num), func(b *testing.B) {
 			b.ReportAllocs()
@@ -34,7 +34,7 @@
 }
 
 func BenchmarkTick(b *testing.B) {
-	sizes(b, func(b *testing.B, ros *Roster) {
+	benchmarkSizes(b, func(b *testing.B, ros *Roster) {
 		now := epoch
 		for b.Loop() {
 			now = now.Add(time.Second)
@@ -43,13 +43,13 @@
 	})
 }
 
-// BenchmarkExchange is one probe with as many updates as it can carry.
+// BenchmarkExchange measures one probe with the largest number of updates.
 func BenchmarkExchange(b *testing.B) {
-	sizes(b, func(b *testing.B, ros *Roster) {
+	benchmarkSizes(b, func(b *testing.B, ros *Roster) {
 		var size int
 		for b.Loop() {
-			for ind := range maxUpdates {
-				ros.broadcast(fmt.Sprintf("host-%d", ind))
+			for i := range maxUpdates {
+				ros.queueUpdate(fmt.Sprintf("host-%d", i))
 			}
 			buf, _ := proto.Marshal(&messenger.Ping{From: ros.Self.Member(), Updates: membersOf(ros.Updates("host-1"))})
 			var pin messenger.Ping
@@ -62,7 +62,7 @@
 }
 
 func BenchmarkLive(b *testing.B) {
-	sizes(b, func(b *testing.B, ros *Roster) {
+	benchmarkSizes(b, func(b *testing.B, ros *Roster) {
 		for b.Loop() {
 			_ = ros.Live()
 		}
--- a/process/gossiper/exchange.go
+++ b/process/gossiper/exchange.go
@@ -9,46 +9,46 @@
 	"hemlockpin/connection/messenger"
 )
 
-// ping builds the probe of a peer.
-func (gos *Gossiper) ping(target string) *messenger.Envelope {
+// buildPing returns the probe for a peer.
+func (gos *Gossiper) buildPing(target string) *messenger.Envelope {
 	now := time.Now()
-	upds, self, reg := gos.updates(target)
-	rev, age := gos.Publisher.Current().Revision(), gos.aged(gos.Publisher.Confirmed(), now)
-	end, endAge := gos.endpoints(now)
+	upds, self, region := gos.membershipUpdates(target)
+	rev, age := gos.Publisher.Current().Revision(), gos.ageForPeers(gos.Publisher.Confirmed(), now)
+	endRev, endAge := gos.endpoints(now)
 	return &messenger.Envelope{Body: &messenger.Envelope_Ping{Ping: &messenger.Ping{
 		From: self, Target: target, Updates: upds, TablesRevision: rev, TablesAgeMs: age.Milliseconds(),
-		Notices: gos.notices(now), List: gos.listStamp(now), Cells: gos.cells(reg, now), Retries: gos.retries(now),
-		EndpointsRevision: end, EndpointsAgeMs: endAge.Milliseconds(),
+		Notices: gos.notices(now), List: gos.listStamp(now), Cells: gos.cells(region, now), Retries: gos.retries(now),
+		EndpointsRevision: endRev, EndpointsAgeMs: endAge.Milliseconds(),
 	}}}
 }
 
-func (gos *Gossiper) pong(target string) *messenger.Envelope {
+func (gos *Gossiper) buildPong(target string) *messenger.Envelope {
 	now := time.Now()
-	upds, self, reg := gos.updates(target)
-	rev, age := gos.Publisher.Current().Revision(), gos.aged(gos.Publisher.Confirmed(), now)
-	end, endAge := gos.endpoints(now)
+	upds, self, region := gos.membershipUpdates(target)
+	rev, age := gos.Publisher.Current().Revision(), gos.ageForPeers(gos.Publisher.Confirmed(), now)
+	endRev, endAge := gos.endpoints(now)
 	return &messenger.Envelope{Body: &messenger.Envelope_Pong{Pong: &messenger.Pong{
 		From: self, Updates: upds, TablesRevision: rev, TablesAgeMs: age.Milliseconds(),
-		Notices: gos.notices(now), List: gos.listStamp(now), Cells: gos.cells(reg, now), Retries: gos.retries(now),
-		EndpointsRevision: end, EndpointsAgeMs: endAge.Milliseconds(),
+		Notices: gos.notices(now), List: gos.listStamp(now), Cells: gos.cells(region, now), Retries: gos.retries(now),
+		EndpointsRevision: endRev, EndpointsAgeMs: endAge.Milliseconds(),
 	}}}
 }
 
-// updates returns the changes of membership for a peer, this host and the
-// peer's region.
-func (gos *Gossiper) updates(target string) ([]*messenger.Member, *messenger.Member, string) {
+// membershipUpdates returns the membership changes to send to a peer, this host's
+// own entry and the peer's region.
+func (gos *Gossiper) membershipUpdates(target string) ([]*messenger.Member, *messenger.Member, string) {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
-	ros := gos.state()
-	reg := ""
+	ros := gos.rosterLocked()
+	region := ""
 	if mem := ros.members[target]; mem != nil {
-		reg = mem.Region
+		region = mem.Region
 	}
-	return membersOf(ros.Updates(target)), ros.Self.Member(), reg
+	return membersOf(ros.Updates(target)), ros.Self.Member(), region
 }
 
-// aged is the age that peers are told of something that was true at a time.
-func (gos *Gossiper) aged(at, now time.Time) time.Duration {
+// ageForPeers returns the age of a confirmation, as reported to peers.
+func (gos *Gossiper) ageForPeers(at, now time.Time) time.Duration {
 	if gos.AgeOf != nil {
 		return gos.AgeOf(at, now)
 	}
@@ -62,7 +62,7 @@
 	return gos.Payload.Cells(region, now)
 }
 
-func (gos *Gossiper) takeCells(digs []*messenger.CellDigest, now time.Time) {
+func (gos *Gossiper) mergeCells(digs []*messenger.CellDigest, now time.Time) {
 	if gos.Payload.MergeCells != nil {
 		gos.Payload.MergeCells(digs, now)
 	}
@@ -75,7 +75,7 @@
 	return gos.Payload.Retries(now)
 }
 
-func (gos *Gossiper) takeRetries(host string, ret *messenger.RetryBudget, now time.Time) {
+func (gos *Gossiper) mergeRetries(host string, ret *messenger.RetryBudget, now time.Time) {
 	if gos.Payload.MergeRetries != nil && ret != nil {
 		gos.Payload.MergeRetries(host, ret, now)
 	}
@@ -88,16 +88,17 @@
 	return gos.Payload.Endpoints(now)
 }
 
-func (gos *Gossiper) seeEndpoints(address string, revision uint64, ageMs int64, now time.Time) {
+func (gos *Gossiper) observeEndpoints(address string, revision uint64, ageMs int64, now time.Time) {
 	if gos.Payload.ObserveEndpoints != nil && address != "" && revision > 0 {
 		gos.Payload.ObserveEndpoints(address, revision, now.Add(-time.Duration(ageMs)*time.Millisecond))
 	}
 }
 
-// Broadcast sends a message to the peers to which news goes at once.
+// Broadcast sends a message to the neighbours of this host and to one host of each
+// other region.
 func (gos *Gossiper) Broadcast(ctx context.Context, env func() *messenger.Envelope) {
 	var gro sync.WaitGroup
-	for _, per := range gos.fan(true) {
+	for _, per := range gos.broadcastTargets(true) {
 		gro.Go(func() {
 			if _, err := gos.call(ctx, probeTimeout, per.Address, env()); err != nil {
 				gos.count("spreads_failed", nil)
@@ -114,47 +115,47 @@
 	return gos.Payload.Notices(now)
 }
 
-// HandlePing answers a probe.
+// HandlePing merges what a probe carries and returns the reply.
 func (gos *Gossiper) HandlePing(ctx context.Context, pin *messenger.Ping, now time.Time) *messenger.Envelope {
-	fro, ok := PeerOf(pin.GetFrom())
+	from, ok := PeerOf(pin.GetFrom())
 	if !ok || pin.GetTarget() != gos.Self.GetId() {
 		return messenger.NewFailure("wrong_target", "the probe is not for this host")
 	}
-	fro.TablesRevision = pin.GetTablesRevision()
-	gos.step(ctx, Received{From: fro, Updates: peersOf(pin.GetUpdates())}, now)
-	gos.takeCargo(ctx, pin.GetNotices(), now)
-	gos.takeCells(pin.GetCells(), now)
-	gos.takeRetries(pin.GetFrom().GetId(), pin.GetRetries(), now)
-	gos.seeEndpoints(gos.address(fro), pin.GetEndpointsRevision(), pin.GetEndpointsAgeMs(), now)
+	from.TablesRevision = pin.GetTablesRevision()
+	gos.step(ctx, Received{From: from, Updates: peersOf(pin.GetUpdates())}, now)
+	gos.mergeNotices(ctx, pin.GetNotices(), now)
+	gos.mergeCells(pin.GetCells(), now)
+	gos.mergeRetries(pin.GetFrom().GetId(), pin.GetRetries(), now)
+	gos.observeEndpoints(gos.dialAddress(from), pin.GetEndpointsRevision(), pin.GetEndpointsAgeMs(), now)
 	at := now.Add(-time.Duration(pin.GetTablesAgeMs()) * time.Millisecond)
 	gos.Publisher.ConfirmRevision(pin.GetTablesRevision(), at)
 	if gos.wantsList(pin.GetList(), now) {
-		go gos.pullList(context.WithoutCancel(ctx), gos.address(fro))
+		go gos.pullList(context.WithoutCancel(ctx), gos.dialAddress(from))
 	}
 	if pin.GetTablesRevision() > gos.Publisher.Current().Revision() {
-		go gos.pullConfirmed(context.WithoutCancel(ctx), gos.address(fro), pin.GetTablesRevision(), at)
+		go gos.pullAndConfirm(context.WithoutCancel(ctx), gos.dialAddress(from), pin.GetTablesRevision(), at)
 	}
-	return gos.pong(fro.ID)
+	return gos.buildPong(from.ID)
 }
 
 // HandlePingIndirect probes a peer on behalf of another host.
-func (gos *Gossiper) HandlePingIndirect(ctx context.Context, ind *messenger.PingIndirect) *messenger.Envelope {
-	rep, err := gos.call(ctx, indirectTimeout, ind.GetAddress(), &messenger.Envelope{Body: &messenger.Envelope_Ping{Ping: ind.GetPing()}})
+func (gos *Gossiper) HandlePingIndirect(ctx context.Context, pin *messenger.PingIndirect) *messenger.Envelope {
+	rep, err := gos.call(ctx, indirectTimeout, pin.GetAddress(), &messenger.Envelope{Body: &messenger.Envelope_Ping{Ping: pin.GetPing()}})
 	if err != nil {
 		return messenger.NewFailure("unreached", err.Error())
 	}
 	return rep
 }
 
-// HandleMembersPull lists the members, or only the one of its name for a process that has
-// no incarnation yet: hundreds of them may start at once.
+// HandleMembersPull returns all members. A starting process that has no incarnation yet
+// gets only the member with its own ID, because hundreds of processes may start at once.
 func (gos *Gossiper) HandleMembersPull(ctx context.Context, pul *messenger.MembersPull, now time.Time) *messenger.Envelope {
-	fro, ok := PeerOf(pul.GetFrom())
-	if ok = ok && fro.Incarnation > 0; ok {
-		gos.step(ctx, Received{From: fro}, now)
+	from, ok := PeerOf(pul.GetFrom())
+	if ok = ok && from.Incarnation > 0; ok {
+		gos.step(ctx, Received{From: from}, now)
 	}
 	gos.mu.Lock()
-	pers := gos.state().Known()
+	pers := gos.rosterLocked().Known()
 	gos.mu.Unlock()
 	if id := pul.GetFrom().GetId(); id != "" && !ok {
 		pers = slices.DeleteFunc(pers, func(per Peer) bool { return per.ID != id })
@@ -162,35 +163,35 @@
 	return &messenger.Envelope{Body: &messenger.Envelope_MembersPush{MembersPush: &messenger.MembersPush{Members: membersOf(pers)}}}
 }
 
-// HandleNotices takes notices that a peer pushes.
+// HandleNotices merges endpoint notices that a peer pushed.
 func (gos *Gossiper) HandleNotices(ctx context.Context, pus *messenger.NoticesPush, now time.Time) *messenger.Envelope {
-	gos.takeCargo(ctx, pus.GetNotices(), now)
+	gos.mergeNotices(ctx, pus.GetNotices(), now)
 	return &messenger.Envelope{Body: &messenger.Envelope_Done{Done: &messenger.Done{}}}
 }
 
-func (gos *Gossiper) takePong(ctx context.Context, pon *messenger.Pong, reached string) {
+func (gos *Gossiper) handlePong(ctx context.Context, pon *messenger.Pong, address string) {
 	now := time.Now()
-	fro, ok := PeerOf(pon.GetFrom())
+	from, ok := PeerOf(pon.GetFrom())
 	if !ok {
 		return
 	}
-	fro.TablesRevision = pon.GetTablesRevision()
-	gos.step(ctx, Received{From: fro, DialAddress: reached, Updates: peersOf(pon.GetUpdates())}, now)
-	gos.takeCargo(ctx, pon.GetNotices(), now)
-	gos.takeCells(pon.GetCells(), now)
-	gos.takeRetries(pon.GetFrom().GetId(), pon.GetRetries(), now)
-	gos.seeEndpoints(reached, pon.GetEndpointsRevision(), pon.GetEndpointsAgeMs(), now)
+	from.TablesRevision = pon.GetTablesRevision()
+	gos.step(ctx, Received{From: from, DialAddress: address, Updates: peersOf(pon.GetUpdates())}, now)
+	gos.mergeNotices(ctx, pon.GetNotices(), now)
+	gos.mergeCells(pon.GetCells(), now)
+	gos.mergeRetries(pon.GetFrom().GetId(), pon.GetRetries(), now)
+	gos.observeEndpoints(address, pon.GetEndpointsRevision(), pon.GetEndpointsAgeMs(), now)
 	at := now.Add(-time.Duration(pon.GetTablesAgeMs()) * time.Millisecond)
 	gos.Publisher.ConfirmRevision(pon.GetTablesRevision(), at)
-	if reached != "" && gos.wantsList(pon.GetList(), now) {
-		gos.pullList(ctx, reached)
+	if address != "" && gos.wantsList(pon.GetList(), now) {
+		gos.pullList(ctx, address)
 	}
-	if reached != "" && pon.GetTablesRevision() > gos.Publisher.Current().Revision() {
-		gos.pullConfirmed(ctx, reached, pon.GetTablesRevision(), at)
+	if address != "" && pon.GetTablesRevision() > gos.Publisher.Current().Revision() {
+		gos.pullAndConfirm(ctx, address, pon.GetTablesRevision(), at)
 	}
 }
 
-func (gos *Gossiper) takeCargo(ctx context.Context, nots []*messenger.EndpointNotice, now time.Time) {
+func (gos *Gossiper) mergeNotices(ctx context.Context, nots []*messenger.EndpointNotice, now time.Time) {
 	if len(nots) == 0 || gos.Payload.MergeNotices == nil {
 		return
 	}
@@ -199,14 +200,14 @@
 	}
 }
 
-// BroadcastNotices pushes notices that are news to this host. cross adds peers of
+// BroadcastNotices pushes notices that are new to this host. crossRegion adds peers of
 // other regions.
-func (gos *Gossiper) BroadcastNotices(ctx context.Context, nots []*messenger.EndpointNotice, cross bool) {
+func (gos *Gossiper) BroadcastNotices(ctx context.Context, nots []*messenger.EndpointNotice, crossRegion bool) {
 	env := func() *messenger.Envelope {
 		return &messenger.Envelope{Body: &messenger.Envelope_NoticesPush{NoticesPush: &messenger.NoticesPush{Notices: nots}}}
 	}
 	var gro sync.WaitGroup
-	for _, per := range gos.fan(cross) {
+	for _, per := range gos.broadcastTargets(crossRegion) {
 		gro.Go(func() { _, _ = gos.call(ctx, probeTimeout, per.Address, env()) })
 	}
 	gro.Wait()
--- a/process/gossiper/gossiper.go
+++ b/process/gossiper/gossiper.go
@@ -1,10 +1,10 @@
-// Package gossiper keeps the membership of the entry hosts and spreads news
-// between them at a cost that does not grow with their number.
+// Package gossiper maintains the membership of the entry hosts and disseminates
+// updates between them at a cost per host that does not grow with their number.
 //
-// Each interval a host probes one random peer. Probes and their replies carry
-// the last changes of membership, notices of endpoints, load digests and the
-// revision of the tables. A peer that answers neither directly nor through
-// others is suspected, and declared dead unless it refutes in time.
+// In each interval a host probes one random peer. Probes and their replies carry
+// the latest membership changes, endpoint notices, load digests and the revision
+// of the tables. A peer that answers neither a direct nor an indirect probe is
+// suspected, and declared dead unless it refutes the suspicion in time.
 package gossiper
 
 import (
@@ -28,62 +28,63 @@
 	probeTimeout    = 500 * time.Millisecond
 	indirectTimeout = 3 * probeTimeout
 	syncTimeout     = 2 * time.Second
-	// fanOut is the number of peers of the own region to which a host forwards
-	// news at once; one of each other region is added.
+	// fanOut is the number of peers of its own region to which a host forwards
+	// updates; one host of each other region is added.
 	fanOut = 4
 )
 
-// Payload is what probes carry for other parts of a host. Nil fields carry nothing.
+// Payload connects probes to the other parts of a host whose data they carry. A nil
+// function sends or merges nothing.
 type Payload struct {
 	Notices func(now time.Time) []*messenger.EndpointNotice
-	// MergeNotices merges notices and returns those that were news.
+	// MergeNotices merges notices and returns those that were new.
 	MergeNotices func(nots []*messenger.EndpointNotice, now time.Time) []*messenger.EndpointNotice
-	// Cells returns digests of cells that are of use to hosts of a region.
+	// Cells returns the cell digests that are useful to hosts of a region.
 	Cells      func(region string, now time.Time) []*messenger.CellDigest
 	MergeCells func(digs []*messenger.CellDigest, now time.Time)
-	// Retries returns what this host's retry budget has left.
+	// Retries returns what is left of this host's retry budget.
 	Retries      func(now time.Time) *messenger.RetryBudget
 	MergeRetries func(host string, ret *messenger.RetryBudget, now time.Time)
-	// Endpoints returns the revision of the host's records of endpoints, and how
-	// long ago the store confirmed it. ObserveEndpoints is told that of a peer.
+	// Endpoints returns the revision of this host's endpoint records and the time
+	// since the store confirmed it. ObserveEndpoints receives the same of a peer.
 	Endpoints        func(now time.Time) (revision uint64, age time.Duration)
 	ObserveEndpoints func(address string, revision uint64, at time.Time)
-	// Synced is told of a peer from which this host has taken members and tables.
+	// Synced is called after this host has pulled members and tables from a peer.
 	Synced func(ctx context.Context, address string)
 }
 
-// Gossiper carries out the decisions of a Roster.
+// Gossiper feeds events to a Roster and carries out its actions.
 type Gossiper struct {
 	Self        *messenger.Member
 	Multiplexer *multiplexer.Multiplexer
 	Publisher   *publisher.Publisher
-	// Entries returns the platform's list.
+	// Entries returns the platform's list of hosts and endpoints.
 	Entries func() []persister.Entry
-	// Lister holds the platform's list that peers pass on; nil for none.
+	// Lister holds the copy of the platform's list that hosts exchange; nil for none.
 	Lister *lister.Lister
-	// ListChanged is called when a peer's reading of the list was adopted.
+	// ListChanged is called when this host adopted a peer's reading of the list.
 	ListChanged func()
-	// Seeds are the peers to ask when the platform's list can't be read.
+	// Seeds are the addresses to contact when the platform's list cannot be read.
 	Seeds   []string
 	Payload Payload
-	// AgeOf is the age of something that was true at a time, with suspensions of the host;
-	// nil for a host that never is.
+	// AgeOf returns the time elapsed since at, including time in which the host was suspended;
+	// nil if the host is never suspended.
 	AgeOf func(at, now time.Time) time.Duration
-	// Scope counts probes and changes; nil counts nothing.
+	// Scope receives the counters of probes and membership changes; nil for none.
 	Scope tally.Scope
 	Log   zerolog.Logger
 
 	mu     sync.Mutex
 	roster *Roster
 	joined bool
-	// live are the live peers at a number of changes of the roster, around the peers
-	// of the own region to which news goes; nil when not known.
-	live    []Peer
-	around  []Peer
-	changes uint64
+	// live caches the live peers, neighbours the live peers of this region that receive
+	// broadcasts. They are nil after the roster's change count has moved past changes.
+	live       []Peer
+	neighbours []Peer
+	changes    uint64
 }
 
-// Run probes until ctx ends.
+// Run probes peers once per interval until ctx ends.
 func (gos *Gossiper) Run(ctx context.Context, every time.Duration) {
 	var gro sync.WaitGroup
 	defer gro.Wait()
@@ -92,7 +93,7 @@
 	defer tic.Stop()
 	for {
 		now := time.Now()
-		gos.step(ctx, Listed{gos.listed()}, now)
+		gos.step(ctx, Listed{gos.listedPeers()}, now)
 		gos.step(ctx, Tick{}, now)
 		select {
 		case <-tic.C:
@@ -102,12 +103,12 @@
 	}
 }
 
-// step takes one decision and carries out its actions.
+// step passes an event to the roster and carries out the resulting actions.
 func (gos *Gossiper) step(ctx context.Context, eve Event, now time.Time) {
 	gos.mu.Lock()
-	acts := gos.state().Step(eve, now)
-	if num := gos.state().Changes(); num != gos.changes {
-		gos.changes, gos.live, gos.around = num, nil, nil
+	acts := gos.rosterLocked().Step(eve, now)
+	if changes := gos.rosterLocked().Changes(); changes != gos.changes {
+		gos.changes, gos.live, gos.neighbours = changes, nil, nil
 	}
 	gos.mu.Unlock()
 	for _, act := range acts {
@@ -115,15 +116,15 @@
 		case Probe:
 			go gos.probe(ctx, act.Peer)
 		case IndirectProbe:
-			go gos.probeVia(ctx, act)
+			go gos.probeIndirectly(ctx, act)
 		case StateChange:
-			gos.note(act)
+			gos.reportChange(act)
 		}
 	}
 }
 
-// state returns the roster; the caller holds the lock.
-func (gos *Gossiper) state() *Roster {
+// rosterLocked returns the roster, creating it if needed. The caller holds gos.mu.
+func (gos *Gossiper) rosterLocked() *Roster {
 	if gos.roster == nil {
 		self, _ := PeerOf(gos.Self)
 		gos.roster = &Roster{Self: self, Random: rand.New(rand.NewPCG(self.Incarnation, rand.Uint64()))}
@@ -131,9 +132,9 @@
 	return gos.roster
 }
 
-func (gos *Gossiper) note(not StateChange) {
-	gos.count("membership_changes", map[string]string{"state": string(not.New)})
-	gos.Log.Info().Str("Peer", not.ID).Str("Was", string(not.Old)).Str("Is", string(not.New)).Msg("peer changed")
+func (gos *Gossiper) reportChange(change StateChange) {
+	gos.count("membership_changes", map[string]string{"state": string(change.New)})
+	gos.Log.Info().Str("Peer", change.ID).Str("Was", string(change.Old)).Str("Is", string(change.New)).Msg("peer state changed")
 }
 
 func (gos *Gossiper) count(name string, tags map[string]string) {
@@ -142,8 +143,8 @@
 	}
 }
 
-// listed returns the entry hosts of the platform's list.
-func (gos *Gossiper) listed() []Peer {
+// listedPeers returns the entry hosts of the platform's list.
+func (gos *Gossiper) listedPeers() []Peer {
 	var out []Peer
 	for _, ent := range gos.Entries() {
 		if ent.Kind != persister.KindEntry {
@@ -159,11 +160,11 @@
 }
 
 func (gos *Gossiper) probe(ctx context.Context, per Peer) {
-	// A second try dials anew, in case the session has gone silent.
+	// The second attempt dials a new connection, in case the session no longer responds.
 	for range 2 {
-		rep, err := gos.call(ctx, probeTimeout, per.Address, gos.ping(per.ID))
+		rep, err := gos.call(ctx, probeTimeout, per.Address, gos.buildPing(per.ID))
 		if pon := rep.GetPong(); err == nil && pon.GetFrom().GetId() == per.ID {
-			gos.takePong(ctx, pon, per.Address)
+			gos.handlePong(ctx, pon, per.Address)
 			return
 		}
 		if ctx.Err() != nil {
@@ -174,11 +175,11 @@
 	gos.step(ctx, ProbeFailed{per.ID}, time.Now())
 }
 
-// ProbeNow probes a peer outside the random order, for what it knows.
+// ProbeNow probes a peer out of turn, to receive its latest state.
 func (gos *Gossiper) ProbeNow(ctx context.Context, per Peer) { gos.probe(ctx, per) }
 
-func (gos *Gossiper) probeVia(ctx context.Context, act IndirectProbe) {
-	pin := gos.ping(act.Peer.ID).GetPing()
+func (gos *Gossiper) probeIndirectly(ctx context.Context, act IndirectProbe) {
+	pin := gos.buildPing(act.Peer.ID).GetPing()
 	pons := make(chan *messenger.Pong, len(act.Relays))
 	for _, via := range act.Relays {
 		env := &messenger.Envelope{Body: &messenger.Envelope_PingIndirect{PingIndirect: &messenger.PingIndirect{Ping: pin, Address: act.Peer.Address}}}
@@ -189,7 +190,7 @@
 	}
 	for range act.Relays {
 		if pon := <-pons; pon.GetFrom().GetId() == act.Peer.ID {
-			gos.takePong(ctx, pon, "")
+			gos.handlePong(ctx, pon, "")
 			return
 		}
 	}
@@ -198,14 +199,14 @@
 	}
 }
 
-// call sends a message, or fails after the timeout.
+// call sends a message and waits for the reply up to the timeout.
 func (gos *Gossiper) call(ctx context.Context, timeout time.Duration, address string, env *messenger.Envelope) (*messenger.Envelope, error) {
 	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	return gos.Multiplexer.Call(ctx, address, env)
 }
 
-// SetSeeds changes the peers to ask when no others are known.
+// SetSeeds replaces the addresses to contact when no other peers are known.
 func (gos *Gossiper) SetSeeds(seeds []string) {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
@@ -215,102 +216,102 @@
 func (gos *Gossiper) self() *messenger.Member {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
-	return gos.state().Self.Member()
+	return gos.rosterLocked().Self.Member()
 }
 
-// Live returns the peers that can be given work: alive, reachable, not leaving.
-// The slice is shared and must not be changed.
+// Live returns the peers that can be given work: alive, reachable and not leaving.
+// The slice is shared and must not be modified.
 func (gos *Gossiper) Live(time.Time) []Peer {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
 	return gos.livePeers()
 }
 
-// livePeers returns the live peers; the caller holds the lock.
+// livePeers returns the cached live peers. The caller holds gos.mu.
 func (gos *Gossiper) livePeers() []Peer {
 	if gos.live == nil {
-		gos.live = gos.state().Live()
+		gos.live = gos.rosterLocked().Live()
 	}
 	return gos.live
 }
 
-// MergePeer takes what somebody else holds of a peer.
+// MergePeer merges a peer's state as another source reports it.
 func (gos *Gossiper) MergePeer(per Peer) {
 	gos.step(context.Background(), Received{Updates: []Peer{per}}, time.Now())
 }
 
-// Changes counts the changes of membership, for callers that keep what they have
-// worked out from Peers.
+// Changes returns the number of membership changes so far, so that callers can
+// cache what they derive from Peers.
 func (gos *Gossiper) Changes() uint64 {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
 	return gos.changes
 }
 
-// Peers returns every other host that is known.
+// Peers returns all known hosts except this one.
 func (gos *Gossiper) Peers() []Peer {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
-	return gos.state().All()
+	return gos.rosterLocked().All()
 }
 
-// Incarnation returns the newest known process of a host, and whether it is not
-// known to have ended.
+// Incarnation returns the newest known incarnation of a host, and whether that
+// process is not known to have ended.
 func (gos *Gossiper) Incarnation(host string) (uint64, bool) {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
-	return gos.state().Incarnation(host)
+	return gos.rosterLocked().Incarnation(host)
 }
 
 // Started returns the incarnation under which the newest known process of a
-// host owns its work; 0 if none was heard of.
+// host owns its work; 0 if the host is unknown.
 func (gos *Gossiper) Started(host string) uint64 {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
-	return gos.state().Started(host)
+	return gos.rosterLocked().Started(host)
 }
 
-// address returns where this host reaches a peer.
-func (gos *Gossiper) address(per Peer) string {
+// dialAddress returns the address at which this host calls a peer.
+func (gos *Gossiper) dialAddress(per Peer) string {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
-	if mem := gos.state().members[per.ID]; mem != nil {
+	if mem := gos.rosterLocked().members[per.ID]; mem != nil {
 		return mem.peer().Address
 	}
 	return per.Address
 }
 
-// Leave tells peers that this host gives up its duties.
+// Leave notifies peers that this host is draining.
 func (gos *Gossiper) Leave(ctx context.Context) {
 	gos.step(ctx, Leave{}, time.Now())
 	var gro sync.WaitGroup
-	for _, per := range gos.fan(true) {
+	for _, per := range gos.broadcastTargets(true) {
 		gro.Go(func() {
-			if rep, err := gos.call(ctx, probeTimeout, per.Address, gos.ping(per.ID)); err == nil {
-				gos.takePong(ctx, rep.GetPong(), per.Address)
+			if rep, err := gos.call(ctx, probeTimeout, per.Address, gos.buildPing(per.ID)); err == nil {
+				gos.handlePong(ctx, rep.GetPong(), per.Address)
 			}
 		})
 	}
 	gro.Wait()
 }
 
-// fan picks the peers to which news goes at once: the neighbours of the own region
-// and, if cross is set, one host of each other.
-func (gos *Gossiper) fan(cross bool) []Peer {
+// broadcastTargets returns the peers to which a broadcast goes directly: the neighbours
+// in this region and, if crossRegion is set, one host of each other region.
+func (gos *Gossiper) broadcastTargets(crossRegion bool) []Peer {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
-	ros := gos.state()
-	if gos.around == nil {
-		gos.around = Neighbours(ros.Self, gos.livePeers())
+	ros := gos.rosterLocked()
+	if gos.neighbours == nil {
+		gos.neighbours = Neighbours(ros.Self, gos.livePeers())
 	}
-	out := slices.Clone(gos.around)
-	if !cross {
+	out := slices.Clone(gos.neighbours)
+	if !crossRegion {
 		return out
 	}
-	regs := map[string]bool{ros.Self.Region: true}
+	seen := map[string]bool{ros.Self.Region: true}
 	for _, per := range ros.Sample(len(ros.members), func(per Peer) bool { return per.Region != ros.Self.Region }) {
-		if !regs[per.Region] {
-			regs[per.Region] = true
+		if !seen[per.Region] {
+			seen[per.Region] = true
 			out = append(out, per)
 		}
 	}
--- a/process/gossiper/history_test.go
+++ b/process/gossiper/history_test.go
@@ -12,271 +12,275 @@
 	"pgregory.net/rapid"
 )
 
-// fabric joins rosters in memory. A call is lost if its pair is cut.
-type fabric struct {
+// cluster connects rosters in memory. A call fails if the link from caller to target is blocked.
+type cluster struct {
 	rosters map[string]*Roster
 	ids     []string
-	cut     map[[2]string]bool
+	blocked map[[2]string]bool
 	now     time.Time
-	notes   []StateChange
+	changes []StateChange
 }
 
-func newFabric(regs map[string]int) *fabric {
-	fab := &fabric{rosters: map[string]*Roster{}, cut: map[[2]string]bool{}, now: epoch}
-	for _, reg := range []string{"r1", "r2", "r3"} {
-		for ind := range regs[reg] {
-			fab.start(fmt.Sprintf("%s-%d", reg, ind), reg)
+func newCluster(regions map[string]int) *cluster {
+	clu := &cluster{rosters: map[string]*Roster{}, blocked: map[[2]string]bool{}, now: epoch}
+	for _, region := range []string{"r1", "r2", "r3"} {
+		for i := range regions[region] {
+			clu.start(fmt.Sprintf("%s-%d", region, i), region)
 		}
 	}
-	return fab
+	return clu
 }
 
-func (fab *fabric) start(id, reg string) {
-	inc := uint64(1)
-	if old := fab.rosters[id]; old != nil {
-		inc = old.Self.Incarnation + 1
+func (clu *cluster) start(id, region string) {
+	incarnation := uint64(1)
+	if old := clu.rosters[id]; old != nil {
+		incarnation = old.Self.Incarnation + 1
 	} else {
-		fab.ids = append(fab.ids, id)
+		clu.ids = append(clu.ids, id)
 	}
-	fab.rosters[id] = &Roster{
-		Self:   Peer{ID: id, Address: id, Region: reg, Incarnation: inc, State: StateAlive},
-		Random: rand.New(rand.NewPCG(uint64(len(fab.ids)), inc)),
+	clu.rosters[id] = &Roster{
+		Self:   Peer{ID: id, Address: id, Region: region, Incarnation: incarnation, State: StateAlive},
+		Random: rand.New(rand.NewPCG(uint64(len(clu.ids)), incarnation)),
 	}
 }
 
-// tick lets each roster probe once, and one second pass.
-func (fab *fabric) tick() {
+// tick lets each roster send one probe and advances the clock by one second.
+func (clu *cluster) tick() {
 	var all []Peer
-	for _, id := range fab.ids {
+	for _, id := range clu.ids {
 		all = append(all, Peer{ID: id, Address: id})
 	}
-	for _, id := range fab.ids {
-		fab.step(id, Listed{all})
-		fab.step(id, Tick{})
+	for _, id := range clu.ids {
+		clu.step(id, Listed{all})
+		clu.step(id, Tick{})
 	}
-	fab.now = fab.now.Add(time.Second)
+	clu.now = clu.now.Add(time.Second)
 }
 
-func (fab *fabric) step(id string, eve Event) {
-	for _, act := range fab.rosters[id].Step(eve, fab.now) {
+func (clu *cluster) step(id string, eve Event) {
+	for _, act := range clu.rosters[id].Step(eve, clu.now) {
 		switch act := act.(type) {
 		case Probe:
-			if !fab.call(id, id, act.Peer.ID) {
-				fab.step(id, ProbeFailed{act.Peer.ID})
+			if !clu.call(id, id, act.Peer.ID) {
+				clu.step(id, ProbeFailed{act.Peer.ID})
 			}
 		case IndirectProbe:
-			fab.via(id, act)
+			clu.probeIndirectly(id, act)
 		case StateChange:
-			fab.notes = append(fab.notes, act)
+			clu.changes = append(clu.changes, act)
 		}
 	}
 }
 
-func (fab *fabric) via(id string, act IndirectProbe) {
+func (clu *cluster) probeIndirectly(id string, act IndirectProbe) {
 	for _, via := range act.Relays {
-		if !fab.cut[[2]string{id, via.ID}] && fab.call(id, via.ID, act.Peer.ID) {
+		if !clu.blocked[[2]string{id, via.ID}] && clu.call(id, via.ID, act.Peer.ID) {
 			return
 		}
 	}
-	fab.step(id, IndirectProbeFailed{act.Peer.ID})
+	clu.step(id, IndirectProbeFailed{act.Peer.ID})
 }
 
-// call carries a probe of one host over another to a third.
-func (fab *fabric) call(from, over, to string) bool {
-	if fab.cut[[2]string{over, to}] {
+// call sends a probe from one host to another, either directly (via is the sender) or
+// through a third host.
+func (clu *cluster) call(from, via, to string) bool {
+	if clu.blocked[[2]string{via, to}] {
 		return false
 	}
-	fro, tar := fab.rosters[from], fab.rosters[to]
-	fab.step(to, Received{From: fro.Self, Updates: fro.Updates(to)})
-	rea := ""
-	if over == from {
-		rea = to
+	caller, target := clu.rosters[from], clu.rosters[to]
+	clu.step(to, Received{From: caller.Self, Updates: caller.Updates(to)})
+	dialAddress := ""
+	if via == from {
+		dialAddress = to
 	}
-	fab.step(from, Received{From: tar.Self, DialAddress: rea, Updates: tar.Updates(from)})
+	clu.step(from, Received{From: target.Self, DialAddress: dialAddress, Updates: target.Updates(from)})
 	return true
 }
 
-func (fab *fabric) cutRegions(one, two string, cut bool) {
-	for _, fro := range fab.ids {
-		for _, to := range fab.ids {
-			if (fro[:2] == one && to[:2] == two) || (fro[:2] == two && to[:2] == one) {
-				fab.cut[[2]string{fro, to}] = cut
+func (clu *cluster) blockRegions(a, b string, blocked bool) {
+	for _, from := range clu.ids {
+		for _, to := range clu.ids {
+			if (from[:2] == a && to[:2] == b) || (from[:2] == b && to[:2] == a) {
+				clu.blocked[[2]string{from, to}] = blocked
 			}
 		}
 	}
 }
 
-// whole reports whether every roster holds every other host live.
-func (fab *fabric) whole() bool {
-	for _, ros := range fab.rosters {
-		if len(ros.Live()) != len(fab.ids)-1 {
+// converged reports whether every roster has every other host as live.
+func (clu *cluster) converged() bool {
+	for _, ros := range clu.rosters {
+		if len(ros.Live()) != len(clu.ids)-1 {
 			return false
 		}
 	}
 	return true
 }
 
-func (fab *fabric) settle(ticks int) int {
+func (clu *cluster) converge(ticks int) int {
 	for num := range ticks {
-		if fab.whole() {
+		if clu.converged() {
 			return num
 		}
-		fab.tick()
+		clu.tick()
 	}
 	return ticks
 }
 
-// A cut between regions for an hour declares nobody dead, hides the other side
-// from duties, and ends without a trace.
-func TestRegionsCutForAnHour(t *testing.T) {
-	fab := newFabric(map[string]int{"r1": 8, "r2": 8})
-	require.Less(t, fab.settle(100), 100)
-	fab.notes = nil
-	fab.cutRegions("r1", "r2", true)
+// An hour-long partition between two regions must declare no host dead and must take
+// the other region out of Live only while it lasts.
+func TestRegionPartitionForAnHour(t *testing.T) {
+	clu := newCluster(map[string]int{"r1": 8, "r2": 8})
+	require.Less(t, clu.converge(100), 100)
+	clu.changes = nil
+	clu.blockRegions("r1", "r2", true)
 	for range 60 {
-		fab.tick()
+		clu.tick()
 	}
-	for _, ros := range fab.rosters {
+	for _, ros := range clu.rosters {
 		require.Len(t, ros.Live(), 7)
 	}
 	for range 3600 - 60 {
-		fab.tick()
+		clu.tick()
 	}
-	require.Empty(t, fab.notes, "no host changes its state")
-	fab.cutRegions("r1", "r2", false)
-	require.Less(t, fab.settle(60), 60)
+	require.Empty(t, clu.changes, "no host changes its state")
+	clu.blockRegions("r1", "r2", false)
+	require.Less(t, clu.converge(60), 60)
 }
 
-// Faults of any kind are forgotten once they end; incarnations never go back.
+// Membership must converge after any sequence of faults, and incarnations must never decrease.
 func TestMembershipHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		fab := newFabric(map[string]int{"r1": 3, "r2": 2, "r3": 1})
-		fab.settle(100)
+		clu := newCluster(map[string]int{"r1": 3, "r2": 2, "r3": 1})
+		clu.converge(100)
 		last := map[[2]string]uint64{}
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
-			one := rapid.SampledFrom(fab.ids).Draw(rt, "one")
-			two := rapid.SampledFrom(fab.ids).Draw(rt, "two")
+			id := rapid.SampledFrom(clu.ids).Draw(rt, "one")
+			peer := rapid.SampledFrom(clu.ids).Draw(rt, "two")
 			switch rapid.SampledFrom([]string{"cut", "isolate", "join", "restart", "regions", "pause"}).Draw(rt, "fault") {
 			case "cut":
-				fab.cut[[2]string{one, two}] = one != two
+				clu.blocked[[2]string{id, peer}] = id != peer
 			case "isolate":
-				for _, oth := range fab.ids {
-					fab.cut[[2]string{one, oth}] = one != oth
-					fab.cut[[2]string{oth, one}] = one != oth
+				for _, other := range clu.ids {
+					clu.blocked[[2]string{id, other}] = id != other
+					clu.blocked[[2]string{other, id}] = id != other
 				}
 			case "join":
-				clear(fab.cut)
+				clear(clu.blocked)
 			case "restart":
-				fab.start(one, one[:2])
+				clu.start(id, id[:2])
 			case "regions":
-				fab.cutRegions("r1", "r2", true)
+				clu.blockRegions("r1", "r2", true)
 			case "pause":
-				fab.now = fab.now.Add(time.Minute)
+				clu.now = clu.now.Add(time.Minute)
 			}
 			for range rapid.IntRange(0, 10).Draw(rt, "ticks") {
-				fab.tick()
+				clu.tick()
 			}
-			fab.checkIncarnations(rt, last)
+			clu.checkIncarnations(rt, last)
 		}
-		clear(fab.cut)
-		require.Less(rt, fab.settle(200), 200, "membership does not settle")
+		clear(clu.blocked)
+		require.Less(rt, clu.converge(200), 200, "membership does not converge")
 	})
 }
 
-// checkIncarnations requires that no roster goes back to an earlier process, nor
-// knows one that never was.
-func (fab *fabric) checkIncarnations(rt *rapid.T, last map[[2]string]uint64) {
-	for _, id := range fab.ids {
-		ros := fab.rosters[id]
-		for _, oth := range fab.ids {
-			inc, _ := ros.Incarnation(oth)
-			key := [2]string{fmt.Sprintf("%s/%d", id, ros.Self.Incarnation), oth}
-			if inc != 0 {
-				require.GreaterOrEqual(rt, inc, last[key])
-				last[key] = inc
+// checkIncarnations requires that no roster returns to an earlier process of a host or
+// holds an incarnation that the host never had.
+func (clu *cluster) checkIncarnations(rt *rapid.T, last map[[2]string]uint64) {
+	for _, id := range clu.ids {
+		ros := clu.rosters[id]
+		for _, other := range clu.ids {
+			incarnation, _ := ros.Incarnation(other)
+			key := [2]string{fmt.Sprintf("%s/%d", id, ros.Self.Incarnation), other}
+			if incarnation != 0 {
+				require.GreaterOrEqual(rt, incarnation, last[key])
+				last[key] = incarnation
 			}
-			require.LessOrEqual(rt, inc, fab.rosters[oth].Self.Incarnation)
+			require.LessOrEqual(rt, incarnation, clu.rosters[other].Self.Incarnation)
 		}
 	}
 }
 
-// A host that has died is found by all, one that is frozen comes back.
+// All hosts must declare a host dead that cannot be reached, and accept it again once
+// it answers.
 func TestDeadHost(t *testing.T) {
-	fab := newFabric(map[string]int{"r1": 6, "r2": 6})
-	fab.settle(100)
-	for _, oth := range fab.ids {
-		fab.cut[[2]string{"r1-0", oth}] = oth != "r1-0"
-		fab.cut[[2]string{oth, "r1-0"}] = oth != "r1-0"
+	clu := newCluster(map[string]int{"r1": 6, "r2": 6})
+	clu.converge(100)
+	for _, other := range clu.ids {
+		clu.blocked[[2]string{"r1-0", other}] = other != "r1-0"
+		clu.blocked[[2]string{other, "r1-0"}] = other != "r1-0"
 	}
 	for range 30 {
-		fab.tick()
+		clu.tick()
 	}
-	for _, id := range fab.ids[1:] {
-		_, ali := fab.rosters[id].Incarnation("r1-0")
-		require.False(t, ali, "host %s", id)
+	for _, id := range clu.ids[1:] {
+		_, alive := clu.rosters[id].Incarnation("r1-0")
+		require.False(t, alive, "host %s", id)
 	}
-	clear(fab.cut)
-	require.Less(t, fab.settle(60), 60)
+	clear(clu.blocked)
+	require.Less(t, clu.converge(60), 60)
 }
 
-// A host that is started with its clock behind is not ignored, whether its
-// earlier process was found dead or not, and does not lose its own work.
+// A host that restarts with its clock behind gets a lower incarnation than its earlier
+// process. Peers must accept it, whether they have declared the earlier process dead or
+// not, and Started must stay the incarnation under which it owns its work.
 func TestClockBehind(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		dead int
 	}{{"at once", 0}, {"found dead", 30}} {
 		t.Run(tt.name, func(t *testing.T) {
-			fab := newFabric(map[string]int{"r1": 4, "r2": 2})
+			clu := newCluster(map[string]int{"r1": 4, "r2": 2})
 			for range 8 {
-				fab.start("r1-0", "r1")
+				clu.start("r1-0", "r1")
 			}
-			fab.settle(100)
-			fab.cutRegions("r1", "r2", true)
+			clu.converge(100)
+			clu.blockRegions("r1", "r2", true)
 			for range tt.dead {
-				for _, oth := range fab.ids {
-					fab.cut[[2]string{oth, "r1-0"}] = oth != "r1-0"
+				for _, other := range clu.ids {
+					clu.blocked[[2]string{other, "r1-0"}] = other != "r1-0"
 				}
-				fab.tick()
+				clu.tick()
 			}
-			clear(fab.cut)
-			fab.rosters["r1-0"].Self.Incarnation = 1
-			fab.start("r1-0", "r1")
-			fab.rosters["r1-0"].Self.Started = 2
+			clear(clu.blocked)
+			clu.rosters["r1-0"].Self.Incarnation = 1
+			clu.start("r1-0", "r1")
+			clu.rosters["r1-0"].Self.Started = 2
 			for range 30 {
-				fab.tick()
+				clu.tick()
 			}
-			for _, id := range fab.ids {
-				inc, ali := fab.rosters[id].Incarnation("r1-0")
-				require.True(t, ali, "host %s", id)
-				require.Equal(t, fab.rosters["r1-0"].Self.Incarnation, inc, "host %s", id)
-				require.Equal(t, uint64(2), fab.rosters[id].Started("r1-0"), "host %s", id)
+			for _, id := range clu.ids {
+				incarnation, alive := clu.rosters[id].Incarnation("r1-0")
+				require.True(t, alive, "host %s", id)
+				require.Equal(t, clu.rosters["r1-0"].Self.Incarnation, incarnation, "host %s", id)
+				require.Equal(t, uint64(2), clu.rosters[id].Started("r1-0"), "host %s", id)
 			}
-			require.Greater(t, fab.rosters["r1-0"].Self.Incarnation, uint64(9))
+			require.Greater(t, clu.rosters["r1-0"].Self.Incarnation, uint64(9))
 		})
 	}
 }
 
-// A host whose own calls are all lost stops to suspect the others.
-func TestHostDoubtsItself(t *testing.T) {
-	fab := newFabric(map[string]int{"r1": 8})
-	fab.settle(100)
-	fab.notes = nil
-	for _, oth := range fab.ids {
-		fab.cut[[2]string{"r1-0", oth}] = oth != "r1-0"
+// A host whose own calls all fail must stop suspecting its peers, since its own link is
+// the likely fault.
+func TestIsolatedHostStopsSuspecting(t *testing.T) {
+	clu := newCluster(map[string]int{"r1": 8})
+	clu.converge(100)
+	clu.changes = nil
+	for _, other := range clu.ids {
+		clu.blocked[[2]string{"r1-0", other}] = other != "r1-0"
 	}
 	for range 300 {
-		fab.tick()
+		clu.tick()
 	}
-	see := map[string]bool{}
-	for _, not := range fab.notes {
-		see[not.ID] = true
-		require.NotEqual(t, StateDead, not.New)
+	seen := map[string]bool{}
+	for _, change := range clu.changes {
+		seen[change.ID] = true
+		require.NotEqual(t, StateDead, change.New)
 	}
-	require.Less(t, len(see), doubtAfter)
+	require.Less(t, len(seen), isolatedAfter)
 }
 
-// TestMain fixes the seed of the random histories.
+// TestMain fixes the seed of the property tests.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "20261204"); err != nil {
--- a/process/gossiper/join.go
+++ b/process/gossiper/join.go
@@ -10,27 +10,27 @@
 
 const (
 	syncInterval = 2 * time.Minute
-	// joinPeers is the number of peers from which a starting host takes the
-	// tables, so that one that lags does not set it back.
+	// joinPeers is the number of peers from which a starting host pulls the tables,
+	// so that it does not start with the old revision of a single lagging peer.
 	joinPeers = 3
-	// joinPatience is how long a starting host waits to hear of any peer.
-	joinPatience = 2 * time.Second
+	// joinTimeout is how long a starting host waits for an answer of any peer.
+	joinTimeout = 2 * time.Second
 )
 
-// Joined reports whether the host has learned the members and the newest tables
-// of several peers, or found none that answers.
+// Joined reports whether the host has pulled the members and the newest tables from
+// several peers, or has found that no peer answers.
 func (gos *Gossiper) Joined() bool {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
 	return gos.joined
 }
 
-// runSync learns the members and tables at the start, and again rarely, to make
-// up for changes that were not heard of.
+// runSync pulls the members and tables at the start, and later at long intervals to
+// make up for missed updates.
 func (gos *Gossiper) runSync(ctx context.Context, every time.Duration) {
-	end := time.Now().Add(joinPatience)
+	deadline := time.Now().Add(joinTimeout)
 	asked := map[string]bool{}
-	for ctx.Err() == nil && !gos.joinStep(ctx, asked, time.Now().After(end)) {
+	for ctx.Err() == nil && !gos.joinStep(ctx, asked, time.Now().After(deadline)) {
 		sleep(ctx, every/4)
 	}
 	for ctx.Err() == nil {
@@ -49,34 +49,34 @@
 	}
 }
 
-// joinStep asks peers that were not asked yet. It reports whether the host has
-// joined: enough peers have answered, or all that are known were tried.
-func (gos *Gossiper) joinStep(ctx context.Context, asked map[string]bool, late bool) bool {
-	gos.meet(ctx)
+// joinStep syncs from peers that were not asked yet. It reports whether the host has
+// joined: enough peers have answered, or all known peers were attempted.
+func (gos *Gossiper) joinStep(ctx context.Context, asked map[string]bool, timedOut bool) bool {
+	gos.bootstrap(ctx)
 	answers := 0
 	for _, ok := range asked {
 		if ok {
 			answers++
 		}
 	}
-	adds := gos.contacts(joinPeers + len(asked))
-	for _, add := range adds {
-		if _, ok := asked[add]; ok || answers >= joinPeers {
+	addrs := gos.contactAddresses(joinPeers + len(asked))
+	for _, addr := range addrs {
+		if _, ok := asked[addr]; ok || answers >= joinPeers {
 			continue
 		}
-		asked[add] = gos.syncFrom(ctx, add)
-		if asked[add] {
+		asked[addr] = gos.syncFrom(ctx, addr)
+		if asked[addr] {
 			answers++
 		}
 	}
-	// The members that the peers named may be more to ask.
-	more := gos.contacts(joinPeers + len(asked))
-	for _, add := range more {
-		if _, ok := asked[add]; !ok && answers < joinPeers {
+	// The pulled members may include further peers to ask.
+	more := gos.contactAddresses(joinPeers + len(asked))
+	for _, addr := range more {
+		if _, ok := asked[addr]; !ok && answers < joinPeers {
 			return false
 		}
 	}
-	if answers == 0 && !late {
+	if answers == 0 && !timedOut {
 		return false
 	}
 	gos.mu.Lock()
@@ -85,42 +85,42 @@
 	return true
 }
 
-// meet learns the members from a seed if no peer is known. Tables are then taken from any
-// peers: hundreds of hosts may start at once, and the seeds are three of them.
-func (gos *Gossiper) meet(ctx context.Context) {
+// bootstrap pulls the members from a seed if no live peer is known. The tables are then pulled
+// from any peers, because hundreds of hosts may start at once and only three are seeds.
+func (gos *Gossiper) bootstrap(ctx context.Context) {
 	if len(gos.Live(time.Now())) > 0 {
 		return
 	}
-	adds := gos.contacts(0)
-	rand.Shuffle(len(adds), func(one, two int) { adds[one], adds[two] = adds[two], adds[one] })
-	for _, add := range adds {
-		if gos.pullMembers(ctx, add) {
+	addrs := gos.contactAddresses(0)
+	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
+	for _, addr := range addrs {
+		if gos.pullMembers(ctx, addr) {
 			return
 		}
 	}
 }
 
-// Sync learns the members from some contact. A host calls it often after its
-// start, when many hosts may be starting.
+// Sync pulls the members and tables from one peer. A host calls it often after its
+// start, when many other hosts may be starting too.
 func (gos *Gossiper) Sync(ctx context.Context) { gos.syncAny(ctx) }
 
-// syncAny learns the members from any peer, and from the seeds only if no other one
-// is known or answers: hundreds of hosts may start at once, and a list of them all
-// would take up the seeds' links.
+// syncAny pulls the members and tables from any peer, and from a seed only if no other
+// peer is known or answers: hundreds of hosts may start at once, and sending each of them
+// the full member list would saturate the links of the seeds.
 func (gos *Gossiper) syncAny(ctx context.Context) bool {
-	adds := gos.contacts(1)
-	fir := min(1, len(gos.Live(time.Now())))
-	sees := adds[fir:]
-	rand.Shuffle(len(sees), func(one, two int) { sees[one], sees[two] = sees[two], sees[one] })
-	for _, add := range adds {
-		if gos.syncFrom(ctx, add) {
+	addrs := gos.contactAddresses(1)
+	first := min(1, len(gos.Live(time.Now())))
+	seeds := addrs[first:]
+	rand.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
+	for _, addr := range addrs {
+		if gos.syncFrom(ctx, addr) {
 			return true
 		}
 	}
 	return false
 }
 
-// sync learns the members and the tables from one peer.
+// syncFrom pulls the members and the tables from one peer.
 func (gos *Gossiper) syncFrom(ctx context.Context, address string) bool {
 	if !gos.pullMembers(ctx, address) {
 		return false
@@ -132,7 +132,7 @@
 	return true
 }
 
-// pullMembers learns the members from one peer.
+// pullMembers pulls the members from one peer.
 func (gos *Gossiper) pullMembers(ctx context.Context, address string) bool {
 	env := &messenger.Envelope{Body: &messenger.Envelope_MembersPull{MembersPull: &messenger.MembersPull{From: gos.self()}}}
 	rep, err := gos.call(ctx, syncTimeout, address, env)
@@ -143,22 +143,22 @@
 	return true
 }
 
-// contacts returns addresses to learn from: some live peers, else the listed
-// ones, and the seeds.
-func (gos *Gossiper) contacts(num int) []string {
+// contactAddresses returns addresses to pull from: up to num live peers, or all known
+// peers if none is live, followed by the seeds.
+func (gos *Gossiper) contactAddresses(num int) []string {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
 	var out []string
-	pers := gos.state().Sample(num, func(Peer) bool { return true })
+	pers := gos.rosterLocked().Sample(num, func(Peer) bool { return true })
 	if len(pers) == 0 {
-		pers = gos.state().All()
+		pers = gos.rosterLocked().All()
 	}
 	for _, per := range pers {
 		out = append(out, per.Address)
 	}
-	for _, add := range gos.Seeds {
-		if add != gos.Self.GetAddress() {
-			out = append(out, add)
+	for _, addr := range gos.Seeds {
+		if addr != gos.Self.GetAddress() {
+			out = append(out, addr)
 		}
 	}
 	return out
--- a/process/gossiper/join_test.go
+++ b/process/gossiper/join_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startPeer starts a gossiper with a revision of the tables in force and returns
-// it with its address. seeds are the peers that it is told of.
+// startPeer starts a gossiper that has a revision of the tables in force and knows the
+// seeds, and returns it with its address.
 func startPeer(t *testing.T, id string, revision uint64, seeds []string) (*Gossiper, string) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,37 +51,37 @@
 	return gos, lis.Addr().String()
 }
 
-// A starting host takes the tables of several peers before it has joined, so
-// that it does not serve with those of one that lags.
+// A starting host must pull the tables from several peers before it has joined, so
+// that it does not serve with the old tables of a lagging peer.
 func TestJoinAsksSeveralPeers(t *testing.T) {
 	for newest := range joinPeers {
 		t.Run(fmt.Sprintf("the newest is seed %d", newest), func(t *testing.T) {
 			var seeds []string
-			for ind := range joinPeers {
+			for i := range joinPeers {
 				rev := uint64(1)
-				if ind == newest {
+				if i == newest {
 					rev = 2
 				}
-				_, add := startPeer(t, fmt.Sprintf("peer-%d", ind), rev, nil)
-				seeds = append(seeds, add)
+				_, addr := startPeer(t, fmt.Sprintf("peer-%d", i), rev, nil)
+				seeds = append(seeds, addr)
 			}
 			gos, _ := startPeer(t, "new", 0, seeds)
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			don := make(chan struct{})
+			done := make(chan struct{})
 			go func() {
-				defer close(don)
+				defer close(done)
 				gos.runSync(ctx, time.Hour)
 			}()
 			require.Eventually(t, gos.Joined, 10*time.Second, time.Millisecond)
 			require.Equal(t, uint64(2), gos.Publisher.Current().Revision())
 			stop()
-			<-don
+			<-done
 		})
 	}
 }
 
-// A host without any peer has joined after a while.
+// A host that reaches no peer must count as joined after joinTimeout.
 func TestJoinAlone(t *testing.T) {
 	gos, _ := startPeer(t, "alone", 0, []string{"127.0.0.1:1"})
 	ctx, stop := context.WithCancel(t.Context())
@@ -91,24 +91,24 @@
 	require.Eventually(t, gos.Joined, 10*time.Second, 10*time.Millisecond)
 }
 
-// TestStartAsksForOneName has a process that has no incarnation yet ask for the members: it
-// gets the one of its name only, and is not taken for a member itself.
-func TestStartAsksForOneName(t *testing.T) {
-	gos, add := startPeer(t, "peer", 1, nil)
-	for ind := range 50 {
-		gos.MergePeer(Peer{ID: fmt.Sprintf("host-%d", ind), Address: "127.0.0.1:1", Incarnation: uint64(ind + 1), State: StateDead})
-		gos.MergePeer(Peer{ID: fmt.Sprintf("host-%d", ind), Address: "127.0.0.1:1", Incarnation: uint64(ind + 2), State: StateAlive})
+// TestMembersPullWithoutIncarnation pulls the members for a starting process that has no
+// incarnation yet: it must receive only the member with its own ID and must not become a member.
+func TestMembersPullWithoutIncarnation(t *testing.T) {
+	gos, addr := startPeer(t, "peer", 1, nil)
+	for i := range 50 {
+		gos.MergePeer(Peer{ID: fmt.Sprintf("host-%d", i), Address: "127.0.0.1:1", Incarnation: uint64(i + 1), State: StateDead})
+		gos.MergePeer(Peer{ID: fmt.Sprintf("host-%d", i), Address: "127.0.0.1:1", Incarnation: uint64(i + 2), State: StateAlive})
 	}
 	mul := &multiplexer.Multiplexer{}
 	defer mul.Close()
-	pull := func(fro *messenger.Member) []*messenger.Member {
-		rep, err := mul.Call(t.Context(), add, &messenger.Envelope{Body: &messenger.Envelope_MembersPull{MembersPull: &messenger.MembersPull{From: fro}}})
+	pull := func(from *messenger.Member) []*messenger.Member {
+		rep, err := mul.Call(t.Context(), addr, &messenger.Envelope{Body: &messenger.Envelope_MembersPull{MembersPull: &messenger.MembersPull{From: from}}})
 		require.NoError(t, err)
 		return rep.GetMembersPush().GetMembers()
 	}
-	one := pull(&messenger.Member{Id: "host-7"})
-	require.Len(t, one, 1)
-	require.EqualValues(t, 9, one[0].GetIncarnation())
+	members := pull(&messenger.Member{Id: "host-7"})
+	require.Len(t, members, 1)
+	require.EqualValues(t, 9, members[0].GetIncarnation())
 	require.Empty(t, pull(&messenger.Member{Id: "new"}))
 	require.Len(t, gos.Peers(), 50)
 	require.Len(t, pull(&messenger.Member{Id: "new", Address: "127.0.0.1:2", Incarnation: 5}), 52)
--- a/process/gossiper/list.go
+++ b/process/gossiper/list.go
@@ -19,7 +19,7 @@
 	return gos.Lister != nil && gos.Lister.Wants(sta, now)
 }
 
-// pullList asks a peer for its reading of the platform's list.
+// pullList pulls the platform's list from a peer.
 func (gos *Gossiper) pullList(ctx context.Context, address string) {
 	have := gos.listStamp(time.Now())
 	for range 2 {
@@ -31,16 +31,16 @@
 	}
 }
 
-// receiveList takes an offer and reports whether the whole list is needed.
+// receiveList merges an offer and reports whether the full list is needed.
 func (gos *Gossiper) receiveList(ctx context.Context, pus *messenger.ListPush) bool {
 	if gos.Lister == nil {
 		return false
 	}
-	ado, whole, err := gos.Lister.Receive(pus, time.Now())
+	adopted, whole, err := gos.Lister.Receive(pus, time.Now())
 	if err != nil {
 		gos.count("list_offers_refused", nil)
 	}
-	if ado {
+	if adopted {
 		if gos.ListChanged != nil {
 			gos.ListChanged()
 		}
@@ -49,20 +49,20 @@
 	return whole
 }
 
-// PushList offers the platform's list to a bounded number of peers of the
+// PushList offers the platform's list to a bounded number of peers of this
 // region, which forward it.
 func (gos *Gossiper) PushList(ctx context.Context) {
 	if gos.Lister == nil {
 		return
 	}
 	var gro sync.WaitGroup
-	for _, per := range gos.fan(false) {
+	for _, per := range gos.broadcastTargets(false) {
 		gro.Go(func() { gos.pushListTo(ctx, per) })
 	}
 	gro.Wait()
 }
 
-// pushListTo offers what has changed first, and what the peer lacks after that.
+// pushListTo offers the latest change first, then whatever the peer reports as missing.
 func (gos *Gossiper) pushListTo(ctx context.Context, per Peer) {
 	pus := gos.Lister.Announce(time.Now())
 	for range 2 {
@@ -74,8 +74,8 @@
 	}
 }
 
-// HandleListPush takes a reading of the list that a peer offers. The reply asks
-// for the whole list where the offer did not suffice.
+// HandleListPush merges a peer's offer of the list. The reply requests the full list
+// if the offer was not sufficient.
 func (gos *Gossiper) HandleListPush(ctx context.Context, pus *messenger.ListPush, now time.Time) *messenger.Envelope {
 	if gos.receiveList(ctx, pus) {
 		pul := &messenger.ListPull{}
@@ -87,7 +87,7 @@
 	return &messenger.Envelope{Body: &messenger.Envelope_Done{Done: &messenger.Done{}}}
 }
 
-// HandleListPull answers with what the peer lacks.
+// HandleListPull returns the part of the list that the peer lacks.
 func (gos *Gossiper) HandleListPull(pul *messenger.ListPull, now time.Time) *messenger.Envelope {
 	pus := &messenger.ListPush{}
 	if gos.Lister != nil {
--- a/process/gossiper/merge.go
+++ b/process/gossiper/merge.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func (ros *Roster) heard(eve Received, now time.Time) []Action {
+func (ros *Roster) receive(eve Received, now time.Time) []Action {
 	var acts []Action
 	for _, upd := range eve.Updates {
 		acts = append(acts, ros.merge(upd, now)...)
@@ -19,47 +19,49 @@
 		return acts
 	}
 	if mem.Incarnation != eve.From.Incarnation {
-		return append(acts, ros.outlived(mem, eve, now)...)
+		return append(acts, ros.handleOlderIncarnation(mem, eve, now)...)
 	}
 	mem.Heard = now
 	mem.TablesRevision = max(mem.TablesRevision, eve.From.TablesRevision)
 	if eve.DialAddress != "" {
-		ros.reached(mem, eve.DialAddress)
+		ros.markReached(mem, eve.DialAddress)
 	}
 	return acts
 }
 
-// outlived takes the newer process of a host for dead when an older incarnation
-// answers in its place: the one that answers was started with its clock behind,
-// and takes an incarnation above the newer one once it hears of its death. If
-// the newer one lives elsewhere it refutes.
-func (ros *Roster) outlived(mem *member, eve Received, now time.Time) []Action {
+// handleOlderIncarnation marks the newer known process of a host dead when an older
+// incarnation answers at the same address: the host has restarted with its clock behind.
+// The restarted process then takes an incarnation above the newer one once it receives
+// the report of its death. If the newer process runs at another address it refutes.
+func (ros *Roster) handleOlderIncarnation(mem *member, eve Received, now time.Time) []Action {
 	if eve.DialAddress == "" || eve.DialAddress != mem.peer().Address || mem.State == StateDead {
 		return nil
 	}
-	return ros.set(mem, StateDead, now)
+	return ros.setState(mem, StateDead, now)
 }
 
-// reached notes that this host's own call to a peer was answered.
-func (ros *Roster) reached(mem *member, address string) {
-	if mem.dial != address || mem.unreachable || ros.cut(mem.Region) {
+// markReached records that a peer answered a call of this host.
+func (ros *Roster) markReached(mem *member, address string) {
+	if mem.dialAddress != address || mem.unreachable || ros.regionUnreachable(mem.Region) {
 		ros.changes++
 	}
-	mem.dial = address
+	mem.dialAddress = address
 	mem.unreachable = false
-	ros.misses = 0
-	if ros.cut(mem.Region) {
-		for _, oth := range ros.members {
-			oth.unreachable = oth.unreachable && oth.Region != mem.Region
+	ros.failures = 0
+	if ros.regionUnreachable(mem.Region) {
+		for _, other := range ros.members {
+			other.unreachable = other.unreachable && other.Region != mem.Region
 		}
 	}
-	delete(ros.regions, mem.Region)
+	delete(ros.regionFailures, mem.Region)
 }
 
-// cut reports whether no host of another region can be reached.
-func (ros *Roster) cut(region string) bool { return ros.regions[region] >= cutAfter }
+// regionUnreachable reports whether the last probes into another region have all failed.
+func (ros *Roster) regionUnreachable(region string) bool {
+	return ros.regionFailures[region] >= unreachableAfter
+}
 
-// merge takes what another host holds of a process.
+// merge merges another host's state of a process.
 func (ros *Roster) merge(upd Peer, now time.Time) []Action {
 	if upd.ID == ros.Self.ID {
 		ros.refute(upd)
@@ -67,7 +69,7 @@
 	}
 	mem := ros.members[upd.ID]
 	if (mem == nil || mem.State == StateListed) && upd.State == StateDead {
-		// It may be an earlier process of a host that has to be tried first.
+		// The report may concern an earlier process of a host that has not been probed yet.
 		return nil
 	}
 	if mem == nil {
@@ -83,23 +85,23 @@
 		mem.unreachable = false
 	}
 	if was != StateListed && upd.Address != mem.Address {
-		mem.dial = ""
+		mem.dialAddress = ""
 	}
 	upd.Heard = mem.Heard
 	upd.TablesRevision = mem.TablesRevision
 	mem.Peer = upd
-	mem.since = now
+	mem.changedAt = now
 	ros.changes++
-	ros.broadcast(upd.ID)
+	ros.queueUpdate(upd.ID)
 	if was == upd.State {
 		return nil
 	}
 	return []Action{StateChange{upd.ID, was, upd.State}}
 }
 
-// refute answers a false report about this process. A newer process of this
-// host that has ended is outbid, since peers would ignore this one otherwise. A
-// newer one that lives is left alone, since it has replaced this one.
+// refute answers a false report about this process. If a newer incarnation of this host
+// is reported dead, this process takes a higher one, since peers would ignore it
+// otherwise. A newer incarnation that is alive has replaced this process and is kept.
 func (ros *Roster) refute(upd Peer) {
 	if upd.Incarnation > ros.Self.Incarnation && upd.State == StateDead {
 		ros.Self.Incarnation = upd.Incarnation + 1
@@ -115,79 +117,79 @@
 	ros.Self.Refutation = upd.Refutation + 1
 }
 
-func (ros *Roster) missed(id string, now time.Time) []Action {
+func (ros *Roster) probeFailed(id string, now time.Time) []Action {
 	mem := ros.members[id]
 	if mem == nil || mem.State == StateListed || mem.State == StateDead {
 		return nil
 	}
-	ros.misses++
+	ros.failures++
 	ros.changes++
 	if mem.Region != ros.Self.Region {
-		ros.regions[mem.Region]++
+		ros.regionFailures[mem.Region]++
 	}
-	mem.unreachable = !ros.cut(mem.Region)
+	mem.unreachable = !ros.regionUnreachable(mem.Region)
 	vias := ros.Sample(indirectProbes, func(per Peer) bool { return per.ID != id && per.Region == mem.Region })
 	if len(vias) == 0 {
-		return ros.unreached(id, now)
+		return ros.indirectProbeFailed(id, now)
 	}
 	return []Action{IndirectProbe{mem.peer(), vias}}
 }
 
-func (ros *Roster) unreached(id string, now time.Time) []Action {
+func (ros *Roster) indirectProbeFailed(id string, now time.Time) []Action {
 	mem := ros.members[id]
-	if mem == nil || !probed(mem) {
+	if mem == nil || !isProbed(mem) {
 		return nil
 	}
 	switch {
-	case !ros.judges(mem):
+	case !ros.maySuspect(mem):
 		return nil
 	case mem.State == StateLeaving:
-		return ros.set(mem, StateDead, now)
+		return ros.setState(mem, StateDead, now)
 	case mem.State == StateAlive:
-		return ros.set(mem, StateSuspect, now)
+		return ros.setState(mem, StateSuspect, now)
 	default:
 		return nil
 	}
 }
 
-// judges reports whether this host may declare a peer suspect. Only hosts of
-// its own region may, unless too few are left there: so a cut between regions
-// does not make each side declare the other dead. A host that reaches nobody
-// has reason to doubt itself.
-func (ros *Roster) judges(mem *member) bool {
-	if ros.misses >= doubtAfter || ros.cut(mem.Region) {
+// maySuspect reports whether this host may declare a peer suspect. Only hosts of the
+// peer's region may, unless fewer than minObservers are alive there, so that a partition
+// between regions does not make each side declare the other dead. A host whose last
+// probes all failed suspects no one, since its own link is the likely cause.
+func (ros *Roster) maySuspect(mem *member) bool {
+	if ros.failures >= isolatedAfter || ros.regionUnreachable(mem.Region) {
 		return false
 	}
 	if mem.Region == ros.Self.Region {
 		return true
 	}
-	own := ros.sorted(func(oth *member) bool {
-		return oth.ID != mem.ID && oth.Region == mem.Region && oth.State == StateAlive
+	observers := ros.sortedIDs(func(other *member) bool {
+		return other.ID != mem.ID && other.Region == mem.Region && other.State == StateAlive
 	})
-	return len(own) < judges
+	return len(observers) < minObservers
 }
 
-func (ros *Roster) set(mem *member, sta State, now time.Time) []Action {
+func (ros *Roster) setState(mem *member, sta State, now time.Time) []Action {
 	was := mem.State
 	mem.State = sta
-	mem.since = now
+	mem.changedAt = now
 	ros.changes++
-	ros.broadcast(mem.ID)
+	ros.queueUpdate(mem.ID)
 	return []Action{StateChange{mem.ID, was, sta}}
 }
 
-// live reports whether a peer may be given work.
-func (ros *Roster) live(mem *member) bool {
-	return mem.State == StateAlive && !mem.listLeaving && !mem.unreachable && !ros.cut(mem.Region)
+// isLive reports whether a peer can be given work.
+func (ros *Roster) isLive(mem *member) bool {
+	return mem.State == StateAlive && !mem.listedLeaving && !mem.unreachable && !ros.regionUnreachable(mem.Region)
 }
 
-// Changes counts the changes of what Live and All return, but for the times and
-// table revisions of peers.
+// Changes returns the number of changes to what Live and All return, except for the
+// times and table revisions of peers.
 func (ros *Roster) Changes() uint64 { return ros.changes }
 
-// Live returns the peers that are alive, reachable and not leaving, by ID.
+// Live returns the peers that are alive, reachable and not leaving, ordered by ID.
 func (ros *Roster) Live() []Peer {
-	ids := ros.sorted(ros.live)
+	ids := ros.sortedIDs(ros.isLive)
 	out := make([]Peer, 0, len(ids))
 	for _, id := range ids {
 		out = append(out, ros.members[id].peer())
@@ -195,9 +197,9 @@
 	return out
 }
 
-// All returns every peer, by ID.
+// All returns every peer, ordered by ID.
 func (ros *Roster) All() []Peer {
-	ids := ros.sorted(func(*member) bool { return true })
+	ids := ros.sortedIDs(func(*member) bool { return true })
 	out := make([]Peer, 0, len(ids))
 	for _, id := range ids {
 		out = append(out, ros.members[id].peer())
@@ -205,24 +207,24 @@
 	return out
 }
 
-// Known returns this host and its peers with the addresses that they gave.
+// Known returns this host and its peers with the addresses that the peers advertise.
 func (ros *Roster) Known() []Peer {
 	out := []Peer{ros.Self}
-	for _, id := range ros.sorted(func(mem *member) bool { return mem.State != StateListed }) {
+	for _, id := range ros.sortedIDs(func(mem *member) bool { return mem.State != StateListed }) {
 		out = append(out, ros.members[id].Peer)
 	}
 	return out
 }
 
-// Sample draws up to num live peers that fit.
-func (ros *Roster) Sample(num int, fit func(Peer) bool) []Peer {
-	pers := slices.DeleteFunc(ros.Live(), func(per Peer) bool { return !fit(per) })
-	ros.Random.Shuffle(len(pers), func(one, two int) { pers[one], pers[two] = pers[two], pers[one] })
+// Sample returns up to num random live peers that match.
+func (ros *Roster) Sample(num int, match func(Peer) bool) []Peer {
+	pers := slices.DeleteFunc(ros.Live(), func(per Peer) bool { return !match(per) })
+	ros.Random.Shuffle(len(pers), func(i, j int) { pers[i], pers[j] = pers[j], pers[i] })
 	return pers[:min(num, len(pers))]
 }
 
-// Incarnation returns the newest known process of a host, and whether it is
-// not known to have ended. A host that is only out of reach counts as alive.
+// Incarnation returns the newest known incarnation of a host, and whether that
+// process is not known to have ended. An unreachable host counts as alive.
 func (ros *Roster) Incarnation(host string) (uint64, bool) {
 	if host == ros.Self.ID {
 		return ros.Self.Incarnation, true
@@ -235,7 +237,7 @@
 }
 
 // Started returns the incarnation under which the newest known process of a
-// host owns its work; 0 if none was heard of.
+// host owns its work; 0 if the host is unknown.
 func (ros *Roster) Started(host string) uint64 {
 	if host == ros.Self.ID {
 		return ros.Self.Started
--- a/process/gossiper/neighbour.go
+++ b/process/gossiper/neighbour.go
@@ -8,38 +8,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Neighbours returns the peers of the own region to which a host forwards news at
-// once. The live hosts stand in a circle, in the order of the hashes of their names,
-// and each has those at the distances 1, k, k^2 and k^3 as its neighbours, with k the
-// fourth root of their number. So every host is the neighbour of as many others as it
-// has itself, news reaches all in some 3 k steps, and connections are used again,
-// which those to random peers are not.
+// Neighbours returns the peers of its own region to which a host forwards broadcasts.
+// The live hosts form a circle in the order of the hashes of their IDs, and the
+// neighbours of a host are the hosts at the distances 1, k, k^2 and k^3, with k the
+// fourth root of the number of hosts. So each host is the neighbour of as many hosts as
+// it has neighbours, a broadcast reaches all hosts in about 3 k steps, and connections
+// are reused, which is not the case with randomly chosen peers.
 func Neighbours(self Peer, live []Peer) []Peer {
-	type place struct {
+	type position struct {
 		hash uint64
 		peer Peer
 	}
-	circle := []place{{xxhash.Sum64String(self.ID), self}}
+	circle := []position{{xxhash.Sum64String(self.ID), self}}
 	for _, per := range live {
 		if per.Region == self.Region && per.ID != self.ID {
-			circle = append(circle, place{xxhash.Sum64String(per.ID), per})
+			circle = append(circle, position{xxhash.Sum64String(per.ID), per})
 		}
 	}
-	slices.SortFunc(circle, func(one, two place) int {
-		return cmp.Or(cmp.Compare(one.hash, two.hash), cmp.Compare(one.peer.ID, two.peer.ID))
+	slices.SortFunc(circle, func(a, b position) int {
+		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.peer.ID, b.peer.ID))
 	})
-	own := slices.IndexFunc(circle, func(pla place) bool { return pla.peer.ID == self.ID })
+	selfIndex := slices.IndexFunc(circle, func(pos position) bool { return pos.peer.ID == self.ID })
 	num := len(circle)
-	// Not nil, so that an empty result can be told from one that is not known.
+	// An empty result is not nil, because a nil cache entry means that it has not been computed.
 	out := make([]Peer, 0, fanOut)
-	las := 0
-	for ind := range fanOut {
-		dis := max(las+1, int(math.Pow(float64(num), float64(ind)/fanOut)))
-		if dis >= num {
+	last := 0
+	for i := range fanOut {
+		distance := max(last+1, int(math.Pow(float64(num), float64(i)/fanOut)))
+		if distance >= num {
 			break
 		}
-		las = dis
-		out = append(out, circle[(own+dis)%num].peer)
+		last = distance
+		out = append(out, circle[(selfIndex+distance)%num].peer)
 	}
 	return out
 }
--- a/process/gossiper/peer.go
+++ b/process/gossiper/peer.go
@@ -8,10 +8,10 @@
 	"hemlockpin/connection/messenger"
 )
 
-// State is what a host holds of a peer.
+// State is the state of a peer as one host knows it.
 type State string
 
-// States of a peer. A listed peer has not been heard of yet.
+// States of a peer. A listed peer is in the platform's list but no host has reported it yet.
 const (
 	StateListed  State = "Listed"
 	StateAlive   State = "Alive"
@@ -20,7 +20,8 @@
 	StateDead    State = "Dead"
 )
 
-// rank orders the states that two hosts may hold of one process.
+// rank orders the states of one process: of two reports with the same incarnation and
+// refutation, the one with the higher rank wins.
 func (sta State) rank() int {
 	switch sta {
 	case StateAlive:
@@ -36,7 +37,7 @@
 	}
 }
 
-// Peer is one other host as this one knows it.
+// Peer is another host as this host knows it.
 type Peer struct {
 	ID         string
 	Address    string
@@ -45,9 +46,10 @@
 	// Incarnation identifies the process.
 	Incarnation uint64
 	// Started is the incarnation with which the process began. It is lower than
-	// Incarnation only after the process has outbid one that had ended.
+	// Incarnation only if the process has since raised its incarnation above that of an
+	// earlier process.
 	Started uint64
-	// Refutation counts the false suspicions that the process has refuted.
+	// Refutation is the number of false reports that the process has refuted.
 	Refutation     uint64
 	State          State
 	TablesRevision uint64
@@ -57,21 +59,21 @@
 	Heard         time.Time
 }
 
-// capableShare is the share of the most processor time of a host from which one takes
-// duties for others.
-const capableShare = 0.5
+// minCapacityShare is the least processor time of a host that may take duties for others,
+// as a share of the largest host's.
+const minCapacityShare = 0.5
 
-// WithEnoughCapacity returns the hosts with enough processor time to take duties for others. It
-// changes the slice.
+// WithEnoughCapacity returns the hosts with enough processor time to take duties for
+// others. It modifies the slice.
 func WithEnoughCapacity(pers []Peer) []Peer {
 	var most uint32
 	for _, per := range pers {
 		most = max(most, per.CapacityMilli)
 	}
-	return slices.DeleteFunc(pers, func(per Peer) bool { return float64(per.CapacityMilli) < capableShare*float64(most) })
+	return slices.DeleteFunc(pers, func(per Peer) bool { return float64(per.CapacityMilli) < minCapacityShare*float64(most) })
 }
 
-// newer reports whether per supersedes what is held as old.
+// newer reports whether per supersedes old.
 func (per Peer) newer(old Peer) bool {
 	if per.Incarnation != old.Incarnation {
 		return per.Incarnation > old.Incarnation
@@ -96,7 +98,7 @@
 	messenger.Member_STATE_DEAD:    StateDead,
 }
 
-// Member converts a peer to its message.
+// Member converts a peer to its wire message.
 func (per Peer) Member() *messenger.Member {
 	mem := &messenger.Member{
 		Id: per.ID, Address: per.Address, DataCenter: per.DataCenter, Region: per.Region,
@@ -108,8 +110,8 @@
 	return mem
 }
 
-// PeerOf converts a message. A message without an ID or with a state of a
-// later protocol gives false.
+// PeerOf converts a wire message. It returns false for a message without an ID or with a
+// state of a later protocol version.
 func PeerOf(mem *messenger.Member) (Peer, bool) {
 	sta, ok := fromWire[mem.GetState()]
 	if !ok || mem.GetId() == "" {
--- a/process/gossiper/roster.go
+++ b/process/gossiper/roster.go
@@ -9,43 +9,45 @@
 )
 
 const (
-	// crossEvery is how many probes pass between two into another region.
-	crossEvery = 4
-	// retryEvery is how many probes pass between two of a peer taken for dead.
+	// remoteProbeEvery is the number of probes of which one goes to another region.
+	remoteProbeEvery = 4
+	// retryEvery is the number of ticks between probes of dead or unreachable peers.
 	retryEvery = 5
-	// suspectBase scales the time in which a suspected host can refute.
+	// suspectBase scales the time in which a suspected host can refute; it grows with
+	// the logarithm of the number of hosts.
 	suspectBase = 2 * time.Second
-	// forgetAfter is how long a dead or leaving host is remembered.
+	// forgetAfter is how long a dead or leaving host is kept in the roster.
 	forgetAfter = 10 * time.Minute
-	// indirectProbes is the number of peers asked to probe for this host.
+	// indirectProbes is the number of peers that are asked to send an indirect probe.
 	indirectProbes = 2
-	// maxUpdates bounds the changes that one probe carries.
+	// maxUpdates bounds the number of updates in one probe.
 	maxUpdates = 8
-	// transmitFactor scales how often a change is passed on.
+	// transmitFactor scales how often an update is sent; it grows with the logarithm
+	// of the number of hosts.
 	transmitFactor = 3
-	// cutAfter is how many probes into a region must fail in a row before its
-	// hosts are left alone.
-	cutAfter = 3
-	// doubtAfter is how many probes must fail in a row before a host trusts its
-	// own judgement no more.
-	doubtAfter = 3
-	// judges is how many live hosts of a region can find its dead ones; with
-	// fewer, hosts of other regions do.
-	judges = 2
+	// unreachableAfter is the number of probes into another region that must fail in a
+	// row before all its hosts count as unreachable.
+	unreachableAfter = 3
+	// isolatedAfter is the number of probes that must fail in a row before a host
+	// assumes that its own link is at fault and suspects no peers.
+	isolatedAfter = 3
+	// minObservers is the number of live hosts of a region that suffices to detect its
+	// dead hosts; with fewer, hosts of other regions may suspect them too.
+	minObservers = 2
 )
 
-// Event is something that a host learns: Tick, Listed, Heard, Missed, Unreached
+// Event is an input of a Roster: Tick, Listed, Received, ProbeFailed, IndirectProbeFailed
 // or Leave.
 type Event interface{ event() }
 
-// Tick is the passing of one heartbeat interval.
+// Tick reports that one heartbeat interval has passed.
 type Tick struct{}
 
-// Listed reports the hosts of the platform's list, or the configured seeds.
+// Listed reports the hosts of the platform's list.
 type Listed struct{ Peers []Peer }
 
 // Received reports a message of a peer. DialAddress is the address at which this host
-// called it; it is empty when the peer was the caller.
+// called the peer; it is empty if the peer made the call.
 type Received struct {
 	From        Peer
 	DialAddress string
@@ -58,7 +60,7 @@
 // IndirectProbeFailed reports that a peer did not answer an indirect probe either.
 type IndirectProbeFailed struct{ ID string }
 
-// Leave reports that this host begins to drain.
+// Leave reports that this host starts draining.
 type Leave struct{}
 
 func (Tick) event()                {}
@@ -68,19 +70,19 @@
 func (IndirectProbeFailed) event() {}
 func (Leave) event()               {}
 
-// Action is what a host does next: Probe, ProbeVia or Note.
+// Action is an output of a Roster: Probe, IndirectProbe or StateChange.
 type Action interface{ action() }
 
 // Probe sends a probe to a peer.
 type Probe struct{ Peer Peer }
 
-// IndirectProbe asks other peers to probe one.
+// IndirectProbe asks other peers to probe a peer.
 type IndirectProbe struct {
 	Peer   Peer
 	Relays []Peer
 }
 
-// StateChange reports a change of a peer's state.
+// StateChange reports that a peer's state has changed.
 type StateChange struct {
 	ID  string
 	Old State
@@ -91,72 +93,74 @@
 func (IndirectProbe) action() {}
 func (StateChange) action()   {}
 
-// Roster decides on membership. It does no input or output and reads no clock.
+// Roster holds the membership as one host knows it and decides on events. It does
+// no I/O and reads no clock.
 type Roster struct {
 	Self Peer
-	// Random orders the probes.
+	// Random orders the probes and draws samples.
 	Random *rand.Rand
 
-	members map[string]*member
-	near    ring
-	far     ring
-	lost    ring
-	pending map[string]int
-	regions map[string]int
-	ticks   uint64
-	misses  int
-	// changes counts what has changed of the peers but for when they were heard.
+	members        map[string]*member
+	localRotation  rotation
+	remoteRotation rotation
+	retryRotation  rotation
+	pending        map[string]int
+	regionFailures map[string]int
+	ticks          uint64
+	failures       int
+	// changes is the number of changes to peers, except for their Heard times and
+	// table revisions.
 	changes uint64
 }
 
 type member struct {
 	Peer
-	// dial is the address that this host calls.
-	dial        string
-	listed      bool
-	listLeaving bool
-	unreachable bool
-	since       time.Time
+	// dialAddress is the address that this host calls.
+	dialAddress   string
+	listed        bool
+	listedLeaving bool
+	unreachable   bool
+	changedAt     time.Time
 }
 
-// ring visits a changing set of names in random order, each once a round.
-type ring struct{ names []string }
+// rotation visits a changing set of IDs in random order, each once per round.
+type rotation struct{ ids []string }
 
-func (rin *ring) next(ran *rand.Rand, fill func() []string) string {
-	if len(rin.names) == 0 {
-		rin.names = fill()
-		ran.Shuffle(len(rin.names), func(one, two int) { rin.names[one], rin.names[two] = rin.names[two], rin.names[one] })
+func (rot *rotation) next(ran *rand.Rand, fill func() []string) string {
+	if len(rot.ids) == 0 {
+		rot.ids = fill()
+		ran.Shuffle(len(rot.ids), func(i, j int) { rot.ids[i], rot.ids[j] = rot.ids[j], rot.ids[i] })
 	}
-	if len(rin.names) == 0 {
+	if len(rot.ids) == 0 {
 		return ""
 	}
-	nam := rin.names[0]
-	rin.names = rin.names[1:]
-	return nam
+	id := rot.ids[0]
+	rot.ids = rot.ids[1:]
+	return id
 }
 
-// Step decides on an event.
+// Step applies an event and returns the actions to carry out.
 func (ros *Roster) Step(eve Event, now time.Time) []Action {
 	if ros.members == nil {
 		ros.members = map[string]*member{}
 		ros.pending = map[string]int{}
-		ros.regions = map[string]int{}
+		ros.regionFailures = map[string]int{}
 	}
 	switch eve := eve.(type) {
 	case Tick:
 		return ros.tick(now)
 	case Listed:
-		ros.list(eve.Peers, now)
+		ros.updateListed(eve.Peers, now)
 		return nil
 	case Received:
-		return ros.heard(eve, now)
+		return ros.receive(eve, now)
 	case ProbeFailed:
-		return ros.missed(eve.ID, now)
+		return ros.probeFailed(eve.ID, now)
 	case IndirectProbeFailed:
-		return ros.unreached(eve.ID, now)
+		return ros.indirectProbeFailed(eve.ID, now)
 	case Leave:
 		ros.Self.State = StateLeaving
-		ros.broadcast(ros.Self.ID)
+		ros.queueUpdate(ros.Self.ID)
 		return nil
 	default:
 		return nil
@@ -166,25 +170,25 @@
 func (ros *Roster) tick(now time.Time) []Action {
 	ros.ticks++
 	acts := ros.expire(now)
-	if per, ok := ros.target(); ok {
+	if per, ok := ros.probeTarget(); ok {
 		acts = append(acts, Probe{per})
 	}
-	if per, ok := ros.retry(); ok {
+	if per, ok := ros.retryTarget(); ok {
 		acts = append(acts, Probe{per})
 	}
 	return acts
 }
 
-// expire ends suspicions and forgets hosts that are gone.
+// expire declares suspects dead after the time-out and drops old dead and leaving hosts.
 func (ros *Roster) expire(now time.Time) []Action {
 	var acts []Action
-	lim := ros.suspectTimeout()
-	for _, id := range ros.sorted(func(mem *member) bool { return mem.State != StateAlive && mem.State != StateListed }) {
+	timeout := ros.suspectTimeout()
+	for _, id := range ros.sortedIDs(func(mem *member) bool { return mem.State != StateAlive && mem.State != StateListed }) {
 		mem := ros.members[id]
-		age := now.Sub(mem.since)
+		age := now.Sub(mem.changedAt)
 		switch {
-		case mem.State == StateSuspect && age >= lim:
-			acts = append(acts, ros.set(mem, StateDead, now)...)
+		case mem.State == StateSuspect && age >= timeout:
+			acts = append(acts, ros.setState(mem, StateDead, now)...)
 		case (mem.State == StateDead || mem.State == StateLeaving) && age >= forgetAfter && !mem.listed:
 			ros.changes++
 			delete(ros.members, id)
@@ -197,34 +201,34 @@
 	return time.Duration(float64(suspectBase) * (1 + math.Log10(float64(len(ros.members)+1))))
 }
 
-// target picks the peer of the next probe: mostly one of the own region.
-func (ros *Roster) target() (Peer, bool) {
-	near := func(mem *member) bool { return mem.Region == ros.Self.Region && probed(mem) }
-	far := func(mem *member) bool { return mem.Region != ros.Self.Region && probed(mem) }
-	rins := []struct {
-		rin *ring
-		fit func(*member) bool
-	}{{&ros.near, near}, {&ros.far, far}}
-	if ros.ticks%crossEvery == 0 {
-		slices.Reverse(rins)
+// probeTarget picks the peer of the next probe, most often one of this region.
+func (ros *Roster) probeTarget() (Peer, bool) {
+	local := func(mem *member) bool { return mem.Region == ros.Self.Region && isProbed(mem) }
+	remote := func(mem *member) bool { return mem.Region != ros.Self.Region && isProbed(mem) }
+	candidates := []struct {
+		rot   *rotation
+		match func(*member) bool
+	}{{&ros.localRotation, local}, {&ros.remoteRotation, remote}}
+	if ros.ticks%remoteProbeEvery == 0 {
+		slices.Reverse(candidates)
 	}
-	for _, one := range rins {
-		if per, ok := ros.draw(one.rin, one.fit); ok {
+	for _, candidate := range candidates {
+		if per, ok := ros.nextMatching(candidate.rot, candidate.match); ok {
 			return per, true
 		}
 	}
 	return Peer{}, false
 }
 
-// probed selects the peers of the ordinary probes.
-func probed(mem *member) bool {
+// isProbed reports whether a peer takes part in the regular probes.
+func isProbed(mem *member) bool {
 	return mem.State == StateAlive || mem.State == StateSuspect || mem.State == StateLeaving
 }
 
-// retry picks a peer that is not known to be alive: listed ones at each tick,
-// dead and unreachable ones rarely, so that they come back at a bounded rate.
-func (ros *Roster) retry() (Peer, bool) {
-	return ros.draw(&ros.lost, func(mem *member) bool {
+// retryTarget picks a peer that is not known to be alive: listed peers at each tick,
+// dead and unreachable peers rarely, so that the rate of such probes is bounded.
+func (ros *Roster) retryTarget() (Peer, bool) {
+	return ros.nextMatching(&ros.retryRotation, func(mem *member) bool {
 		if mem.State == StateListed {
 			return true
 		}
@@ -232,22 +236,22 @@
 	})
 }
 
-func (ros *Roster) draw(rin *ring, fit func(*member) bool) (Peer, bool) {
-	fill := func() []string { return ros.sorted(fit) }
-	for range len(rin.names) + 1 {
-		nam := rin.next(ros.Random, fill)
-		if mem := ros.members[nam]; mem != nil && fit(mem) {
+func (ros *Roster) nextMatching(rot *rotation, match func(*member) bool) (Peer, bool) {
+	fill := func() []string { return ros.sortedIDs(match) }
+	for range len(rot.ids) + 1 {
+		id := rot.next(ros.Random, fill)
+		if mem := ros.members[id]; mem != nil && match(mem) {
 			return mem.peer(), true
 		}
 	}
 	return Peer{}, false
 }
 
-// sorted returns the names that fit, in a fixed order.
-func (ros *Roster) sorted(fit func(*member) bool) []string {
+// sortedIDs returns the IDs of the members that match, in order.
+func (ros *Roster) sortedIDs(match func(*member) bool) []string {
 	var out []string
 	for id, mem := range ros.members {
-		if fit(mem) {
+		if match(mem) {
 			out = append(out, id)
 		}
 	}
@@ -257,23 +261,23 @@
 
 func (mem *member) peer() Peer {
 	per := mem.Peer
-	if mem.dial != "" {
-		per.Address = mem.dial
+	if mem.dialAddress != "" {
+		per.Address = mem.dialAddress
 	}
 	return per
 }
 
-func (ros *Roster) list(pers []Peer, now time.Time) {
-	see := map[string]bool{}
+func (ros *Roster) updateListed(pers []Peer, now time.Time) {
+	seen := map[string]bool{}
 	for _, per := range pers {
 		if per.ID == ros.Self.ID {
 			continue
 		}
-		see[per.ID] = true
-		ros.listOne(per, now)
+		seen[per.ID] = true
+		ros.updateListedPeer(per, now)
 	}
 	for id, mem := range ros.members {
-		mem.listed = see[id]
+		mem.listed = seen[id]
 		if !mem.listed && mem.State == StateListed {
 			ros.changes++
 			delete(ros.members, id)
@@ -281,27 +285,27 @@
 	}
 }
 
-func (ros *Roster) listOne(per Peer, now time.Time) {
+func (ros *Roster) updateListedPeer(per Peer, now time.Time) {
 	mem := ros.members[per.ID]
 	if mem == nil {
 		leaving := per.State == StateLeaving
 		per.State = StateListed
 		ros.changes++
-		ros.members[per.ID] = &member{Peer: per, dial: per.Address, listed: true, listLeaving: leaving, since: now}
+		ros.members[per.ID] = &member{Peer: per, dialAddress: per.Address, listed: true, listedLeaving: leaving, changedAt: now}
 		return
 	}
 	was := *mem
-	mem.listLeaving = per.State == StateLeaving
-	if mem.State == StateListed || mem.dial == "" || mem.State == StateDead {
-		mem.dial = per.Address
+	mem.listedLeaving = per.State == StateLeaving
+	if mem.State == StateListed || mem.dialAddress == "" || mem.State == StateDead {
+		mem.dialAddress = per.Address
 	}
 	if *mem != was {
 		ros.changes++
 	}
 }
 
-// Updates returns the changes to pass on with the next message, those about
-// the peer first.
+// Updates returns the updates to send with the next message to a peer, a suspicion or
+// death of that peer first.
 func (ros *Roster) Updates(peer string) []Peer {
 	var out []Peer
 	if mem := ros.members[peer]; mem != nil && (mem.State == StateSuspect || mem.State == StateDead) {
@@ -311,11 +315,11 @@
 	for id := range ros.pending {
 		ids = append(ids, id)
 	}
-	slices.SortFunc(ids, func(one, two string) int {
-		if dif := ros.pending[two] - ros.pending[one]; dif != 0 {
-			return dif
+	slices.SortFunc(ids, func(a, b string) int {
+		if diff := ros.pending[b] - ros.pending[a]; diff != 0 {
+			return diff
 		}
-		if one < two {
+		if a < b {
 			return -1
 		}
 		return 1
@@ -331,6 +335,6 @@
 	return out
 }
 
-func (ros *Roster) broadcast(id string) {
+func (ros *Roster) queueUpdate(id string) {
 	ros.pending[id] = transmitFactor * bits.Len(uint(len(ros.members)+1))
 }
--- a/process/gossiper/roster_test.go
+++ b/process/gossiper/roster_test.go
@@ -19,14 +19,14 @@
 	subjectRef = 1
 )
 
-// The regions that the subject can be in: that of the host, another one with
-// other live hosts, another one with none, and one that can't be reached.
+// regions of the subject: the host's own, another one with other live hosts, one with
+// no other host, and one that is unreachable.
 var regions = []string{"near", "far", "thin", "cut"}
 
 var states = []string{"None", "Listed", "Alive", "Unreachable", "Suspect", "Leaving", "Dead"}
 
-// cases are the events of the matrix, in the order of the data file.
-var cases = []struct {
+// matrixEvents are the events of the matrix, in the order of the data file.
+var matrixEvents = []struct {
 	name string
 	// after is the time that passes before the event.
 	after time.Duration
@@ -34,66 +34,72 @@
 }{
 	{"Missed", 0, func(Peer) Event { return ProbeFailed{subject} }},
 	{"Unreached", 0, func(Peer) Event { return IndirectProbeFailed{subject} }},
-	{"Reached", 0, func(sub Peer) Event { return Received{From: sub.is(StateAlive), DialAddress: "proxy"} }},
-	{"Called", 0, func(sub Peer) Event { return Received{From: sub.is(StateAlive)} }},
-	{"ReachedRefuted", 0, func(sub Peer) Event { return Received{From: sub.is(StateAlive).refuted(), DialAddress: "proxy"} }},
-	{"ReachedRestarted", 0, func(sub Peer) Event { return Received{From: sub.is(StateAlive).restarted(1), DialAddress: "proxy"} }},
-	{"ReachedOlder", 0, func(sub Peer) Event { return Received{From: sub.is(StateAlive).restarted(-1), DialAddress: "direct"} }},
-	{"ReachedOlderElsewhere", 0, func(sub Peer) Event { return Received{From: sub.is(StateAlive).restarted(-1), DialAddress: "proxy"} }},
-	{"CalledOlder", 0, func(sub Peer) Event { return Received{From: sub.is(StateAlive).restarted(-1)} }},
-	{"ToldAlive", 0, func(sub Peer) Event { return told(sub.is(StateAlive)) }},
-	{"ToldSuspect", 0, func(sub Peer) Event { return told(sub.is(StateSuspect)) }},
-	{"ToldDead", 0, func(sub Peer) Event { return told(sub.is(StateDead)) }},
-	{"ToldLeaving", 0, func(sub Peer) Event { return told(sub.is(StateLeaving)) }},
-	{"ToldRefuted", 0, func(sub Peer) Event { return told(sub.is(StateAlive).refuted()) }},
-	{"ToldRestarted", 0, func(sub Peer) Event { return told(sub.is(StateAlive).restarted(1)) }},
-	{"ToldOlderDead", 0, func(sub Peer) Event { return told(sub.is(StateDead).restarted(-1)) }},
+	{"Reached", 0, func(sub Peer) Event { return Received{From: sub.withState(StateAlive), DialAddress: "proxy"} }},
+	{"Called", 0, func(sub Peer) Event { return Received{From: sub.withState(StateAlive)} }},
+	{"ReachedRefuted", 0, func(sub Peer) Event { return Received{From: sub.withState(StateAlive).refuted(), DialAddress: "proxy"} }},
+	{"ReachedRestarted", 0, func(sub Peer) Event {
+		return Received{From: sub.withState(StateAlive).restarted(1), DialAddress: "proxy"}
+	}},
+	{"ReachedOlder", 0, func(sub Peer) Event {
+		return Received{From: sub.withState(StateAlive).restarted(-1), DialAddress: "direct"}
+	}},
+	{"ReachedOlderElsewhere", 0, func(sub Peer) Event {
+		return Received{From: sub.withState(StateAlive).restarted(-1), DialAddress: "proxy"}
+	}},
+	{"CalledOlder", 0, func(sub Peer) Event { return Received{From: sub.withState(StateAlive).restarted(-1)} }},
+	{"ToldAlive", 0, func(sub Peer) Event { return reported(sub.withState(StateAlive)) }},
+	{"ToldSuspect", 0, func(sub Peer) Event { return reported(sub.withState(StateSuspect)) }},
+	{"ToldDead", 0, func(sub Peer) Event { return reported(sub.withState(StateDead)) }},
+	{"ToldLeaving", 0, func(sub Peer) Event { return reported(sub.withState(StateLeaving)) }},
+	{"ToldRefuted", 0, func(sub Peer) Event { return reported(sub.withState(StateAlive).refuted()) }},
+	{"ToldRestarted", 0, func(sub Peer) Event { return reported(sub.withState(StateAlive).restarted(1)) }},
+	{"ToldOlderDead", 0, func(sub Peer) Event { return reported(sub.withState(StateDead).restarted(-1)) }},
 	{"ListedStays", 0, func(sub Peer) Event { return Listed{[]Peer{sub}} }},
-	{"ListedLeaving", 0, func(sub Peer) Event { return Listed{[]Peer{sub.is(StateLeaving)}} }},
+	{"ListedLeaving", 0, func(sub Peer) Event { return Listed{[]Peer{sub.withState(StateLeaving)}} }},
 	{"ListedNoMore", 0, func(Peer) Event { return Listed{} }},
 	{"SuspicionTimesOut", 5 * time.Second, func(Peer) Event { return Tick{} }},
 	{"LongAfter", time.Hour, func(Peer) Event { return Tick{} }},
 }
 
-func (per Peer) is(sta State) Peer { per.State = sta; return per }
-func (per Peer) refuted() Peer     { per.Refutation++; return per }
+func (per Peer) withState(sta State) Peer { per.State = sta; return per }
+func (per Peer) refuted() Peer            { per.Refutation++; return per }
 func (per Peer) restarted(by int) Peer {
 	per.Incarnation = uint64(int(per.Incarnation) + by)
 	per.Refutation = 0
 	return per
 }
-func told(per Peer) Event { return Received{Updates: []Peer{per}} }
+func reported(per Peer) Event { return Received{Updates: []Peer{per}} }
 
-// rosterWith builds a roster that holds a subject in a state and region.
-func rosterWith(sta, reg string) (*Roster, Peer) {
+// rosterWith returns a roster that holds the subject in a state and region, and the subject.
+func rosterWith(state, region string) (*Roster, Peer) {
 	ros := &Roster{Self: Peer{ID: "self", Region: "near", State: StateAlive, Incarnation: 1}, Random: rand.New(rand.NewPCG(1, 2))}
 	for _, id := range []string{"near-1", "near-2", "far-1", "far-2"} {
 		ros.Step(Received{From: Peer{ID: id, Region: id[:len(id)-2], State: StateAlive, Incarnation: 1}, DialAddress: id}, epoch)
 	}
-	sub := Peer{ID: subject, Address: "direct", Region: reg, Incarnation: subjectInc, Refutation: subjectRef}
-	switch sta {
+	sub := Peer{ID: subject, Address: "direct", Region: region, Incarnation: subjectInc, Refutation: subjectRef}
+	switch state {
 	case "None":
 	case "Listed":
 		ros.Step(Listed{[]Peer{sub}}, epoch)
 	case "Unreachable":
-		ros.Step(told(sub.is(StateAlive)), epoch)
+		ros.Step(reported(sub.withState(StateAlive)), epoch)
 		ros.members[subject].unreachable = true
 	default:
-		ros.Step(told(sub.is(StateAlive)), epoch)
-		ros.Step(told(sub.is(State(sta))), epoch)
+		ros.Step(reported(sub.withState(StateAlive)), epoch)
+		ros.Step(reported(sub.withState(State(state))), epoch)
 	}
-	if reg == "cut" {
-		ros.regions[reg] = cutAfter
+	if region == "cut" {
+		ros.regionFailures[region] = unreachableAfter
 	}
 	return ros, sub
 }
 
-// describe prints what a roster holds of the subject, and what it does.
+// describe prints the roster's entry for the subject and the resulting actions.
 func describe(ros *Roster, acts []Action) string {
 	out := "None"
 	if mem := ros.members[subject]; mem != nil {
 		out = fmt.Sprintf("%s inc=%d ref=%d", mem.State, mem.Incarnation, mem.Refutation)
-		if ros.live(mem) {
+		if ros.isLive(mem) {
 			out += " live"
 		}
 	}
@@ -112,28 +118,28 @@
 	return out
 }
 
-// TestMembershipMatrix runs every event in every state and region. The data
-// file holds a directive for each state and region, with a line for each event.
+// TestMembershipMatrix applies every event in every state and region. The data file
+// has a directive for each state and region, with a line for each event.
 func TestMembershipMatrix(t *testing.T) {
-	see := map[string]bool{}
+	seen := map[string]bool{}
 	datadriven.RunTest(t, "testdata/membership", func(t *testing.T, dat *datadriven.TestData) string {
-		var sta, reg string
-		dat.ScanArgs(t, "state", &sta)
-		dat.ScanArgs(t, "region", &reg)
-		require.False(t, see[sta+reg], "the cell stands twice")
-		see[sta+reg] = true
+		var state, region string
+		dat.ScanArgs(t, "state", &state)
+		dat.ScanArgs(t, "region", &region)
+		require.False(t, seen[state+region], "duplicate cell")
+		seen[state+region] = true
 		var bui strings.Builder
-		for _, cas := range cases {
-			ros, sub := rosterWith(sta, reg)
+		for _, tc := range matrixEvents {
+			ros, sub := rosterWith(state, region)
 			clear(ros.pending)
-			acts := ros.Step(cas.event(sub), epoch.Add(cas.after))
-			fmt.Fprintf(&bui, "%s: %s\n", cas.name, describe(ros, acts))
+			acts := ros.Step(tc.event(sub), epoch.Add(tc.after))
+			fmt.Fprintf(&bui, "%s: %s\n", tc.name, describe(ros, acts))
 		}
 		return bui.String()
 	})
-	for _, sta := range states {
-		for _, reg := range regions {
-			require.True(t, see[sta+reg], "no cell for state %s in region %s", sta, reg)
+	for _, state := range states {
+		for _, region := range regions {
+			require.True(t, seen[state+region], "no cell for state %s in region %s", state, region)
 		}
 	}
 }
--- a/process/gossiper/tables.go
+++ b/process/gossiper/tables.go
@@ -9,7 +9,7 @@
 	"hemlockpin/connection/messenger"
 )
 
-// PullTables asks a host for the newest tables that it knows.
+// PullTables pulls the newest tables that a peer has.
 func (gos *Gossiper) PullTables(ctx context.Context, address string) {
 	for _, whole := range []bool{false, true} {
 		rep, err := gos.call(ctx, syncTimeout, address, &messenger.Envelope{Body: &messenger.Envelope_TablesPull{TablesPull: &messenger.TablesPull{
@@ -25,17 +25,18 @@
 	}
 }
 
-// pullConfirmed pulls the tables of a peer that has a newer revision, which the store held
-// as its newest at a time. While tables change all the time, a host never hears of the
-// revision that it has.
-func (gos *Gossiper) pullConfirmed(ctx context.Context, address string, revision uint64, at time.Time) {
+// pullAndConfirm pulls tables from a peer that reports a newer revision, and confirms them
+// as of the time at which the store held that revision as its newest. Without this, a host
+// would get no confirmation while the tables change continuously, since peers always report
+// a later revision than the one it has in force.
+func (gos *Gossiper) pullAndConfirm(ctx context.Context, address string, revision uint64, at time.Time) {
 	gos.PullTables(ctx, address)
 	if gos.Publisher.Current().Revision() >= revision {
 		gos.Publisher.Confirm(at)
 	}
 }
 
-// HandleTablesPull answers with what the peer lacks.
+// HandleTablesPull returns the tables if they are newer than the peer's.
 func (gos *Gossiper) HandleTablesPull(pul *messenger.TablesPull) *messenger.Envelope {
 	pus := gos.Publisher.Offer(pul.GetHaveRevision(), pul.GetWhole())
 	if pus.GetRevision() <= pul.GetHaveRevision() {
@@ -44,7 +45,7 @@
 	return &messenger.Envelope{Body: &messenger.Envelope_TablesPush{TablesPush: pus}}
 }
 
-// HandleTablesPush takes tables that a peer offers.
+// HandleTablesPush merges tables that a peer pushed.
 func (gos *Gossiper) HandleTablesPush(pus *messenger.TablesPush) *messenger.Envelope {
 	ack, err := gos.Publisher.Receive(pus)
 	if err != nil {
@@ -53,27 +54,27 @@
 	return &messenger.Envelope{Body: &messenger.Envelope_TablesAck{TablesAck: ack}}
 }
 
-// PushTables offers the tables in force to a bounded number of peers, which
-// forward them. cross adds peers of other regions. It returns how many were asked and how many have that revision
-// or a newer one in force now.
-func (gos *Gossiper) PushTables(ctx context.Context, cross bool) (asked, confirmed int) {
-	pers := gos.fan(cross)
+// PushTables offers the tables in force to a bounded number of peers, which forward
+// them. crossRegion adds peers of other regions. It returns how many peers were asked and
+// how many of them now have that revision or a newer one in force.
+func (gos *Gossiper) PushTables(ctx context.Context, crossRegion bool) (asked, confirmed int) {
+	pers := gos.broadcastTargets(crossRegion)
 	rev := gos.Publisher.Current().Revision()
-	var num atomic.Int64
+	var count atomic.Int64
 	var gro sync.WaitGroup
 	for _, per := range pers {
 		gro.Go(func() {
-			if gos.pushOne(ctx, per, rev) {
-				num.Add(1)
+			if gos.pushTablesTo(ctx, per, rev) {
+				count.Add(1)
 			}
 		})
 	}
 	gro.Wait()
-	return len(pers), int(num.Load())
+	return len(pers), int(count.Load())
 }
 
-// pushOne offers a change first, and what the peer lacks after that.
-func (gos *Gossiper) pushOne(ctx context.Context, per Peer, rev uint64) bool {
+// pushTablesTo offers the latest change first, then whatever the peer reports as missing.
+func (gos *Gossiper) pushTablesTo(ctx context.Context, per Peer, rev uint64) bool {
 	pus := gos.Publisher.Announce()
 	for range 3 {
 		rep, err := gos.call(ctx, syncTimeout, per.Address, &messenger.Envelope{Body: &messenger.Envelope_TablesPush{TablesPush: pus}})
