--- a/process/publisher/bench_test.go
+++ b/process/publisher/bench_test.go
@@ -10,35 +10,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fullTables returns 5,000 routes over 980 teams, with a mark in the first one.
+// fullTables returns 5,000 routes over 980 teams. mark is the time limit of the first route.
 func fullTables(mark int) parser.Tables {
 	tab := parser.Tables{Pools: []parser.Pool{{Name: "p", Kind: parser.PoolEngine, Selector: parser.Selector{Service: "s"}}}}
-	for ind := range 980 {
-		tab.Teams = append(tab.Teams, parser.Team{Name: fmt.Sprintf("team-%d", ind), KeyDigests: []string{parser.DigestKey(fmt.Sprint(ind))}})
+	for i := range 980 {
+		tab.Teams = append(tab.Teams, parser.Team{Name: fmt.Sprintf("team-%d", i), KeyDigests: []string{parser.DigestKey(fmt.Sprint(i))}})
 	}
-	for ind := range 5000 {
-		lim := time.Second
-		if ind == 0 {
-			lim = time.Duration(mark) * time.Second
+	for i := range 5000 {
+		limit := time.Second
+		if i == 0 {
+			limit = time.Duration(mark) * time.Second
 		}
 		tab.Routes = append(tab.Routes, parser.Route{
-			Name: fmt.Sprintf("route-%d", ind), Pool: "p", TimeLimit: parser.Duration(lim),
-			Match: parser.Match{Model: fmt.Sprintf("m-%d", ind/980), Team: fmt.Sprintf("team-%d", ind%980)},
+			Name: fmt.Sprintf("route-%d", i), Pool: "p", TimeLimit: parser.Duration(limit),
+			Match: parser.Match{Model: fmt.Sprintf("m-%d", i/980), Team: fmt.Sprintf("team-%d", i%980)},
 		})
 	}
 	return tab.Defaults()
 }
 
-// BenchmarkReceive is what a host does for an edit of one route: it takes the
-// change, or the whole document.
+// BenchmarkReceive measures how a host receives an edit of one route, as a delta and
+// as a full document.
 func BenchmarkReceive(b *testing.B) {
 	src, dst := &Publisher{}, &Publisher{}
-	one := fullTables(1).WithRevision(1, "n")
-	_, err := src.Accept(one)
+	first := fullTables(1).WithRevision(1, "n")
+	_, err := src.Accept(first)
 	require.NoError(b, err)
-	_, err = src.Accept(fullTables(2).WithEdit(one, parser.Edit{Revision: 2, Nonce: "n"}))
+	_, err = src.Accept(fullTables(2).WithEdit(first, parser.Edit{Revision: 2, Nonce: "n"}))
 	require.NoError(b, err)
-	_, err = dst.Accept(one)
+	_, err = dst.Accept(first)
 	require.NoError(b, err)
 	base := dst.current.Load()
 	for _, whole := range []bool{false, true} {
--- a/process/publisher/edit.go
+++ b/process/publisher/edit.go
@@ -7,10 +7,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// Result is how an edit ended.
+// Result is the outcome of an edit.
 type Result string
 
-// Results of an edit. NotAccepted and Raced mean that nothing was changed by it.
+// Results of an edit. NotAccepted and Raced mean that the edit changed nothing.
 const (
 	Accepted    Result = "Accepted"
 	Raced       Result = "Raced"
@@ -18,24 +18,24 @@
 	NotAccepted Result = "NotAccepted"
 )
 
-// step is what an edit waits for.
+// step is what an edit is waiting for.
 type step string
 
 const (
-	stepReading     step = "Reading"
-	stepKeeping     step = "Keeping"
-	stepWriting     step = "Writing"
-	stepReadingBack step = "ReadingBack"
-	stepSpreading   step = "Spreading"
-	stepDone        step = "Done"
+	stepReading        step = "Reading"
+	stepWritingHistory step = "Keeping"
+	stepWriting        step = "Writing"
+	stepReadingBack    step = "ReadingBack"
+	stepBroadcasting   step = "Spreading"
+	stepDone           step = "Done"
 )
 
-// EditState is what is known of one edit. It is an immutable value.
+// EditState is the state machine of one edit. It is an immutable value.
 type EditState struct {
-	// Document holds the new content; Edit identifies it.
+	// Document holds the new content; Edit identifies the edit.
 	Document parser.Tables
 	Edit     parser.Edit
-	// Known is what the host had in force when the edit began.
+	// Known holds the tables in force on this host when the edit began.
 	Known parser.Tables
 
 	step    step
@@ -43,30 +43,31 @@
 	target  parser.Tables
 }
 
-// EditEvent is a step of an edit: Begun, Read, HistoryWritten, Wrote, BroadcastDone or TimedOut.
+// EditEvent is an input of EditState: Begun, Read, HistoryWritten, Wrote, BroadcastDone
+// or TimedOut.
 type EditEvent interface{ editEvent() }
 
 // Begun starts an edit.
 type Begun struct{}
 
-// Read reports the stored tables. Version 0 stands for none.
+// Read reports the stored tables. Version 0 means that none are stored.
 type Read struct {
 	Tables  parser.Tables
 	Version uint64
 	Err     error
 }
 
-// HistoryWritten reports the write of the revision before to the history.
+// HistoryWritten reports that the previous revision was written to the history, or why not.
 type HistoryWritten struct{ Err error }
 
-// Wrote reports the conditional write of the new revision.
+// Wrote reports the result of the conditional write of the new revision.
 type Wrote struct{ Err error }
 
-// BroadcastDone reports how many peers were asked to take the new revision, and how
+// BroadcastDone reports how many peers were offered the new revision, and how
 // many have it in force.
 type BroadcastDone struct{ Asked, Confirmed int }
 
-// TimedOut reports that the time for the edit is over.
+// TimedOut reports that the time limit of the edit has passed.
 type TimedOut struct{}
 
 func (Begun) editEvent()          {}
@@ -76,7 +77,7 @@
 func (BroadcastDone) editEvent()  {}
 func (TimedOut) editEvent()       {}
 
-// EditAction is what an edit does next: ReadStore, ReadAgain, WriteHistory,
+// EditAction is an output of EditState: ReadStore, ReadAgain, WriteHistory,
 // WriteStore, BroadcastTables or Finish.
 type EditAction interface{ editAction() }
 
@@ -86,10 +87,10 @@
 // ReadAgain reads the stored tables after a pause.
 type ReadAgain struct{}
 
-// WriteHistory writes a revision to the history, unless it stands there.
+// WriteHistory writes a revision to the history, unless it is there already.
 type WriteHistory struct{ Tables parser.Tables }
 
-// WriteStore writes the tables if the object still has the version.
+// WriteStore writes the tables if the stored object still has the version.
 type WriteStore struct {
 	Tables  parser.Tables
 	Version uint64
@@ -98,13 +99,13 @@
 // BroadcastTables puts accepted tables in force and offers them to peers.
 type BroadcastTables struct{ Tables parser.Tables }
 
-// Finish ends the edit. Tables are those accepted, or those that won a race.
+// Finish ends the edit. Tables are those accepted, or those that an earlier edit put in force.
 type Finish struct {
 	Result Result
 	Tables parser.Tables
-	// InForce counts the hosts known to have the revision in force.
+	// InForce is the number of hosts known to have the revision in force.
 	InForce int
-	// Asked counts the peers that were asked to take it.
+	// Asked is the number of peers that were offered the revision.
 	Asked int
 	Err   error
 }
@@ -116,11 +117,11 @@
 func (BroadcastTables) editAction() {}
 func (Finish) editAction()          {}
 
-// Next decides on an event. An event that does not fit the step ends the edit
-// as unknown, which is always truthful.
+// Next applies an event and returns the next action. An event that is unexpected at the
+// current step ends the edit as Unknown, which claims nothing about the store.
 func (sta EditState) Next(eve EditEvent) (EditState, EditAction) {
 	if _, ok := eve.(TimedOut); ok {
-		return sta.elapsed()
+		return sta.timedOut()
 	}
 	switch sta.step {
 	case "":
@@ -132,9 +133,9 @@
 		if eve, ok := eve.(Read); ok {
 			return sta.read(eve)
 		}
-	case stepKeeping:
+	case stepWritingHistory:
 		if eve, ok := eve.(HistoryWritten); ok {
-			return sta.kept(eve)
+			return sta.historyWritten(eve)
 		}
 	case stepWriting:
 		if eve, ok := eve.(Wrote); ok {
@@ -144,7 +145,7 @@
 		if eve, ok := eve.(Read); ok {
 			return sta.readBack(eve)
 		}
-	case stepSpreading:
+	case stepBroadcasting:
 		if eve, ok := eve.(BroadcastDone); ok {
 			return sta.finish(Finish{Result: Accepted, Tables: sta.target, InForce: eve.Confirmed + 1, Asked: eve.Asked})
 		}
@@ -161,25 +162,25 @@
 	if eve.Err != nil {
 		return sta.finish(Finish{Result: NotAccepted, Err: eve.Err})
 	}
-	// A lagging answer of the store is older than what this host has in force.
-	cur := eve.Tables
-	if Adopts(cur.Revision, sta.Known.Revision) {
-		cur = sta.Known
+	// A lagging store may return tables older than those in force on this host.
+	current := eve.Tables
+	if Adopts(current.Revision, sta.Known.Revision) {
+		current = sta.Known
 	}
-	if cur.Revision >= sta.Edit.Revision {
-		return sta.finish(Finish{Result: Raced, Tables: cur})
+	if current.Revision >= sta.Edit.Revision {
+		return sta.finish(Finish{Result: Raced, Tables: current})
 	}
-	if cur.Revision+1 != sta.Edit.Revision {
-		err := eris.Errorf("EditState.read: the newest revision that can be read is %d, older than the base of the edit", cur.Revision)
-		return sta.finish(Finish{Result: NotAccepted, Tables: cur, Err: err})
+	if current.Revision+1 != sta.Edit.Revision {
+		err := eris.Errorf("EditState.read: the newest revision that can be read is %d, older than the base of the edit", current.Revision)
+		return sta.finish(Finish{Result: NotAccepted, Tables: current, Err: err})
 	}
-	sta.target = sta.Document.WithEdit(cur, sta.Edit)
+	sta.target = sta.Document.WithEdit(current, sta.Edit)
 	sta.version = eve.Version
-	if cur.Revision == 0 {
+	if current.Revision == 0 {
 		return sta.write()
 	}
-	sta.step = stepKeeping
-	return sta, WriteHistory{cur}
+	sta.step = stepWritingHistory
+	return sta, WriteHistory{current}
 }
 
 func (sta EditState) write() (EditState, EditAction) {
@@ -187,7 +188,7 @@
 	return sta, WriteStore{Tables: sta.target, Version: sta.version}
 }
 
-func (sta EditState) kept(eve HistoryWritten) (EditState, EditAction) {
+func (sta EditState) historyWritten(eve HistoryWritten) (EditState, EditAction) {
 	if eve.Err != nil {
 		return sta.finish(Finish{Result: NotAccepted, Err: eve.Err})
 	}
@@ -197,7 +198,7 @@
 func (sta EditState) wrote(eve Wrote) (EditState, EditAction) {
 	switch {
 	case eve.Err == nil:
-		sta.step = stepSpreading
+		sta.step = stepBroadcasting
 		return sta, BroadcastTables{sta.target}
 	case eris.Is(eve.Err, persister.ErrTooLarge), eris.Is(eve.Err, persister.ErrRateLimited):
 		return sta.finish(Finish{Result: NotAccepted, Err: eve.Err})
@@ -207,38 +208,38 @@
 	}
 }
 
-// readBack finds out whether the write took effect.
+// readBack determines whether the write took effect.
 func (sta EditState) readBack(eve Read) (EditState, EditAction) {
 	if eve.Err != nil {
 		return sta, ReadAgain{}
 	}
-	inc, kno := eve.Tables.Includes(sta.target.Revision, sta.Edit.Nonce)
+	included, known := eve.Tables.Includes(sta.target.Revision, sta.Edit.Nonce)
 	switch {
-	case inc:
-		sta.step = stepSpreading
+	case included:
+		sta.step = stepBroadcasting
 		sta.target = eve.Tables
 		return sta, BroadcastTables{eve.Tables}
 	case eve.Tables.Revision+1 == sta.target.Revision:
-		// The write may still be on its way. A second one is harmless: it has the
-		// same nonce, and only one of them can meet the version.
+		// The write may still be in transit. Repeating it is safe: both writes have the
+		// same nonce, and only one of them can match the version.
 		sta.version = eve.Version
 		return sta.write()
 	case eve.Tables.Revision < sta.target.Revision:
 		return sta, ReadAgain{}
-	case kno:
+	case known:
 		return sta.finish(Finish{Result: Raced, Tables: eve.Tables})
 	default:
 		return sta.finish(Finish{Result: Unknown, Tables: eve.Tables})
 	}
 }
 
-func (sta EditState) elapsed() (EditState, EditAction) {
+func (sta EditState) timedOut() (EditState, EditAction) {
 	switch sta.step {
 	case stepWriting, stepReadingBack:
 		return sta.finish(Finish{Result: Unknown})
-	case stepSpreading:
+	case stepBroadcasting:
 		return sta.finish(Finish{Result: Accepted, Tables: sta.target, InForce: 1})
 	default:
-		return sta.finish(Finish{Result: NotAccepted, Err: eris.New("EditState.elapsed: no answer of the store in time")})
+		return sta.finish(Finish{Result: NotAccepted, Err: eris.New("EditState.timedOut: store did not answer in time")})
 	}
 }
--- a/process/publisher/edit_test.go
+++ b/process/publisher/edit_test.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	base = 7
-	mine = "mine"
+	base     = 7
+	ownNonce = "mine"
 )
 
-// at returns the tables of a revision whose edits have the given nonces, the
+// tablesAt returns the tables of a revision whose edits have the given nonces,
 // oldest first.
-func at(revision uint64, nonces ...string) parser.Tables {
+func tablesAt(revision uint64, nonces ...string) parser.Tables {
 	var tab parser.Tables
-	for ind, non := range nonces {
-		rev := revision - uint64(len(nonces)-1-ind)
-		tab = tab.WithEdit(tab, parser.Edit{Revision: rev, Nonce: non})
+	for i, nonce := range nonces {
+		rev := revision - uint64(len(nonces)-1-i)
+		tab = tab.WithEdit(tab, parser.Edit{Revision: rev, Nonce: nonce})
 	}
 	return tab
 }
@@ -35,14 +35,14 @@
 	event EditEvent
 }{
 	{"Begun", Begun{}},
-	{"ReadBase", Read{Tables: at(base, "old"), Version: 70}},
-	{"ReadLagging", Read{Tables: at(base-1, "older"), Version: 60}},
+	{"ReadBase", Read{Tables: tablesAt(base, "old"), Version: 70}},
+	{"ReadLagging", Read{Tables: tablesAt(base-1, "older"), Version: 60}},
 	{"ReadNone", Read{}},
-	{"ReadOthers", Read{Tables: at(base+1, "old", "theirs"), Version: 80}},
-	{"ReadMine", Read{Tables: at(base+1, "old", mine), Version: 80}},
-	{"ReadMineBelow", Read{Tables: at(base+3, "old", mine, "b", "c"), Version: 90}},
-	{"ReadOthersBelow", Read{Tables: at(base+3, "old", "a", "b", "c"), Version: 90}},
-	{"ReadMuchLater", Read{Tables: at(base+50, "x", "y"), Version: 99}},
+	{"ReadOthers", Read{Tables: tablesAt(base+1, "old", "theirs"), Version: 80}},
+	{"ReadMine", Read{Tables: tablesAt(base+1, "old", ownNonce), Version: 80}},
+	{"ReadMineBelow", Read{Tables: tablesAt(base+3, "old", ownNonce, "b", "c"), Version: 90}},
+	{"ReadOthersBelow", Read{Tables: tablesAt(base+3, "old", "a", "b", "c"), Version: 90}},
+	{"ReadMuchLater", Read{Tables: tablesAt(base+50, "x", "y"), Version: 99}},
 	{"ReadFailed", Read{Err: persister.ErrUnavailable}},
 	{"Kept", HistoryWritten{}},
 	{"KeepFailed", HistoryWritten{Err: persister.ErrUnavailable}},
@@ -61,10 +61,10 @@
 var editSteps = map[string][]EditEvent{
 	"New":         nil,
 	"Reading":     {Begun{}},
-	"Keeping":     {Begun{}, Read{Tables: at(base, "old"), Version: 70}},
-	"Writing":     {Begun{}, Read{Tables: at(base, "old"), Version: 70}, HistoryWritten{}},
-	"ReadingBack": {Begun{}, Read{Tables: at(base, "old"), Version: 70}, HistoryWritten{}, Wrote{Err: persister.ErrConflict}},
-	"Spreading":   {Begun{}, Read{Tables: at(base, "old"), Version: 70}, HistoryWritten{}, Wrote{}},
+	"Keeping":     {Begun{}, Read{Tables: tablesAt(base, "old"), Version: 70}},
+	"Writing":     {Begun{}, Read{Tables: tablesAt(base, "old"), Version: 70}, HistoryWritten{}},
+	"ReadingBack": {Begun{}, Read{Tables: tablesAt(base, "old"), Version: 70}, HistoryWritten{}, Wrote{Err: persister.ErrConflict}},
+	"Spreading":   {Begun{}, Read{Tables: tablesAt(base, "old"), Version: 70}, HistoryWritten{}, Wrote{}},
 }
 
 func describeAction(act EditAction) string {
@@ -86,33 +86,33 @@
 	}
 }
 
-// TestEditMatrix runs every event at every step of an edit. The data file holds
-// a directive for each step and for what the host had in force.
+// TestEditMatrix applies every event at every step of an edit. The data file has
+// a directive for each step and each state of the tables in force on the host.
 func TestEditMatrix(t *testing.T) {
 	knowns := map[string]parser.Tables{
-		"nothing": {}, "older": at(base-1, "older"), "base": at(base, "old"), "newer": at(base+1, "old", "theirs"),
+		"nothing": {}, "older": tablesAt(base-1, "older"), "base": tablesAt(base, "old"), "newer": tablesAt(base+1, "old", "theirs"),
 	}
-	see := map[string]bool{}
+	seen := map[string]bool{}
 	datadriven.RunTest(t, "testdata/edit", func(t *testing.T, dat *datadriven.TestData) string {
-		var ste, kno string
-		dat.ScanArgs(t, "step", &ste)
-		dat.ScanArgs(t, "known", &kno)
-		require.False(t, see[ste+kno], "the cell stands twice")
-		see[ste+kno] = true
+		var step, known string
+		dat.ScanArgs(t, "step", &step)
+		dat.ScanArgs(t, "known", &known)
+		require.False(t, seen[step+known], "duplicate cell")
+		seen[step+known] = true
 		var bui strings.Builder
-		for _, one := range editEvents {
-			sta := EditState{Edit: parser.Edit{Revision: base + 1, Nonce: mine}, Known: knowns[kno]}
-			for _, eve := range editSteps[ste] {
+		for _, tc := range editEvents {
+			sta := EditState{Edit: parser.Edit{Revision: base + 1, Nonce: ownNonce}, Known: knowns[known]}
+			for _, eve := range editSteps[step] {
 				sta, _ = sta.Next(eve)
 			}
-			_, act := sta.Next(one.event)
-			fmt.Fprintf(&bui, "%s: %s\n", one.name, describeAction(act))
+			_, act := sta.Next(tc.event)
+			fmt.Fprintf(&bui, "%s: %s\n", tc.name, describeAction(act))
 		}
 		return bui.String()
 	})
-	for ste := range editSteps {
-		for kno := range knowns {
-			require.True(t, see[ste+kno] || (kno == "newer" && len(editSteps[ste]) > 1), "no cell for step %s, known %s", ste, kno)
+	for step := range editSteps {
+		for known := range knowns {
+			require.True(t, seen[step+known] || (known == "newer" && len(editSteps[step]) > 1), "no cell for step %s, known %s", step, known)
 		}
 	}
 }
--- a/process/publisher/editor.go
+++ b/process/publisher/editor.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// editTimeout bounds an edit up to the end of its reading back.
+	// editTimeout bounds an edit including the read that checks its write.
 	editTimeout = 5 * time.Second
-	// stepTimeout bounds one call of the store, so that time is left to read back.
-	stepTimeout   = 1500 * time.Millisecond
-	spreadTimeout = 2 * time.Second
-	readBackPause = 100 * time.Millisecond
-	pruneTimeout  = 2 * time.Second
+	// storeCallTimeout bounds one call of the store, so that time is left for that read.
+	storeCallTimeout = 1500 * time.Millisecond
+	broadcastTimeout = 2 * time.Second
+	readBackPause    = 100 * time.Millisecond
+	pruneTimeout     = 2 * time.Second
 )
 
 // Errors of an edit.
 var (
 	// ErrRaced means that another edit was accepted first.
-	ErrRaced = eris.New("publisher: the tables have another revision")
-	// ErrUnknown means that it could not be found out whether the edit was accepted.
-	ErrUnknown = eris.New("publisher: it is unknown whether the edit was accepted")
+	ErrRaced = eris.New("publisher: another edit was accepted first")
+	// ErrUnknown means that the publisher could not determine whether the edit was accepted.
+	ErrUnknown = eris.New("publisher: cannot determine whether the edit was accepted")
 )
 
-// Edit replaces the tables if their revision is still base. The error of an
-// edit that changed nothing is neither nil nor ErrUnknown.
+// Edit replaces the tables if their revision is still base. An edit that changed
+// nothing returns an error other than ErrUnknown.
 func (pub *Publisher) Edit(ctx context.Context, tab parser.Tables, base uint64, now time.Time) (Finish, error) {
-	// The operator going away must not leave an accepted edit unspread.
+	// An accepted edit must reach the peers even if the operator disconnects.
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), editTimeout)
 	defer stop()
 	sta := EditState{
@@ -45,7 +45,7 @@
 		if fin, ok := act.(Finish); ok {
 			return fin, fin.failure(base)
 		}
-		sta, act = sta.Next(pub.carryOut(ctx, act))
+		sta, act = sta.Next(pub.perform(ctx, act))
 	}
 }
 
@@ -62,39 +62,39 @@
 	}
 }
 
-func (pub *Publisher) carryOut(ctx context.Context, act EditAction) EditEvent {
+func (pub *Publisher) perform(ctx context.Context, act EditAction) EditEvent {
 	switch act := act.(type) {
 	case ReadAgain:
 		return pub.readAgain(ctx)
 	case WriteHistory:
-		one, stop := context.WithTimeout(ctx, stepTimeout)
+		writeCtx, stop := context.WithTimeout(ctx, storeCallTimeout)
 		defer stop()
-		return ended(ctx, HistoryWritten{pub.keep(one, act.Tables)})
+		return orTimedOut(ctx, HistoryWritten{pub.writeHistory(writeCtx, act.Tables)})
 	case WriteStore:
-		return ended(ctx, Wrote{pub.write(ctx, act)})
+		return orTimedOut(ctx, Wrote{pub.write(ctx, act)})
 	case BroadcastTables:
-		return pub.spread(ctx, act.Tables)
+		return pub.broadcast(ctx, act.Tables)
 	default:
-		return ended(ctx, pub.read(ctx))
+		return orTimedOut(ctx, pub.read(ctx))
 	}
 }
 
-// ended replaces a failure that is due to the end of the time.
-func ended(ctx context.Context, eve EditEvent) EditEvent {
+// orTimedOut returns TimedOut in place of a failure after the context has ended.
+func orTimedOut(ctx context.Context, eve EditEvent) EditEvent {
 	if ctx.Err() == nil {
 		return eve
 	}
-	switch one := eve.(type) {
+	switch failed := eve.(type) {
 	case Read:
-		if one.Err == nil {
+		if failed.Err == nil {
 			return eve
 		}
 	case HistoryWritten:
-		if one.Err == nil {
+		if failed.Err == nil {
 			return eve
 		}
 	case Wrote:
-		if one.Err == nil {
+		if failed.Err == nil {
 			return eve
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 func (pub *Publisher) read(ctx context.Context) Read {
-	ctx, stop := context.WithTimeout(ctx, stepTimeout)
+	ctx, stop := context.WithTimeout(ctx, storeCallTimeout)
 	defer stop()
 	obj, err := pub.Store.Get(ctx, TablesPath)
 	if eris.Is(err, persister.ErrNotFound) {
@@ -120,7 +120,7 @@
 	case <-ctx.Done():
 		return TimedOut{}
 	case <-time.After(readBackPause):
-		return ended(ctx, pub.read(ctx))
+		return orTimedOut(ctx, pub.read(ctx))
 	}
 }
 
@@ -132,24 +132,24 @@
 	if len(doc) > parser.MaxDocumentBytes {
 		return eris.Wrapf(persister.ErrTooLarge, "Publisher.write: document has %d bytes", len(doc))
 	}
-	ctx, stop := context.WithTimeout(ctx, stepTimeout)
+	ctx, stop := context.WithTimeout(ctx, storeCallTimeout)
 	defer stop()
-	ver, err := pub.Store.Put(ctx, persister.Object{Path: TablesPath, Version: act.Version, Value: doc})
+	version, err := pub.Store.Put(ctx, persister.Object{Path: TablesPath, Version: act.Version, Value: doc})
 	if err == nil {
-		pub.see(stored{ver, act.Tables.Revision})
+		pub.recordVersion(stored{version, act.Tables.Revision})
 	}
 	return err
 }
 
-func (pub *Publisher) spread(ctx context.Context, tab parser.Tables) EditEvent {
+func (pub *Publisher) broadcast(ctx context.Context, tab parser.Tables) EditEvent {
 	_, _ = pub.Accept(tab)
 	pub.ConfirmRevision(tab.Revision, time.Now())
 	go pub.prune(tab.Revision)
 	if pub.Broadcast == nil {
 		return BroadcastDone{}
 	}
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), spreadTimeout)
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), broadcastTimeout)
 	defer stop()
-	ask, con := pub.Broadcast(ctx)
-	return BroadcastDone{Asked: ask, Confirmed: con}
+	asked, confirmed := pub.Broadcast(ctx)
+	return BroadcastDone{Asked: asked, Confirmed: confirmed}
 }
--- a/process/publisher/editor_test.go
+++ b/process/publisher/editor_test.go
@@ -18,11 +18,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// storeSteps are the calls of the store that an edit makes. ReadBack stands for
-// the first read after the write.
+// storeSteps are the store calls of an edit. ReadBack is the first read after the
+// write.
 var storeSteps = []string{"Read", "Keep", "Write", "ReadBack"}
 
-// stepOf tells the calls of an edit apart.
+// stepOf returns the step to which a store call of an edit belongs.
 func stepOf(call string, wrote *bool) string {
 	switch {
 	case call == "Write "+TablesPath:
@@ -39,8 +39,8 @@
 	}
 }
 
-// runEdit runs one edit under faults, each of which strikes once, and tells how
-// it ended and whether it was in fact accepted.
+// runEdit runs one edit in which each fault of the plan occurs once. It returns the
+// result and whether the store holds the edit.
 func runEdit(t *testing.T, plan map[string]fault) string {
 	var out string
 	synctest.Test(t, func(t *testing.T) {
@@ -51,81 +51,81 @@
 			require.NoError(t, err)
 		}
 		left := map[string]fault{}
-		for ste, fau := range plan {
-			left[ste] = fau
+		for step, fau := range plan {
+			left[step] = fau
 		}
 		wrote := false
 		sto.choose = func(call string) fault {
-			ste := stepOf(call, &wrote)
-			fau, ok := left[ste]
+			step := stepOf(call, &wrote)
+			fau, ok := left[step]
 			if !ok {
 				return faultNone
 			}
-			delete(left, ste)
+			delete(left, step)
 			return fau
 		}
-		beg := time.Now()
+		start := time.Now()
 		fin, err := pub.Edit(t.Context(), parser.Tables{Pools: []parser.Pool{{Name: "mine", Kind: parser.PoolEngine, Selector: parser.Selector{Service: "x"}}}}, 2, time.Now())
-		require.LessOrEqual(t, time.Since(beg), editTimeout+stepTimeout, "the operator gets an answer in time")
+		require.LessOrEqual(t, time.Since(start), editTimeout+storeCallTimeout, "the operator gets an answer in time")
 		require.Equal(t, fin.Result == Accepted, err == nil)
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		sto.mu.Lock()
-		acc := slices.ContainsFunc(sto.log, func(edi parser.Edit) bool { return edi.Nonce != "foreign" && edi.Revision == 3 })
+		accepted := slices.ContainsFunc(sto.log, func(edi parser.Edit) bool { return edi.Nonce != "foreign" && edi.Revision == 3 })
 		revs := sto.log
 		sto.mu.Unlock()
-		for ind, edi := range revs {
-			require.Equal(t, uint64(ind+1), edi.Revision)
+		for i, edi := range revs {
+			require.Equal(t, uint64(i+1), edi.Revision)
 		}
 		switch fin.Result {
 		case Accepted:
-			require.True(t, acc, "accepted must stand in the store")
+			require.True(t, accepted, "an accepted edit must be in the store")
 		case Raced, NotAccepted:
-			require.False(t, acc, "an edit that changed nothing must not stand in the store")
+			require.False(t, accepted, "an edit that changed nothing must not be in the store")
 		}
-		out = fmt.Sprintf("%s, stored %t", fin.Result, acc)
+		out = fmt.Sprintf("%s, stored %t", fin.Result, accepted)
 	})
 	return out
 }
 
 // TestEditFaults runs an edit under every fault at every step, and under every
-// pair of them. The data file holds a directive for each first fault.
+// pair of faults. The data file has a directive for each first fault.
 func TestEditFaults(t *testing.T) {
-	see := map[string]bool{}
+	seen := map[string]bool{}
 	datadriven.RunTest(t, "testdata/faults", func(t *testing.T, dat *datadriven.TestData) string {
-		var ste, fau string
-		dat.ScanArgs(t, "step", &ste)
+		var step, fau string
+		dat.ScanArgs(t, "step", &step)
 		dat.ScanArgs(t, "fault", &fau)
-		see[ste+fau] = true
+		seen[step+fau] = true
 		var bui strings.Builder
-		fmt.Fprintf(&bui, "alone: %s\n", runEdit(t, map[string]fault{ste: fault(fau)}))
-		for _, lat := range storeSteps[slices.Index(storeSteps, ste)+1:] {
-			for _, two := range faults {
-				fmt.Fprintf(&bui, "%s %s: %s\n", lat, two, runEdit(t, map[string]fault{ste: fault(fau), lat: two}))
+		fmt.Fprintf(&bui, "alone: %s\n", runEdit(t, map[string]fault{step: fault(fau)}))
+		for _, later := range storeSteps[slices.Index(storeSteps, step)+1:] {
+			for _, second := range faults {
+				fmt.Fprintf(&bui, "%s %s: %s\n", later, second, runEdit(t, map[string]fault{step: fault(fau), later: second}))
 			}
 		}
 		return bui.String()
 	})
-	for _, ste := range storeSteps {
+	for _, step := range storeSteps {
 		for _, fau := range faults {
-			require.True(t, see[ste+string(fau)], "no cell for %s at %s", fau, ste)
+			require.True(t, seen[step+string(fau)], "no cell for %s at %s", fau, step)
 		}
 	}
 }
 
 type editInput struct{ base uint64 }
 
-// register is the tables as a compare-and-set register of revisions. An edit of
-// unknown result may or may not have taken effect.
+// register models the tables as a compare-and-set register of revisions. An edit with
+// an unknown result may or may not have taken effect.
 var register = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
-	Step: func(sta, inp, out any) []any {
-		rev, inn, res := sta.(uint64), inp.(editInput), out.(Result)
-		same := rev == inn.base
+	Step: func(state, input, output any) []any {
+		rev, edit, res := state.(uint64), input.(editInput), output.(Result)
+		same := rev == edit.base
 		switch {
 		case res == Accepted && same:
 			return []any{rev + 1}
-		case res == Raced && rev > inn.base, res == NotAccepted:
+		case res == Raced && rev > edit.base, res == NotAccepted:
 			return []any{rev}
 		case res == Unknown && same:
 			return []any{rev, rev + 1}
@@ -135,22 +135,22 @@
 			return nil
 		}
 	},
-	Equal: func(one, two any) bool { return one == two },
+	Equal: func(a, b any) bool { return a == b },
 }
 
-// TestEditHistories lets operators race over several hosts under random faults,
-// and checks that the history is one of a compare-and-set register.
+// TestEditHistories lets operators race on several hosts under random faults and
+// checks that the history is linearizable as that of a compare-and-set register.
 func TestEditHistories(t *testing.T) {
-	for see := range uint64(60) {
-		t.Run(fmt.Sprintf("seed %d", see), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { raceOperators(t, see) }) })
+	for seed := range uint64(60) {
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { raceOperators(t, seed) }) })
 	}
 }
 
-func raceOperators(t *testing.T, see uint64) {
+func raceOperators(t *testing.T, seed uint64) {
 	const hosts, edits = 3, 8
 	var mu sync.Mutex
-	ran := rand.New(rand.NewPCG(see, 1))
-	sto := &fakeStore{delay: randomDelay(rand.New(rand.NewPCG(see, 2)))}
+	ran := rand.New(rand.NewPCG(seed, 1))
+	sto := &fakeStore{delay: randomDelay(rand.New(rand.NewPCG(seed, 2)))}
 	sto.choose = func(call string) fault {
 		mu.Lock()
 		defer mu.Unlock()
@@ -158,38 +158,38 @@
 			return faultNone
 		}
 		fau := faults[ran.IntN(len(faults))]
-		if fau == faultOutage || fau == faultForeign || fau == faultOnTop {
-			return faultRefuse
+		if fau == faultOutage || fau == faultForeignBefore || fau == faultForeignAfter {
+			return faultRefused
 		}
 		return fau
 	}
 	var ops []porcupine.Operation
 	var gro sync.WaitGroup
-	beg := time.Now()
-	for hos := range hosts {
+	start := time.Now()
+	for host := range hosts {
 		gro.Go(func() {
 			pub := &Publisher{Store: sto}
 			last := uint64(0)
 			for range edits {
-				ctx, stop := context.WithTimeout(context.Background(), stepTimeout)
+				ctx, stop := context.WithTimeout(context.Background(), storeCallTimeout)
 				_ = pub.Refresh(ctx, time.Now())
 				stop()
-				bas := pub.Current().Revision()
-				require.GreaterOrEqual(t, bas, last, "a host never goes back")
-				last = bas
-				cal := time.Since(beg)
-				fin, _ := pub.Edit(context.Background(), parser.Tables{}, bas, time.Now())
-				ret := time.Since(beg)
+				base := pub.Current().Revision()
+				require.GreaterOrEqual(t, base, last, "a host never goes back")
+				last = base
+				called := time.Since(start)
+				fin, _ := pub.Edit(context.Background(), parser.Tables{}, base, time.Now())
+				returned := time.Since(start)
 				if fin.Result == Unknown {
-					ret = time.Hour
+					returned = time.Hour
 				}
 				mu.Lock()
-				ops = append(ops, porcupine.Operation{ClientId: hos, Input: editInput{base: bas}, Call: int64(cal), Output: fin.Result, Return: int64(ret)})
+				ops = append(ops, porcupine.Operation{ClientId: host, Input: editInput{base: base}, Call: int64(called), Output: fin.Result, Return: int64(returned)})
 				mu.Unlock()
 			}
 		})
 	}
 	gro.Wait()
-	mod := register.ToModel()
-	require.True(t, porcupine.CheckOperations(mod, ops), "seed %d: %+v", see, ops)
+	model := register.ToModel()
+	require.True(t, porcupine.CheckOperations(model, ops), "seed %d: %+v", seed, ops)
 }
--- a/process/publisher/publisher.go
+++ b/process/publisher/publisher.go
@@ -1,9 +1,9 @@
 // Package publisher holds the tables in force on a host, accepts edits through
-// the platform's store and keeps the tables the same on all hosts.
+// the platform's store and keeps the tables identical on all hosts.
 //
-// A few hosts of each region watch the store. The others learn of a revision
-// from peers, as a change against the revision before it where that is
-// possible. A host only ever adopts a higher revision.
+// A few hosts of each region watch the store. The other hosts receive a new revision
+// from peers, as a delta against the previous revision where possible. A host only
+// adopts higher revisions.
 package publisher
 
 import (
@@ -21,15 +21,15 @@
 )
 
 const (
-	// TablesPath is the object that holds the tables.
+	// TablesPath is the path of the object that holds the tables.
 	TablesPath = "tables/current"
 	// historyPath is the prefix of the objects that hold past revisions.
 	historyPath = "tables/history/"
-	// HistoryLength is the number of past revisions that are kept.
+	// HistoryLength is the number of past revisions that are stored.
 	HistoryLength = 1000
 )
 
-// Store is the part of the platform that the publisher needs.
+// Store is the part of the platform's store that the publisher needs.
 type Store interface {
 	Get(ctx context.Context, path string) (persister.Object, error)
 	Put(ctx context.Context, obj persister.Object) (uint64, error)
@@ -41,31 +41,31 @@
 type Publisher struct {
 	Store Store
 	// Broadcast offers the tables in force to peers and returns how many were
-	// asked and how many have that revision in force now; nil for no peers.
+	// asked and how many now have that revision in force; nil for no peers.
 	Broadcast func(ctx context.Context) (asked, confirmed int)
-	// OnAccept is called after a revision came into force that this host read
-	// from the store, or that a peer offered; nil for nobody.
+	// OnAccept is called after a revision that this host read from the store, or
+	// that a peer offered, came into force; nil for none.
 	OnAccept func(fromStore bool)
 
 	current atomic.Pointer[version]
-	// confirmed keeps the monotonic clock's reading, so that a step of the wall
-	// clock makes no tables look fresh or old.
+	// confirmed includes the monotonic clock reading, so that a step of the wall
+	// clock does not change the age of the tables.
 	confirmed atomic.Pointer[time.Time]
 
 	mu   sync.Mutex
 	seen stored
 }
 
-// stored is the newest version of the object that was read or written, and the
-// revision that it holds.
+// stored is the newest version of the object that this host read or wrote, and the
+// revision of that version.
 type stored struct{ version, revision uint64 }
 
-// version is one revision in force with the forms in which peers take it.
+// version is a revision in force, with the encoded forms that are sent to peers.
 type version struct {
-	mat      *matcher.Matcher
+	matcher  *matcher.Matcher
 	document []byte
 	checksum uint64
-	// deltas lead to this revision step by step, the oldest first.
+	// deltas lead to this revision step by step, oldest first.
 	deltas []differ.Delta
 
 	once       sync.Once
@@ -75,13 +75,13 @@
 // Current returns the tables in force. It is never nil.
 func (pub *Publisher) Current() *matcher.Matcher {
 	if ver := pub.current.Load(); ver != nil {
-		return ver.mat
+		return ver.matcher
 	}
 	return matcher.New(parser.Tables{})
 }
 
-// Confirmed returns the last time at which the store, as far as this host knows
-// directly or through peers, held no newer revision.
+// Confirmed returns the last time at which the store held no newer revision, as far
+// as this host knows directly or through peers.
 func (pub *Publisher) Confirmed() time.Time {
 	if at := pub.confirmed.Load(); at != nil {
 		return *at
@@ -89,12 +89,12 @@
 	return time.Time{}
 }
 
-// Freshness returns the revision in force and how long ago it was confirmed.
+// Freshness returns the revision in force and the time since it was confirmed.
 func (pub *Publisher) Freshness(now time.Time) (revision uint64, age time.Duration) {
 	return pub.Current().Revision(), max(0, now.Sub(pub.Confirmed()))
 }
 
-// Confirm notes that the store was seen to hold no newer revision.
+// Confirm records that the store held no newer revision at the time now.
 func (pub *Publisher) Confirm(now time.Time) {
 	for {
 		old := pub.confirmed.Load()
@@ -104,18 +104,18 @@
 	}
 }
 
-// ConfirmRevision notes that the store held a revision at a time. It counts only if
-// that revision is in force here.
+// ConfirmRevision records that the store held a revision at a time. It has an effect
+// only if that revision is in force on this host.
 func (pub *Publisher) ConfirmRevision(revision uint64, at time.Time) {
 	if revision == pub.Current().Revision() {
 		pub.Confirm(at)
 	}
 }
 
-// Adopts reports whether a host with one revision in force takes another.
+// Adopts reports whether a host that has one revision in force adopts the offered one.
 func Adopts(have, offered uint64) bool { return offered > have }
 
-// Accept puts tables in force if their revision is newer. It never goes back.
+// Accept puts tables in force if their revision is higher. It reports whether it did.
 func (pub *Publisher) Accept(tab parser.Tables) (bool, error) {
 	doc, err := tab.Encode()
 	if err != nil {
@@ -124,16 +124,16 @@
 	return pub.accept(tab, doc, differ.Delta{}), nil
 }
 
-// accept puts tables in force. del, if it is not zero, is the verified change that
-// leads to them from a revision.
+// accept puts tables in force. del, if not zero, is the verified delta that leads to
+// them from its base revision.
 func (pub *Publisher) accept(tab parser.Tables, doc []byte, del differ.Delta) bool {
-	ver := &version{mat: matcher.New(tab), document: doc, checksum: differ.Checksum(doc)}
+	ver := &version{matcher: matcher.New(tab), document: doc, checksum: differ.Checksum(doc)}
 	for {
 		old := pub.current.Load()
-		if old != nil && !Adopts(old.mat.Revision(), tab.Revision) {
+		if old != nil && !Adopts(old.matcher.Revision(), tab.Revision) {
 			return false
 		}
-		if old != nil && del.Revision == tab.Revision && del.BaseRevision == old.mat.Revision() {
+		if old != nil && del.Revision == tab.Revision && del.BaseRevision == old.matcher.Revision() {
 			ver.deltas = appendDelta(old.deltas, del)
 		} else {
 			ver.deltas = deltasTo(old, ver)
@@ -144,13 +144,13 @@
 	}
 }
 
-func (pub *Publisher) announce(fromStore bool) {
+func (pub *Publisher) notifyAccepted(fromStore bool) {
 	if pub.OnAccept != nil {
 		pub.OnAccept(fromStore)
 	}
 }
 
-// Refresh reads the store.
+// Refresh reads the tables from the store and adopts them if they are newer.
 func (pub *Publisher) Refresh(ctx context.Context, now time.Time) error {
 	obj, err := pub.Store.Get(ctx, TablesPath)
 	if eris.Is(err, persister.ErrNotFound) {
@@ -160,25 +160,25 @@
 	if err != nil {
 		return err
 	}
-	return pub.take(obj, now)
+	return pub.adopt(obj, now)
 }
 
-// take adopts the tables of a stored object. An object older than what is in
-// force is a lagging answer and confirms nothing.
-func (pub *Publisher) take(obj persister.Object, now time.Time) error {
+// adopt adopts the tables of a stored object. An object older than the tables in
+// force comes from a lagging store and confirms nothing.
+func (pub *Publisher) adopt(obj persister.Object, now time.Time) error {
 	tab, err := parser.Parse(obj.Value)
 	if err != nil {
-		return eris.Wrapf(err, "Publisher.take: object %s version %d", obj.Path, obj.Version)
+		return eris.Wrapf(err, "Publisher.adopt: object %s version %d", obj.Path, obj.Version)
 	}
-	pub.see(stored{obj.Version, tab.Revision})
+	pub.recordVersion(stored{obj.Version, tab.Revision})
 	if pub.accept(tab, obj.Value, differ.Delta{}) {
-		defer pub.announce(true)
+		defer pub.notifyAccepted(true)
 	}
 	pub.ConfirmRevision(tab.Revision, now)
 	return nil
 }
 
-func (pub *Publisher) see(sto stored) {
+func (pub *Publisher) recordVersion(sto stored) {
 	pub.mu.Lock()
 	defer pub.mu.Unlock()
 	if sto.version > pub.seen.version {
--- a/process/publisher/refresher.go
+++ b/process/publisher/refresher.go
@@ -15,73 +15,73 @@
 	// WatchersPerRegion is the number of hosts of a region that watch the store.
 	WatchersPerRegion = 2
 
-	watchWait    = 2 * time.Second
-	watchGrace   = 2 * time.Second
-	dutyInterval = 500 * time.Millisecond
-	// pollInterval is the mean time between the reads of a host that does not
-	// watch.
-	pollInterval    = 40 * time.Second
-	firstInterval   = time.Second
-	retryFirst      = 200 * time.Millisecond
-	retryMax        = 2 * time.Second
-	refreshDeadline = 2 * time.Second
+	watchWait            = 2 * time.Second
+	watchGrace           = 2 * time.Second
+	watcherCheckInterval = 500 * time.Millisecond
+	// pollInterval is the mean time between the reads of a host that does not watch
+	// the store.
+	pollInterval        = 40 * time.Second
+	initialPollInterval = time.Second
+	retryInitial        = 200 * time.Millisecond
+	retryMax            = 2 * time.Second
+	refreshTimeout      = 2 * time.Second
 )
 
 // Watches reports whether a host is one of the num hosts of its region that
-// watch the store. hosts are the live ones of the region, with or without self.
+// watch the store. hosts are the live hosts of the region, with or without self.
 func Watches(self string, hosts []string, num int) bool {
-	all := append(slices.DeleteFunc(slices.Clone(hosts), func(hos string) bool { return hos == self }), self)
+	all := append(slices.DeleteFunc(slices.Clone(hosts), func(host string) bool { return host == self }), self)
 	return slices.Contains(Watchers(all, num), len(all)-1)
 }
 
-// Watchers returns the places of the num hosts that watch the store, of those that
-// could.
+// Watchers returns the indices of the num hosts that watch the store, chosen from hosts
+// by rendezvous hashing.
 func Watchers(hosts []string, num int) []int {
-	type place struct {
+	type ranked struct {
 		score uint64
 		index int
 	}
-	var fir []place
-	for ind, hos := range hosts {
-		one := place{xxhash.Sum64String(TablesPath + "\x00" + hos), ind}
-		at, _ := slices.BinarySearchFunc(fir, one, func(old, new place) int {
+	var best []ranked
+	for i, host := range hosts {
+		candidate := ranked{xxhash.Sum64String(TablesPath + "\x00" + host), i}
+		at, _ := slices.BinarySearchFunc(best, candidate, func(old, new ranked) int {
 			return cmp.Or(cmp.Compare(new.score, old.score), cmp.Compare(hosts[old.index], hosts[new.index]))
 		})
 		if at < num {
-			fir = slices.Insert(fir, at, one)[:min(num, len(fir)+1)]
+			best = slices.Insert(best, at, candidate)[:min(num, len(best)+1)]
 		}
 	}
-	out := make([]int, 0, len(fir))
-	for _, one := range fir {
-		out = append(out, one.index)
+	out := make([]int, 0, len(best))
+	for _, candidate := range best {
+		out = append(out, candidate.index)
 	}
 	return out
 }
 
-// Refresher keeps a publisher up to date with the store.
+// Refresher keeps a publisher's tables up to date with the store.
 type Refresher struct {
 	Publisher *Publisher
 	Self      string
 	// Region returns the IDs of the live hosts of the region.
 	Region func() []string
-	// OnError is told of each read of the store that failed; nil for nobody.
+	// OnError is called for each failed read of the store; nil for none.
 	OnError func(error)
 }
 
 // Run reads the store until ctx ends.
 func (ref *Refresher) Run(ctx context.Context) {
-	bac := &backoff.ExponentialBackOff{InitialInterval: retryFirst, MaxInterval: retryMax, Multiplier: 2, RandomizationFactor: 0.5}
+	bac := &backoff.ExponentialBackOff{InitialInterval: retryInitial, MaxInterval: retryMax, Multiplier: 2, RandomizationFactor: 0.5}
 	bac.Reset()
 	for ctx.Err() == nil {
-		wat := ref.Watches()
-		err := ref.read(ctx, wat)
+		watching := ref.Watches()
+		err := ref.read(ctx, watching)
 		switch {
 		case err != nil:
 			if ref.OnError != nil && ctx.Err() == nil {
 				ref.OnError(err)
 			}
-			ref.pause(ctx, bac.NextBackOff(), wat)
-		case !wat:
+			ref.pause(ctx, bac.NextBackOff(), watching)
+		case !watching:
 			bac.Reset()
 			ref.pause(ctx, ref.pollWait(), false)
 		default:
@@ -90,66 +90,66 @@
 	}
 }
 
-// Watches reports whether this host has the duty to watch the store now.
+// Watches reports whether this host is currently one of its region's watchers.
 func (ref *Refresher) Watches() bool {
 	return Watches(ref.Self, slices.Clone(ref.Region()), WatchersPerRegion)
 }
 
 func (ref *Refresher) pollWait() time.Duration {
 	if ref.Publisher.Current().Revision() == 0 {
-		return firstInterval
+		return initialPollInterval
 	}
 	return pollInterval/2 + rand.N(pollInterval)
 }
 
-// pause waits, but no longer than until the host gets the duty to watch.
-func (ref *Refresher) pause(ctx context.Context, dur time.Duration, watched bool) {
-	end := time.Now().Add(dur)
-	for time.Now().Before(end) {
+// pause waits, but returns early if the host becomes a watcher.
+func (ref *Refresher) pause(ctx context.Context, wait time.Duration, watching bool) {
+	deadline := time.Now().Add(wait)
+	for time.Now().Before(deadline) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(min(dutyInterval, time.Until(end))):
+		case <-time.After(min(watcherCheckInterval, time.Until(deadline))):
 		}
-		if !watched && ref.Watches() {
+		if !watching && ref.Watches() {
 			return
 		}
 	}
 }
 
-func (ref *Refresher) read(ctx context.Context, wat bool) error {
+func (ref *Refresher) read(ctx context.Context, watching bool) error {
 	pub := ref.Publisher
 	wait := time.Duration(0)
-	if wat {
+	if watching {
 		wait = watchWait
 	}
 	if pub.lastSeen().version == 0 {
-		one, stop := context.WithTimeout(ctx, refreshDeadline)
+		readCtx, stop := context.WithTimeout(ctx, refreshTimeout)
 		defer stop()
-		err := pub.Refresh(one, time.Now())
-		if err != nil || pub.lastSeen().version > 0 || !wat {
+		err := pub.Refresh(readCtx, time.Now())
+		if err != nil || pub.lastSeen().version > 0 || !watching {
 			return err
 		}
 	}
 	return ref.watch(ctx, wait)
 }
 
-// watch waits for a version of the object after the last one seen.
+// watch waits for a newer version of the object than the last recorded one.
 func (ref *Refresher) watch(ctx context.Context, wait time.Duration) error {
 	pub := ref.Publisher
-	one, stop := context.WithTimeout(ctx, wait+watchGrace)
+	watchCtx, stop := context.WithTimeout(ctx, wait+watchGrace)
 	defer stop()
-	beg := time.Now()
-	see := pub.lastSeen()
-	objs, err := pub.Store.Watch(one, TablesPath, see.version, wait)
+	start := time.Now()
+	seen := pub.lastSeen()
+	objs, err := pub.Store.Watch(watchCtx, TablesPath, seen.version, wait)
 	if err != nil {
 		return err
 	}
 	for _, obj := range objs {
 		if obj.Path == TablesPath {
-			return pub.take(obj, time.Now())
+			return pub.adopt(obj, time.Now())
 		}
 	}
-	pub.ConfirmRevision(see.revision, beg)
+	pub.ConfirmRevision(seen.revision, start)
 	return nil
 }
--- a/process/publisher/spread.go
+++ b/process/publisher/spread.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// keptDeltas is the number of steps back for which a host can build a delta.
+	// keptDeltas is the number of past revisions from which a host can build a delta.
 	keptDeltas = 16
-	// maxDeltaBytes bounds a delta; a larger change travels as a whole document.
+	// maxDeltaBytes bounds a delta; a larger change is sent as a full document.
 	maxDeltaBytes = 32 << 10
 )
 
-// deltasTo continues the steps that lead to the revision in force. A step whose
-// result would differ from the document is left out, with those before it.
+// deltasTo returns the deltas that lead to ver: those of old and the one from old to
+// ver. If applying that one does not reproduce the document, no deltas are kept.
 func deltasTo(old, ver *version) []differ.Delta {
 	if old == nil {
 		return nil
 	}
-	bas := old.mat.Tables()
-	del := differ.Diff(bas, ver.mat.Tables())
-	nex, err := del.Apply(bas)
+	base := old.matcher.Tables()
+	del := differ.Diff(base, ver.matcher.Tables())
+	next, err := del.Apply(base)
 	if err != nil {
 		return nil
 	}
-	doc, err := nex.Encode()
+	doc, err := next.Encode()
 	if err != nil || differ.Checksum(doc) != ver.checksum {
 		return nil
 	}
@@ -44,14 +44,14 @@
 	return out[max(0, len(out)-keptDeltas):]
 }
 
-// Offer builds the message that brings a peer with the revision have to the
-// tables in force: a delta if one is known and whole is not asked for.
+// Offer returns the message that brings a peer from the revision have to the
+// tables in force: a delta if one is available and whole is false, else the document.
 func (pub *Publisher) Offer(have uint64, whole bool) *messenger.TablesPush {
 	ver := pub.current.Load()
 	if ver == nil {
 		return &messenger.TablesPush{}
 	}
-	pus := &messenger.TablesPush{Revision: ver.mat.Revision(), Checksum: ver.checksum}
+	pus := &messenger.TablesPush{Revision: ver.matcher.Revision(), Checksum: ver.checksum}
 	if !whole {
 		if buf, ok := ver.deltaFrom(have); ok {
 			pus.Delta = buf
@@ -59,38 +59,38 @@
 			return pus
 		}
 	}
-	pus.Document = ver.whole()
+	pus.Document = ver.compressedDocument()
 	pus.Compressed = true
 	return pus
 }
 
-// Announce builds the message for peers that are likely to have the revision
-// before the one in force. It carries a delta, or else only the revision.
+// Announce returns the message for peers that are likely to have the revision
+// before the one in force. It contains a delta if one is available, else only the revision.
 func (pub *Publisher) Announce() *messenger.TablesPush {
 	ver := pub.current.Load()
 	if ver == nil {
 		return &messenger.TablesPush{}
 	}
-	pus := &messenger.TablesPush{Revision: ver.mat.Revision(), Checksum: ver.checksum}
+	pus := &messenger.TablesPush{Revision: ver.matcher.Revision(), Checksum: ver.checksum}
 	if len(ver.deltas) == 0 {
 		return pus
 	}
-	bas := ver.deltas[len(ver.deltas)-1].BaseRevision
-	if buf, ok := ver.deltaFrom(bas); ok {
+	base := ver.deltas[len(ver.deltas)-1].BaseRevision
+	if buf, ok := ver.deltaFrom(base); ok {
 		pus.Delta = buf
-		pus.BaseRevision = bas
+		pus.BaseRevision = base
 	}
 	return pus
 }
 
-// deltaFrom joins the steps from a revision.
+// deltaFrom returns the joined delta from a revision, if it is available and not too large.
 func (ver *version) deltaFrom(have uint64) ([]byte, bool) {
-	for ind, del := range ver.deltas {
+	for i, del := range ver.deltas {
 		if del.BaseRevision != have {
 			continue
 		}
-		for _, nex := range ver.deltas[ind+1:] {
-			del = del.Then(nex)
+		for _, next := range ver.deltas[i+1:] {
+			del = del.Then(next)
 		}
 		buf, err := del.Encode()
 		return buf, err == nil && len(buf) <= maxDeltaBytes
@@ -98,18 +98,18 @@
 	return nil, false
 }
 
-func (ver *version) whole() []byte {
+func (ver *version) compressedDocument() []byte {
 	ver.once.Do(func() {
 		var buf bytes.Buffer
-		wri, _ := flate.NewWriter(&buf, flate.BestSpeed)
-		_, _ = wri.Write(ver.document)
-		_ = wri.Close()
+		writer, _ := flate.NewWriter(&buf, flate.BestSpeed)
+		_, _ = writer.Write(ver.document)
+		_ = writer.Close()
 		ver.compressed = buf.Bytes()
 	})
 	return ver.compressed
 }
 
-// Receive takes a revision that a peer offers and says what is in force then.
+// Receive adopts a revision that a peer offers and returns the revision then in force.
 func (pub *Publisher) Receive(pus *messenger.TablesPush) (*messenger.TablesAck, error) {
 	have := pub.Current().Revision()
 	if !Adopts(have, pus.GetRevision()) {
@@ -118,10 +118,10 @@
 	switch {
 	case len(pus.GetDelta()) > 0 && pus.GetBaseRevision() == have:
 		if err := pub.receiveDelta(pus); err != nil {
-			return &messenger.TablesAck{Revision: have, WantWhole: true}, nil //nolint:nilerr // The whole document is the remedy.
+			return &messenger.TablesAck{Revision: have, WantWhole: true}, nil //nolint:nilerr // The peer sends the full document instead.
 		}
 	case len(pus.GetDocument()) > 0:
-		if err := pub.receiveWhole(pus); err != nil {
+		if err := pub.receiveDocument(pus); err != nil {
 			return nil, err
 		}
 	}
@@ -145,32 +145,32 @@
 		return eris.Wrapf(differ.ErrMismatch, "Publisher.receiveDelta: revision %d", pus.GetRevision())
 	}
 	if pub.accept(tab, doc, del) {
-		pub.announce(false)
+		pub.notifyAccepted(false)
 	}
 	return nil
 }
 
-func (pub *Publisher) receiveWhole(pus *messenger.TablesPush) error {
+func (pub *Publisher) receiveDocument(pus *messenger.TablesPush) error {
 	doc := pus.GetDocument()
 	if pus.GetCompressed() {
 		var err error
-		rea := flate.NewReader(bytes.NewReader(doc))
-		if doc, err = io.ReadAll(io.LimitReader(rea, parser.MaxDocumentBytes+1)); err != nil {
-			return eris.Wrap(err, "Publisher.receiveWhole: expand")
+		reader := flate.NewReader(bytes.NewReader(doc))
+		if doc, err = io.ReadAll(io.LimitReader(reader, parser.MaxDocumentBytes+1)); err != nil {
+			return eris.Wrap(err, "Publisher.receiveDocument: decompress")
 		}
 	}
 	if differ.Checksum(doc) != pus.GetChecksum() {
-		return eris.Wrapf(differ.ErrMismatch, "Publisher.receiveWhole: revision %d", pus.GetRevision())
+		return eris.Wrapf(differ.ErrMismatch, "Publisher.receiveDocument: revision %d", pus.GetRevision())
 	}
 	tab, err := parser.Decode(doc)
 	if err != nil {
-		return eris.Wrap(err, "Publisher.receiveWhole")
+		return eris.Wrap(err, "Publisher.receiveDocument")
 	}
 	if tab.Revision != pus.GetRevision() {
-		return eris.Wrapf(differ.ErrMismatch, "Publisher.receiveWhole: document has revision %d, offer %d", tab.Revision, pus.GetRevision())
+		return eris.Wrapf(differ.ErrMismatch, "Publisher.receiveDocument: document has revision %d, offer %d", tab.Revision, pus.GetRevision())
 	}
 	if pub.accept(tab, doc, differ.Delta{}) {
-		pub.announce(false)
+		pub.notifyAccepted(false)
 	}
 	return nil
 }
--- a/process/publisher/spread_test.go
+++ b/process/publisher/spread_test.go
@@ -28,37 +28,37 @@
 	os.Exit(m.Run())
 }
 
-// limited is a route with a time limit in seconds.
-type limited struct{ name, limit int }
+// routeLimit is a route's number and its time limit in seconds.
+type routeLimit struct{ route, limit int }
 
-// routesTables returns tables with the routes given.
-func routesTables(lims ...limited) parser.Tables {
+// routesTables returns tables with the given routes.
+func routesTables(lims ...routeLimit) parser.Tables {
 	tab := parser.Tables{Pools: []parser.Pool{{Name: "pool", Kind: parser.PoolEngine, Selector: parser.Selector{Service: "s"}}}}
 	for _, lim := range lims {
 		tab.Routes = append(tab.Routes, parser.Route{
-			Name: fmt.Sprintf("route-%d", lim.name), Match: parser.Match{Model: fmt.Sprintf("model-%d", lim.name)}, Pool: "pool",
+			Name: fmt.Sprintf("route-%d", lim.route), Match: parser.Match{Model: fmt.Sprintf("model-%d", lim.route)}, Pool: "pool",
 			TimeLimit: parser.Duration(time.Duration(lim.limit) * time.Second),
 		})
 	}
 	return tab.Defaults()
 }
 
-// change gives a route a limit; 0 removes it, and a new one goes to the end.
-func change(lims []limited, one limited) []limited {
+// change sets the limit of a route; 0 removes the route, and a new route is appended.
+func change(lims []routeLimit, update routeLimit) []routeLimit {
 	out := slices.Clone(lims)
-	ind := slices.IndexFunc(out, func(lim limited) bool { return lim.name == one.name })
+	i := slices.IndexFunc(out, func(lim routeLimit) bool { return lim.route == update.route })
 	switch {
-	case one.limit == 0:
-		return slices.DeleteFunc(out, func(lim limited) bool { return lim.name == one.name })
-	case ind < 0:
-		return append(out, one)
+	case update.limit == 0:
+		return slices.DeleteFunc(out, func(lim routeLimit) bool { return lim.route == update.route })
+	case i < 0:
+		return append(out, update)
 	default:
-		out[ind] = one
+		out[i] = update
 		return out
 	}
 }
 
-// exchange lets a host pull until it has what the other has.
+// exchange sends offers to a host until it has the revision of the other host.
 func exchange(t require.TestingT, from, to *Publisher) {
 	whole := false
 	for range 3 {
@@ -72,58 +72,58 @@
 	require.Fail(t, "the peer did not catch up")
 }
 
-// Offers may be lost, doubled, late or damaged: no host goes back or takes a
-// document that was never accepted, and each catches up by asking.
-func TestSpreadHistories(t *testing.T) {
+// Offers may be lost, duplicated, delayed or corrupted: no host may go back or adopt a
+// document that was never accepted, and each must catch up by pulling.
+func TestExchangeHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		pubs := []*Publisher{{}, {}, {}}
 		docs := map[uint64]string{}
-		var lims []limited
-		var cur parser.Tables
-		var flight []*messenger.TablesPush
+		var lims []routeLimit
+		var current parser.Tables
+		var inFlight []*messenger.TablesPush
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			one := rapid.IntRange(0, 2).Draw(rt, "host")
-			before := pubs[one].Current().Revision()
+			host := rapid.IntRange(0, 2).Draw(rt, "host")
+			before := pubs[host].Current().Revision()
 			switch rapid.SampledFrom([]string{"edit", "edit", "announce", "offer", "deliver", "deliver", "damage", "restart"}).Draw(rt, "step") {
 			case "edit":
-				lims = change(lims, limited{rapid.IntRange(0, 5).Draw(rt, "route"), rapid.IntRange(0, 2).Draw(rt, "limit")})
-				cur = routesTables(lims...).WithEdit(cur, parser.Edit{Revision: cur.Revision + 1, Nonce: "n"})
-				doc, _ := cur.Encode()
-				docs[cur.Revision] = string(doc)
-				_, err := pubs[one].Accept(cur)
+				lims = change(lims, routeLimit{rapid.IntRange(0, 5).Draw(rt, "route"), rapid.IntRange(0, 2).Draw(rt, "limit")})
+				current = routesTables(lims...).WithEdit(current, parser.Edit{Revision: current.Revision + 1, Nonce: "n"})
+				doc, _ := current.Encode()
+				docs[current.Revision] = string(doc)
+				_, err := pubs[host].Accept(current)
 				require.NoError(rt, err)
 			case "announce":
-				flight = append(flight, pubs[one].Announce())
+				inFlight = append(inFlight, pubs[host].Announce())
 			case "offer":
-				flight = append(flight, pubs[one].Offer(uint64(rapid.IntRange(0, 20).Draw(rt, "have")), false))
+				inFlight = append(inFlight, pubs[host].Offer(uint64(rapid.IntRange(0, 20).Draw(rt, "have")), false))
 			case "deliver":
-				if len(flight) > 0 {
-					_, _ = pubs[one].Receive(flight[rapid.IntRange(0, len(flight)-1).Draw(rt, "message")])
+				if len(inFlight) > 0 {
+					_, _ = pubs[host].Receive(inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(rt, "message")])
 				}
 			case "damage":
-				if len(flight) > 0 {
-					mes := proto.CloneOf(flight[rapid.IntRange(0, len(flight)-1).Draw(rt, "message")])
-					mes.Revision += uint64(rapid.IntRange(0, 2).Draw(rt, "ahead"))
-					for _, buf := range [][]byte{mes.Delta, mes.Document} {
+				if len(inFlight) > 0 {
+					msg := proto.CloneOf(inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(rt, "message")])
+					msg.Revision += uint64(rapid.IntRange(0, 2).Draw(rt, "ahead"))
+					for _, buf := range [][]byte{msg.Delta, msg.Document} {
 						if len(buf) > 0 {
 							buf[rapid.IntRange(0, len(buf)-1).Draw(rt, "byte")] ^= byte(rapid.IntRange(0, 255).Draw(rt, "flip"))
 						}
 					}
-					_, _ = pubs[one].Receive(mes)
+					_, _ = pubs[host].Receive(msg)
 				}
 			case "restart":
-				pubs[one] = &Publisher{}
+				pubs[host] = &Publisher{}
 				before = 0
 			}
-			require.GreaterOrEqual(rt, pubs[one].Current().Revision(), before)
-			if tab := pubs[one].Current().Tables(); tab.Revision > 0 {
+			require.GreaterOrEqual(rt, pubs[host].Current().Revision(), before)
+			if tab := pubs[host].Current().Tables(); tab.Revision > 0 {
 				doc, _ := tab.Encode()
 				require.Equal(rt, docs[tab.Revision], string(doc))
 			}
 		}
-		for _, fro := range pubs {
+		for _, from := range pubs {
 			for _, to := range pubs {
-				exchange(rt, fro, to)
+				exchange(rt, from, to)
 			}
 		}
 		require.Equal(rt, pubs[0].Current().Tables(), pubs[1].Current().Tables())
@@ -132,71 +132,71 @@
 }
 
 func TestOfferIsSmall(t *testing.T) {
-	lims := []limited{{0, 1}, {1, 1}, {2, 1}, {3, 1}}
-	one, two := &Publisher{}, &Publisher{}
+	lims := []routeLimit{{0, 1}, {1, 1}, {2, 1}, {3, 1}}
+	from, to := &Publisher{}, &Publisher{}
 	tab := routesTables(lims...).WithRevision(1, "a")
-	for _, pub := range []*Publisher{one, two} {
+	for _, pub := range []*Publisher{from, to} {
 		_, err := pub.Accept(tab)
 		require.NoError(t, err)
 	}
 	for rev := uint64(2); rev <= 5; rev++ {
-		lims = change(lims, limited{0, int(rev)})
+		lims = change(lims, routeLimit{0, int(rev)})
 		tab = routesTables(lims...).WithEdit(tab, parser.Edit{Revision: rev, Nonce: "n"})
-		_, err := one.Accept(tab)
+		_, err := from.Accept(tab)
 		require.NoError(t, err)
 	}
-	pus := one.Offer(1, false)
+	pus := from.Offer(1, false)
 	require.NotEmpty(t, pus.GetDelta())
 	require.Empty(t, pus.GetDocument())
-	ack, err := two.Receive(pus)
+	ack, err := to.Receive(pus)
 	require.NoError(t, err)
 	require.Equal(t, uint64(5), ack.GetRevision())
-	require.Equal(t, one.Current().Tables(), two.Current().Tables())
+	require.Equal(t, from.Current().Tables(), to.Current().Tables())
 }
 
-// Two changes joined may lead to another order of routes than one by one. The
-// peer finds that by the checksum and asks for the whole document.
-func TestDeltaThatDoesNotLeadThere(t *testing.T) {
-	one, two := &Publisher{}, &Publisher{}
-	for rev, lims := range [][]limited{{{0, 1}, {1, 1}}, {{1, 1}}, {{1, 1}, {0, 1}}} {
+// Two joined deltas may give another order of routes than applying them one by one. The
+// peer must detect this by the checksum and request the full document.
+func TestJoinedDeltaWithOtherRouteOrder(t *testing.T) {
+	from, to := &Publisher{}, &Publisher{}
+	for rev, lims := range [][]routeLimit{{{0, 1}, {1, 1}}, {{1, 1}}, {{1, 1}, {0, 1}}} {
 		tab := routesTables(lims...).WithRevision(uint64(rev+1), "n")
-		_, err := one.Accept(tab)
+		_, err := from.Accept(tab)
 		require.NoError(t, err)
 		if rev == 0 {
-			_, err = two.Accept(tab)
+			_, err = to.Accept(tab)
 			require.NoError(t, err)
 		}
 	}
-	pus := one.Offer(1, false)
+	pus := from.Offer(1, false)
 	require.NotEmpty(t, pus.GetDelta())
-	ack, err := two.Receive(pus)
+	ack, err := to.Receive(pus)
 	require.NoError(t, err)
 	require.True(t, ack.GetWantWhole())
-	exchange(t, one, two)
-	require.Equal(t, one.Current().Tables(), two.Current().Tables())
+	exchange(t, from, to)
+	require.Equal(t, from.Current().Tables(), to.Current().Tables())
 }
 
-// region is a set of hosts that refresh their tables from one store.
-type region struct {
+// regionHosts is a set of hosts of a region that refresh their tables from one store.
+type regionHosts struct {
 	mu    sync.Mutex
 	calls int
 	pubs  map[string]*Publisher
 	stops map[string]context.CancelFunc
 }
 
-func (reg *region) ids() []string {
+func (reg *regionHosts) ids() []string {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	return slices.Collect(maps.Keys(reg.pubs))
 }
 
-func (reg *region) count() int {
+func (reg *regionHosts) storeCalls() int {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	return reg.calls
 }
 
-func (reg *region) start(ctx context.Context, sto *fakeStore, id string) {
+func (reg *regionHosts) start(ctx context.Context, sto *fakeStore, id string) {
 	ctx, stop := context.WithCancel(ctx)
 	pub := &Publisher{Store: sto}
 	reg.mu.Lock()
@@ -206,8 +206,8 @@
 	go (&Refresher{Publisher: pub, Self: id, Region: reg.ids}).Run(ctx)
 }
 
-// watchers returns the hosts with the duty to watch, and stops them if asked.
-func (reg *region) watchers() map[string]*Publisher {
+// watchers returns the hosts that watch the store.
+func (reg *regionHosts) watchers() map[string]*Publisher {
 	out := map[string]*Publisher{}
 	ids := reg.ids()
 	for _, id := range ids {
@@ -218,19 +218,19 @@
 	return out
 }
 
-func (reg *region) stop(id string) {
+func (reg *regionHosts) stop(id string) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	reg.stops[id]()
 	delete(reg.pubs, id)
 }
 
-// Few hosts of a region watch the store, and others follow when those are gone.
+// Few hosts of a region may watch the store, and other hosts must take over when they stop.
 func TestWatchersAreFew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hosts = 40
 		ctx, stop := context.WithCancel(t.Context())
-		reg := &region{pubs: map[string]*Publisher{}, stops: map[string]context.CancelFunc{}}
+		reg := &regionHosts{pubs: map[string]*Publisher{}, stops: map[string]context.CancelFunc{}}
 		sto := &fakeStore{choose: func(string) fault {
 			reg.mu.Lock()
 			defer reg.mu.Unlock()
@@ -238,31 +238,31 @@
 			return faultNone
 		}}
 		editor := &Publisher{Store: sto}
-		for ind := range hosts {
-			reg.start(ctx, sto, fmt.Sprintf("host-%d", ind))
+		for i := range hosts {
+			reg.start(ctx, sto, fmt.Sprintf("host-%d", i))
 		}
 		for rev := range uint64(4) {
 			_, err := editor.Edit(ctx, parser.Tables{}, rev, time.Now())
 			require.NoError(t, err)
-			time.Sleep(2 * firstInterval)
-			wats := reg.watchers()
-			require.Len(t, wats, WatchersPerRegion)
-			for id, pub := range wats {
+			time.Sleep(2 * initialPollInterval)
+			watchers := reg.watchers()
+			require.Len(t, watchers, WatchersPerRegion)
+			for id, pub := range watchers {
 				require.Equal(t, rev+1, pub.Current().Revision())
 				reg.stop(id)
 			}
-			time.Sleep(2 * dutyInterval)
+			time.Sleep(2 * watcherCheckInterval)
 		}
-		before := reg.count()
+		before := reg.storeCalls()
 		time.Sleep(10 * time.Minute)
-		perSecond := float64(reg.count()-before) / (10 * time.Minute).Seconds()
+		perSecond := float64(reg.storeCalls()-before) / (10 * time.Minute).Seconds()
 		require.Less(t, perSecond, WatchersPerRegion/watchWait.Seconds()+2*hosts/pollInterval.Seconds())
 		stop()
 		time.Sleep(watchWait)
 	})
 }
 
-// A lagging answer of the store changes and confirms nothing.
+// A stale answer of the store must neither change nor confirm the tables.
 func TestLaggingStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sto := &fakeStore{}
@@ -287,7 +287,7 @@
 		sto := &fakeStore{}
 		pub := &Publisher{Store: sto}
 		for rev := range uint64(HistoryLength + 5) {
-			_, err := pub.Edit(t.Context(), routesTables(limited{0, int(rev) + 1}), rev, time.Now())
+			_, err := pub.Edit(t.Context(), routesTables(routeLimit{0, int(rev) + 1}), rev, time.Now())
 			require.NoError(t, err)
 		}
 		synctest.Wait()
--- a/process/publisher/store_test.go
+++ b/process/publisher/store_test.go
@@ -13,38 +13,38 @@
 	"github.com/rotisserie/eris"
 )
 
-// fault is what happens to one call of the store.
+// fault is what a test injects into one call of the store.
 type fault string
 
 const (
-	faultNone    fault = "none"
-	faultRefuse  fault = "refuse"  // not applied, answered
-	faultLose    fault = "lose"    // applied, answer lost
-	faultLate    fault = "late"    // answer lost, applied a second later
-	faultOutage  fault = "outage"  // this and all later calls are refused
-	faultHang    fault = "hang"    // not applied, never answered
-	faultSwallow fault = "swallow" // applied, never answered
-	faultForeign fault = "foreign" // another edit is accepted before
-	faultOnTop   fault = "ontop"   // another edit is accepted right after
-	faultLagging fault = "lagging" // a read shows the version before
+	faultNone          fault = "none"
+	faultRefused       fault = "refuse"  // not applied, answered with an error
+	faultAnswerLost    fault = "lose"    // applied, answer lost
+	faultAppliedLate   fault = "late"    // answer lost, applied a second later
+	faultOutage        fault = "outage"  // this and all later calls are refused
+	faultHang          fault = "hang"    // not applied, never answered
+	faultNoAnswer      fault = "swallow" // applied, never answered
+	faultForeignBefore fault = "foreign" // another edit is accepted first
+	faultForeignAfter  fault = "ontop"   // another edit is accepted right after
+	faultLagging       fault = "lagging" // a read returns the previous version
 )
 
-var faults = []fault{faultRefuse, faultLose, faultLate, faultOutage, faultHang, faultSwallow, faultForeign, faultOnTop, faultLagging}
+var faults = []fault{faultRefused, faultAnswerLost, faultAppliedLate, faultOutage, faultHang, faultNoAnswer, faultForeignBefore, faultForeignAfter, faultLagging}
 
 var errLost = eris.New("connection lost")
 
-// fakeStore is the platform's store with faults that a test chooses.
+// fakeStore is a store in memory with faults that a test chooses.
 type fakeStore struct {
-	// choose returns the fault of a call; step names the call.
+	// choose returns the fault of a call; step is the call's name.
 	choose func(step string) fault
 	delay  func() time.Duration
 
-	mu      sync.Mutex
-	version uint64
-	objects map[string]persister.Object
-	before  persister.Object
-	log     []parser.Edit
-	out     bool
+	mu       sync.Mutex
+	version  uint64
+	objects  map[string]persister.Object
+	previous persister.Object
+	log      []parser.Edit
+	down     bool
 }
 
 func (sto *fakeStore) begin(step string) fault {
@@ -57,21 +57,21 @@
 	}
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
-	sto.out = sto.out || fau == faultOutage
-	if sto.out {
-		return faultRefuse
+	sto.down = sto.down || fau == faultOutage
+	if sto.down {
+		return faultRefused
 	}
-	if fau == faultForeign {
-		sto.foreign()
+	if fau == faultForeignBefore {
+		sto.acceptForeign()
 	}
 	return fau
 }
 
-// foreign accepts an edit of another operator.
-func (sto *fakeStore) foreign() {
-	cur, _ := parser.Parse(sto.objects[TablesPath].Value)
-	nex := cur.WithEdit(cur, parser.Edit{Revision: cur.Revision + 1, Nonce: "foreign"})
-	doc, _ := nex.Encode()
+// acceptForeign accepts an edit of another operator.
+func (sto *fakeStore) acceptForeign() {
+	current, _ := parser.Parse(sto.objects[TablesPath].Value)
+	next := current.WithEdit(current, parser.Edit{Revision: current.Revision + 1, Nonce: "foreign"})
+	doc, _ := next.Encode()
 	_ = sto.apply(persister.Object{Path: TablesPath, Version: sto.objects[TablesPath].Version, Value: doc})
 }
 
@@ -86,7 +86,7 @@
 			return err
 		}
 		sto.log = append(sto.log, parser.Edit{Revision: tab.Revision, Nonce: tab.Nonce})
-		sto.before = old
+		sto.previous = old
 	}
 	sto.version++
 	obj.Version = sto.version
@@ -100,11 +100,11 @@
 func (sto *fakeStore) Get(ctx context.Context, path string) (persister.Object, error) {
 	fau := sto.begin("Read " + path)
 	switch fau {
-	case faultRefuse:
+	case faultRefused:
 		return persister.Object{}, persister.ErrUnavailable
-	case faultLose, faultLate:
+	case faultAnswerLost, faultAppliedLate:
 		return persister.Object{}, errLost
-	case faultHang, faultSwallow:
+	case faultHang, faultNoAnswer:
 		<-ctx.Done()
 		return persister.Object{}, ctx.Err()
 	}
@@ -112,10 +112,10 @@
 	defer sto.mu.Unlock()
 	obj, ok := sto.objects[path]
 	if fau == faultLagging && path == TablesPath {
-		obj, ok = sto.before, sto.before.Version > 0
+		obj, ok = sto.previous, sto.previous.Version > 0
 	}
-	if fau == faultOnTop {
-		sto.foreign()
+	if fau == faultForeignAfter {
+		sto.acceptForeign()
 	}
 	if !ok {
 		return obj, persister.ErrNotFound
@@ -128,11 +128,11 @@
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
 	switch fau {
-	case faultRefuse:
+	case faultRefused:
 		return 0, persister.ErrUnavailable
 	case faultHang:
 		return 0, sto.wait(ctx)
-	case faultLate:
+	case faultAppliedLate:
 		time.AfterFunc(time.Second, func() {
 			sto.mu.Lock()
 			defer sto.mu.Unlock()
@@ -141,16 +141,16 @@
 		return 0, errLost
 	}
 	err := sto.apply(obj)
-	ver := sto.version
+	version := sto.version
 	switch fau {
-	case faultLose:
+	case faultAnswerLost:
 		return 0, errLost
-	case faultSwallow:
+	case faultNoAnswer:
 		return 0, sto.wait(ctx)
-	case faultOnTop:
-		sto.foreign()
+	case faultForeignAfter:
+		sto.acceptForeign()
 	}
-	return ver, err
+	return version, err
 }
 
 func (sto *fakeStore) wait(ctx context.Context) error {
@@ -170,7 +170,7 @@
 }
 
 func (sto *fakeStore) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]persister.Object, error) {
-	if fau := sto.begin("Watch " + prefix); fau == faultRefuse {
+	if fau := sto.begin("Watch " + prefix); fau == faultRefused {
 		return nil, persister.ErrUnavailable
 	}
 	end := time.Now().Add(wait)
