--- a/process/registrar/message.go
+++ b/process/registrar/message.go
@@ -6,7 +6,7 @@
 	"hemlockpin/connection/messenger"
 )
 
-// Message converts records for peers.
+// Message converts records to the message that peers exchange.
 func Message(ends []Endpoint, revision uint64) *messenger.EndpointsPush {
 	pus := &messenger.EndpointsPush{Revision: revision}
 	for _, end := range ends {
@@ -22,7 +22,7 @@
 	return pus
 }
 
-// FromMessage converts the records of a peer. Those without an ID are left out.
+// FromMessage converts a peer's message to records. Records without an ID are omitted.
 func FromMessage(pus *messenger.EndpointsPush) []Endpoint {
 	out := make([]Endpoint, 0, len(pus.GetRecords()))
 	for _, rec := range pus.GetRecords() {
--- a/process/registrar/registrar.go
+++ b/process/registrar/registrar.go
@@ -1,8 +1,8 @@
-// Package registrar holds what a host knows of the endpoints that the platform's
-// store lists, whoever told it.
+// Package registrar holds a host's records of the endpoints in the platform's store,
+// whether they come from the store or from peers.
 //
 // Records are merged by the revision that the store gave them, so the order in
-// which the store and peers tell of them makes no difference.
+// which updates arrive from the store and from peers makes no difference.
 package registrar
 
 import (
@@ -13,29 +13,29 @@
 )
 
 const (
-	// returnGrace is how long an endpoint whose entry lapsed while the store was
-	// away may take to register again. The platform's contract says about 2 s.
-	returnGrace = 2 * time.Second
+	// reregisterGrace is the time after an outage of the store within which an endpoint
+	// whose entry has lapsed may register again. The platform's contract gives about 2 s.
+	reregisterGrace = 2 * time.Second
 	// outageAge is the time without a confirmation, by the store or through peers,
-	// that counts as an outage. The entries of endpoints that can't reach the store
-	// lapse after 3.6 s. A store that turns away this host alone is no outage, nor are
-	// watches that have gone silent.
+	// after which the store counts as down. It is below the 3.6 s after which the entries
+	// of endpoints that cannot reach the store lapse. If the store refuses only this host,
+	// or this host's watches stall, peers still confirm the records and it is no outage.
 	outageAge = 3300 * time.Millisecond
-	// massGrace delays the removal of many entries at once, which rather shows an
-	// outage that this host has not noticed. It is under the 2 s within which a
-	// leaving endpoint must be left.
-	massGrace = 1200 * time.Millisecond
-	// massShare is the share of a service's endpoints from which a removal counts
-	// as one of many.
-	massShare = 0.34
-	// massCount is the least number of removals that count as many.
-	massCount = 3
-	// tombstoneLife is how long a removed entry is remembered, so that a peer's
-	// older record does not bring it back.
-	tombstoneLife = 10 * time.Minute
+	// massRemovalGrace delays the removal of many entries at once, since such a removal
+	// is likely due to an outage that this host has not detected. It is below the 2 s
+	// within which a leaving endpoint must get no more requests.
+	massRemovalGrace = 1200 * time.Millisecond
+	// massRemovalShare is the least share of a service's endpoints that counts as a
+	// mass removal.
+	massRemovalShare = 0.34
+	// massRemovalCount is the least number of endpoints that counts as a mass removal.
+	massRemovalCount = 3
+	// tombstoneLifetime is how long the record of a removed entry is kept, so that an
+	// older record of a peer does not restore the entry.
+	tombstoneLifetime = 10 * time.Minute
 )
 
-// Endpoint is one entry of the store. It is an immutable value.
+// Endpoint is the record of one entry of the store. It is an immutable value.
 type Endpoint struct {
 	ID         string
 	Service    string
@@ -43,13 +43,13 @@
 	DataCenter string
 	// Leaving endpoints take no new requests.
 	Leaving bool
-	// Gone says that the store no longer holds a usable entry.
+	// Gone reports that the store no longer holds a usable entry.
 	Gone bool
-	// Revision is that of the entry's last change in the store.
+	// Revision is the store's revision of the entry's last change.
 	Revision uint64
-	// Started is when the process began, as it says itself; zero if unknown.
+	// Started is the start time that the process reports; zero if unknown.
 	Started time.Time
-	// Slots is the number of requests that it works on at once.
+	// Slots is the number of requests that the endpoint handles at once.
 	Slots int
 }
 
@@ -61,33 +61,33 @@
 	return end.Gone && !old.Gone
 }
 
-// record is an endpoint with the time from which its removal counts.
+// record is an endpoint with the time from which its removal takes effect.
 type record struct {
 	Endpoint
-	removed time.Time
+	removedAt time.Time
 }
 
-// Registry holds the records of one host. Its zero value is ready.
+// Registry holds the records of one host. Its zero value is ready to use.
 type Registry struct {
 	mu       sync.Mutex
-	recs     map[string]*record
+	records  map[string]*record
 	revision uint64
-	known    bool
-	// confirmed is when the store last held nothing newer, back when it was
-	// confirmed again after an outage.
+	complete bool
+	// confirmed is the last time at which the store held nothing newer, outageEnd the
+	// time of the first confirmation after the last outage.
 	confirmed time.Time
-	back      time.Time
+	outageEnd time.Time
 }
 
-// Revision returns the store's revision up to which all records are known, and
-// whether the records were ever known as a whole.
-func (reg *Registry) Revision() (revision uint64, known bool) {
+// Revision returns the store's revision up to which the records are known, and
+// whether this host has ever received the complete records.
+func (reg *Registry) Revision() (revision uint64, complete bool) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	return reg.revision, reg.known
+	return reg.revision, reg.complete
 }
 
-// Confirm notes that the store held nothing newer than a revision at a time.
+// Confirm records that the store held nothing newer than a revision at a time.
 func (reg *Registry) Confirm(revision uint64, at time.Time) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
@@ -95,168 +95,170 @@
 		return
 	}
 	if !reg.confirmed.IsZero() && at.Sub(reg.confirmed) > outageAge {
-		reg.back = at
+		reg.outageEnd = at
 	}
 	reg.confirmed = at
 }
 
-// Confirmed returns the last time at which the store held nothing newer, as far as this
-// host knows directly or through peers.
+// Confirmed returns the last time at which the store held nothing newer, as far as
+// this host knows directly or through peers.
 func (reg *Registry) Confirmed() time.Time {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	return reg.confirmed
 }
 
-// Merge takes some records and returns those that were news. revision is that up
-// to which they are complete; 0 where they don't follow on what is known.
+// Merge merges some records and returns those that were new. revision is the one up
+// to which the records are now complete; 0 if they do not continue the known records.
 func (reg *Registry) Merge(ends []Endpoint, revision uint64, now time.Time) []Endpoint {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	return reg.merge(ends, revision, now)
 }
 
-// Replace takes all records that the store held at a revision. What is known
-// beyond them, and is not newer, has gone.
+// Replace merges the complete records of the store at a revision and returns those that
+// were new. Known records that are missing there, and are not newer, become Gone.
 func (reg *Registry) Replace(ends []Endpoint, revision uint64, now time.Time) []Endpoint {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	see := make(map[string]bool, len(ends))
+	seen := make(map[string]bool, len(ends))
 	for _, end := range ends {
-		see[end.ID] = true
+		seen[end.ID] = true
 	}
 	all := slices.Clone(ends)
-	for id, rec := range reg.recs {
-		if !see[id] && !rec.Gone && rec.Revision <= revision {
+	for id, rec := range reg.records {
+		if !seen[id] && !rec.Gone && rec.Revision <= revision {
 			end := rec.Endpoint
 			end.Gone = true
 			all = append(all, end)
 		}
 	}
-	news := reg.merge(all, revision, now)
-	reg.known = true
-	return news
+	updates := reg.merge(all, revision, now)
+	reg.complete = true
+	return updates
 }
 
 func (reg *Registry) merge(ends []Endpoint, revision uint64, now time.Time) []Endpoint {
-	if reg.recs == nil {
-		reg.recs = map[string]*record{}
+	if reg.records == nil {
+		reg.records = map[string]*record{}
 	}
-	var news []Endpoint
+	var updates []Endpoint
 	for _, end := range ends {
-		if old := reg.recs[end.ID]; old == nil || end.newer(old.Endpoint) {
-			news = append(news, end)
+		if old := reg.records[end.ID]; old == nil || end.newer(old.Endpoint) {
+			updates = append(updates, end)
 		}
 	}
-	gra := reg.grace(news, now)
-	for _, end := range news {
+	removedAt := reg.removalTime(updates, now)
+	for _, end := range updates {
 		rec := &record{Endpoint: end}
 		if end.Gone {
-			rec.removed = gra
-			if reg.recs[end.ID] == nil {
-				// This host never used the endpoint, so the removal can't be the mark of an
-				// outage that it has not noticed.
-				rec.removed = now
+			rec.removedAt = removedAt
+			if reg.records[end.ID] == nil {
+				// This host never used the endpoint, so the removal does not point to an outage
+				// that this host has not detected.
+				rec.removedAt = now
 			}
-			if old := reg.recs[end.ID]; old != nil && end.Service == "" {
+			if old := reg.records[end.ID]; old != nil && end.Service == "" {
 				rec.Endpoint = old.Endpoint
 				rec.Gone = true
 				rec.Revision = end.Revision
 			}
 		}
-		reg.recs[end.ID] = rec
+		reg.records[end.ID] = rec
 	}
 	reg.revision = max(reg.revision, revision)
-	if len(news) > 0 {
-		reg.forget(now)
+	if len(updates) > 0 {
+		reg.dropTombstones(now)
 	}
-	return news
+	return updates
 }
 
-// grace returns the time from which removals that are learned now count.
-func (reg *Registry) grace(news []Endpoint, now time.Time) time.Time {
+// removalTime returns the time from which removals received now take effect.
+func (reg *Registry) removalTime(updates []Endpoint, now time.Time) time.Time {
 	switch {
 	case now.Sub(reg.confirmed) > outageAge:
-		return now.Add(returnGrace)
-	case now.Sub(reg.back) < returnGrace:
-		return reg.back.Add(returnGrace)
+		return now.Add(reregisterGrace)
+	case now.Sub(reg.outageEnd) < reregisterGrace:
+		return reg.outageEnd.Add(reregisterGrace)
 	}
 	left := map[string]int{}
 	lost := map[string]int{}
-	for _, end := range news {
-		if old := reg.recs[end.ID]; end.Gone && old != nil && !old.Gone && !old.Leaving {
+	for _, end := range updates {
+		if old := reg.records[end.ID]; end.Gone && old != nil && !old.Gone && !old.Leaving {
 			lost[old.Service]++
 		}
 	}
-	for _, rec := range reg.recs {
+	for _, rec := range reg.records {
 		if !rec.Gone {
 			left[rec.Service]++
 		}
 	}
-	for ser, num := range lost {
-		if num >= massCount && float64(num) >= massShare*float64(left[ser]) {
-			return now.Add(massGrace)
+	for service, count := range lost {
+		if count >= massRemovalCount && float64(count) >= massRemovalShare*float64(left[service]) {
+			return now.Add(massRemovalGrace)
 		}
 	}
 	return now
 }
 
-func (reg *Registry) forget(now time.Time) {
-	for id, rec := range reg.recs {
-		if rec.Gone && now.Sub(rec.removed) > tombstoneLife {
-			delete(reg.recs, id)
+func (reg *Registry) dropTombstones(now time.Time) {
+	for id, rec := range reg.records {
+		if rec.Gone && now.Sub(rec.removedAt) > tombstoneLifetime {
+			delete(reg.records, id)
 		}
 	}
 }
 
 // usable reports whether the endpoint may get new requests.
 func (rec *record) usable(now time.Time) bool {
-	return !rec.Leaving && rec.Address != "" && (!rec.Gone || now.Before(rec.removed))
+	return !rec.Leaving && rec.Address != "" && (!rec.Gone || now.Before(rec.removedAt))
 }
 
-// Usable returns the endpoints of a service that may get new requests, by ID.
+// Usable returns the endpoints of a service that may get new requests, ordered by ID.
 func (reg *Registry) Usable(service string, now time.Time) []Endpoint {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	var out []Endpoint
-	for _, rec := range reg.recs {
+	for _, rec := range reg.records {
 		if rec.Service == service && rec.usable(now) {
 			out = append(out, rec.Endpoint)
 		}
 	}
-	slices.SortFunc(out, func(one, two Endpoint) int { return strings.Compare(one.ID, two.ID) })
+	slices.SortFunc(out, func(a, b Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
 
-// Unusable reports whether an endpoint is known to be leaving or gone.
+// Unusable reports whether an endpoint is known and may get no new requests. It is
+// false for unknown endpoints.
 func (reg *Registry) Unusable(id string, now time.Time) bool {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	rec := reg.recs[id]
+	rec := reg.records[id]
 	return rec != nil && !rec.usable(now)
 }
 
-// Find returns an endpoint that may get new requests.
+// Find returns the endpoint with an ID if it may get new requests.
 func (reg *Registry) Find(id string, now time.Time) (Endpoint, bool) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	rec := reg.recs[id]
+	rec := reg.records[id]
 	if rec == nil || !rec.usable(now) {
 		return Endpoint{}, false
 	}
 	return rec.Endpoint, true
 }
 
-// After returns what a peer lacks that knows all records up to a revision, and
-// the revision up to which it then does; 0 if this host does not know them.
+// After returns the records that a peer lacks if it has all records up to a revision, and
+// the revision up to which the peer is complete with them; 0 if this host's records are
+// not complete.
 func (reg *Registry) After(revision uint64) ([]Endpoint, uint64) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	if !reg.known {
+	if !reg.complete {
 		return nil, 0
 	}
 	var out []Endpoint
-	for _, rec := range reg.recs {
+	for _, rec := range reg.records {
 		if rec.Revision > revision || rec.Gone {
 			out = append(out, rec.Endpoint)
 		}
@@ -264,11 +266,12 @@
 	return out, reg.revision
 }
 
-// MergeFromPeer takes all that a peer knows after the revision of this host's records.
+// MergeFromPeer merges all records of a peer that follow this host's revision, and
+// returns those that were new.
 func (reg *Registry) MergeFromPeer(ends []Endpoint, revision uint64, now time.Time) []Endpoint {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	news := reg.merge(ends, revision, now)
-	reg.known = reg.known || revision > 0
-	return news
+	updates := reg.merge(ends, revision, now)
+	reg.complete = reg.complete || revision > 0
+	return updates
 }
