--- a/process/lister/lister.go
+++ b/process/lister/lister.go
@@ -1,9 +1,9 @@
-// Package lister keeps the platform's list of hosts and endpoints on every host
-// although only one host of each region reads it.
+// Package lister keeps the platform's list of hosts and endpoints on every host,
+// although only one host of each region reads it from the platform.
 //
-// The reader is chosen from the live hosts by rendezvous hashing. It passes on
-// what has changed; the others take it from peers and read the platform only
-// when they hold no list, or one that nobody has confirmed for long.
+// That reader is chosen from the live hosts by rendezvous hashing and sends changes to
+// its peers. The other hosts read from the platform only if they hold no list, or if
+// their list has not been confirmed for a long time.
 package lister
 
 import (
@@ -23,34 +23,33 @@
 )
 
 const (
-	// staleAfter is the age from which a host no longer relies on the reader.
+	// staleAfter is the age of the list from which a host no longer relies on the reader.
 	staleAfter = 15 * time.Second
-	// staleInterval is the time between the reads of a host that can't rely on
-	// the reader.
+	// staleInterval is the time between the reads of a host whose list is stale.
 	staleInterval = 5 * time.Second
-	// bytesPerSecond bounds the mean traffic of reading a long list.
+	// bytesPerSecond bounds the mean traffic of reading a long list from the platform.
 	bytesPerSecond = 10_000
-	// keptChanges is the number of steps back for which a difference is known.
-	keptChanges = 8
+	// maxChanges is the number of past readings from which a host can build a difference.
+	maxChanges = 8
 )
 
-// Platform reads the list.
+// Platform reads the list from the platform.
 type Platform interface {
 	Entries(ctx context.Context) ([]persister.Entry, error)
 }
 
 // Stamp identifies a reading of the list.
 type Stamp struct {
-	// Source is the host that read it, Incarnation its process.
+	// Source is the host that read the list, Incarnation its process.
 	Source      string
 	Incarnation uint64
-	// Sequence counts the changes that the source saw.
+	// Sequence is the number of different lists that the source has read.
 	Sequence uint64
-	// At is when the source last found the list to be so.
+	// At is the last time at which the source read this list.
 	At time.Time
 }
 
-// newer reports whether sta is a later reading of the same source.
+// newer reports whether sta is a later reading of the same source than old.
 func (sta Stamp) newer(old Stamp) bool {
 	if sta.Incarnation != old.Incarnation {
 		return sta.Incarnation > old.Incarnation
@@ -58,8 +57,8 @@
 	return sta.Sequence > old.Sequence
 }
 
-// Adopts reports whether a host that holds one reading takes another. It follows
-// the reader; a reading of another source serves until the reader's is known.
+// Adopts reports whether a host that holds one reading adopts the offered one. It prefers
+// those of the reader; a reading of another source is used until the reader's arrives.
 func Adopts(held, offered Stamp, reader string) bool {
 	switch {
 	case offered.Source == held.Source:
@@ -71,46 +70,47 @@
 	}
 }
 
-// Reader returns the host that reads the list for a region, of self and the
+// Reader returns the host of a region that reads the list, chosen from self and the
 // other live hosts.
 func Reader(self string, live []string) string {
-	bes, top := self, score(self)
-	for _, hos := range live {
-		if sco := score(hos); sco > top || (sco == top && hos < bes) {
-			bes, top = hos, sco
+	best, bestScore := self, score(self)
+	for _, host := range live {
+		if hostScore := score(host); hostScore > bestScore || (hostScore == bestScore && host < best) {
+			best, bestScore = host, hostScore
 		}
 	}
-	return bes
+	return best
 }
 
 func score(host string) uint64 { return xxhash.Sum64String("list\x00" + host) }
 
-// Lister holds the list of one host. It needs the exported fields.
+// Lister holds the list of one host. Fields are required unless they say otherwise.
 type Lister struct {
 	Platform Platform
 	Self     string
-	// Incarnation returns that of this host's process.
+	// Incarnation returns the incarnation of this host's process.
 	Incarnation func() uint64
 	// Region returns the IDs of the live peers of the region.
 	Region func() []string
-	// MinInterval is the shortest time between two reads of the reader.
+	// MinInterval is the period of the reader's reads of a short list; a read is due
+	// once half of it has passed.
 	MinInterval time.Duration
-	// OnChange is called when a new reading came into force; nil for nobody.
+	// OnChange is called after this host has read a changed list; nil for none.
 	OnChange func()
-	// LastReadBytes returns the bytes that the last read took; nil counts the whole list.
+	// LastReadBytes returns the size of the last read; if nil, the size of the list is used.
 	LastReadBytes func() int
-	// Clock returns the present time.
+	// Clock returns the current time.
 	Clock func() time.Time
 
-	// reading is held during a read of the platform.
-	reading sync.Mutex
+	// readMu is held during a read from the platform.
+	readMu sync.Mutex
 
 	mu sync.Mutex
-	// raw is the last reading as the platform's client returned it.
-	raw   []persister.Entry
-	held  reading
-	reads uint64
-	next  time.Time
+	// lastRead is the slice that the platform's client returned last.
+	lastRead []persister.Entry
+	held     reading
+	sequence uint64
+	nextRead time.Time
 }
 
 // reading is an immutable list with its stamp.
@@ -119,18 +119,18 @@
 	entries  []persister.Entry
 	checksum uint64
 	size     int
-	// changes lead to this reading, the oldest first.
+	// changes lead to this reading step by step, oldest first.
 	changes []change
 }
 
-// change leads from the reading of one sequence to the next.
+// change is the difference between the reading with sequence base and the next one.
 type change struct {
 	base    uint64
 	changed map[string]persister.Entry
 	removed map[string]bool
 }
 
-// Entries returns the list. It reads the platform if that is due for this host.
+// Entries returns the list. It reads the platform if a read is due for this host.
 func (lis *Lister) Entries(ctx context.Context) ([]persister.Entry, error) {
 	now := lis.Clock()
 	if !lis.due(now) {
@@ -138,99 +138,99 @@
 		defer lis.mu.Unlock()
 		return lis.held.entries, nil
 	}
-	lis.reading.Lock()
-	defer lis.reading.Unlock()
+	lis.readMu.Lock()
+	defer lis.readMu.Unlock()
 	ents, err := lis.Platform.Entries(ctx)
 	if err != nil {
 		return nil, eris.Wrap(err, "Lister.Entries")
 	}
-	cha := lis.install(ents, now)
-	lis.pace(now)
-	if cha && lis.OnChange != nil {
+	changed := lis.adopt(ents, now)
+	lis.scheduleNextRead(now)
+	if changed && lis.OnChange != nil {
 		lis.OnChange()
 	}
 	return ents, nil
 }
 
-// due reports whether this host has to read the platform now.
+// due reports whether this host must read from the platform now.
 func (lis *Lister) due(now time.Time) bool {
-	red := Reader(lis.Self, lis.Region()) == lis.Self
+	isReader := Reader(lis.Self, lis.Region()) == lis.Self
 	lis.mu.Lock()
 	defer lis.mu.Unlock()
 	switch {
 	case lis.held.stamp.Source == "":
 		return true
-	case now.Before(lis.next):
+	case now.Before(lis.nextRead):
 		return false
-	case red:
-		lis.next = now.Add(lis.MinInterval / 2)
+	case isReader:
+		lis.nextRead = now.Add(lis.MinInterval / 2)
 		return true
 	case now.Sub(lis.held.stamp.At) < staleAfter:
 		return false
 	default:
-		lis.next = now.Add(staleInterval)
+		lis.nextRead = now.Add(staleInterval)
 		return true
 	}
 }
 
-// pace puts the next read off by what the last one took.
-func (lis *Lister) pace(now time.Time) {
+// scheduleNextRead delays the next read in proportion to the size of the last one.
+func (lis *Lister) scheduleNextRead(now time.Time) {
 	lis.mu.Lock()
 	defer lis.mu.Unlock()
-	cos := lis.held.size
+	size := lis.held.size
 	if lis.LastReadBytes != nil {
-		cos = lis.LastReadBytes()
+		size = lis.LastReadBytes()
 	}
-	lis.next = now.Add(max(lis.MinInterval/2, time.Duration(cos)*time.Second/bytesPerSecond))
+	lis.nextRead = now.Add(max(lis.MinInterval/2, time.Duration(size)*time.Second/bytesPerSecond))
 }
 
-// install takes this host's own reading and reports whether it changed.
-func (lis *Lister) install(ents []persister.Entry, now time.Time) bool {
-	if lis.confirm(ents, now) {
+// adopt takes a list that this host read itself, and reports whether the list changed.
+func (lis *Lister) adopt(ents []persister.Entry, now time.Time) bool {
+	if lis.confirmUnchanged(ents, now) {
 		return false
 	}
 	ents = slices.Clone(ents)
-	slices.SortFunc(ents, func(one, two persister.Entry) int { return strings.Compare(one.ID, two.ID) })
+	slices.SortFunc(ents, func(a, b persister.Entry) int { return strings.Compare(a.ID, b.ID) })
 	sum, size := checksum(ents)
 	lis.mu.Lock()
 	defer lis.mu.Unlock()
 	old := lis.held
-	if lis.own(old.stamp) && old.checksum == sum {
+	if lis.isOwn(old.stamp) && old.checksum == sum {
 		lis.held.stamp.At = now
 		return false
 	}
-	lis.reads++
-	nex := reading{
-		stamp:   Stamp{Source: lis.Self, Incarnation: lis.Incarnation(), Sequence: lis.reads, At: now},
+	lis.sequence++
+	next := reading{
+		stamp:   Stamp{Source: lis.Self, Incarnation: lis.Incarnation(), Sequence: lis.sequence, At: now},
 		entries: ents, checksum: sum, size: size,
 	}
-	if lis.own(old.stamp) {
+	if lis.isOwn(old.stamp) {
 		cha := diff(old.entries, ents)
 		cha.base = old.stamp.Sequence
-		nex.changes = append(slices.Clone(old.changes), cha)
-		nex.changes = nex.changes[max(0, len(nex.changes)-keptChanges):]
+		next.changes = append(slices.Clone(old.changes), cha)
+		next.changes = next.changes[max(0, len(next.changes)-maxChanges):]
 	}
-	lis.held = nex
+	lis.held = next
 	return true
 }
 
-// confirm notes a reading that is the very slice of the last one, which tells
-// without a look at the entries that nothing has changed.
-func (lis *Lister) confirm(ents []persister.Entry, now time.Time) bool {
+// confirmUnchanged confirms the list if the client returned the same slice as last time,
+// which shows without comparing entries that nothing has changed.
+func (lis *Lister) confirmUnchanged(ents []persister.Entry, now time.Time) bool {
 	lis.mu.Lock()
 	defer lis.mu.Unlock()
-	las := lis.raw
-	lis.raw = ents
-	if len(ents) == 0 || len(las) != len(ents) || &las[0] != &ents[0] || !lis.own(lis.held.stamp) {
+	last := lis.lastRead
+	lis.lastRead = ents
+	if len(ents) == 0 || len(last) != len(ents) || &last[0] != &ents[0] || !lis.isOwn(lis.held.stamp) {
 		return false
 	}
 	lis.held.stamp.At = now
 	return true
 }
 
-// own reports whether this process took the reading under its present
+// isOwn reports whether this process took the reading under its current
 // incarnation.
-func (lis *Lister) own(sta Stamp) bool {
+func (lis *Lister) isOwn(sta Stamp) bool {
 	return sta.Source == lis.Self && sta.Incarnation == lis.Incarnation()
 }
 
@@ -247,52 +247,52 @@
 	return out
 }
 
-func diff(old, nex []persister.Entry) change {
+func diff(old, next []persister.Entry) change {
 	cha := change{changed: map[string]persister.Entry{}, removed: map[string]bool{}}
-	was := byID(old)
-	for _, ent := range nex {
-		bef, ok := was[ent.ID]
-		if !ok || !same(bef, ent) {
+	previous := byID(old)
+	for _, ent := range next {
+		before, ok := previous[ent.ID]
+		if !ok || !equalEntries(before, ent) {
 			cha.changed[ent.ID] = ent
 		}
-		delete(was, ent.ID)
+		delete(previous, ent.ID)
 	}
-	for id := range was {
+	for id := range previous {
 		cha.removed[id] = true
 	}
 	return cha
 }
 
-func same(one, two persister.Entry) bool {
-	return one.Kind == two.Kind && one.Service == two.Service && one.Address == two.Address && one.DataCenter == two.DataCenter &&
-		one.Region == two.Region && one.Leaving == two.Leaving && slices.Equal(one.Models, two.Models)
+func equalEntries(a, b persister.Entry) bool {
+	return a.Kind == b.Kind && a.Service == b.Service && a.Address == b.Address && a.DataCenter == b.DataCenter &&
+		a.Region == b.Region && a.Leaving == b.Leaving && slices.Equal(a.Models, b.Models)
 }
 
-// then joins a change with the one that follows it.
-func (cha change) then(nex change) change {
+// followedBy joins a change with the next one.
+func (cha change) followedBy(next change) change {
 	out := change{base: cha.base, changed: maps.Clone(cha.changed), removed: maps.Clone(cha.removed)}
-	for id, ent := range nex.changed {
+	for id, ent := range next.changed {
 		out.changed[id] = ent
 		delete(out.removed, id)
 	}
-	for id := range nex.removed {
+	for id := range next.removed {
 		delete(out.changed, id)
 		out.removed[id] = true
 	}
 	return out
 }
 
-// apply returns the entries after a change, by ID.
+// apply returns the entries after a change, ordered by ID.
 func (cha change) apply(ents []persister.Entry) []persister.Entry {
 	all := byID(ents)
 	for id := range cha.removed {
 		delete(all, id)
 	}
 	maps.Copy(all, cha.changed)
-	return slices.SortedFunc(maps.Values(all), func(one, two persister.Entry) int { return strings.Compare(one.ID, two.ID) })
+	return slices.SortedFunc(maps.Values(all), func(a, b persister.Entry) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// Stamp returns the stamp of the list held, for probes.
+// Stamp returns the stamp of the list that this host holds, for probes; nil for none.
 func (lis *Lister) Stamp(now time.Time) *messenger.ListStamp {
 	lis.mu.Lock()
 	defer lis.mu.Unlock()
@@ -306,9 +306,9 @@
 	return &messenger.ListStamp{Source: sta.Source, Incarnation: sta.Incarnation, Sequence: sta.Sequence, AgeMs: max(0, now.Sub(sta.At).Milliseconds())}
 }
 
-func stampOf(mes *messenger.ListStamp, now time.Time) Stamp {
+func stampFromMessage(msg *messenger.ListStamp, now time.Time) Stamp {
 	return Stamp{
-		Source: mes.GetSource(), Incarnation: mes.GetIncarnation(), Sequence: mes.GetSequence(),
-		At: now.Add(-time.Duration(max(0, mes.GetAgeMs())) * time.Millisecond),
+		Source: msg.GetSource(), Incarnation: msg.GetIncarnation(), Sequence: msg.GetSequence(),
+		At: now.Add(-time.Duration(max(0, msg.GetAgeMs())) * time.Millisecond),
 	}
 }
--- a/process/lister/lister_test.go
+++ b/process/lister/lister_test.go
@@ -23,21 +23,21 @@
 	os.Exit(m.Run())
 }
 
-// region is a set of listers before one platform.
-type region struct {
-	now     time.Time
-	entries map[string]persister.Entry
-	down    bool
-	reads   int
-	live    map[string]bool
-	listers map[string]*Lister
-	ids     []string
+// fakeRegion is a set of listers that read from one simulated platform.
+type fakeRegion struct {
+	now         time.Time
+	entries     map[string]persister.Entry
+	unavailable bool
+	reads       int
+	live        map[string]bool
+	listers     map[string]*Lister
+	ids         []string
 }
 
-// Entries is the platform's list.
-func (reg *region) Entries(context.Context) ([]persister.Entry, error) {
+// Entries returns the platform's list.
+func (reg *fakeRegion) Entries(context.Context) ([]persister.Entry, error) {
 	reg.reads++
-	if reg.down {
+	if reg.unavailable {
 		return nil, persister.ErrUnavailable
 	}
 	out := []persister.Entry{}
@@ -47,26 +47,26 @@
 	return out, nil
 }
 
-func newRegion(num int) *region {
-	reg := &region{now: time.Unix(1_700_000_000, 0), entries: map[string]persister.Entry{}, live: map[string]bool{}, listers: map[string]*Lister{}}
-	for ind := range num {
-		reg.ids = append(reg.ids, fmt.Sprintf("host-%d", ind))
-		reg.start(reg.ids[ind])
+func newRegion(num int) *fakeRegion {
+	reg := &fakeRegion{now: time.Unix(1_700_000_000, 0), entries: map[string]persister.Entry{}, live: map[string]bool{}, listers: map[string]*Lister{}}
+	for i := range num {
+		reg.ids = append(reg.ids, fmt.Sprintf("host-%d", i))
+		reg.start(reg.ids[i])
 	}
 	return reg
 }
 
-func (reg *region) start(id string) {
+func (reg *fakeRegion) start(id string) {
 	reg.live[id] = true
-	inc := uint64(reg.now.UnixNano())
+	incarnation := uint64(reg.now.UnixNano())
 	reg.listers[id] = &Lister{
-		Platform: reg, Self: id, Incarnation: func() uint64 { return inc }, MinInterval: time.Second,
+		Platform: reg, Self: id, Incarnation: func() uint64 { return incarnation }, MinInterval: time.Second,
 		Clock: func() time.Time { return reg.now },
 		Region: func() []string {
 			var out []string
-			for oth, ali := range reg.live {
-				if ali && oth != id {
-					out = append(out, oth)
+			for other, alive := range reg.live {
+				if alive && other != id {
+					out = append(out, other)
 				}
 			}
 			return out
@@ -74,16 +74,16 @@
 	}
 }
 
-// talk lets one host see the stamp of another and pull what it wants.
-func (reg *region) talk(one, two string) bool {
-	lis, oth := reg.listers[one], reg.listers[two]
-	if !lis.Wants(oth.Stamp(reg.now), reg.now) {
+// exchange sends the stamp of one host to another, which pulls the list if it wants it.
+func (reg *fakeRegion) exchange(from, to string) bool {
+	lis, other := reg.listers[from], reg.listers[to]
+	if !lis.Wants(other.Stamp(reg.now), reg.now) {
 		return true
 	}
 	have := lis.Stamp(reg.now)
 	for range 2 {
-		ado, whole, _ := lis.Receive(oth.Offer(have, reg.now), reg.now)
-		if ado {
+		adopted, whole, _ := lis.Receive(other.Offer(have, reg.now), reg.now)
+		if adopted {
 			return true
 		}
 		if whole {
@@ -93,25 +93,26 @@
 	return false
 }
 
-// second lets each live host look at the list and talk to the next one.
-func (reg *region) second(t require.TestingT) {
-	for ind, id := range reg.ids {
+// tick lets each live host get the list and exchange it with some other hosts, and
+// advances the clock by one second.
+func (reg *fakeRegion) tick(t require.TestingT) {
+	for i, id := range reg.ids {
 		if !reg.live[id] {
 			continue
 		}
 		_, _ = reg.listers[id].Entries(context.Background())
-		for off := 1; off < len(reg.ids); off *= 2 {
-			if two := reg.ids[(ind+off)%len(reg.ids)]; reg.live[two] {
-				require.True(t, reg.talk(id, two), "%s did not catch up with %s", id, two)
+		for offset := 1; offset < len(reg.ids); offset *= 2 {
+			if peer := reg.ids[(i+offset)%len(reg.ids)]; reg.live[peer] {
+				require.True(t, reg.exchange(id, peer), "%s did not catch up with %s", id, peer)
 			}
 		}
 	}
 	reg.now = reg.now.Add(time.Second)
 }
 
-func (reg *region) settled(t require.TestingT) {
-	for id, ali := range reg.live {
-		if !ali {
+func (reg *fakeRegion) requireConverged(t require.TestingT) {
+	for id, alive := range reg.live {
+		if !alive {
 			continue
 		}
 		ents, err := reg.listers[id].Entries(context.Background())
@@ -120,26 +121,26 @@
 	}
 }
 
-// One host of a region reads the list, whatever the region's size, and in an
-// outage no host loses it.
+// Only one host of a region may read the list, whatever the size of the region, and no
+// host may lose its list in an outage of the platform.
 func TestOneHostReads(t *testing.T) {
 	for _, num := range []int{4, 32} {
 		reg := newRegion(num)
 		reg.entries["engine"] = persister.Entry{ID: "engine"}
 		for range 10 {
-			reg.second(t)
+			reg.tick(t)
 		}
-		reg.settled(t)
+		reg.requireConverged(t)
 		reg.reads = 0
-		for sec := range 60 {
-			reg.entries["engine"] = persister.Entry{ID: "engine", Address: fmt.Sprint(sec / 10)}
-			reg.second(t)
+		for second := range 60 {
+			reg.entries["engine"] = persister.Entry{ID: "engine", Address: fmt.Sprint(second / 10)}
+			reg.tick(t)
 		}
 		require.LessOrEqual(t, reg.reads, 65)
-		reg.settled(t)
-		reg.down = true
+		reg.requireConverged(t)
+		reg.unavailable = true
 		for range 60 {
-			reg.second(t)
+			reg.tick(t)
 		}
 		for _, id := range reg.ids {
 			require.Len(t, reg.listers[id].held.entries, 1)
@@ -147,21 +148,21 @@
 	}
 }
 
-// A long list is read less often.
-func TestLongListIsReadRarely(t *testing.T) {
+// A long list must be read less often, so that its traffic stays bounded.
+func TestLongListIsReadLessOften(t *testing.T) {
 	reg := newRegion(1)
-	for ind := range 2000 {
-		reg.entries[fmt.Sprint(ind)] = persister.Entry{ID: fmt.Sprint(ind), Kind: persister.KindEngine, Address: "10.0.0.1:8000", DataCenter: "colombo"}
+	for i := range 2000 {
+		reg.entries[fmt.Sprint(i)] = persister.Entry{ID: fmt.Sprint(i), Kind: persister.KindEngine, Address: "10.0.0.1:8000", DataCenter: "colombo"}
 	}
 	for range 300 {
-		reg.second(t)
+		reg.tick(t)
 	}
 	size := reg.listers["host-0"].held.size
 	require.LessOrEqual(t, reg.reads*size/300, 2*bytesPerSecond)
 }
 
-// Hosts die, return, and the list changes, in any order: all live hosts end
-// with the platform's list, and damaged offers are refused.
+// Hosts stop and restart and the list changes, in any order: all live hosts must end up
+// with the platform's list, and corrupted offers must be refused.
 func TestListHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		reg := newRegion(4)
@@ -180,53 +181,54 @@
 					reg.start(id)
 				}
 			case "outage", "back":
-				reg.down = rapid.Bool().Draw(rt, "down")
+				reg.unavailable = rapid.Bool().Draw(rt, "down")
 			case "damage":
 				reg.damage(rt, id)
 			case "second":
-				reg.second(rt)
+				reg.tick(rt)
 			}
 		}
-		reg.down = false
+		reg.unavailable = false
 		reg.start("host-0")
 		for range 40 {
-			reg.second(rt)
+			reg.tick(rt)
 		}
-		reg.settled(rt)
+		reg.requireConverged(rt)
 	})
 }
 
-// damage offers a host a list with one byte changed.
-func (reg *region) damage(rt *rapid.T, id string) {
-	oth := reg.listers[rapid.SampledFrom(reg.ids).Draw(rt, "other")]
-	pus := oth.Offer(nil, reg.now)
+// damage offers a list with one changed byte to a host.
+func (reg *fakeRegion) damage(rt *rapid.T, id string) {
+	other := reg.listers[rapid.SampledFrom(reg.ids).Draw(rt, "other")]
+	pus := other.Offer(nil, reg.now)
 	if len(pus.GetChanged()) == 0 {
 		return
 	}
 	pus.Changed[rapid.IntRange(0, len(pus.Changed)-1).Draw(rt, "byte")] ^= 0x10
 	before := reg.listers[id].held
-	ado, _, _ := reg.listers[id].Receive(pus, reg.now)
-	if ado {
-		require.Equal(rt, byID(oth.held.entries), byID(reg.listers[id].held.entries))
+	adopted, _, _ := reg.listers[id].Receive(pus, reg.now)
+	if adopted {
+		require.Equal(rt, byID(other.held.entries), byID(reg.listers[id].held.entries))
 		return
 	}
 	require.Equal(rt, before.entries, reg.listers[id].held.entries)
 }
 
-// An offer that decodes but is not the list that its source read is refused.
+// An offer that can be decoded, but whose content is not the reading of its stamp, must
+// be refused.
 func TestDamagedOfferIsRefused(t *testing.T) {
 	reg := newRegion(2)
-	reg.second(t)
-	red := Reader("host-0", []string{"host-1"})
-	other := map[string]string{"host-0": "host-1", "host-1": "host-0"}[red]
+	reg.tick(t)
+	reader := Reader("host-0", []string{"host-1"})
+	other := map[string]string{"host-0": "host-1", "host-1": "host-0"}[reader]
 	reg.entries["engine"] = persister.Entry{ID: "engine"}
-	_, err := reg.listers[red].Entries(t.Context())
+	_, err := reg.listers[reader].Entries(t.Context())
 	require.NoError(t, err)
-	pus := reg.listers[red].Offer(nil, reg.now)
+	pus := reg.listers[reader].Offer(nil, reg.now)
 	pus.Changed = encode([]persister.Entry{{ID: "another"}})
-	ado, whole, err := reg.listers[other].Receive(pus, reg.now)
+	adopted, whole, err := reg.listers[other].Receive(pus, reg.now)
 	require.ErrorIs(t, err, ErrMismatch)
-	require.False(t, ado)
+	require.False(t, adopted)
 	require.True(t, whole)
 }
 
@@ -254,7 +256,7 @@
 
 func BenchmarkStamp(b *testing.B) {
 	reg := newRegion(1)
-	reg.second(b)
+	reg.tick(b)
 	lis := reg.listers["host-0"]
 	for b.Loop() {
 		_ = lis.Wants(&messenger.ListStamp{Source: "other", Sequence: 1}, reg.now)
--- a/process/lister/spread.go
+++ b/process/lister/spread.go
@@ -16,37 +16,37 @@
 )
 
 const (
-	// maxListBytes bounds the list that a peer may offer.
+	// maxListBytes bounds the decompressed list of an offer.
 	maxListBytes = 64 << 20
-	// maxAnnounceBytes bounds the changes that are sent without being asked for.
+	// maxAnnounceBytes bounds the compressed changes that are sent unrequested.
 	maxAnnounceBytes = 16 << 10
 )
 
-// ErrMismatch means that an offer does not lead to the list it was made for.
-var ErrMismatch = eris.New("lister: the offer does not lead to the list")
+// ErrMismatch means that an offer does not produce the list with its checksum.
+var ErrMismatch = eris.New("lister: offer does not match its checksum")
 
-// Wants takes the stamp of a peer and reports whether its reading is wanted. A
-// stamp equal to the one held confirms it.
-func (lis *Lister) Wants(mes *messenger.ListStamp, now time.Time) bool {
-	off := stampOf(mes, now)
-	if off.Source == "" || off.Source == lis.Self {
+// Wants reports whether this host wants the reading with a peer's stamp. A stamp equal
+// to that of the held reading confirms the held reading.
+func (lis *Lister) Wants(msg *messenger.ListStamp, now time.Time) bool {
+	offered := stampFromMessage(msg, now)
+	if offered.Source == "" || offered.Source == lis.Self {
 		return false
 	}
-	red := Reader(lis.Self, lis.Region())
+	reader := Reader(lis.Self, lis.Region())
 	lis.mu.Lock()
 	defer lis.mu.Unlock()
 	held := lis.held.stamp
-	if off.Source == held.Source && off.Incarnation == held.Incarnation && off.Sequence == held.Sequence {
-		if off.At.After(held.At) {
-			lis.held.stamp.At = off.At
+	if offered.Source == held.Source && offered.Incarnation == held.Incarnation && offered.Sequence == held.Sequence {
+		if offered.At.After(held.At) {
+			lis.held.stamp.At = offered.At
 		}
 		return false
 	}
-	return red != lis.Self && Adopts(held, off, red)
+	return reader != lis.Self && Adopts(held, offered, reader)
 }
 
-// Offer builds the message that brings a peer with the reading have to the one
-// held here.
+// Offer returns the message that brings a peer from the reading have to the one
+// that this host holds.
 func (lis *Lister) Offer(have *messenger.ListStamp, now time.Time) *messenger.ListPush {
 	lis.mu.Lock()
 	red := lis.held
@@ -56,7 +56,7 @@
 		return pus
 	}
 	if have.GetSource() == red.stamp.Source && have.GetIncarnation() == red.stamp.Incarnation {
-		if cha, ok := red.from(have.GetSequence()); ok {
+		if cha, ok := red.changeSince(have.GetSequence()); ok {
 			pus.BaseSequence = cha.base
 			pus.Changed = encode(slices.Collect(maps.Values(cha.changed)))
 			pus.Removed = slices.Collect(maps.Keys(cha.removed))
@@ -67,8 +67,8 @@
 	return pus
 }
 
-// Announce builds the message for peers that are likely to hold the reading
-// before the one held here: what has changed, or only the stamp if that is long.
+// Announce returns the message for peers that are likely to have the previous reading:
+// the latest change, or only the stamp if the change is large.
 func (lis *Lister) Announce(now time.Time) *messenger.ListPush {
 	lis.mu.Lock()
 	sta := lis.held.stamp
@@ -86,21 +86,21 @@
 	return pus
 }
 
-func (red reading) from(sequence uint64) (change, bool) {
-	for ind, cha := range red.changes {
+func (red reading) changeSince(sequence uint64) (change, bool) {
+	for i, cha := range red.changes {
 		if cha.base != sequence {
 			continue
 		}
-		for _, nex := range red.changes[ind+1:] {
-			cha = cha.then(nex)
+		for _, next := range red.changes[i+1:] {
+			cha = cha.followedBy(next)
 		}
 		return cha, true
 	}
 	return change{}, false
 }
 
-// Receive takes a reading that a peer offers. It reports whether it was adopted,
-// and whether the whole list is needed instead.
+// Receive adopts a reading that a peer offers, if this host wants it. It reports whether
+// it was adopted, and whether the full list is needed instead.
 func (lis *Lister) Receive(pus *messenger.ListPush, now time.Time) (adopted, wantWhole bool, err error) {
 	if !lis.Wants(pus.GetStamp(), now) {
 		return false, false, nil
@@ -112,42 +112,42 @@
 	if err != nil {
 		return false, true, err
 	}
-	off := stampOf(pus.GetStamp(), now)
+	offered := stampFromMessage(pus.GetStamp(), now)
 	lis.mu.Lock()
 	defer lis.mu.Unlock()
 	old := lis.held
-	nex := reading{stamp: off, entries: ents}
-	if bas := pus.GetBaseSequence(); bas > 0 {
-		if old.stamp.Source != off.Source || old.stamp.Incarnation != off.Incarnation || old.stamp.Sequence != bas {
+	next := reading{stamp: offered, entries: ents}
+	if base := pus.GetBaseSequence(); base > 0 {
+		if old.stamp.Source != offered.Source || old.stamp.Incarnation != offered.Incarnation || old.stamp.Sequence != base {
 			return false, true, nil
 		}
-		cha := change{base: bas, changed: byID(ents), removed: map[string]bool{}}
+		cha := change{base: base, changed: byID(ents), removed: map[string]bool{}}
 		for _, id := range pus.GetRemoved() {
 			cha.removed[id] = true
 		}
-		nex.entries = cha.apply(old.entries)
-		nex.changes = append(slices.Clone(old.changes), cha)
-		nex.changes = nex.changes[max(0, len(nex.changes)-keptChanges):]
+		next.entries = cha.apply(old.entries)
+		next.changes = append(slices.Clone(old.changes), cha)
+		next.changes = next.changes[max(0, len(next.changes)-maxChanges):]
 	}
-	nex.checksum, nex.size = checksum(nex.entries)
-	if nex.checksum != pus.GetChecksum() {
-		return false, true, eris.Wrapf(ErrMismatch, "Lister.Receive: reading %d of %s", off.Sequence, off.Source)
+	next.checksum, next.size = checksum(next.entries)
+	if next.checksum != pus.GetChecksum() {
+		return false, true, eris.Wrapf(ErrMismatch, "Lister.Receive: reading %d of %s", offered.Sequence, offered.Source)
 	}
-	lis.held = nex
+	lis.held = next
 	return true, false, nil
 }
 
 func encode(ents []persister.Entry) []byte {
 	var buf bytes.Buffer
-	wri, _ := flate.NewWriter(&buf, flate.BestSpeed)
-	_ = json.NewEncoder(wri).Encode(ents)
-	_ = wri.Close()
+	writer, _ := flate.NewWriter(&buf, flate.BestSpeed)
+	_ = json.NewEncoder(writer).Encode(ents)
+	_ = writer.Close()
 	return buf.Bytes()
 }
 
 func decode(buf []byte) ([]persister.Entry, error) {
 	var ents []persister.Entry
-	rea := flate.NewReader(bytes.NewReader(buf))
-	err := json.NewDecoder(io.LimitReader(rea, maxListBytes)).Decode(&ents)
+	reader := flate.NewReader(bytes.NewReader(buf))
+	err := json.NewDecoder(io.LimitReader(reader, maxListBytes)).Decode(&ents)
 	return ents, eris.Wrap(err, "lister.decode")
 }
