--- a/process/gossiper/exchange.go
+++ b/process/gossiper/exchange.go
@@ -195,8 +195,8 @@
 	if len(nots) == 0 || gos.Payload.MergeNotices == nil {
 		return
 	}
-	if news := gos.Payload.MergeNotices(nots, now); len(news) > 0 {
-		go gos.BroadcastNotices(context.WithoutCancel(ctx), news, false)
+	if added := gos.Payload.MergeNotices(nots, now); len(added) > 0 {
+		go gos.BroadcastNotices(context.WithoutCancel(ctx), added, false)
 	}
 }
 
--- a/process/gossiper/gossiper.go
+++ b/process/gossiper/gossiper.go
@@ -85,11 +85,11 @@
 }
 
 // Run probes peers once per interval until ctx ends.
-func (gos *Gossiper) Run(ctx context.Context, every time.Duration) {
+func (gos *Gossiper) Run(ctx context.Context, interval time.Duration) {
 	var gro sync.WaitGroup
 	defer gro.Wait()
-	gro.Go(func() { gos.runSync(ctx, every) })
-	tic := time.NewTicker(every)
+	gro.Go(func() { gos.runSync(ctx, interval) })
+	tic := time.NewTicker(interval)
 	defer tic.Stop()
 	for {
 		now := time.Now()
@@ -181,10 +181,10 @@
 func (gos *Gossiper) probeIndirectly(ctx context.Context, act IndirectProbe) {
 	pin := gos.buildPing(act.Peer.ID).GetPing()
 	pons := make(chan *messenger.Pong, len(act.Relays))
-	for _, via := range act.Relays {
+	for _, relay := range act.Relays {
 		env := &messenger.Envelope{Body: &messenger.Envelope_PingIndirect{PingIndirect: &messenger.PingIndirect{Ping: pin, Address: act.Peer.Address}}}
 		go func() {
-			rep, _ := gos.call(ctx, indirectTimeout, via.Address, env)
+			rep, _ := gos.call(ctx, indirectTimeout, relay.Address, env)
 			pons <- rep.GetPong()
 		}()
 	}
--- a/process/gossiper/history_test.go
+++ b/process/gossiper/history_test.go
@@ -73,8 +73,8 @@
 }
 
 func (clu *cluster) probeIndirectly(id string, act IndirectProbe) {
-	for _, via := range act.Relays {
-		if !clu.blocked[[2]string{id, via.ID}] && clu.call(id, via.ID, act.Peer.ID) {
+	for _, relay := range act.Relays {
+		if !clu.blocked[[2]string{id, relay.ID}] && clu.call(id, relay.ID, act.Peer.ID) {
 			return
 		}
 	}
--- a/process/gossiper/join.go
+++ b/process/gossiper/join.go
@@ -27,24 +27,24 @@
 
 // runSync pulls the members and tables at the start, and later at long intervals to
 // make up for missed updates.
-func (gos *Gossiper) runSync(ctx context.Context, every time.Duration) {
+func (gos *Gossiper) runSync(ctx context.Context, interval time.Duration) {
 	deadline := time.Now().Add(joinTimeout)
 	asked := map[string]bool{}
 	for ctx.Err() == nil && !gos.joinStep(ctx, asked, time.Now().After(deadline)) {
-		sleep(ctx, every/4)
+		sleep(ctx, interval/4)
 	}
 	for ctx.Err() == nil {
 		wait := syncInterval/2 + rand.N(syncInterval)
 		if !gos.syncAny(ctx) {
-			wait = every
+			wait = interval
 		}
 		sleep(ctx, wait)
 	}
 }
 
-func sleep(ctx context.Context, dur time.Duration) {
+func sleep(ctx context.Context, wait time.Duration) {
 	select {
-	case <-time.After(dur):
+	case <-time.After(wait):
 	case <-ctx.Done():
 	}
 }
--- a/process/gossiper/merge.go
+++ b/process/gossiper/merge.go
@@ -128,11 +128,11 @@
 		ros.regionFailures[mem.Region]++
 	}
 	mem.unreachable = !ros.regionUnreachable(mem.Region)
-	vias := ros.Sample(indirectProbes, func(per Peer) bool { return per.ID != id && per.Region == mem.Region })
-	if len(vias) == 0 {
+	relays := ros.Sample(indirectProbes, func(per Peer) bool { return per.ID != id && per.Region == mem.Region })
+	if len(relays) == 0 {
 		return ros.indirectProbeFailed(id, now)
 	}
-	return []Action{IndirectProbe{mem.peer(), vias}}
+	return []Action{IndirectProbe{mem.peer(), relays}}
 }
 
 func (ros *Roster) indirectProbeFailed(id string, now time.Time) []Action {
--- a/process/gossiper/roster.go
+++ b/process/gossiper/roster.go
@@ -104,7 +104,10 @@
 	localRotation  rotation
 	remoteRotation rotation
 	retryRotation  rotation
-	pending        map[string]int
+	// pending is the number of messages that are still to carry the update of a member.
+	pending map[string]int
+	// regionFailures counts the probes into another region that have failed in a row,
+	// failures those into any region.
 	regionFailures map[string]int
 	ticks          uint64
 	failures       int
@@ -119,8 +122,10 @@
 	dialAddress   string
 	listed        bool
 	listedLeaving bool
-	unreachable   bool
-	changedAt     time.Time
+	// unreachable is set if the last direct probe failed, unless the whole region
+	// is unreachable.
+	unreachable bool
+	changedAt   time.Time
 }
 
 // rotation visits a changing set of IDs in random order, each once per round.
--- a/process/gossiper/roster_test.go
+++ b/process/gossiper/roster_test.go
@@ -128,14 +128,14 @@
 		dat.ScanArgs(t, "region", &region)
 		require.False(t, seen[state+region], "duplicate cell")
 		seen[state+region] = true
-		var bui strings.Builder
+		var out strings.Builder
 		for _, tc := range matrixEvents {
 			ros, sub := rosterWith(state, region)
 			clear(ros.pending)
 			acts := ros.Step(tc.event(sub), epoch.Add(tc.after))
-			fmt.Fprintf(&bui, "%s: %s\n", tc.name, describe(ros, acts))
+			fmt.Fprintf(&out, "%s: %s\n", tc.name, describe(ros, acts))
 		}
-		return bui.String()
+		return out.String()
 	})
 	for _, state := range states {
 		for _, region := range regions {
--- a/process/publisher/edit_test.go
+++ b/process/publisher/edit_test.go
@@ -99,16 +99,16 @@
 		dat.ScanArgs(t, "known", &known)
 		require.False(t, seen[step+known], "duplicate cell")
 		seen[step+known] = true
-		var bui strings.Builder
+		var out strings.Builder
 		for _, tc := range editEvents {
 			sta := EditState{Edit: parser.Edit{Revision: base + 1, Nonce: ownNonce}, Known: knowns[known]}
 			for _, eve := range editSteps[step] {
 				sta, _ = sta.Next(eve)
 			}
 			_, act := sta.Next(tc.event)
-			fmt.Fprintf(&bui, "%s: %s\n", tc.name, describeAction(act))
+			fmt.Fprintf(&out, "%s: %s\n", tc.name, describeAction(act))
 		}
-		return bui.String()
+		return out.String()
 	})
 	for step := range editSteps {
 		for known := range knowns {
--- a/process/publisher/editor_test.go
+++ b/process/publisher/editor_test.go
@@ -97,14 +97,14 @@
 		dat.ScanArgs(t, "step", &step)
 		dat.ScanArgs(t, "fault", &fau)
 		seen[step+fau] = true
-		var bui strings.Builder
-		fmt.Fprintf(&bui, "alone: %s\n", runEdit(t, map[string]fault{step: fault(fau)}))
+		var out strings.Builder
+		fmt.Fprintf(&out, "alone: %s\n", runEdit(t, map[string]fault{step: fault(fau)}))
 		for _, later := range storeSteps[slices.Index(storeSteps, step)+1:] {
 			for _, second := range faults {
-				fmt.Fprintf(&bui, "%s %s: %s\n", later, second, runEdit(t, map[string]fault{step: fault(fau), later: second}))
+				fmt.Fprintf(&out, "%s %s: %s\n", later, second, runEdit(t, map[string]fault{step: fault(fau), later: second}))
 			}
 		}
-		return bui.String()
+		return out.String()
 	})
 	for _, step := range storeSteps {
 		for _, fau := range faults {
