--- a/process/assigner/plan.go
+++ b/process/assigner/plan.go
@@ -58,7 +58,7 @@
 func (ass *Assigner) leaseOf(ctx context.Context, req relayer.PlacementRequest, act planner.Assign) (relayer.Lease, bool) {
 	now := ass.Clock()
 	for _, par := range act.Parts {
-		if ass.Registry.Barred(par.Endpoint, now) {
+		if ass.Registry.Unusable(par.Endpoint, now) {
 			// The planner has not yet received the update about this endpoint.
 			ass.Log.Info().Str("RequestID", req.ID).Str("Endpoint", par.Endpoint).Msg("plan names an endpoint that is leaving; requesting another plan")
 			ass.Planners.report(act.ID, planner.Failed{ID: act.ID, Endpoint: par.Endpoint})
--- a/process/assigner/planners.go
+++ b/process/assigner/planners.go
@@ -136,7 +136,7 @@
 		}
 	}
 	pla.mu.Unlock()
-	out = gossiper.Capable(out)
+	out = gossiper.WithEnoughCapacity(out)
 	slices.SortFunc(out, func(a, b gossiper.Peer) int {
 		return cmp.Or(cmp.Compare(a.Started, b.Started), cmp.Compare(a.ID, b.ID))
 	})
--- a/process/forwarder/knowledge.go
+++ b/process/forwarder/knowledge.go
@@ -36,13 +36,13 @@
 			CapacityMilli: capacityMilli(set),
 		},
 		Multiplexer: fwd.multiplexer, Publisher: fwd.publisher, Entries: func() []persister.Entry { return nil },
-		Seeds: set.SeedPeers, Scope: fwd.scope, Log: fwd.Log, Aged: fwd.detector.Age,
-		Cargo: gossiper.Cargo{
+		Seeds: set.SeedPeers, Scope: fwd.scope, Log: fwd.Log, AgeOf: fwd.detector.Age,
+		Payload: gossiper.Payload{
 			Endpoints: func(now time.Time) (uint64, time.Duration) {
 				rev, _ := fwd.registry.Revision()
 				return rev, fwd.detector.Age(fwd.registry.Confirmed(), now)
 			},
-			SeeEndpoints: fwd.comparePeerRevision,
+			ObserveEndpoints: fwd.comparePeerRevision,
 			Synced: func(ctx context.Context, address string) {
 				if _, known := fwd.registry.Revision(); !known {
 					fwd.pullEndpoints(ctx, address, time.Time{})
@@ -84,7 +84,7 @@
 // given time.
 func (fwd *Forwarder) applyTables(reading follower.Tables, at time.Time) {
 	if !reading.Found {
-		fwd.publisher.ConfirmAt(fwd.publisher.Current().Revision(), at)
+		fwd.publisher.ConfirmRevision(fwd.publisher.Current().Revision(), at)
 		return
 	}
 	ok, err := fwd.publisher.Accept(reading.Tables)
@@ -94,7 +94,7 @@
 	case ok:
 		fwd.publisher.OnAccept(true)
 	}
-	fwd.publisher.ConfirmAt(reading.Tables.Revision, at)
+	fwd.publisher.ConfirmRevision(reading.Tables.Revision, at)
 }
 
 // applyEndpoints applies endpoints read from the store, which held nothing newer at
@@ -134,7 +134,7 @@
 	fwd.updates = nil
 	fwd.updatesMu.Unlock()
 	fwd.withPeerTimeout(func(ctx context.Context) {
-		fwd.gossiper.Spread(ctx, func() *messenger.Envelope {
+		fwd.gossiper.Broadcast(ctx, func() *messenger.Envelope {
 			return &messenger.Envelope{Body: &messenger.Envelope_EndpointsPush{EndpointsPush: registrar.Message(changed, 0)}}
 		})
 	})
@@ -206,7 +206,7 @@
 	if pus.GetRevision() == 0 {
 		return
 	}
-	changed := fwd.registry.Learn(registrar.FromMessage(pus), pus.GetRevision(), time.Now())
+	changed := fwd.registry.MergeFromPeer(registrar.FromMessage(pus), pus.GetRevision(), time.Now())
 	if !at.IsZero() {
 		fwd.registry.Confirm(pus.GetRevision(), at)
 	}
--- a/process/forwarder/watch.go
+++ b/process/forwarder/watch.go
@@ -109,7 +109,7 @@
 			all = append(all, per)
 		}
 	}
-	all = gossiper.Capable(all)
+	all = gossiper.WithEnoughCapacity(all)
 	ids := make([]string, 0, len(all))
 	for _, per := range all {
 		ids = append(ids, per.ID)
@@ -205,11 +205,11 @@
 		// A list of hundreds of members is large, so it is pulled only while it grows.
 		if live := len(fwd.gossiper.Live(now)); now.Sub(fwd.started) < memberRefreshPeriod && live != known {
 			known = live
-			go fwd.gossiper.Refresh(ctx)
+			go fwd.gossiper.Sync(ctx)
 		}
 		// A watcher that the store refuses gets its updates from the other watchers.
 		if pers, self := fwd.watchers(now); len(pers) > 0 && (!self || fwd.storeUnavailable.Load()) {
-			go fwd.gossiper.Ask(ctx, pers[turn%len(pers)])
+			go fwd.gossiper.ProbeNow(ctx, pers[turn%len(pers)])
 			turn++
 		}
 		select {
--- a/process/forwarder/watch_test.go
+++ b/process/forwarder/watch_test.go
@@ -39,7 +39,7 @@
 	t.Cleanup(fwd.multiplexer.Close)
 	for i := range hosts {
 		if i != own {
-			fwd.gossiper.Learn(gossiper.Peer{
+			fwd.gossiper.MergePeer(gossiper.Peer{
 				ID: fmt.Sprintf("host-%d", i), Address: fmt.Sprintf("127.0.0.1:%d", i+1), Region: "western", Incarnation: 1,
 				State: gossiper.StateAlive, CapacityMilli: uint32(cpuShareOf(i) * 1000),
 			})
@@ -203,7 +203,7 @@
 	require.False(t, fwd.confirmedRecently(now))
 	require.True(t, fwd.shouldReadStore(now), "a resumed host reads the store")
 	require.True(t, fwd.staleSinceResume(now))
-	_, age := fwd.gossiper.Cargo.Endpoints(now)
+	_, age := fwd.gossiper.Payload.Endpoints(now)
 	require.GreaterOrEqual(t, age, suspended)
 	now = now.Add(100 * time.Millisecond)
 	applyState(fwd, now)
@@ -226,7 +226,7 @@
 	at := time.Now()
 	wat.applyTables(follower.Tables{Found: true, Tables: parser.Tables{Revision: 9}, Revision: 9}, at)
 	wat.applyEndpoints(follower.Endpoints{Complete: true, Revision: 9}, at)
-	fwd.gossiper.Ask(t.Context(), gossiper.Peer{ID: "host-0", Address: lis.Addr().String()})
+	fwd.gossiper.ProbeNow(t.Context(), gossiper.Peer{ID: "host-0", Address: lis.Addr().String()})
 	require.Eventually(t, func() bool { return fwd.confirmedRecently(time.Now()) }, 5*time.Second, time.Millisecond)
 	require.EqualValues(t, 9, fwd.publisher.Current().Revision())
 	rev, _ := fwd.registry.Revision()
--- a/process/server/tables.go
+++ b/process/server/tables.go
@@ -38,22 +38,22 @@
 		},
 		Multiplexer: ser.multiplexer, Publisher: ser.publisher, Entries: ser.watcher.Entries,
 		Lister: ser.lister, ListChanged: ser.refreshList, Seeds: set.SeedPeers, Scope: ser.scope, Log: ser.Log,
-		Cargo: gossiper.Cargo{
-			Notices: ser.watcher.Notices.Outgoing, TakeNotices: ser.watcher.Notices.Merge, Cells: ser.farCells, TakeCells: ser.mergeFarCells,
-			Retries: ser.retryBudget, TakeRetries: ser.applyRetryBudget,
+		Payload: gossiper.Payload{
+			Notices: ser.watcher.Notices.Outgoing, MergeNotices: ser.watcher.Notices.Merge, Cells: ser.farCells, MergeCells: ser.mergeFarCells,
+			Retries: ser.retryBudget, MergeRetries: ser.applyRetryBudget,
 		},
 	}
 	ser.watcher.OnNotices = func(nots []*messenger.EndpointNotice) {
-		go ser.withForwardTimeout(func(ctx context.Context) { ser.gossiper.SpreadNotices(ctx, nots, true) })
+		go ser.withForwardTimeout(func(ctx context.Context) { ser.gossiper.BroadcastNotices(ctx, nots, true) })
 	}
-	ser.publisher.Spread = func(ctx context.Context) (int, int) { return ser.gossiper.PushTables(ctx, true) }
+	ser.publisher.Broadcast = func(ctx context.Context) (int, int) { return ser.gossiper.PushTables(ctx, true) }
 	ser.publisher.OnAccept = func(fromStore bool) {
 		ser.Log.Info().Uint64("Revision", ser.publisher.Current().Revision()).Bool("FromStore", fromStore).Msg("tables in force")
 		go ser.withForwardTimeout(func(ctx context.Context) { ser.gossiper.PushTables(ctx, fromStore) })
 	}
 	ser.refresher = &publisher.Refresher{
 		Publisher: ser.publisher, Self: set.HostID, Region: ser.regionHosts,
-		Failed: func(error) { ser.scope.Counter("tables_refresh_failed").Inc(1) },
+		OnError: func(error) { ser.scope.Counter("tables_refresh_failed").Inc(1) },
 	}
 }
 
@@ -71,7 +71,7 @@
 	}
 	return &lister.Lister{
 		Platform: &platformMonitor{Lister: ser.persister, log: ser.Log, scope: ser.scope}, Self: ser.Settings.HostID, Incarnation: inc, Region: ser.regionHosts,
-		Every: ser.Settings.ListInterval, Cost: ser.persister.ListCost, Clock: time.Now,
+		MinInterval: ser.Settings.ListInterval, LastReadBytes: ser.persister.ListCost, Clock: time.Now,
 		OnChange: func() { go ser.withForwardTimeout(ser.gossiper.PushList) },
 	}
 }
