--- a/process/assigner/assigner_test.go
+++ b/process/assigner/assigner_test.go
@@ -77,11 +77,11 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	switch bod := env.GetBody().(type) {
+	switch body := env.GetBody().(type) {
 	case *messenger.Envelope_PlanRequest:
-		return hos.HandleRequest(ctx, bod.PlanRequest, time.Now()), nil
+		return hos.HandleRequest(ctx, body.PlanRequest, time.Now()), nil
 	case *messenger.Envelope_PlanNotices:
-		return hos.HandleNotices(bod.PlanNotices), nil
+		return hos.HandleNotices(body.PlanNotices), nil
 	}
 	return nil, errors.New("unknown message")
 }
--- a/process/assigner/planners.go
+++ b/process/assigner/planners.go
@@ -36,14 +36,14 @@
 	// seconds to declare an unresponsive host dead.
 	suspectPeriod = 2 * time.Second
 	maxSuspect    = 16 * time.Second
-	// missPeriod is the least time between the first missed reply of a planner and the one
-	// that makes the planner suspect. Until then requests go to other hosts, which relay
-	// them to the planner: this host may itself be late if it has little processor time,
-	// and each suspicion leads to a second plan of the pool.
+	// missPeriod is the least time between the first timed-out reply of a planner and the
+	// one that makes the planner suspect. Until then requests go to other hosts, which
+	// relay them to the planner: this host may itself be late if it has little processor
+	// time, and each suspicion leads to a second plan of the pool.
 	missPeriod = 300 * time.Millisecond
 	// maxPlanners is the number of planners that one call tries.
 	maxPlanners = 2
-	// relayHold and relayGrace are those of a relayed request. They are shorter than
+	// relayHold and relayGrace are those of a relayed request. Their sum is below that of
 	// firstHold and firstGrace, so that the relaying host can still plan itself if the
 	// planner does not answer.
 	relayHold  = 60 * time.Millisecond
--- a/process/planner/choose.go
+++ b/process/planner/choose.go
@@ -29,8 +29,8 @@
 	// waitShare is the share of its objective that must be left for a request to wait for
 	// a choice without loss.
 	waitShare = 0.5
-	// waitMargin is the time in ms: a request whose best choice is late waits for a better
-	// one while the time left exceeds the time to its first event on idle engines by more
+	// waitMargin is a time in ms. A request whose best choice is late waits for a better
+	// one while its time left exceeds the time to the first event on idle engines by more
 	// than this.
 	waitMargin = 40
 	// shortsPerEngine is the rate of short prompts per second at which an engine counts as
@@ -52,7 +52,7 @@
 	// shortTieCost is the cost of a short prompt's time to the first event, as a share of
 	// the objective. It decides between choices of equal loss.
 	shortTieCost = 0.1
-	// longTieCost is that of long prompts, relative to their weight.
+	// longTieCost is the same cost for long prompts, relative to their weight.
 	longTieCost = 0.05
 	// interferenceTime is the delay in ms that is accepted to avoid one unit of loss to
 	// other requests.
@@ -190,7 +190,7 @@
 	if cho.first > msOf(pen.callerDeadline.Sub(now)) {
 		return false
 	}
-	own := pla.lateness(pen, cho.first, now)
+	own := pla.latenessLoss(pen, cho.first, now)
 	room := earlyShare*pen.slack(now) - cho.first
 	if own < lateLoss*weight {
 		urgency := 1 - float64(room)/(waitShare*float64(max(1, msOf(pen.prompt.Objective))))
@@ -232,12 +232,12 @@
 	var best choice
 	found := false
 	for _, eng := range pla.order {
-		if !eng.usable(pen, now) || eng.freeMemory(pla.costs.MemoryTokens) < pen.need || len(eng.grants)+eng.foreign >= pla.costs.Slots {
+		if !eng.usable(pen, now) || eng.freeMemory(pla.costs.MemoryTokens) < pen.memory || len(eng.grants)+eng.foreign >= pla.costs.Slots {
 			continue
 		}
 		cho := choice{lead: eng, parts: []*engine{eng}, backlog: eng.backlog(now)}
 		cho.first = eng.startDelay(false, now) + eng.nextDecodeTime(pla.costs, pen.prompt.Tokens) + pen.prefill*eng.pace + networkTime
-		cho.loss = pla.lateness(pen, cho.first, now) + pla.interference(eng, pen.prefill, pen.prompt.Tokens, false, now)
+		cho.loss = pla.latenessLoss(pen, cho.first, now) + pla.interference(eng, pen.prefill, pen.prompt.Tokens, false, now)
 		cho.cost = cho.loss + shortTieCost*float64(cho.first/max(1, msOf(pen.prompt.Objective)))
 		cho.cost += idleEngineCost / float64(1+eng.tightAnswers(pen.prompt.Pause))
 		if !found || cho.cost < best.cost {
@@ -314,7 +314,7 @@
 	}
 	cho.lead = cho.parts[0]
 	cho.first += cho.lead.nextDecodeTime(pla.costs, pen.prompt.Tokens) + networkTime
-	cho.loss += pla.lateness(pen, cho.first, now)
+	cho.loss += pla.latenessLoss(pen, cho.first, now)
 	cho.cost = cho.loss + longTieCost*pla.weight(pen)*float64(cho.first/max(1, msOf(pen.prompt.Objective)))
 	return cho, true
 }
@@ -326,7 +326,7 @@
 	lead := -1
 	var best ms
 	for i, can := range cans {
-		if can.free < pen.need {
+		if can.free < pen.memory {
 			continue
 		}
 		interference := pla.interference(can.eng, prefill, pen.prompt.Tokens, true, now)
@@ -341,11 +341,11 @@
 // splitMemory divides the memory of a prompt that no single engine can hold over the
 // candidates, those with the most free memory first.
 func (pla *Plan) splitMemory(pen *pending, cans []candidate) ([]int64, bool) {
-	if pen.need <= int64(memoryFill*float64(pla.costs.MemoryTokens)) {
+	if pen.memory <= int64(memoryFill*float64(pla.costs.MemoryTokens)) {
 		// It fits into one engine once that engine's other requests have ended.
 		return nil, false
 	}
-	left := pen.need
+	left := pen.memory
 	reserve := make([]int64, len(cans))
 	slices.SortStableFunc(cans, func(a, b candidate) int { return cmp.Compare(b.free, a.free) })
 	for i, can := range cans {
@@ -356,7 +356,7 @@
 }
 
 func (pla *Plan) grant(pen *pending, cho choice, now time.Time) {
-	gra := &grant{req: pen, lead: cho.lead, grantedAt: now, leadMemory: pen.need, expectedFirst: now.Add(cho.first.duration()), pendingParts: len(cho.parts)}
+	gra := &grant{req: pen, lead: cho.lead, grantedAt: now, leadMemory: pen.memory, expectedFirst: now.Add(cho.first.duration()), pendingParts: len(cho.parts)}
 	cho.lead.addGrant(gra)
 	for i, eng := range cho.parts {
 		n := len(cho.parts)
@@ -365,7 +365,7 @@
 		case cho.reserve != nil:
 			par.memory = cho.reserve[i]
 		case i == 0:
-			par.memory = pen.need
+			par.memory = pen.memory
 		}
 		par.fullPrefill = par.prefill
 		gra.parts = append(gra.parts, par)
@@ -403,7 +403,7 @@
 
 func (pla *Plan) assign(gra *grant, now time.Time) {
 	act := Assign{ID: gra.req.ID, First: gra.expectedFirst.Sub(now), Waited: gra.grantedAt.Sub(gra.req.arrived)}
-	leadHoldsAll := len(gra.parts) > 0 && gra.parts[0].memory >= gra.req.need
+	leadHoldsAll := len(gra.parts) > 0 && gra.parts[0].memory >= gra.req.memory
 	for _, par := range gra.parts {
 		assigned := Part{Endpoint: par.eng.ID, Address: par.eng.Address}
 		if !leadHoldsAll {
@@ -431,7 +431,7 @@
 	switch {
 	case usable == 0:
 		pla.refuse(pen, CodeNoEngine, "no engine of the pool can take the request", minRetryAfter)
-	case pen.need > int64(usable)*int64(memoryFill*float64(pla.costs.MemoryTokens)) && usable == len(pla.order):
+	case pen.memory > int64(usable)*int64(memoryFill*float64(pla.costs.MemoryTokens)) && usable == len(pla.order):
 		pla.refuse(pen, CodeTooLarge, "the prompt exceeds the memory of the engines together", 0)
 	case pla.idleFirst(pen) > left:
 		pla.refuse(pen, CodeTooLate, "the prompt can't be read in the time left", minRetryAfter)
--- a/process/planner/loss.go
+++ b/process/planner/loss.go
@@ -38,9 +38,9 @@
 	return 1 + float64(pen.prompt.Tokens)/float64(usual)
 }
 
-// lateness is the expected loss of a request whose first event arrives after the time
+// latenessLoss is the expected loss of a request whose first event arrives after the time
 // first.
-func (pla *Plan) lateness(pen *pending, first ms, now time.Time) float64 {
+func (pla *Plan) latenessLoss(pen *pending, first ms, now time.Time) float64 {
 	weight := pla.weight(pen)
 	if first > msOf(pen.callerDeadline.Sub(now)) {
 		return weight
@@ -129,21 +129,21 @@
 	expected := msOf(gra.expectedFirst.Sub(now))
 	next := max(expected, pla.firstEventDelay(par, now)+delay)
 	risk := delayWeight * pla.weight(gra.req) * float64((next-expected)/max(1, msOf(gra.req.prompt.Objective)))
-	return max(0, pla.lateness(gra.req, next, now)-pla.lateness(gra.req, expected, now)) + risk
+	return max(0, pla.latenessLoss(gra.req, next, now)-pla.latenessLoss(gra.req, expected, now)) + risk
 }
 
 // joinLoss is the loss of a request whose first event arrives at the end of a pass that a
 // further prefill prolongs.
 func (pla *Plan) joinLoss(gra *grant, delay ms, now time.Time) float64 {
 	expected := msOf(gra.expectedFirst.Sub(now))
-	return max(0, pla.lateness(gra.req, expected+delay, now)-pla.lateness(gra.req, expected, now))
+	return max(0, pla.latenessLoss(gra.req, expected+delay, now)-pla.latenessLoss(gra.req, expected, now))
 }
 
 // overdueLoss is the loss of an overdue request if the prefill of one of its parts is
 // delayed.
 func (pla *Plan) overdueLoss(par *part, delay ms, now time.Time) float64 {
 	expected := par.eng.residual(now) + par.fullPrefill + par.gra.lead.nextDecodeTime(pla.costs, 0) + networkTime
-	return max(0, pla.lateness(par.gra.req, expected+delay, now)-pla.lateness(par.gra.req, expected, now))
+	return max(0, pla.latenessLoss(par.gra.req, expected+delay, now)-pla.latenessLoss(par.gra.req, expected, now))
 }
 
 // firstEventDelay is the time to the first event of a grant that waits for the prefill of
--- a/process/planner/plan.go
+++ b/process/planner/plan.go
@@ -24,7 +24,7 @@
 	Request
 	prompt   Prompt
 	prefill  ms
-	need     int64
+	memory   int64
 	arrived  time.Time
 	lastSeen time.Time
 	// callerDeadline is the time at which the caller gives up if no event has arrived.
@@ -133,7 +133,7 @@
 func (pla *Plan) newPending(eve Request, now time.Time) *pending {
 	pro := eve.Prompt
 	pen := &pending{Request: eve, prompt: pro, prefill: pla.costs.prefill(pro.Tokens), arrived: now, lastSeen: now}
-	pen.need = pro.Tokens + pla.answerTokens(pro)
+	pen.memory = pro.Tokens + pla.answerTokens(pro)
 	pen.callerDeadline = callerDeadline(pro)
 	return pen
 }
@@ -146,7 +146,7 @@
 		return
 	}
 	pen := pla.newPending(eve.Request, now)
-	gra := &grant{req: pen, lead: pla.engines[eve.Parts[0].Endpoint], grantedAt: now.Add(-eve.Age), leadMemory: pen.need, expectedFirst: now, began: eve.Begun}
+	gra := &grant{req: pen, lead: pla.engines[eve.Parts[0].Endpoint], grantedAt: now.Add(-eve.Age), leadMemory: pen.memory, expectedFirst: now, began: eve.Begun}
 	leadHoldsAll := eve.Parts[0].Reserve == 0
 	for i, assigned := range eve.Parts {
 		eng := pla.engines[assigned.Endpoint]
@@ -156,7 +156,7 @@
 		n := ms(len(eve.Parts))
 		par := &part{gra: gra, eng: eng, prefill: pen.prefill / n * eng.pace, tokens: float64(pen.prompt.Tokens) / float64(n), memory: assigned.Reserve}
 		if i == 0 && leadHoldsAll {
-			par.memory = pen.need
+			par.memory = pen.memory
 		}
 		par.fullPrefill = par.prefill
 		gra.parts = append(gra.parts, par)
