--- a/request/claimer/claimer.go
+++ b/request/claimer/claimer.go
@@ -1,6 +1,6 @@
-// Package claimer decides the steps of a call that must run at most once: claim
-// its key, dispatch it, record the outcome, or give the claim back. A call whose
-// key is held by another one waits for the end of that one within its own time.
+// Package claimer decides the steps of a call that must run at most once: claim its
+// idempotency key, dispatch it, record the outcome, or release the claim. If another
+// call holds the key, the call waits for that call to end, within its own time limit.
 package claimer
 
 import (
@@ -12,19 +12,21 @@
 )
 
 const (
-	// MaxDispatches bounds the endpoints tried when none has received the call.
+	// MaxDispatches bounds the endpoints attempted as long as none has received the
+	// call.
 	MaxDispatches = 3
 	retryAfter    = time.Second
-	// The pauses of a call whose key another call holds.
+	// Pauses between the claims of a call whose key another call holds.
 	minHeldPause = 100 * time.Millisecond
 	maxHeldPause = time.Second
-	// heldReserve is the number of pauses for which time must be left.
-	heldReserve = 2
-	// maxDoublings leads from the shortest pause beyond the longest.
+	// minHeldPauses is the number of pauses for which time must be left to wait on.
+	minHeldPauses = 2
+	// maxDoublings bounds the shift so that it does not overflow; minHeldPause doubled
+	// four times exceeds maxHeldPause.
 	maxDoublings = 4
 )
 
-// Phase is how far a call has come.
+// Phase is the phase of a call.
 type Phase int
 
 // Phases of a call.
@@ -35,27 +37,26 @@
 	Placing
 	// Dispatched means that an endpoint may have the call.
 	Dispatched
-	// Late means that the time limit passed while an endpoint may have the
-	// call. The caller has its answer; the outcome is still recorded.
+	// Late means that the time limit passed while an endpoint may have the call. The
+	// caller has been answered; the outcome is still recorded.
 	Late
 	// Ended means that nothing remains to be done.
 	Ended
 )
 
-// State is what is known of one call. It is an immutable value.
+// State is the state of one call. It is an immutable value.
 type State struct {
-	// CallerKey says that the caller supplied the key, so that an earlier call
-	// may have used it.
+	// CallerKey says that the caller supplied the key, so that an earlier call may have
+	// used it.
 	CallerKey  bool
 	Phase      Phase
 	Dispatches int
 	Excluded   []string
-	// Waits counts the pauses in which the holder of the key might end.
+	// Waits counts the pauses spent waiting for the call that holds the key.
 	Waits int
 }
 
-// Event is a step of a call: Claimed, Placed, NoEndpoint, Replied, Failed or
-// Expired.
+// Event is a step of a call: Claimed, Placed, NoEndpoint, Replied, Failed or Expired.
 type Event interface{ event() }
 
 // Claimed reports the result of the claim.
@@ -63,24 +64,24 @@
 	State   messenger.ClaimResult_State
 	Outcome *messenger.Outcome
 	Message string
-	// Left is the time until the limit of the call.
+	// Left is the time until the time limit of the call.
 	Left time.Duration
 }
 
 // Placed reports that an endpoint was found.
 type Placed struct{}
 
-// Replied reports the whole answer of the endpoint.
+// Replied reports the complete answer of the endpoint.
 type Replied struct{ Reply invoker.ServiceReply }
 
-// Failed reports a dispatch without a whole answer.
+// Failed reports a dispatch that ended without a complete answer.
 type Failed struct {
 	Endpoint string
 	Ran      invoker.Execution
 	Message  string
 }
 
-// NoEndpoint reports that no endpoint could be had.
+// NoEndpoint reports that no endpoint was available.
 type NoEndpoint struct{ Message string }
 
 // Expired reports that the time limit has passed.
@@ -97,11 +98,11 @@
 // Stop.
 type Action interface{ action() }
 
-// Await commits the claim again after a pause, since another call holds the key
-// and may end until then.
+// Await retries the claim after a pause, since another call holds the key and may end
+// in the meantime.
 type Await struct{ Pause time.Duration }
 
-// Place looks for an endpoint.
+// Place requests an endpoint.
 type Place struct{}
 
 // Dispatch sends the call to the endpoint that was found.
@@ -110,8 +111,8 @@
 // Record stores the outcome under the claim and answers the caller.
 type Record struct{ Reply invoker.ServiceReply }
 
-// Release gives the claim back, then fails the call. It also follows a claim
-// of unknown result, so that one that takes effect late does not stay.
+// Release releases the claim, then fails the call. It also follows a claim whose result
+// is unknown, so that a claim committed late does not remain.
 type Release struct{ Fail Fail }
 
 // Replay answers with the recorded outcome.
@@ -141,22 +142,22 @@
 // Next decides on an event.
 func (sta State) Next(eve Event) (State, Action) {
 	if sta.Phase == Late || sta.Phase == Ended {
-		return sta.afterAnswer(eve)
+		return sta.afterCallerAnswered(eve)
 	}
 	var act Action
 	switch eve := eve.(type) {
 	case Claimed:
-		sta, act = sta.claimed(eve)
+		sta, act = sta.afterClaimed(eve)
 	case Placed:
 		act = Dispatch{}
 	case Replied:
 		act = Record(eve)
 	case Failed:
-		sta, act = sta.failed(eve)
+		sta, act = sta.afterFailure(eve)
 	case NoEndpoint:
-		act = Release{notRun(http.StatusServiceUnavailable, "no_endpoint", eve.Message)}
+		act = Release{failNotRun(http.StatusServiceUnavailable, "no_endpoint", eve.Message)}
 	case Expired:
-		return sta.expired()
+		return sta.afterExpiry()
 	default:
 		act = Fail{Status: http.StatusInternalServerError, Code: "internal", Message: "unknown event", Ran: invoker.Unknown}
 	}
@@ -177,9 +178,9 @@
 	}
 }
 
-// afterAnswer decides on what comes after the caller was answered. Nothing is
-// dispatched any more, and what an endpoint says is recorded.
-func (sta State) afterAnswer(eve Event) (State, Action) {
+// afterCallerAnswered decides on events after the caller was answered. Nothing more is
+// dispatched, but the answer of an endpoint that has the call is recorded.
+func (sta State) afterCallerAnswered(eve Event) (State, Action) {
 	late := sta.Phase == Late
 	sta.Phase = Ended
 	switch eve := eve.(type) {
@@ -189,38 +190,38 @@
 		}
 	case Failed:
 		if late && eve.Ran == invoker.NotRun {
-			return sta, Release{notRun(http.StatusBadGateway, "endpoint_unreachable", eve.Message)}
+			return sta, Release{failNotRun(http.StatusBadGateway, "endpoint_unreachable", eve.Message)}
 		}
 	}
 	return sta, Stop{}
 }
 
-// withoutClaim is what may be said of a call whose claim is not held: an own
-// key may have run under an earlier call.
-func (sta State) withoutClaim() invoker.Execution {
+// ranWithoutClaim returns what is known about the execution of a call that does not
+// hold its claim. An earlier call may have run with a key supplied by the caller.
+func (sta State) ranWithoutClaim() invoker.Execution {
 	if sta.CallerKey {
 		return invoker.Unknown
 	}
 	return invoker.NotRun
 }
 
-// notRun fails a call that holds its claim and reached no endpoint. While the
-// claim is held no other call of the key can run, and no earlier one has.
-func notRun(status int, code, message string) Fail {
+// failNotRun fails a call that holds its claim and has reached no endpoint. While it
+// holds the claim, no other call with the key can run, and no earlier call has.
+func failNotRun(status int, code, message string) Fail {
 	return Fail{Status: status, Code: code, Message: message, Ran: invoker.NotRun, RetryAfter: retryAfter}
 }
 
-func (sta State) claimed(cla Claimed) (State, Action) {
-	pau := min(minHeldPause<<min(sta.Waits, maxDoublings), maxHeldPause)
-	if cla.State != messenger.ClaimResult_STATE_HELD || cla.Left < heldReserve*pau {
-		return sta, sta.afterClaim(cla)
+func (sta State) afterClaimed(cla Claimed) (State, Action) {
+	pause := min(minHeldPause<<min(sta.Waits, maxDoublings), maxHeldPause)
+	if cla.State != messenger.ClaimResult_STATE_HELD || cla.Left < minHeldPauses*pause {
+		return sta, sta.claimResult(cla)
 	}
 	sta.Waits++
-	return sta, Await{pau}
+	return sta, Await{pause}
 }
 
-// afterClaim decides on a result that is not awaited any more.
-func (sta State) afterClaim(cla Claimed) Action {
+// claimResult decides on the result of a claim that is not retried.
+func (sta State) claimResult(cla Claimed) Action {
 	switch cla.State {
 	case messenger.ClaimResult_STATE_COMMITTED:
 		return Place{}
@@ -231,37 +232,37 @@
 	case messenger.ClaimResult_STATE_CONFLICT:
 		return Fail{Status: http.StatusUnprocessableEntity, Code: "idempotency_key_reused", Message: "the key was used for another call, which may have run", Ran: invoker.Unknown}
 	case messenger.ClaimResult_STATE_EXPIRED:
-		return Fail{Status: http.StatusBadRequest, Code: "idempotency_key_expired", Message: "the key is older than the retention of claims", Ran: sta.withoutClaim()}
+		return Fail{Status: http.StatusBadRequest, Code: "idempotency_key_expired", Message: "the key is older than the retention of claims", Ran: sta.ranWithoutClaim()}
 	case messenger.ClaimResult_STATE_FULL:
 		return Fail{Status: http.StatusServiceUnavailable, Code: "claims_full", Message: cla.Message, Ran: invoker.NotRun, RetryAfter: retryAfter}
 	case messenger.ClaimResult_STATE_NOT_COMMITTED:
-		return Fail{Status: http.StatusServiceUnavailable, Code: "claim_refused", Message: "the claim was not committed: " + cla.Message, Ran: sta.withoutClaim(), RetryAfter: retryAfter}
+		return Fail{Status: http.StatusServiceUnavailable, Code: "claim_refused", Message: "the claim was not committed: " + cla.Message, Ran: sta.ranWithoutClaim(), RetryAfter: retryAfter}
 	default:
-		return Release{Fail{Status: http.StatusServiceUnavailable, Code: "claim_unknown", Message: "the claim could not be confirmed: " + cla.Message, Ran: sta.withoutClaim(), RetryAfter: retryAfter}}
+		return Release{Fail{Status: http.StatusServiceUnavailable, Code: "claim_unknown", Message: "the claim could not be confirmed: " + cla.Message, Ran: sta.ranWithoutClaim(), RetryAfter: retryAfter}}
 	}
 }
 
-func (sta State) failed(fai Failed) (State, Action) {
+func (sta State) afterFailure(fai Failed) (State, Action) {
 	if fai.Ran != invoker.NotRun {
 		return sta, Fail{Status: http.StatusBadGateway, Code: "call_outcome_unknown", Message: fai.Message, Ran: invoker.Unknown}
 	}
 	sta.Dispatches++
-	exc := make([]string, 0, len(sta.Excluded)+1)
-	sta.Excluded = append(append(exc, sta.Excluded...), fai.Endpoint)
+	excluded := make([]string, 0, len(sta.Excluded)+1)
+	sta.Excluded = append(append(excluded, sta.Excluded...), fai.Endpoint)
 	if sta.Dispatches < MaxDispatches {
 		return sta, Place{}
 	}
-	return sta, Release{notRun(http.StatusBadGateway, "endpoint_unreachable", fai.Message)}
+	return sta, Release{failNotRun(http.StatusBadGateway, "endpoint_unreachable", fai.Message)}
 }
 
-// expired answers a call at its time limit.
-func (sta State) expired() (State, Action) {
+// afterExpiry answers a call at its time limit.
+func (sta State) afterExpiry() (State, Action) {
 	const message = "the time limit has passed"
-	pha := sta.Phase
+	phase := sta.Phase
 	sta.Phase = Ended
-	switch pha {
+	switch phase {
 	case Claiming:
-		return sta, Release{Fail{Status: http.StatusGatewayTimeout, Code: "time_limit", Message: message + " before the claim was confirmed", Ran: sta.withoutClaim()}}
+		return sta, Release{Fail{Status: http.StatusGatewayTimeout, Code: "time_limit", Message: message + " before the claim was confirmed", Ran: sta.ranWithoutClaim()}}
 	case Placing:
 		return sta, Release{Fail{Status: http.StatusGatewayTimeout, Code: "time_limit", Message: message + " before a dispatch", Ran: invoker.NotRun}}
 	default:
--- a/request/claimer/claimer_test.go
+++ b/request/claimer/claimer_test.go
@@ -17,13 +17,13 @@
 
 func parseEvent(t *testing.T, line string) Event {
 	t.Helper()
-	nam, arg, _ := strings.Cut(strings.TrimSpace(line), " ")
-	switch nam {
+	name, arg, _ := strings.Cut(strings.TrimSpace(line), " ")
+	switch name {
 	case "claimed":
-		arg, lef, _ := strings.Cut(arg, " left=")
+		arg, left, _ := strings.Cut(arg, " left=")
 		sta, ok := messenger.ClaimResult_State_value["STATE_"+arg]
 		require.True(t, ok, line)
-		dur, _ := time.ParseDuration(lef)
+		dur, _ := time.ParseDuration(left)
 		return Claimed{State: messenger.ClaimResult_State(sta), Outcome: &messenger.Outcome{}, Left: dur}
 	case "placed":
 		return Placed{}
@@ -53,23 +53,24 @@
 	}
 }
 
-// TestDecisions drives calls with an own key and with a made one.
+// TestDecisions applies scripts of events to a call with a key supplied by the caller
+// and to a call with a generated key.
 func TestDecisions(t *testing.T) {
-	datadriven.RunTest(t, "testdata/decisions", func(t *testing.T, td *datadriven.TestData) string {
+	datadriven.RunTest(t, "testdata/decisions", func(t *testing.T, dat *datadriven.TestData) string {
 		var bui strings.Builder
-		var stas [2]State
-		stas[0].CallerKey = true
-		for line := range strings.Lines(td.Input) {
+		var states [2]State
+		states[0].CallerKey = true
+		for line := range strings.Lines(dat.Input) {
 			eve := parseEvent(t, line)
-			var outs [2]string
-			for ind := range stas {
-				sta, act := stas[ind].Next(eve)
-				stas[ind] = sta
-				outs[ind] = formatAction(act)
+			var outputs [2]string
+			for i := range states {
+				sta, act := states[i].Next(eve)
+				states[i] = sta
+				outputs[i] = formatAction(act)
 			}
-			bui.WriteString(outs[0])
-			if outs[1] != outs[0] {
-				bui.WriteString(" | made key: " + outs[1])
+			bui.WriteString(outputs[0])
+			if outputs[1] != outputs[0] {
+				bui.WriteString(" | made key: " + outputs[1])
 			}
 			bui.WriteByte('\n')
 		}
@@ -78,11 +79,11 @@
 }
 
 func TestParseKey(t *testing.T) {
-	// A UUID of version 7 of the present time.
-	const fresh = "01a24048-2680-7000-8000-000000000001"
+	// A UUID of version 7 with the time now.
+	const recentKey = "01a24048-2680-7000-8000-000000000001"
 	tests := []struct{ name, key, stamp, code string }{
-		{"uuid", fresh, "", ""},
-		{"uuid ignores the header", fresh, "2020-01-01T00:00:00Z", ""},
+		{"uuid", recentKey, "", ""},
+		{"uuid ignores the header", recentKey, "2020-01-01T00:00:00Z", ""},
 		{"opaque with time", "order-7", "2026-12-04T08:59:00Z", ""},
 		{"opaque without time", "order-7", "", "idempotency_key_time_missing"},
 		{"random uuid", "6f1c1f4e-0d6b-4b0e-9a53-1f1d1f1d1f1d", "", "idempotency_key_time_missing"},
--- a/request/claimer/key.go
+++ b/request/claimer/key.go
@@ -18,9 +18,9 @@
 
 // Key is the idempotency key of a call. It is an immutable value.
 //
-// A key carries its time, so that a repeat that arrives when the claim is no
-// longer kept is recognized as old. Its time is part of its identity: the same
-// text with another time is refused as reused while the claim is kept.
+// A key includes its time, so that a repeat that arrives after the claim was removed is
+// recognized as too old. The time is part of the key's identity: while the claim is
+// kept, the same text with another time is refused as a reused key.
 type Key struct {
 	Text string
 	Time time.Time
@@ -29,36 +29,36 @@
 	FromCaller bool
 }
 
-// NewKey makes the key of a call whose caller supplied none.
+// NewKey generates the key of a call whose caller supplied none.
 func NewKey(now time.Time) Key {
 	return Key{Text: uuid.Must(uuid.NewV7()).String(), Time: now}
 }
 
-// ParseKey reads the key and the time that a caller supplied. The time of a
-// UUID of version 7 is its own; any other key needs the time as RFC 3339. It
-// returns a Fail for a key that can't be accepted. The call is refused before
-// anything runs, but an earlier call may have used the key in another form.
-func ParseKey(txt, stamp string, now time.Time, skew time.Duration) (Key, *Fail) {
-	if !ValidKey(txt) {
+// ParseKey parses the key and the time that a caller supplied. A UUID of version 7
+// contains its time; any other key needs a time in RFC 3339 format. ParseKey returns a
+// Fail for an invalid key. Such a call does not run, but an earlier call may have used
+// the same key with a valid time.
+func ParseKey(text, stamp string, now time.Time, skew time.Duration) (Key, *Fail) {
+	if !ValidKey(text) {
 		return Key{}, badKey("idempotency_key_invalid", "the key must be 1 to 200 printable ASCII characters", invoker.NotRun)
 	}
-	key := Key{Text: txt, FromCaller: true}
-	tim, ok := uuidTime(txt)
+	key := Key{Text: text, FromCaller: true}
+	keyTime, ok := uuidTime(text)
 	if !ok {
 		if stamp == "" {
 			return Key{}, badKey("idempotency_key_time_missing", "the key must be a UUID of version 7 or come with Idempotency-Key-Time", invoker.Unknown)
 		}
 		var err error
-		tim, err = time.Parse(time.RFC3339, stamp)
+		keyTime, err = time.Parse(time.RFC3339, stamp)
 		if err != nil {
 			return Key{}, badKey("idempotency_key_time_invalid", "Idempotency-Key-Time must be a time as in RFC 3339", invoker.Unknown)
 		}
 	}
-	if tim.After(now.Add(skew)) {
+	if keyTime.After(now.Add(skew)) {
 		// A host whose clock is ahead may have accepted the key.
 		return Key{}, badKey("idempotency_key_from_future", "the time of the key lies in the future", invoker.Unknown)
 	}
-	key.Time = tim
+	key.Time = keyTime
 	return key, nil
 }
 
@@ -66,28 +66,28 @@
 	return &Fail{Status: http.StatusBadRequest, Code: code, Message: message, Ran: ran}
 }
 
-// ValidKey reports whether a text can be an idempotency key: printable ASCII
-// without spaces, at most MaxKeyBytes.
-func ValidKey(txt string) bool {
-	if txt == "" || len(txt) > MaxKeyBytes {
+// ValidKey reports whether a text can be an idempotency key: printable ASCII without
+// spaces, at most MaxKeyBytes.
+func ValidKey(text string) bool {
+	if text == "" || len(text) > MaxKeyBytes {
 		return false
 	}
-	for ind := range len(txt) {
-		if txt[ind] <= ' ' || txt[ind] > '~' {
+	for i := range len(text) {
+		if text[i] <= ' ' || text[i] > '~' {
 			return false
 		}
 	}
 	return true
 }
 
-func uuidTime(txt string) (time.Time, bool) {
-	uid, err := uuid.Parse(txt)
-	if err != nil || uid.Version() != uuidTimeVersion {
+func uuidTime(text string) (time.Time, bool) {
+	id, err := uuid.Parse(text)
+	if err != nil || id.Version() != uuidTimeVersion {
 		return time.Time{}, false
 	}
 	var ms int64
-	for _, byt := range uid[:6] {
-		ms = ms<<8 | int64(byt)
+	for _, b := range id[:6] {
+		ms = ms<<8 | int64(b)
 	}
 	return time.UnixMilli(ms), true
 }
