--- a/request/hasher/hasher.go
+++ b/request/hasher/hasher.go
@@ -1,5 +1,5 @@
-// Package hasher computes the chained block hashes by which engines and hosts
-// name prefixes of prompts, and the token counts that both use.
+// Package hasher computes the chained block hashes that identify prefixes of prompts
+// for engines and hosts, and the token counts that both use.
 package hasher
 
 import (
@@ -9,35 +9,35 @@
 )
 
 const (
-	// BytesPerToken is the mean length of a token of prompt text.
+	// BytesPerToken is the mean length of a token of prompt text, in bytes.
 	BytesPerToken = 4
-	// BlockTokens is the number of tokens of one block of the prefix cache.
+	// BlockTokens is the number of tokens in one block of the prefix cache.
 	BlockTokens = 1024
 	blockBytes  = BlockTokens * BytesPerToken
 )
 
-// Tokens estimates the tokens of a text, rounded up.
-func Tokens(txt string) int64 {
-	return int64(len(txt)+BytesPerToken-1) / BytesPerToken
+// Tokens estimates the number of tokens of a text, rounded up.
+func Tokens(text string) int64 {
+	return int64(len(text)+BytesPerToken-1) / BytesPerToken
 }
 
-// Blocks returns the chained hash of each whole block of a prompt.
-func Blocks(txt string) []uint64 {
-	has := make([]uint64, 0, len(txt)/blockBytes)
-	var pre uint64
-	for off := 0; off+blockBytes <= len(txt); off += blockBytes {
-		pre = chain(pre, txt[off:off+blockBytes])
-		has = append(has, pre)
+// Blocks returns the chained hash of each complete block of a prompt.
+func Blocks(text string) []uint64 {
+	hashes := make([]uint64, 0, len(text)/blockBytes)
+	var prefix uint64
+	for offset := 0; offset+blockBytes <= len(text); offset += blockBytes {
+		prefix = chain(prefix, text[offset:offset+blockBytes])
+		hashes = append(hashes, prefix)
 	}
-	return has
+	return hashes
 }
 
-func chain(pre uint64, blo string) uint64 {
+func chain(prefix uint64, block string) uint64 {
 	var dig xxhash.Digest
 	dig.Reset()
 	var buf [8]byte
-	binary.LittleEndian.PutUint64(buf[:], pre)
+	binary.LittleEndian.PutUint64(buf[:], prefix)
 	_, _ = dig.Write(buf[:])
-	_, _ = dig.WriteString(blo)
+	_, _ = dig.WriteString(block)
 	return dig.Sum64()
 }
