--- a/request/hedger/hedger.go
+++ b/request/hedger/hedger.go
@@ -1,6 +1,6 @@
-// Package hedger decides how a call that may run more than once is sent: again
-// when an endpoint fails, and beside the first dispatch when that takes longer
-// than nearly all did lately. The first whole answer wins.
+// Package hedger decides how a call that may run more than once is sent. It is sent
+// again when an endpoint fails, and hedged when the first dispatch takes longer than 95
+// % of recent calls. The first complete answer is used.
 package hedger
 
 import (
@@ -9,20 +9,21 @@
 	"hemlockpin/connection/invoker"
 )
 
-// MaxDispatches bounds the dispatches of one call, hedges included.
+// MaxDispatches bounds the dispatches of one call, including hedges.
 const MaxDispatches = 3
 
-// State is what is known of one call. It is an immutable value; the zero value
-// is a call that was not sent.
+// State is the state of one call. It is an immutable value; the zero value is a call
+// that was not sent.
 type State struct {
-	// Dispatches counts those so far, InFlight those without an end.
+	// Dispatches counts all dispatches, InFlight those that have not ended.
 	Dispatches int
 	InFlight   int
-	// Hedged marks a call that was sent beside itself; that happens once.
+	// Hedged says that the call was hedged, which happens at most once.
 	Hedged bool
 	// Excluded lists the endpoints that failed the call or have it now.
 	Excluded []string
-	// Ran is the most that an endpoint may have run.
+	// Ran says whether an endpoint may have run the call: the worst case of all failed
+	// dispatches.
 	Ran invoker.Execution
 }
 
@@ -33,22 +34,22 @@
 // Began starts a call.
 type Began struct{}
 
-// Placed reports the endpoint of the dispatch that was asked for.
+// Placed reports the endpoint of the requested dispatch.
 type Placed struct{ Endpoint string }
 
-// Waited reports that the first dispatch takes longer than nearly all did.
+// Waited reports that the first dispatch has taken longer than the hedging delay.
 type Waited struct{}
 
-// Replied reports a whole answer.
+// Replied reports a complete answer.
 type Replied struct{}
 
-// Failed reports that a dispatch ended without one.
+// Failed reports that a dispatch ended without a complete answer.
 type Failed struct{ Ran invoker.Execution }
 
-// Unplaced reports that no endpoint could be had for a dispatch.
+// Unplaced reports that no endpoint was available for a dispatch.
 type Unplaced struct{ Code, Message string }
 
-// Expired reports that the time limit has passed or the caller has left.
+// Expired reports that the time limit has passed or the caller has disconnected.
 type Expired struct{}
 
 func (Began) event()    {}
@@ -59,14 +60,14 @@
 func (Unplaced) event() {}
 func (Expired) event()  {}
 
-// Action is what to do next: Dispatch, Wait, Deliver or Fail. Deliver and Fail
-// end the call and cancel what is open.
+// Action is what to do next: Dispatch, Wait, Deliver or Fail. Deliver and Fail end the
+// call and cancel the dispatches in flight.
 type Action interface{ action() }
 
-// Dispatch places and sends the call. Every one but the first spends a retry.
+// Dispatch places and sends the call. Every dispatch but the first spends a retry.
 type Dispatch struct{ Hedge bool }
 
-// Wait waits for what is open.
+// Wait waits for the dispatches in flight.
 type Wait struct{}
 
 // Deliver passes the answer on.
@@ -94,7 +95,7 @@
 		sta.Excluded = append(slices.Clip(sta.Excluded), eve.Endpoint)
 		return sta, Wait{}
 	case Waited:
-		return sta.afterWait(retry)
+		return sta.afterDelay(retry)
 	case Replied:
 		return sta, Deliver{}
 	case Failed:
@@ -112,7 +113,7 @@
 	}
 }
 
-func (sta State) afterWait(retry bool) (State, Action) {
+func (sta State) afterDelay(retry bool) (State, Action) {
 	if sta.Hedged || sta.InFlight != 1 || sta.Dispatches >= MaxDispatches || !retry {
 		return sta, Wait{}
 	}
--- a/request/hedger/hedger_test.go
+++ b/request/hedger/hedger_test.go
@@ -12,19 +12,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCalls runs scripts of events; a line that ends with a plus has a retry.
+// TestCalls runs scripts of events; a retry is available for the events that end with a
+// plus.
 func TestCalls(t *testing.T) {
 	datadriven.RunTest(t, "testdata/calls", func(t *testing.T, dat *datadriven.TestData) string {
 		var sta State
 		var out strings.Builder
-		for lin := range strings.Lines(dat.Input) {
-			lin, retry := strings.CutSuffix(strings.TrimSpace(lin), " +")
-			nam, arg, _ := strings.Cut(lin, " ")
+		for line := range strings.Lines(dat.Input) {
+			line, retry := strings.CutSuffix(strings.TrimSpace(line), " +")
+			name, arg, _ := strings.Cut(line, " ")
 			eve := map[string]Event{
 				"began": Began{}, "placed": Placed{Endpoint: arg}, "waited": Waited{}, "replied": Replied{},
 				"failed": Failed{Ran: invoker.Execution(arg)}, "unplaced": Unplaced{Code: "no_endpoint"}, "expired": Expired{},
-			}[nam]
-			require.NotNil(t, eve, lin)
+			}[name]
+			require.NotNil(t, eve, line)
 			var act Action
 			sta, act = sta.Next(eve, retry)
 			fmt.Fprintf(&out, "%T%+v\n", act, act)
@@ -33,27 +34,28 @@
 	})
 }
 
-// TestDelay has nineteen of twenty calls take 10 ms, then all take 100 ms.
+// TestDelay checks the delay for a pool where nearly all calls take 10 ms, then after
+// all calls take 100 ms, and after a pause.
 func TestDelay(t *testing.T) {
-	var tim Latencies
+	var lat Latencies
 	now := time.Unix(1_700_000_000, 0)
-	observe := func(cou int, dur time.Duration) {
-		for range cou {
+	observe := func(count int, latency time.Duration) {
+		for range count {
 			now = now.Add(50 * time.Millisecond)
-			tim.Observe(dur, now)
+			lat.Observe(latency, now)
 		}
 	}
-	observe(minSamples-1, 10*time.Millisecond)
-	_, ok := tim.Delay(now)
+	observe(minWeight-1, 10*time.Millisecond)
+	_, ok := lat.Delay(now)
 	require.False(t, ok)
 	observe(400, 10*time.Millisecond)
 	observe(10, time.Second)
-	del, ok := tim.Delay(now)
+	delay, ok := lat.Delay(now)
 	require.True(t, ok)
-	require.InEpsilon(t, 10*time.Millisecond, del, bucketRatio-1)
+	require.InEpsilon(t, 10*time.Millisecond, delay, bucketRatio-1)
 	observe(2000, 100*time.Millisecond)
-	del, _ = tim.Delay(now)
-	require.InEpsilon(t, 100*time.Millisecond, del, bucketRatio-1)
-	_, ok = tim.Delay(now.Add(10 * time.Minute))
+	delay, _ = lat.Delay(now)
+	require.InEpsilon(t, 100*time.Millisecond, delay, bucketRatio-1)
+	_, ok = lat.Delay(now.Add(10 * time.Minute))
 	require.False(t, ok)
 }
--- a/request/hedger/times.go
+++ b/request/hedger/times.go
@@ -7,79 +7,81 @@
 )
 
 const (
-	// quantile of the recent times after which a call is sent again.
-	quantile = 0.95
-	// minSamples is the weight of recent calls from which the times are trusted.
-	minSamples = 20
-	// halfLife is the age at which a time counts half.
+	// hedgeQuantile is the quantile of the recent latencies after which a call is
+	// hedged.
+	hedgeQuantile = 0.95
+	// minWeight is the total weight of recent calls from which the histogram is used.
+	minWeight = 20
+	// halfLife is the age at which the weight of a call has halved.
 	halfLife = 30 * time.Second
-	// minDelay keeps calls from being hedged for a pause of the host itself.
+	// minDelay keeps calls from being hedged because of a short pause of the host
+	// itself.
 	minDelay = 2 * time.Millisecond
 
-	buckets     = 80
+	bucketCount = 80
 	bucketRatio = 1.15
 	firstBucket = time.Millisecond
 )
 
-// Latencies is a histogram of how long the calls of a pool took lately. Its zero
+// Latencies is a histogram of the recent latencies of the calls of a pool. Its zero
 // value is empty.
 type Latencies struct {
 	mu     sync.Mutex
-	counts [buckets]float64
+	counts [bucketCount]float64
 	total  float64
 	at     time.Time
 }
 
-// Observe adds the time of one call.
-func (tim *Latencies) Observe(dur time.Duration, now time.Time) {
-	tim.mu.Lock()
-	defer tim.mu.Unlock()
-	tim.fade(now)
-	tim.counts[bucketOf(dur)]++
-	tim.total++
+// Observe adds the latency of one call.
+func (lat *Latencies) Observe(latency time.Duration, now time.Time) {
+	lat.mu.Lock()
+	defer lat.mu.Unlock()
+	lat.decay(now)
+	lat.counts[bucketOf(latency)]++
+	lat.total++
 }
 
-// Delay returns how long to wait for a first dispatch before a second one, and
-// false while too little is known.
-func (tim *Latencies) Delay(now time.Time) (time.Duration, bool) {
-	tim.mu.Lock()
-	defer tim.mu.Unlock()
-	tim.fade(now)
-	if tim.total < minSamples {
+// Delay returns how long to wait before a call is hedged, and false if too few calls
+// were observed recently.
+func (lat *Latencies) Delay(now time.Time) (time.Duration, bool) {
+	lat.mu.Lock()
+	defer lat.mu.Unlock()
+	lat.decay(now)
+	if lat.total < minWeight {
 		return 0, false
 	}
-	lef := tim.total * quantile
-	for ind, cou := range tim.counts {
-		if lef -= cou; lef <= 0 {
-			return max(minDelay, limitOf(ind)), true
+	left := lat.total * hedgeQuantile
+	for i, count := range lat.counts {
+		if left -= count; left <= 0 {
+			return max(minDelay, bucketLimit(i)), true
 		}
 	}
-	return limitOf(buckets - 1), true
+	return bucketLimit(bucketCount - 1), true
 }
 
-// fade lets old times count less. The caller holds the lock.
-func (tim *Latencies) fade(now time.Time) {
-	pas := now.Sub(tim.at)
-	if pas < time.Second {
+// decay reduces the weight of old calls. The caller holds the lock.
+func (lat *Latencies) decay(now time.Time) {
+	elapsed := now.Sub(lat.at)
+	if elapsed < time.Second {
 		return
 	}
-	fac := math.Exp2(-pas.Seconds() / halfLife.Seconds())
-	for ind := range tim.counts {
-		tim.counts[ind] *= fac
+	factor := math.Exp2(-elapsed.Seconds() / halfLife.Seconds())
+	for i := range lat.counts {
+		lat.counts[i] *= factor
 	}
-	tim.total *= fac
-	tim.at = now
+	lat.total *= factor
+	lat.at = now
 }
 
-func bucketOf(dur time.Duration) int {
-	if dur <= firstBucket {
+func bucketOf(latency time.Duration) int {
+	if latency <= firstBucket {
 		return 0
 	}
-	ind := math.Ceil(math.Log(float64(dur)/float64(firstBucket)) / math.Log(bucketRatio))
-	return min(buckets-1, int(ind))
+	i := math.Ceil(math.Log(float64(latency)/float64(firstBucket)) / math.Log(bucketRatio))
+	return min(bucketCount-1, int(i))
 }
 
-// limitOf is the upper limit of a bucket.
-func limitOf(ind int) time.Duration {
-	return time.Duration(float64(firstBucket) * math.Pow(bucketRatio, float64(ind)))
+// bucketLimit returns the upper limit of a bucket.
+func bucketLimit(i int) time.Duration {
+	return time.Duration(float64(firstBucket) * math.Pow(bucketRatio, float64(i)))
 }
