--- a/request/mover/mover.go
+++ b/request/mover/mover.go
@@ -1,6 +1,6 @@
-// Package mover decides, step by step, how an answer that one engine has begun
-// goes on at another. The answer never depends on a move: until the second
-// engine has the very tokens of the first and one more, the first one answers.
+// Package mover decides, step by step, how an answer begun on one engine, the source,
+// continues on another, the target. An answer never depends on its move: the source
+// generates it until the target has the same tokens and at least one more.
 package mover
 
 import "time"
@@ -8,24 +8,25 @@
 const (
 	// MinTime is the least time left for which a move is worth while.
 	MinTime = time.Second
-	// CatchUpLimit bounds the time for which two engines work on one answer.
+	// CatchUpLimit bounds the time for which both engines generate the same answer.
 	CatchUpLimit = time.Second
-	// MinCaughtUpTokens is the number of tokens from which the pace of the second engine
-	// shows; the first one tells its queue only.
+	// MinCaughtUpTokens is the number of tokens that the target must generate. The
+	// first token alone shows only how long the request was queued, not the decode
+	// rate.
 	MinCaughtUpTokens = 2
-	// StepLimit bounds each of the steps before the second dispatch.
+	// StepLimit bounds each of the steps before the dispatch to the target.
 	StepLimit = 5 * time.Second
 
-	// A prompt is taken to move at transferRate tokens a second after
-	// transferBase, and an answer to take stepTime a token. What is left of an
-	// answer must take worth times as long as the move.
-	transferBase = 20 * time.Millisecond
-	transferRate = 2e6
-	stepTime     = 10 * time.Millisecond
-	worth        = 3
+	// The transfer of a prompt is estimated at transferBase plus its tokens at
+	// transferRate, in tokens a second, and the rest of the answer at stepTime for each
+	// token. The rest must take minGainFactor times as long as the transfer.
+	transferBase  = 20 * time.Millisecond
+	transferRate  = 2e6
+	stepTime      = 10 * time.Millisecond
+	minGainFactor = 3
 )
 
-// Step is how far a move has come.
+// Step is the progress of a move.
 type Step int
 
 // Steps, in their order.
@@ -34,26 +35,27 @@
 	Asking
 	Exporting
 	Importing
-	// CatchingUp has both engines generate.
+	// CatchingUp means that both engines generate.
 	CatchingUp
-	// Caught has the second engine ahead of the first.
+	// Caught means that the target is ahead of the source.
 	Caught
-	// Over ends a move, whether it was carried out or given up.
+	// Over means that the move has ended, whether completed or aborted.
 	Over
 )
 
-var names = [...]string{"Idle", "Ask", "Export", "Import", "CatchUp", "Switch", "Over"}
+var stepNames = [...]string{"Idle", "Ask", "Export", "Import", "CatchUp", "Switch", "Over"}
 
-// String returns the name of the step.
-func (ste Step) String() string { return names[ste] }
+// String returns the name of the step, as the metric moves_failed and the spans have
+// it.
+func (ste Step) String() string { return stepNames[ste] }
 
-// State is how far one move has come. It is an immutable value; the zero value
-// is a move that was not begun.
+// State is the state of one move. It is an immutable value; the zero value is a move
+// that has not begun.
 type State struct {
 	Step Step
 	// PromptTokens is the length of the prompt.
 	PromptTokens int64
-	// Blocks counts the blocks of the prompt that engines can pass on.
+	// Blocks counts the blocks of the prompt that engines can transfer.
 	Blocks int
 }
 
@@ -63,38 +65,40 @@
 	Time   time.Duration
 }
 
-// Event is a step of a move: Began, Offered, Exported, Imported, CaughtUp,
-// Behind, Agreed, Failed, SourceFailed or Ended.
+// Event is a step of a move: Began, Offered, Exported, Imported, CaughtUp, Behind,
+// Agreed, Failed, SourceFailed or Ended.
 type Event interface{ event() }
 
 // Began reports the first token of the answer.
 type Began struct{ Remaining Remaining }
 
-// Offered reports an engine that has memory for the answer.
+// Offered reports that a target with memory for the answer was found.
 type Offered struct{}
 
-// Exported reports that the first engine keeps the prompt's blocks.
+// Exported reports that the source keeps the prompt's blocks for the transfer.
 type Exported struct{}
 
-// Imported reports that the second engine has the prompt's blocks.
+// Imported reports that the target has the prompt's blocks.
 type Imported struct{ Remaining Remaining }
 
-// CaughtUp reports that the second engine has a token which the caller has not.
+// CaughtUp reports that the target has generated a token that the caller has not
+// received.
 type CaughtUp struct{}
 
-// Behind reports that the caller has got more tokens meanwhile.
+// Behind reports that the caller has received more tokens than the target has
+// generated.
 type Behind struct{}
 
-// Agreed reports that the second engine's tokens are those that the caller has.
+// Agreed reports that the target's tokens equal those that the caller received.
 type Agreed struct{}
 
 // Failed reports that the step in progress failed, or that the tokens differ.
 type Failed struct{}
 
-// SourceFailed reports that the first engine's stream has failed.
+// SourceFailed reports that the source's stream has failed.
 type SourceFailed struct{}
 
-// Ended reports that the request has ended, whole or not.
+// Ended reports that the request has ended, with a complete answer or without.
 type Ended struct{}
 
 func (Began) event()        {}
@@ -108,45 +112,45 @@
 func (SourceFailed) event() {}
 func (Ended) event()        {}
 
-// Action is what to do next: Ask, Export, Import, CatchUp, Compare, Switch,
-// Await, Abort or Nothing.
+// Action is what to do next: Ask, Export, Import, CatchUp, Compare, Switch, Await,
+// Abort or Nothing.
 type Action interface{ action() }
 
-// Ask looks for an engine that goes on with the answer.
+// Ask requests a target for the answer.
 type Ask struct{}
 
-// Export makes the first engine keep the prompt's blocks.
+// Export makes the source keep the prompt's blocks.
 type Export struct{}
 
-// Import makes the second engine fetch them.
+// Import makes the target fetch the blocks.
 type Import struct{}
 
-// CatchUp dispatches to the second engine from the next token on, unless that
-// is done, and reads until it is ahead of the first.
+// CatchUp dispatches to the target from the next token on, unless that was done, and
+// reads until the target is ahead of the source.
 type CatchUp struct{}
 
-// Compare holds the second engine's tokens against those that the caller has.
+// Compare compares the target's tokens with those that the caller received.
 type Compare struct{}
 
-// Switch goes on with the second engine and gives up the first one, with the
-// export if there is one.
+// Switch continues the answer on the target and cancels the request on the source.
+// Export says that the export must be released.
 type Switch struct{ Export bool }
 
-// Await waits for the second engine, since the first one has failed.
+// Await waits for the target, since the source has failed.
 type Await struct{}
 
-// Abort gives up the move. At is the step that did not succeed. Everything that
-// the move may hold is freed.
+// Abort aborts the move and frees everything that it may hold. At is the step that did
+// not succeed.
 type Abort struct {
 	At Step
-	// Target says that an engine may have been offered, Export that the export
-	// may be held, Dispatch that the second engine may generate.
+	// Target says that a target may have been reserved, Export that the export may be
+	// held, Dispatch that the target may be generating.
 	Target   bool
 	Export   bool
 	Dispatch bool
 }
 
-// Nothing leaves things as they are.
+// Nothing means that there is nothing to do.
 type Nothing struct{}
 
 func (Ask) action()     {}
@@ -159,18 +163,18 @@
 func (Abort) action()   {}
 func (Nothing) action() {}
 
-// Next decides on an event. An event that does not fit the step is late and
+// Next decides on an event. An event that does not fit the step has arrived late and
 // changes nothing.
 func (sta State) Next(eve Event) (State, Action) {
 	switch eve := eve.(type) {
 	case Began:
-		return sta.afterBegin(eve.Remaining)
+		return sta.afterBegan(eve.Remaining)
 	case Offered:
-		return sta.afterOffer()
+		return sta.afterOffered()
 	case Exported:
 		return sta.advance(Exporting, Importing, Import{})
 	case Imported:
-		return sta.afterImport(eve.Remaining)
+		return sta.afterImported(eve.Remaining)
 	case CaughtUp:
 		return sta.advance(CatchingUp, Caught, Compare{})
 	case Behind:
@@ -194,30 +198,30 @@
 	return sta, act
 }
 
-func (sta State) afterBegin(res Remaining) (State, Action) {
-	if sta.Step == Idle && !sta.worthWhile(res) {
+func (sta State) afterBegan(rem Remaining) (State, Action) {
+	if sta.Step == Idle && !sta.worthWhile(rem) {
 		sta.Step = Over
 		return sta, Nothing{}
 	}
 	return sta.advance(Idle, Asking, Ask{})
 }
 
-// afterOffer passes no blocks on where the prompt is shorter than one.
-func (sta State) afterOffer() (State, Action) {
+// afterOffered skips the transfer if the prompt is shorter than one block.
+func (sta State) afterOffered() (State, Action) {
 	if sta.Blocks == 0 {
 		return sta.advance(Asking, CatchingUp, CatchUp{})
 	}
 	return sta.advance(Asking, Exporting, Export{})
 }
 
-func (sta State) afterImport(res Remaining) (State, Action) {
-	if sta.Step == Importing && !sta.worthWhile(res) {
+func (sta State) afterImported(rem Remaining) (State, Action) {
+	if sta.Step == Importing && !sta.worthWhile(rem) {
 		return sta.abort()
 	}
 	return sta.advance(Importing, CatchingUp, CatchUp{})
 }
 
-// afterSourceFailure counts on the second engine only where it has the request.
+// afterSourceFailure waits for the target only if the target already has the request.
 func (sta State) afterSourceFailure() (State, Action) {
 	if sta.Step == CatchingUp || sta.Step == Caught {
 		return sta, Await{}
@@ -225,8 +229,8 @@
 	return sta.abort()
 }
 
-// abort frees what may be held. A step whose end is not known may have been
-// carried out.
+// abort frees what may be held, including the result of a step that was in progress, as
+// that step may have been completed.
 func (sta State) abort() (State, Action) {
 	at := sta.Step
 	sta.Step = Over
@@ -238,11 +242,11 @@
 	}
 }
 
-// worthWhile holds when what is left of the answer takes well longer than its
-// move.
-func (sta State) worthWhile(res Remaining) bool {
-	lef := time.Duration(res.Tokens) * stepTime
-	return res.Time >= MinTime && lef >= worth*sta.transferTime()
+// worthWhile reports whether the rest of the answer takes minGainFactor times as long
+// as its transfer.
+func (sta State) worthWhile(rem Remaining) bool {
+	answerTime := time.Duration(rem.Tokens) * stepTime
+	return rem.Time >= MinTime && answerTime >= minGainFactor*sta.transferTime()
 }
 
 func (sta State) transferTime() time.Duration {
