--- a/request/budgeter/budgeter.go
+++ b/request/budgeter/budgeter.go
@@ -22,7 +22,7 @@
 	MaxFleetAge = 10 * time.Second
 )
 
-// Fleet summarises the retry budgets of the other hosts.
+// Fleet summarizes the retry budgets of the other hosts.
 type Fleet struct {
 	// Left is the mean number of retries left to the other hosts, as a share of Burst.
 	Left float64
@@ -30,7 +30,7 @@
 	AsOf time.Time
 }
 
-// NewFleet summarises the digests of other hosts, the oldest of which dates from at.
+// NewFleet summarizes the digests of other hosts, the oldest of which dates from at.
 func NewFleet(digests []Digest, at time.Time) Fleet {
 	if len(digests) == 0 {
 		return Fleet{}
--- a/request/claimer/claimer_test.go
+++ b/request/claimer/claimer_test.go
@@ -23,8 +23,8 @@
 		arg, left, _ := strings.Cut(arg, " left=")
 		sta, ok := messenger.ClaimResult_State_value["STATE_"+arg]
 		require.True(t, ok, line)
-		dur, _ := time.ParseDuration(left)
-		return Claimed{State: messenger.ClaimResult_State(sta), Outcome: &messenger.Outcome{}, Left: dur}
+		timeLeft, _ := time.ParseDuration(left)
+		return Claimed{State: messenger.ClaimResult_State(sta), Outcome: &messenger.Outcome{}, Left: timeLeft}
 	case "placed":
 		return Placed{}
 	case "no-endpoint":
--- a/request/executor/relay_bench_test.go
+++ b/request/executor/relay_bench_test.go
@@ -131,14 +131,14 @@
 	url := startHost(b, eng)
 	var direct, relayed []time.Duration
 	for b.Loop() {
-		sta := time.Now()
+		start := time.Now()
 		stream, err := (&http.Client{}).Post("http://"+eng, "application/json", strings.NewReader(`{"RequestID":"r","Attempt":1,"Model":"m","MaxTokens":4}`))
 		require.NoError(b, err)
-		direct = append(direct, firstToken(b, stream, sta))
+		direct = append(direct, firstToken(b, stream, start))
 		stream.Body.Close()
-		sta = time.Now()
+		start = time.Now()
 		res := postPrompt(b, url, 4)
-		relayed = append(relayed, firstToken(b, res, sta))
+		relayed = append(relayed, firstToken(b, res, start))
 		res.Body.Close()
 	}
 	slices.Sort(direct)
@@ -146,13 +146,13 @@
 	b.ReportMetric(float64((relayed[len(relayed)/2] - direct[len(direct)/2]).Microseconds()), "added-µs-median")
 }
 
-func firstToken(b *testing.B, res *http.Response, sta time.Time) time.Duration {
+func firstToken(b *testing.B, res *http.Response, start time.Time) time.Duration {
 	rea := bufio.NewReader(res.Body)
 	for {
 		line, err := rea.ReadString('\n')
 		require.NoError(b, err)
 		if strings.Contains(line, " t1234") {
-			elapsed := time.Since(sta)
+			elapsed := time.Since(start)
 			_, _ = io.Copy(io.Discard, rea)
 			return elapsed
 		}
--- a/request/executor/repeat_test.go
+++ b/request/executor/repeat_test.go
@@ -91,12 +91,12 @@
 			exe.Allocator = alloc
 			scope := tally.NewTestScope("", nil)
 			exe.Scope = scope
-			sta := time.Now()
+			start := time.Now()
 			for range tt.calls {
 				require.Equal(t, string(invoker.Ran), callSlots(exe, tablesOf(tt.repeatable)).Header().Get("Hemlockpin-Run"))
 			}
 			extra := float64(count.Load() + more.Load() - tt.calls)
-			require.LessOrEqual(t, extra, tt.most+budgeter.FloorRate*time.Since(sta).Seconds())
+			require.LessOrEqual(t, extra, tt.most+budgeter.FloorRate*time.Since(start).Seconds())
 			require.Eventually(t, func() bool { return alloc.open.Load() == 0 }, waitTimeout, time.Millisecond)
 			if tt.repeatable {
 				require.Positive(t, scope.Snapshot().Counters()["hedges_won+"].Value())
@@ -122,9 +122,9 @@
 			for b.Loop() {
 				for spent && exe.Retries.Take(time.Now()) {
 				}
-				sta := time.Now()
+				start := time.Now()
 				callSlots(exe, mat)
-				durations = append(durations, time.Since(sta))
+				durations = append(durations, time.Since(start))
 			}
 			slices.Sort(durations)
 			b.ReportMetric(durations[len(durations)*95/100].Seconds()*1000, "p95-ms")
--- a/request/executor/resume_test.go
+++ b/request/executor/resume_test.go
@@ -62,15 +62,15 @@
 // after some tokens is left after its second attempt, however many tokens the caller
 // has received.
 func TestLeaveEngineThatBreaksEveryStream(t *testing.T) {
-	badReq := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
+	badEngine := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
 		var req invoker.GenerateRequest
 		if htr.URL.Path != "/v1/generate" || json.NewDecoder(htr.Body).Decode(&req) != nil {
 			return
 		}
 		writeSome(wri, req, req.StartIndex, req.StartIndex+1)
 	}))
-	t.Cleanup(badReq.Close)
-	good := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
+	t.Cleanup(badEngine.Close)
+	goodEngine := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
 		var req invoker.GenerateRequest
 		if htr.URL.Path != "/v1/generate" || json.NewDecoder(htr.Body).Decode(&req) != nil {
 			return
@@ -78,8 +78,8 @@
 		writeSome(wri, req, req.StartIndex, req.MaxTokens)
 		fmt.Fprintf(wri, "event: Finish\ndata: {\"RequestID\":%q,\"Attempt\":%d,\"Reason\":\"length\",\"PromptTokens\":%d,\"CompletionTokens\":%d}\n\n", req.RequestID, req.Attempt, req.PromptTokens, req.MaxTokens)
 	}))
-	t.Cleanup(good.Close)
-	text := generateAnswer(t, choosingAllocator{strings.TrimPrefix(badReq.URL, "http://"), strings.TrimPrefix(good.URL, "http://")})
+	t.Cleanup(goodEngine.Close)
+	text := generateAnswer(t, choosingAllocator{strings.TrimPrefix(badEngine.URL, "http://"), strings.TrimPrefix(goodEngine.URL, "http://")})
 	require.Contains(t, text, "t0 t1 t2 t3 t4 t5 t6 t7 t8 t9 t10 t11 t12 t13 t14 t15 t16 t17 t18 t19")
 }
 
--- a/request/placer/chooser.go
+++ b/request/placer/chooser.go
@@ -154,18 +154,18 @@
 	if req.PromptTokens >= longLength {
 		return orElse(twoChoices(req, vie, long, now, ran), func() int { return twoChoices(req, vie, short, now, ran) })
 	}
-	own := twoChoices(req, vie, short, now, ran)
-	if own >= 0 && estimate(&req, &vie.Endpoints[own], 0, now) < maxShortWait {
-		return own
+	shortChoice := twoChoices(req, vie, short, now, ran)
+	if shortChoice >= 0 && estimate(&req, &vie.Endpoints[shortChoice], 0, now) < maxShortWait {
+		return shortChoice
 	}
-	other := drawEndpoint(req, vie, long, ran)
-	if own < 0 {
-		return orElse(other, func() int { return drawEndpoint(req, vie, span{0, total}, ran) })
+	longChoice := drawEndpoint(req, vie, long, ran)
+	if shortChoice < 0 {
+		return orElse(longChoice, func() int { return drawEndpoint(req, vie, span{0, total}, ran) })
 	}
-	if other >= 0 && estimate(&req, &vie.Endpoints[other], 0, now) < estimate(&req, &vie.Endpoints[own], 0, now) {
-		return other
+	if longChoice >= 0 && estimate(&req, &vie.Endpoints[longChoice], 0, now) < estimate(&req, &vie.Endpoints[shortChoice], 0, now) {
+		return longChoice
 	}
-	return own
+	return shortChoice
 }
 
 // longTokens returns the length from which a prompt counts as long, by the prefill rate
--- a/request/placer/estimator.go
+++ b/request/placer/estimator.go
@@ -37,8 +37,8 @@
 		rate = assumedPrefillRate
 	}
 	queued := max(end.QueuedTokens+end.RecentTokens, end.OutstandingTokens)
-	own := max(1, req.PromptTokens-int64(cachedBlocks)*hasher.BlockTokens)
-	seconds := float64(queued+own) / rate
+	ownTokens := max(1, req.PromptTokens-int64(cachedBlocks)*hasher.BlockTokens)
+	seconds := float64(queued+ownTokens) / rate
 	free := end.MemoryTokens - end.UsedTokens - end.RecentTokens
 	if missing := req.Need() - free; end.MemoryTokens > 0 && missing > 0 {
 		seconds += float64(missing) / (rate * memoryDrainShare)
--- a/request/relayer/decide_test.go
+++ b/request/relayer/decide_test.go
@@ -28,10 +28,10 @@
 		var bui strings.Builder
 		for line := range strings.SplitSeq(strings.TrimSpace(dat.Input), "\n") {
 			name, left, _ := strings.Cut(line, " ")
-			dur, err := time.ParseDuration(strings.TrimSpace(left))
+			timeLeft, err := time.ParseDuration(strings.TrimSpace(left))
 			require.NoError(t, err, line)
 			var dec Decision
-			sta, dec = Next(sta.WithSend(), outcomeNamed(t, name), SendLimits{Route: rou, Left: dur, TakeRetry: func() bool { return budget }})
+			sta, dec = Next(sta.WithSend(), outcomeNamed(t, name), SendLimits{Route: rou, Left: timeLeft, TakeRetry: func() bool { return budget }})
 			fmt.Fprintf(&bui, "%s: %s\n", name, strings.TrimPrefix(fmt.Sprintf("%T%+v", dec, dec), "relayer."))
 		}
 		return bui.String()
