--- a/process/gossiper/join.go
+++ b/process/gossiper/join.go
@@ -85,8 +85,9 @@
 	return true
 }
 
-// bootstrap pulls the members from a seed if no live peer is known. The tables are then pulled
-// from any peers, because hundreds of hosts may start at once and only three are seeds.
+// bootstrap pulls the members from a seed or another known peer if no live peer is known.
+// The tables are then pulled from any peers, because hundreds of hosts may start at once
+// and only three are seeds.
 func (gos *Gossiper) bootstrap(ctx context.Context) {
 	if len(gos.Live(time.Now())) > 0 {
 		return
@@ -144,7 +145,7 @@
 }
 
 // contactAddresses returns addresses to pull from: up to num live peers, or all known
-// peers if none is live, followed by the seeds.
+// peers if that gives none, followed by the seeds.
 func (gos *Gossiper) contactAddresses(num int) []string {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
