--- a/process/configurer/bound.go
+++ b/process/configurer/bound.go
@@ -1,24 +1,27 @@
 package configurer
 
 const (
-	// heapShare is the part of the process's memory at which the collector works
-	// harder; stacks, buffers of the kernel and the program take the rest.
+	// heapShare is the share of the process's memory that the heap may reach before
+	// garbage collection intensifies. Stacks, kernel buffers and the program itself take
+	// the rest.
 	heapShare = 0.7
-	// bodyShare is the part of the process's memory for bodies of requests.
+	// bodyShare is the share of the process's memory for request bodies.
 	bodyShare = 0.4
-	// ownFiles are the descriptors for files, listeners and other hosts.
-	ownFiles = 400
-	// filesPerCall are those of a call: its caller's and its endpoint's.
+	// reservedFiles is the number of file descriptors kept for files, listeners and
+	// connections to other hosts.
+	reservedFiles = 400
+	// filesPerCall is the number of file descriptors of a call: one for the connection to
+	// the caller and one for that to the endpoint.
 	filesPerCall = 2
 
 	megabyte = 1 << 20
 )
 
-// HeapBytes is the size of the heap that the collector is to keep to; 0 if the
-// memory is not known.
+// HeapBytes returns the soft memory limit for the garbage collector, in bytes; 0 if the
+// memory of the process is not known.
 func (set Settings) HeapBytes() int64 { return int64(heapShare * float64(set.MemoryMB*megabyte)) }
 
-// BodyBytes is the memory for bodies of requests in progress.
+// BodyBytes returns the limit of the memory for bodies of requests in progress, in bytes.
 func (set Settings) BodyBytes() int64 {
 	if set.MemoryMB == 0 {
 		return set.MaxBodyMemory
@@ -26,10 +29,10 @@
 	return min(set.MaxBodyMemory, int64(bodyShare*float64(set.MemoryMB*megabyte)))
 }
 
-// CallerConns is the limit of callers' connections.
+// CallerConns returns the limit of callers' connections.
 func (set Settings) CallerConns() int64 {
 	if set.MaxFiles == 0 {
 		return int64(set.MaxConns)
 	}
-	return int64(min(set.MaxConns, max(1, (set.MaxFiles-ownFiles)/filesPerCall)))
+	return int64(min(set.MaxConns, max(1, (set.MaxFiles-reservedFiles)/filesPerCall)))
 }
--- a/process/configurer/bound_test.go
+++ b/process/configurer/bound_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestBounds(t *testing.T) {
-	tts := []struct {
+	tests := []struct {
 		name                string
 		memory              int64
 		files               int
@@ -18,7 +18,7 @@
 		{"large host", 4096, 65_536, 3_006_477_107, 512 << 20, 10_000},
 		{"hardly any descriptors", 184, 512, 135_056_588, 77_175_193, 56},
 	}
-	for _, tt := range tts {
+	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			set := Settings{Host: Host{MemoryMB: tt.memory, MaxFiles: tt.files}, Limits: Limits{MaxBodyMemory: 512 << 20, MaxConns: 10_000}}
 			require.Equal(t, tt.heap, set.HeapBytes())
--- a/process/configurer/configurer.go
+++ b/process/configurer/configurer.go
@@ -1,5 +1,5 @@
-// Package configurer holds the settings of an entry host, read from flags and
-// environment and checked whole before anything starts.
+// Package configurer holds the settings of an entry host. They are read from flags,
+// environment variables and a file, and validated completely before anything starts.
 package configurer
 
 import (
@@ -21,7 +21,7 @@
 	CheckSettings bool   `long:"check-settings" description:"check the settings and exit"`
 }
 
-// Host says who the host is and where it listens.
+// Host holds the identity, the resources and the listen addresses of the host.
 type Host struct {
 	HostID     string  `long:"host-id" env:"HEMLOCKPIN_HOST_ID" description:"name of this host, unique in the fleet"`
 	CPUShare   float64 `long:"cpu-share" env:"HEMLOCKPIN_CPU_SHARE" description:"processor time that the host has, in cores; 0 if unknown. Hosts with more plan for the others"`
@@ -34,7 +34,7 @@
 	Operator   string  `long:"operator-listen" env:"HEMLOCKPIN_OPERATOR_LISTEN" default:"127.0.0.1:8082" description:"address for operators and metrics, as IP:port"`
 }
 
-// Limits bound what callers may take of a host.
+// Limits limit the resources that callers may use on a host.
 type Limits struct {
 	MaxBodyBytes  int64         `long:"max-body-bytes" env:"HEMLOCKPIN_MAX_BODY_BYTES" default:"33554432" description:"limit of a request body"`
 	MaxBodyMemory int64         `long:"max-body-memory" env:"HEMLOCKPIN_MAX_BODY_MEMORY" default:"536870912" description:"limit of the memory for bodies of requests in progress, in bytes, counting three copies of each"`
@@ -46,13 +46,13 @@
 	IdleTimeout   time.Duration `long:"idle-timeout" env:"HEMLOCKPIN_IDLE_TIMEOUT" default:"2m" description:"limit of a caller's connection without a request"`
 }
 
-// Placing says how requests are placed on endpoints.
+// Placing configures how requests are placed on endpoints.
 type Placing struct {
 	Placement    string        `long:"placement" env:"HEMLOCKPIN_PLACEMENT" default:"cell" description:"placement policy: cell, two-choices, work, classes, reservation, random or least-outstanding"`
 	LoadInterval time.Duration `long:"load-interval" env:"HEMLOCKPIN_LOAD_INTERVAL" default:"250ms" description:"interval of engine load reports"`
 }
 
-// Peering says how the host reaches the platform and other hosts.
+// Peering configures how the host reaches the platform and other hosts.
 type Peering struct {
 	Platform     string        `long:"platform" env:"HEMLOCKPIN_PLATFORM" description:"base URL of the platform, as http://IP:port"`
 	ListInterval time.Duration `long:"list-interval" env:"HEMLOCKPIN_LIST_INTERVAL" default:"1s" description:"interval of reading the platform's list"`
@@ -60,13 +60,14 @@
 	SeedPeers    []string      `long:"seed-peer" env:"HEMLOCKPIN_SEED_PEERS" env-delim:"," description:"address of another host, as IP:port, to ask when the platform is out; may stand several times"`
 }
 
-// Interfaces that a host offers to callers.
+// The values of Forwarding.Interface: the interfaces that a host can offer to callers.
 const (
 	InterfaceOpenAI  = "openai"
 	InterfaceForward = "forward"
 )
 
-// Forwarding says how calls are forwarded unchanged.
+// Forwarding selects the interface towards callers and configures the forwarding of
+// unchanged calls.
 type Forwarding struct {
 	Interface   string        `long:"interface" env:"HEMLOCKPIN_INTERFACE" default:"openai" description:"interface towards callers: openai, or forward for calls that are forwarded unchanged"`
 	ReadyListen string        `long:"ready-listen" env:"HEMLOCKPIN_READY_LISTEN" default:"127.0.0.1:8083" description:"address that tells a balancer whether the host takes calls, as IP:port; for forward"`
@@ -78,23 +79,23 @@
 	RetryWindow time.Duration `long:"retry-window" env:"HEMLOCKPIN_RETRY_WINDOW" default:"10s" description:"window of the repeats; for forward"`
 }
 
-// Stopping says how the host ends.
+// Stopping configures how the host shuts down.
 type Stopping struct {
 	DrainNotice  time.Duration `long:"drain-notice" env:"HEMLOCKPIN_DRAIN_NOTICE" default:"2s" description:"how long a draining host still takes requests, for the balancer to turn away"`
 	DrainTimeout time.Duration `long:"drain-timeout" env:"HEMLOCKPIN_DRAIN_TIMEOUT" default:"10m" description:"limit for requests in progress at shutdown"`
 }
 
-// Observation says what the host tells of itself.
+// Observation configures logs and traces.
 type Observation struct {
 	TraceEndpoint string  `long:"trace-endpoint" env:"HEMLOCKPIN_TRACE_ENDPOINT" description:"OTLP collector, as http://IP:port; empty for none"`
 	TraceRatio    float64 `long:"trace-ratio" env:"HEMLOCKPIN_TRACE_RATIO" default:"0.01" description:"share of requests that are traced, 0 to 1, where the caller has not decided"`
 	LogLevel      string  `long:"log-level" env:"HEMLOCKPIN_LOG_LEVEL" default:"info" description:"debug, info, warn or error"`
 }
 
-// FaultsError lists every fault of the settings.
+// FaultsError lists all faults of the settings.
 type FaultsError struct{ Faults []string }
 
-// Error joins the faults, a line each.
+// Error returns the faults, one per line.
 func (err *FaultsError) Error() string {
 	return "bad settings:\n  " + strings.Join(err.Faults, "\n  ")
 }
--- a/process/configurer/configurer_test.go
+++ b/process/configurer/configurer_test.go
@@ -22,21 +22,21 @@
 
 var rewritePage = flag.Bool("rewrite-page", false, "rewrite the table of the settings page")
 
-// TestRead reads the settings of testdata/settings. A line is an argument, or a
-// variable of the environment if it starts with HEMLOCKPIN_.
+// TestRead reads settings as in testdata/settings. An input line is an argument, or an
+// environment variable if it starts with HEMLOCKPIN_.
 func TestRead(t *testing.T) {
-	datadriven.RunTest(t, "testdata/settings", func(t *testing.T, dat *datadriven.TestData) string {
+	datadriven.RunTest(t, "testdata/settings", func(t *testing.T, data *datadriven.TestData) string {
 		args := []string{"--host-id=host-0", "--data-center=colombo", "--platform=http://127.0.0.1:7000"}
-		if dat.HasArg("bare") {
+		if data.HasArg("bare") {
 			args = nil
 		}
-		for _, lin := range strings.Split(dat.Input, "\n") {
-			nam, val, ok := strings.Cut(lin, "=")
-			if ok && strings.HasPrefix(nam, "HEMLOCKPIN_") {
-				t.Setenv(nam, val)
-				defer os.Unsetenv(nam)
-			} else if lin != "" {
-				args = append(args, lin)
+		for _, line := range strings.Split(data.Input, "\n") {
+			name, value, ok := strings.Cut(line, "=")
+			if ok && strings.HasPrefix(name, "HEMLOCKPIN_") {
+				t.Setenv(name, value)
+				defer os.Unsetenv(name)
+			} else if line != "" {
+				args = append(args, line)
 			}
 		}
 		set, err := Read(args)
@@ -49,22 +49,22 @@
 	})
 }
 
-// TestPage keeps the page of settings equal to the settings.
+// TestPage checks that the table of the settings page matches the settings.
 func TestPage(t *testing.T) {
 	doc, err := os.ReadFile(page)
 	require.NoError(t, err)
-	bef, res, ok := strings.Cut(string(doc), pageBegin)
+	before, rest, ok := strings.Cut(string(doc), pageBegin)
 	require.True(t, ok)
-	old, aft, ok := strings.Cut(res, pageEnd)
+	old, after, ok := strings.Cut(rest, pageEnd)
 	require.True(t, ok)
 	if *rewritePage {
-		require.NoError(t, os.WriteFile(page, []byte(bef+pageBegin+table()+pageEnd+aft), 0o644))
+		require.NoError(t, os.WriteFile(page, []byte(before+pageBegin+settingsTable()+pageEnd+after), 0o644))
 		return
 	}
-	require.Equal(t, table(), old, "run go test ./process/configurer -rewrite-page")
+	require.Equal(t, settingsTable(), old, "run go test ./process/configurer -rewrite-page")
 }
 
-func table() string {
+func settingsTable() string {
 	var bui strings.Builder
 	for _, gro := range NewParser(&Settings{}).Groups() {
 		writeGroups(&bui, gro)
@@ -76,7 +76,7 @@
 	if opts := gro.Options(); len(opts) > 0 && gro.ShortDescription != "Help Options" {
 		fmt.Fprintf(bui, "\n### %s\n\n| flag | environment | default | meaning |\n|---|---|---|---|\n", gro.ShortDescription)
 		for _, opt := range opts {
-			fmt.Fprintf(bui, "| `--%s` | %s | %s | %s |\n", opt.LongName, code(opt.EnvDefaultKey), code(strings.Join(opt.Default, ",")), opt.Description)
+			fmt.Fprintf(bui, "| `--%s` | %s | %s | %s |\n", opt.LongName, codeSpan(opt.EnvDefaultKey), codeSpan(strings.Join(opt.Default, ",")), opt.Description)
 		}
 	}
 	for _, sub := range gro.Groups() {
@@ -84,24 +84,25 @@
 	}
 }
 
-func code(txt string) string {
-	if txt == "" {
+func codeSpan(text string) string {
+	if text == "" {
 		return ""
 	}
-	return "`" + txt + "`"
+	return "`" + text + "`"
 }
 
-// TestEnvironment holds every option to the name of its variable.
+// TestEnvironment checks that the environment variable of each option has the name of its
+// flag. Only a final S may differ, as for SEED_PEERS.
 func TestEnvironment(t *testing.T) {
-	var num int
-	for ind := range reflect.TypeFor[Settings]().NumField() {
-		gro := reflect.TypeFor[Settings]().Field(ind)
-		for sub := 0; gro.Anonymous && sub < gro.Type.NumField(); sub++ {
-			tag := gro.Type.Field(sub).Tag
+	var count int
+	for i := range reflect.TypeFor[Settings]().NumField() {
+		gro := reflect.TypeFor[Settings]().Field(i)
+		for j := 0; gro.Anonymous && j < gro.Type.NumField(); j++ {
+			tag := gro.Type.Field(j).Tag
 			want := "HEMLOCKPIN_" + strings.ToUpper(strings.ReplaceAll(tag.Get("long"), "-", "_"))
 			require.Equal(t, strings.TrimSuffix(want, "S"), strings.TrimSuffix(tag.Get("env"), "S"))
-			num++
+			count++
 		}
 	}
-	require.Positive(t, num)
+	require.Positive(t, count)
 }
--- a/process/configurer/file_test.go
+++ b/process/configurer/file_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const file = `[Forwarding]
+const fileText = `[Forwarding]
 interface = forward
 ready-listen = 127.0.0.1:18083
 
@@ -23,15 +23,15 @@
 seed-peer = 127.0.0.1:2
 `
 
-func write(t *testing.T, txt string) string {
-	pat := filepath.Join(t.TempDir(), "settings")
-	require.NoError(t, os.WriteFile(pat, []byte(txt), 0o600))
-	return pat
+func writeFile(t *testing.T, text string) string {
+	path := filepath.Join(t.TempDir(), "settings")
+	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	return path
 }
 
-// TestFile reads settings from a file; flags and the environment go before it.
+// TestFile reads settings from a file, which flags and the environment override.
 func TestFile(t *testing.T) {
-	t.Setenv("HEMLOCKPIN_CONFIG", write(t, file))
+	t.Setenv("HEMLOCKPIN_CONFIG", writeFile(t, fileText))
 	t.Setenv("HEMLOCKPIN_DATA_CENTER", "gampaha")
 	set, err := Read([]string{"--host-id=front-2"})
 	require.NoError(t, err)
@@ -45,15 +45,15 @@
 	tests := []struct{ name, text, fault string }{
 		{"unknown setting", "[Host]\nhostid = a\n", "hostid"},
 		{"not a file of settings", "no settings", "no settings"},
-		{"bad value", file + "heartbeat-interval = soon\n", ":13: "},
+		{"bad value", fileText + "heartbeat-interval = soon\n", ":13: "},
 		{"bad interface", "[Forwarding]\ninterface = odd\n", "--interface"},
 	}
-	for _, tes := range tests {
-		t.Run(tes.name, func(t *testing.T) {
-			_, err := Read([]string{"--config=" + write(t, tes.text), "--host-id=a", "--data-center=b", "--platform=http://127.0.0.1:1"})
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			_, err := Read([]string{"--config=" + writeFile(t, tt.text), "--host-id=a", "--data-center=b", "--platform=http://127.0.0.1:1"})
 			var fas *FaultsError
 			require.True(t, errors.As(err, &fas), err)
-			require.Contains(t, err.Error(), tes.fault)
+			require.Contains(t, err.Error(), tt.fault)
 		})
 	}
 	_, err := Read([]string{"--config=/nonexistent/settings"})
--- a/process/configurer/reader.go
+++ b/process/configurer/reader.go
@@ -13,69 +13,70 @@
 
 var flagName = regexp.MustCompile("(?:--|unknown flag `)([a-z-]+)")
 
-// HelpError carries the help text that was asked for.
+// HelpError is returned if the arguments ask for help. It holds the help text.
 type HelpError struct{ Text string }
 
 // Error returns the help text.
 func (err *HelpError) Error() string { return err.Text }
 
-// NewParser returns the parser of the daemon's command line, which stores into set.
+// NewParser returns a parser of the daemon's command line that stores the values in set.
 func NewParser(set *Settings) *flags.Parser {
 	par := flags.NewNamedParser("hemlockpind", flags.HelpFlag|flags.PassDoubleDash)
 	par.ShortDescription = "entry host of hemlockpin"
 	par.LongDescription = "Runs an entry host between callers and endpoints. Every option can also stand in the environment."
-	// The groups of an empty Settings are well formed, so this cannot fail.
+	// AddGroup cannot fail, because the struct tags of Settings are valid.
 	_, _ = par.AddGroup("Settings", "", set)
 	return par
 }
 
-// Read reads the settings from arguments and environment and validates them.
-// It returns a FaultsError with every fault, those of unreadable values too, or
-// a HelpError.
+// Read reads the settings from the arguments, the environment and the settings file, and
+// validates them. It returns a FaultsError with all faults, including values that can't
+// be parsed, or a HelpError. A faulty environment variable is unset.
 func Read(args []string) (Settings, error) {
 	var fas []string
-	fil, err := readFile(args)
+	fileArgs, err := readFile(args)
 	if err != nil {
 		return Settings{}, &FaultsError{[]string{err.Error()}}
 	}
-	args = append(fil, args...)
+	args = append(fileArgs, args...)
 	for {
 		var set Settings
-		lef, err := NewParser(&set).ParseArgs(args)
+		rest, err := NewParser(&set).ParseArgs(args)
 		var fla *flags.Error
 		switch {
 		case err == nil:
-			return set, set.faults(append(fas, unexpected(lef)...))
+			return set, set.validateWith(append(fas, unexpectedArguments(rest)...))
 		case errors.As(err, &fla) && fla.Type == flags.ErrHelp:
 			return set, &HelpError{fla.Message}
 		}
 		fas = append(fas, strings.ReplaceAll(err.Error(), "`", "'"))
-		nam := flagName.FindStringSubmatch(err.Error())
-		if nam == nil || !forget(nam[1], &args) {
+		match := flagName.FindStringSubmatch(err.Error())
+		if match == nil || !dropOption(match[1], &args) {
 			return set, &FaultsError{fas}
 		}
 	}
 }
 
-// readFile returns the settings of the file that the arguments or the environment
-// name, as arguments. Those that the arguments or the environment set are left out.
+// readFile reads the settings file that the arguments or the environment name. It
+// returns the settings as arguments, without those that the arguments or the environment
+// override.
 func readFile(args []string) ([]string, error) {
-	var one struct {
+	var location struct {
 		Config string `long:"config" env:"HEMLOCKPIN_CONFIG"`
 	}
-	if _, err := flags.NewParser(&one, flags.IgnoreUnknown).ParseArgs(args); err != nil {
+	if _, err := flags.NewParser(&location, flags.IgnoreUnknown).ParseArgs(args); err != nil {
 		return nil, fmt.Errorf("--config: %w", err)
 	}
-	if one.Config == "" {
+	if location.Config == "" {
 		return nil, nil
 	}
 	par := NewParser(&Settings{})
-	if err := flags.NewIniParser(par).ParseFile(one.Config); err != nil {
-		return nil, fmt.Errorf("--config %s: %w", one.Config, err)
+	if err := flags.NewIniParser(par).ParseFile(location.Config); err != nil {
+		return nil, fmt.Errorf("--config %s: %w", location.Config, err)
 	}
 	var out []string
 	for _, opt := range options(par.Groups()) {
-		if opt.IsSet() && !opt.IsSetDefault() && os.Getenv(opt.EnvDefaultKey) == "" && !names(args, opt.LongName) {
+		if opt.IsSet() && !opt.IsSetDefault() && os.Getenv(opt.EnvDefaultKey) == "" && !sets(args, opt.LongName) {
 			out = append(out, asArguments(opt)...)
 		}
 	}
@@ -90,28 +91,29 @@
 	return out
 }
 
-// names reports whether the arguments set an option.
-func names(args []string, long string) bool {
-	return slices.ContainsFunc(args, func(arg string) bool { return arg == "--"+long || strings.HasPrefix(arg, "--"+long+"=") })
+// sets reports whether the arguments set an option.
+func sets(args []string, name string) bool {
+	return slices.ContainsFunc(args, func(arg string) bool { return arg == "--"+name || strings.HasPrefix(arg, "--"+name+"=") })
 }
 
-// asArguments formats the value of an option.
+// asArguments returns the value of an option as arguments, one per element of a list.
 func asArguments(opt *flags.Option) []string {
-	if lis, ok := opt.Value().([]string); ok {
+	if list, ok := opt.Value().([]string); ok {
 		var out []string
-		for _, val := range lis {
-			out = append(out, "--"+opt.LongName+"="+val)
+		for _, value := range list {
+			out = append(out, "--"+opt.LongName+"="+value)
 		}
 		return out
 	}
 	return []string{fmt.Sprintf("--%s=%v", opt.LongName, opt.Value())}
 }
 
-// faults joins the faults of reading with those of the values that could be read.
-func (set Settings) faults(fas []string) error {
-	var oth *FaultsError
-	if err := set.Validate(); errors.As(err, &oth) {
-		fas = append(fas, oth.Faults...)
+// validateWith validates the settings and returns a FaultsError with the given parse
+// faults and those found, or nil if there are none.
+func (set Settings) validateWith(fas []string) error {
+	var invalid *FaultsError
+	if err := set.Validate(); errors.As(err, &invalid) {
+		fas = append(fas, invalid.Faults...)
 	}
 	if len(fas) > 0 {
 		return &FaultsError{fas}
@@ -119,7 +121,7 @@
 	return nil
 }
 
-func unexpected(args []string) []string {
+func unexpectedArguments(args []string) []string {
 	var fas []string
 	for _, arg := range args {
 		fas = append(fas, fmt.Sprintf("unexpected argument %q", arg))
@@ -127,16 +129,17 @@
 	return fas
 }
 
-// forget removes a faulty option from the arguments, or else from the
-// environment, so that the rest can be read. The default then stands in for it.
-func forget(name string, args *[]string) bool {
+// dropOption removes a faulty option from the arguments or, if it is not there, from the
+// environment, so that parsing can continue with its default. It returns false if the
+// option is in neither.
+func dropOption(name string, args *[]string) bool {
 	var out []string
-	for ind := 0; ind < len(*args); ind++ {
-		arg := (*args)[ind]
+	for i := 0; i < len(*args); i++ {
+		arg := (*args)[i]
 		switch {
 		case arg == "--"+name:
-			if ind+1 < len(*args) && !strings.HasPrefix((*args)[ind+1], "--") {
-				ind++
+			if i+1 < len(*args) && !strings.HasPrefix((*args)[i+1], "--") {
+				i++
 			}
 		case strings.HasPrefix(arg, "--"+name+"="):
 		default:
--- a/process/configurer/validator.go
+++ b/process/configurer/validator.go
@@ -15,15 +15,15 @@
 
 const (
 	maxNameBytes = 63
-	// maxCores bounds --cpu-share against values in other units.
+	// maxCores is the limit of --cpu-share. It detects values in other units.
 	maxCores = 1024
-	// leastMemoryMB holds the program, the tables and some requests; leastFiles the
-	// listeners, the sessions with other hosts and some requests.
-	leastMemoryMB = 48
-	leastFiles    = 512
+	// minMemoryMB suffices for the program, the tables and a few requests; minFiles for
+	// the listeners, the sessions with other hosts and a few requests.
+	minMemoryMB = 48
+	minFiles    = 512
 )
 
-// Validate returns a FaultsError with every fault, or nil.
+// Validate returns a FaultsError with all faults, or nil if there are none.
 func (set Settings) Validate() error {
 	var fas []string
 	fas = append(fas, set.Host.validate()...)
@@ -31,7 +31,7 @@
 	fas = append(fas, set.Placing.validate()...)
 	fas = append(fas, set.Peering.validate()...)
 	fas = append(fas, set.Forwarding.validate()...)
-	fas = append(fas, positive(number{"--drain-notice", int64(set.DrainNotice)}, number{"--drain-timeout", int64(set.DrainTimeout)})...)
+	fas = append(fas, checkPositive(flagValue{"--drain-notice", int64(set.DrainNotice)}, flagValue{"--drain-timeout", int64(set.DrainTimeout)})...)
 	fas = append(fas, set.Observation.validate()...)
 	if len(fas) > 0 {
 		return &FaultsError{fas}
@@ -53,37 +53,37 @@
 	if !(hos.CPUShare >= 0 && hos.CPUShare <= maxCores) {
 		fas = append(fas, fmt.Sprintf("--cpu-share %g must be 0 to %d", hos.CPUShare, maxCores))
 	}
-	if hos.MemoryMB != 0 && hos.MemoryMB < leastMemoryMB {
-		fas = append(fas, fmt.Sprintf("--memory-mb %d must be 0 or at least %d", hos.MemoryMB, leastMemoryMB))
+	if hos.MemoryMB != 0 && hos.MemoryMB < minMemoryMB {
+		fas = append(fas, fmt.Sprintf("--memory-mb %d must be 0 or at least %d", hos.MemoryMB, minMemoryMB))
 	}
-	if hos.MaxFiles != 0 && hos.MaxFiles < leastFiles {
-		fas = append(fas, fmt.Sprintf("--max-files %d must be 0 or at least %d", hos.MaxFiles, leastFiles))
+	if hos.MaxFiles != 0 && hos.MaxFiles < minFiles {
+		fas = append(fas, fmt.Sprintf("--max-files %d must be 0 or at least %d", hos.MaxFiles, minFiles))
 	}
-	see := map[string]string{}
-	adds := []struct{ flag, val string }{
+	flagAt := map[string]string{}
+	addrs := []struct{ flag, val string }{
 		{"--listen", hos.Listen}, {"--peer-listen", hos.PeerListen}, {"--operator-listen", hos.Operator},
 	}
-	for _, add := range adds {
-		if !validAddress(add.val) {
-			fas = append(fas, fmt.Sprintf("%s %q must be IP:port", add.flag, add.val))
-		} else if oth := see[add.val]; oth != "" {
-			fas = append(fas, fmt.Sprintf("%s %q is also %s", add.flag, add.val, oth))
+	for _, addr := range addrs {
+		if !validAddress(addr.val) {
+			fas = append(fas, fmt.Sprintf("%s %q must be IP:port", addr.flag, addr.val))
+		} else if other := flagAt[addr.val]; other != "" {
+			fas = append(fas, fmt.Sprintf("%s %q is also %s", addr.flag, addr.val, other))
 		}
-		see[add.val] = add.flag
+		flagAt[addr.val] = addr.flag
 	}
 	return fas
 }
 
 func (lim Limits) validate() []string {
-	fas := positive(
-		number{"--max-body-bytes", lim.MaxBodyBytes},
-		number{"--max-body-memory", lim.MaxBodyMemory},
-		number{"--max-header-bytes", int64(lim.MaxHeader)},
-		number{"--max-connections", int64(lim.MaxConns)},
-		number{"--max-requests", int64(lim.MaxRequests)},
-		number{"--read-timeout", int64(lim.ReadTimeout)},
-		number{"--write-timeout", int64(lim.WriteTimeout)},
-		number{"--idle-timeout", int64(lim.IdleTimeout)},
+	fas := checkPositive(
+		flagValue{"--max-body-bytes", lim.MaxBodyBytes},
+		flagValue{"--max-body-memory", lim.MaxBodyMemory},
+		flagValue{"--max-header-bytes", int64(lim.MaxHeader)},
+		flagValue{"--max-connections", int64(lim.MaxConns)},
+		flagValue{"--max-requests", int64(lim.MaxRequests)},
+		flagValue{"--read-timeout", int64(lim.ReadTimeout)},
+		flagValue{"--write-timeout", int64(lim.WriteTimeout)},
+		flagValue{"--idle-timeout", int64(lim.IdleTimeout)},
 	)
 	if lim.MaxBodyMemory > 0 && lim.MaxBodyMemory/receiver.BodyCopies < lim.MaxBodyBytes {
 		fas = append(fas, fmt.Sprintf("--max-body-memory %d is less than %d times --max-body-bytes", lim.MaxBodyMemory, receiver.BodyCopies))
@@ -92,7 +92,7 @@
 }
 
 func (pla Placing) validate() []string {
-	fas := positive(number{"--load-interval", int64(pla.LoadInterval)})
+	fas := checkPositive(flagValue{"--load-interval", int64(pla.LoadInterval)})
 	if !placer.Policy(pla.Placement).Valid() {
 		fas = append(fas, fmt.Sprintf("--placement %q is not a placement policy", pla.Placement))
 	}
@@ -100,13 +100,13 @@
 }
 
 func (pee Peering) validate() []string {
-	fas := positive(
-		number{"--list-interval", int64(pee.ListInterval)},
-		number{"--heartbeat-interval", int64(pee.Heartbeat)},
+	fas := checkPositive(
+		flagValue{"--list-interval", int64(pee.ListInterval)},
+		flagValue{"--heartbeat-interval", int64(pee.Heartbeat)},
 	)
-	for _, add := range pee.SeedPeers {
-		if !validAddress(add) {
-			fas = append(fas, fmt.Sprintf("--seed-peer %q must be IP:port", add))
+	for _, addr := range pee.SeedPeers {
+		if !validAddress(addr) {
+			fas = append(fas, fmt.Sprintf("--seed-peer %q must be IP:port", addr))
 		}
 	}
 	if !validURL(pee.Platform) {
@@ -141,46 +141,47 @@
 	if !(fwd.RetryRatio >= 0 && fwd.RetryRatio <= 1) || !(fwd.RetrySlack >= 0) {
 		fas = append(fas, fmt.Sprintf("--retry-ratio %g must be 0 to 1, and --retry-slack %g not negative", fwd.RetryRatio, fwd.RetrySlack))
 	}
-	return append(fas, positive(
-		number{"--retry-window", int64(fwd.RetryWindow)}, number{"--apply-within", int64(fwd.ApplyWithin)}, number{"--leave-within", int64(fwd.LeaveWithin)},
-		number{"--start-wait", int64(fwd.StartWait)},
+	return append(fas, checkPositive(
+		flagValue{"--retry-window", int64(fwd.RetryWindow)}, flagValue{"--apply-within", int64(fwd.ApplyWithin)}, flagValue{"--leave-within", int64(fwd.LeaveWithin)},
+		flagValue{"--start-wait", int64(fwd.StartWait)},
 	)...)
 }
 
-type number struct {
-	flag string
-	val  int64
+type flagValue struct {
+	flag  string
+	value int64
 }
 
-func positive(nums ...number) []string {
+// checkPositive returns a fault for each value that is not positive.
+func checkPositive(values ...flagValue) []string {
 	var fas []string
-	for _, num := range nums {
-		if num.val <= 0 {
-			fas = append(fas, num.flag+" must be positive")
+	for _, val := range values {
+		if val.value <= 0 {
+			fas = append(fas, val.flag+" must be positive")
 		}
 	}
 	return fas
 }
 
-func validName(nam string) bool {
-	if nam == "" || len(nam) > maxNameBytes {
+func validName(name string) bool {
+	if name == "" || len(name) > maxNameBytes {
 		return false
 	}
-	return strings.IndexFunc(nam, func(cha rune) bool {
-		return (cha < 'a' || cha > 'z') && (cha < 'A' || cha > 'Z') && (cha < '0' || cha > '9') && cha != '-' && cha != '.'
+	return strings.IndexFunc(name, func(char rune) bool {
+		return (char < 'a' || char > 'z') && (char < 'A' || char > 'Z') && (char < '0' || char > '9') && char != '-' && char != '.'
 	}) < 0
 }
 
-func validAddress(txt string) bool {
-	hos, por, err := net.SplitHostPort(txt)
-	if err != nil || net.ParseIP(hos) == nil {
+func validAddress(address string) bool {
+	host, port, err := net.SplitHostPort(address)
+	if err != nil || net.ParseIP(host) == nil {
 		return false
 	}
-	num, err := strconv.ParseUint(por, 10, 16)
-	return err == nil && num > 0
+	n, err := strconv.ParseUint(port, 10, 16)
+	return err == nil && n > 0
 }
 
-func validURL(txt string) bool {
-	ure, err := url.Parse(txt)
+func validURL(text string) bool {
+	ure, err := url.Parse(text)
 	return err == nil && (ure.Scheme == "http" || ure.Scheme == "https") && ure.Host != ""
 }
