--- a/cmd/hemlockpind/main.go
+++ b/cmd/hemlockpind/main.go
@@ -57,7 +57,7 @@
 		debug.SetMemoryLimit(num)
 	}
 	lev, _ := zerolog.ParseLevel(set.LogLevel)
-	wri := logger.New(os.Stdout, logger.DefaultBytes)
+	wri := logger.New(os.Stdout, logger.DefaultBufferBytes)
 	defer wri.Close()
 	zerolog.TimeFieldFormat = timeFormat
 	log := zerolog.New(wri).Level(lev).With().Str("Host", set.HostID).Timestamp().Logger()
--- a/process/logger/logger.go
+++ b/process/logger/logger.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// DefaultBytes bounds the lines that wait, about 4,000 of them.
-	DefaultBytes = 1 << 20
+	// DefaultBufferBytes is the usual size of the buffer, about 4,000 lines.
+	DefaultBufferBytes = 1 << 20
 	// ordinaryShare is the share of the buffer that ordinary lines may fill.
 	ordinaryShare = 0.75
 	// writeBytes is the most that one write takes.
-	writeBytes = 64 << 10
+	maxWriteBytes = 64 << 10
 	// collectTime is how long lines are collected before they are written.
-	collectTime = 20 * time.Millisecond
+	batchDelay = 20 * time.Millisecond
 	// flushTimeout bounds the wait for the last lines at the end of a process.
 	flushTimeout = 500 * time.Millisecond
 )
@@ -37,46 +37,46 @@
 
 // Writer buffers lines for an output. New makes one.
 type Writer struct {
-	out io.Writer
-	max int
+	out   io.Writer
+	limit int
 
-	mu      sync.Mutex
-	wake    chan struct{}
-	buf     []byte
-	shed    Shed
-	told    Shed
-	closed  bool
-	stopped chan struct{}
+	mu       sync.Mutex
+	wake     chan struct{}
+	buf      []byte
+	shed     Shed
+	reported Shed
+	closed   bool
+	stopped  chan struct{}
 }
 
 // New returns a writer that buffers at most limit bytes for out.
 func New(out io.Writer, limit int) *Writer {
-	wri := &Writer{out: out, max: limit, wake: make(chan struct{}, 1), stopped: make(chan struct{})}
+	wri := &Writer{out: out, limit: limit, wake: make(chan struct{}, 1), stopped: make(chan struct{})}
 	go wri.run()
 	return wri
 }
 
 // Write takes an ordinary line.
-func (wri *Writer) Write(lin []byte) (int, error) { return wri.WriteLevel(zerolog.InfoLevel, lin) }
+func (wri *Writer) Write(line []byte) (int, error) { return wri.WriteLevel(zerolog.InfoLevel, line) }
 
 // WriteLevel takes a line, or sheds it. It never fails and never blocks.
-func (wri *Writer) WriteLevel(lev zerolog.Level, lin []byte) (int, error) {
+func (wri *Writer) WriteLevel(lev zerolog.Level, line []byte) (int, error) {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
-	lim := wri.max
+	limit := wri.limit
 	if lev < zerolog.WarnLevel {
-		lim = int(ordinaryShare * float64(wri.max))
+		limit = int(ordinaryShare * float64(wri.limit))
 	}
 	switch {
-	case len(wri.buf)+len(lin) <= lim:
-		wri.buf = append(wri.buf, lin...)
+	case len(wri.buf)+len(line) <= limit:
+		wri.buf = append(wri.buf, line...)
 		wri.signal()
 	case lev < zerolog.WarnLevel:
 		wri.shed.Ordinary++
 	default:
 		wri.shed.Important++
 	}
-	return len(lin), nil
+	return len(line), nil
 }
 
 func (wri *Writer) signal() {
@@ -111,17 +111,17 @@
 	defer close(wri.stopped)
 	var buf []byte
 	for range wri.wake {
-		clo := wri.isClosed()
-		if !clo {
-			time.Sleep(collectTime)
+		closed := wri.isClosed()
+		if !closed {
+			time.Sleep(batchDelay)
 		}
 		for {
-			if buf = wri.take(buf); len(buf) == 0 {
+			if buf = wri.nextBatch(buf); len(buf) == 0 {
 				break
 			}
 			_, _ = wri.out.Write(buf)
 		}
-		if clo {
+		if closed {
 			return
 		}
 	}
@@ -134,21 +134,21 @@
 }
 
 // take moves lines out of the buffer, with a line on those that were shed.
-func (wri *Writer) take(buf []byte) []byte {
+func (wri *Writer) nextBatch(buf []byte) []byte {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
-	num := len(wri.buf)
-	if num > writeBytes {
-		num = writeBytes
-		for num < len(wri.buf) && wri.buf[num-1] != '\n' {
-			num++
+	n := len(wri.buf)
+	if n > maxWriteBytes {
+		n = maxWriteBytes
+		for n < len(wri.buf) && wri.buf[n-1] != '\n' {
+			n++
 		}
 	}
-	buf = append(buf[:0], wri.buf[:num]...)
-	wri.buf = append(wri.buf[:0], wri.buf[num:]...)
-	if wri.shed != wri.told {
+	buf = append(buf[:0], wri.buf[:n]...)
+	wri.buf = append(wri.buf[:0], wri.buf[n:]...)
+	if wri.shed != wri.reported {
 		buf = fmt.Appendf(buf, `{"level":"warn","ShedOrdinary":%d,"ShedImportant":%d,"message":"log lines shed since the start"}`+"\n", wri.shed.Ordinary, wri.shed.Important)
-		wri.told = wri.shed
+		wri.reported = wri.shed
 	}
 	return buf
 }
--- a/process/logger/logger_test.go
+++ b/process/logger/logger_test.go
@@ -13,13 +13,13 @@
 
 // pipe is an output whose reader may be stuck.
 type pipe struct {
-	mu   sync.Mutex
-	buf  bytes.Buffer
-	open chan struct{}
+	mu        sync.Mutex
+	buf       bytes.Buffer
+	unblocked chan struct{}
 }
 
 func (pip *pipe) Write(buf []byte) (int, error) {
-	<-pip.open
+	<-pip.unblocked
 	pip.mu.Lock()
 	defer pip.mu.Unlock()
 	return pip.buf.Write(buf)
@@ -32,9 +32,9 @@
 }
 
 func TestWrites(t *testing.T) {
-	pip := &pipe{open: make(chan struct{})}
-	close(pip.open)
-	wri := New(pip, DefaultBytes)
+	pip := &pipe{unblocked: make(chan struct{})}
+	close(pip.unblocked)
+	wri := New(pip, DefaultBufferBytes)
 	log := zerolog.New(wri)
 	log.Info().Msg("one")
 	log.Warn().Msg("two")
@@ -45,12 +45,12 @@
 // TestStuckReader has nobody read the output. Lines are shed, ordinary ones first,
 // and no line blocks.
 func TestStuckReader(t *testing.T) {
-	pip := &pipe{open: make(chan struct{})}
+	pip := &pipe{unblocked: make(chan struct{})}
 	wri := New(pip, 4096)
 	log := zerolog.New(wri)
-	don := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(don)
+		defer close(done)
 		for range 1000 {
 			log.Info().Msg("ordinary")
 		}
@@ -59,20 +59,20 @@
 		}
 	}()
 	select {
-	case <-don:
+	case <-done:
 	case <-time.After(10 * time.Second):
 		require.Fail(t, "a line has blocked")
 	}
 	require.Positive(t, wri.Shed().Ordinary)
 	require.Zero(t, wri.Shed().Important)
-	close(pip.open)
+	close(pip.unblocked)
 	wri.Close()
 	require.Equal(t, 10, strings.Count(pip.text(), "failure"))
 	require.Contains(t, pip.text(), "ShedOrdinary")
 }
 
 func BenchmarkLine(b *testing.B) {
-	wri := New(&nothing{}, DefaultBytes)
+	wri := New(&discard{}, DefaultBufferBytes)
 	log := zerolog.New(wri)
 	for b.Loop() {
 		log.Info().Str("RequestID", "9c41d07be2a35f68").Str("Endpoint", "i-7f3a91c2").Int("Sends", 1).Msg("send ended")
@@ -81,14 +81,14 @@
 }
 
 func BenchmarkShedLine(b *testing.B) {
-	pip := &pipe{open: make(chan struct{})}
+	pip := &pipe{unblocked: make(chan struct{})}
 	log := zerolog.New(New(pip, 16))
 	for b.Loop() {
 		log.Info().Str("RequestID", "9c41d07be2a35f68").Str("Endpoint", "i-7f3a91c2").Int("Sends", 1).Msg("send ended")
 	}
-	close(pip.open)
+	close(pip.unblocked)
 }
 
-type nothing struct{}
+type discard struct{}
 
-func (*nothing) Write(buf []byte) (int, error) { return len(buf), nil }
+func (*discard) Write(buf []byte) (int, error) { return len(buf), nil }
--- a/process/tracer/tracer.go
+++ b/process/tracer/tracer.go
@@ -46,7 +46,7 @@
 		return func() {}, nil
 	}
 	otel.SetErrorHandler(&errorLog{log: log})
-	exp, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(withPath(set.Endpoint)), otlptracehttp.WithTimeout(exportTimeout))
+	exp, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(withDefaultPath(set.Endpoint)), otlptracehttp.WithTimeout(exportTimeout))
 	if err != nil {
 		return nil, eris.Wrapf(err, "tracer.Start: collector %s", set.Endpoint)
 	}
@@ -68,7 +68,7 @@
 }
 
 // withPath adds the usual path of traces to a collector's URL without one.
-func withPath(endpoint string) string {
+func withDefaultPath(endpoint string) string {
 	ure, err := url.Parse(endpoint)
 	if err == nil && strings.Trim(ure.Path, "/") == "" {
 		ure.Path = tracesPath
@@ -80,13 +80,13 @@
 // errorLog logs the first failure of the export only; the collector is not
 // needed for serving.
 type errorLog struct {
-	log  zerolog.Logger
-	told atomic.Bool
+	log    zerolog.Logger
+	logged atomic.Bool
 }
 
 // Handle takes one failure.
-func (err *errorLog) Handle(cau error) {
-	if !err.told.Swap(true) {
-		err.log.Warn().Err(cau).Msg("spans are not exported")
+func (err *errorLog) Handle(cause error) {
+	if !err.logged.Swap(true) {
+		err.log.Warn().Err(cause).Msg("spans are not exported")
 	}
 }
