--- a/process/logger/logger.go
+++ b/process/logger/logger.go
@@ -1,9 +1,9 @@
 // Package logger writes a host's log lines without ever blocking the host.
 //
-// Lines wait in a bounded buffer for a writer of their own. When the buffer is
-// full, ordinary lines are shed first; warnings and errors, which tell of
-// failures and refusals, keep a part of it for themselves. What was shed is
-// counted by kind and logged once there is room again.
+// A goroutine writes the lines from a bounded buffer. When the buffer is full, lines
+// are shed (dropped). A part of the buffer is reserved for warnings and errors, which
+// report failures and refusals, so that ordinary lines are shed first. The numbers of
+// shed lines are counted by kind and logged when the output accepts lines again.
 package logger
 
 import (
@@ -18,48 +18,53 @@
 const (
 	// DefaultBufferBytes is the usual size of the buffer, about 4,000 lines.
 	DefaultBufferBytes = 1 << 20
-	// ordinaryShare is the share of the buffer that ordinary lines may fill.
+	// ordinaryShare is the share of the buffer that lines below the level of a warning
+	// may fill.
 	ordinaryShare = 0.75
-	// writeBytes is the most that one write takes.
+	// maxWriteBytes is the size of one write to the output, beyond which the write holds
+	// only the rest of its last line.
 	maxWriteBytes = 64 << 10
-	// collectTime is how long lines are collected before they are written.
+	// batchDelay is how long lines are collected before they are written together.
 	batchDelay = 20 * time.Millisecond
-	// flushTimeout bounds the wait for the last lines at the end of a process.
+	// flushTimeout limits how long Close waits for the last lines to be written.
 	flushTimeout = 500 * time.Millisecond
 )
 
-// Shed counts the lines that were not written.
+// Shed counts the lines that were shed.
 type Shed struct {
-	// Ordinary counts lines below the level of a warning, Important the others.
+	// Ordinary counts lines below the level of a warning, Important warnings and above.
 	Ordinary  int64
 	Important int64
 }
 
-// Writer buffers lines for an output. New makes one.
+// Writer buffers lines for an output. Use New to create one.
 type Writer struct {
 	out   io.Writer
 	limit int
 
-	mu       sync.Mutex
-	wake     chan struct{}
-	buf      []byte
-	shed     Shed
+	mu   sync.Mutex
+	wake chan struct{}
+	buf  []byte
+	shed Shed
+	// reported is the value of shed that was last logged.
 	reported Shed
 	closed   bool
 	stopped  chan struct{}
 }
 
-// New returns a writer that buffers at most limit bytes for out.
+// New returns a writer that buffers at most limit bytes for out. It starts a goroutine,
+// which Close ends.
 func New(out io.Writer, limit int) *Writer {
 	wri := &Writer{out: out, limit: limit, wake: make(chan struct{}, 1), stopped: make(chan struct{})}
 	go wri.run()
 	return wri
 }
 
-// Write takes an ordinary line.
+// Write buffers or sheds a line at the info level.
 func (wri *Writer) Write(line []byte) (int, error) { return wri.WriteLevel(zerolog.InfoLevel, line) }
 
-// WriteLevel takes a line, or sheds it. It never fails and never blocks.
+// WriteLevel buffers a line, or sheds it if there is no room. It never fails and never
+// waits for the output.
 func (wri *Writer) WriteLevel(lev zerolog.Level, line []byte) (int, error) {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
@@ -86,14 +91,15 @@
 	}
 }
 
-// Shed returns the counts of lines that were not written.
+// Shed returns the numbers of lines shed so far.
 func (wri *Writer) Shed() Shed {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
 	return wri.shed
 }
 
-// Close writes what waits, as far as the output takes it in time.
+// Close writes the buffered lines. It returns after 500 ms even if the output has not
+// accepted all of them.
 func (wri *Writer) Close() {
 	wri.mu.Lock()
 	if !wri.closed {
@@ -133,7 +139,8 @@
 	return wri.closed
 }
 
-// take moves lines out of the buffer, with a line on those that were shed.
+// nextBatch moves the next complete lines from the buffer to buf. If lines were shed
+// since the last report, it appends a line with the counts.
 func (wri *Writer) nextBatch(buf []byte) []byte {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
--- a/process/logger/logger_test.go
+++ b/process/logger/logger_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pipe is an output whose reader may be stuck.
+// pipe is an output that blocks until unblocked is closed.
 type pipe struct {
 	mu        sync.Mutex
 	buf       bytes.Buffer
@@ -42,8 +42,8 @@
 	require.Equal(t, "{\"level\":\"info\",\"message\":\"one\"}\n{\"level\":\"warn\",\"message\":\"two\"}\n", pip.text())
 }
 
-// TestStuckReader has nobody read the output. Lines are shed, ordinary ones first,
-// and no line blocks.
+// TestStuckReader logs while the output is blocked. Lines must be shed, ordinary ones
+// first, and logging must not block.
 func TestStuckReader(t *testing.T) {
 	pip := &pipe{unblocked: make(chan struct{})}
 	wri := New(pip, 4096)
@@ -61,7 +61,7 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		require.Fail(t, "a line has blocked")
+		require.Fail(t, "logging has blocked")
 	}
 	require.Positive(t, wri.Shed().Ordinary)
 	require.Zero(t, wri.Shed().Important)
--- a/process/measurer/measurer.go
+++ b/process/measurer/measurer.go
@@ -1,4 +1,4 @@
-// Package measurer makes the metrics of a host.
+// Package measurer creates the metrics of a host.
 package measurer
 
 import (
@@ -14,14 +14,16 @@
 
 const reportInterval = time.Second
 
-// New makes the metrics of one host, with those of the Go runtime and the
-// process, in a registry of its own, so that several hosts fit into one program.
+// New creates the metrics of a host, with those of the Go runtime and the process, and
+// the handler that serves them. Each call uses a separate registry, so that several hosts
+// can run in one program.
 func New(log zerolog.Logger) (tally.Scope, http.Handler) {
 	reg := prom.NewRegistry()
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	rep := prometheus.NewReporter(prometheus.Options{
 		Registerer: reg,
-		// A metric that clashes with another is lost; it must not end the process.
+		// A metric that conflicts with another is dropped. It must not end the process, as
+		// it would without this function, which replaces a panic.
 		OnRegisterError: func(err error) { log.Error().Err(err).Msg("metric not registered") },
 	})
 	sco, _ := tally.NewRootScope(tally.ScopeOptions{
--- a/process/tracer/tracer.go
+++ b/process/tracer/tracer.go
@@ -1,5 +1,5 @@
-// Package tracer sets up the traces of an entry host: a span for each hop, with
-// the W3C trace context passed through hosts, peers and endpoints.
+// Package tracer sets up the tracing of an entry host: a span for each hop, with the
+// W3C trace context propagated through hosts, peers and endpoints.
 package tracer
 
 import (
@@ -22,24 +22,25 @@
 const (
 	flushTimeout  = 2 * time.Second
 	exportTimeout = 2 * time.Second
-	// maxQueuedSpans bounds the memory for spans while the collector is out.
+	// maxQueuedSpans limits the memory for spans while the collector is unavailable.
 	maxQueuedSpans = 2048
 	serviceName    = "hemlockpind"
 	tracesPath     = "/v1/traces"
 )
 
-// Settings say where the spans of a host go.
+// Settings configure the export of a host's spans.
 type Settings struct {
-	// Endpoint is the URL of an OTLP collector; empty for no export.
+	// Endpoint is the URL of the OTLP collector; empty for no export.
 	Endpoint string
-	// Ratio is the share of requests traced where the caller has not decided.
+	// Ratio is the share of requests, 0 to 1, that are traced if the caller's trace
+	// context does not decide.
 	Ratio      float64
 	Host       string
 	DataCenter string
 }
 
-// Start sets the trace context's propagation for the process, and the export of
-// spans if there is a collector. flush sends what is left.
+// Start sets up trace context propagation for the process and, if there is a collector,
+// the export of spans. flush exports the remaining spans and waits up to 2 s for it.
 func Start(ctx context.Context, set Settings, log zerolog.Logger) (flush func(), err error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	if set.Endpoint == "" {
@@ -67,7 +68,7 @@
 	}, nil
 }
 
-// withPath adds the usual path of traces to a collector's URL without one.
+// withDefaultPath adds the default OTLP path of traces to a URL that has no path.
 func withDefaultPath(endpoint string) string {
 	ure, err := url.Parse(endpoint)
 	if err == nil && strings.Trim(ure.Path, "/") == "" {
@@ -77,16 +78,16 @@
 	return endpoint
 }
 
-// errorLog logs the first failure of the export only; the collector is not
-// needed for serving.
+// errorLog logs only the first failure of the export, because the host can serve without
+// the collector.
 type errorLog struct {
 	log    zerolog.Logger
 	logged atomic.Bool
 }
 
-// Handle takes one failure.
+// Handle logs the failure if it is the first.
 func (err *errorLog) Handle(cause error) {
 	if !err.logged.Swap(true) {
-		err.log.Warn().Err(cause).Msg("spans are not exported")
+		err.log.Warn().Err(cause).Msg("export of spans failed; later failures are not logged")
 	}
 }
