--- a/process/logger/logger.go
+++ b/process/logger/logger.go
@@ -1,9 +1,9 @@
 // Package logger writes a host's log lines without ever blocking the host.
 //
-// Lines wait in a bounded buffer for a writer of their own. When the buffer is
-// full, ordinary lines are shed first; warnings and errors, which tell of
-// failures and refusals, keep a part of it for themselves. What was shed is
-// counted by kind and logged once there is room again.
+// A goroutine writes the lines from a bounded buffer. When the buffer is full, lines
+// are shed (dropped). A part of the buffer is reserved for warnings and errors, which
+// report failures and refusals, so that ordinary lines are shed first. The numbers of
+// shed lines are counted by kind and logged when the output accepts lines again.
 package logger
 
 import (
@@ -16,67 +16,72 @@
 )
 
 const (
-	// DefaultBytes bounds the lines that wait, about 4,000 of them.
-	DefaultBytes = 1 << 20
-	// ordinaryShare is the share of the buffer that ordinary lines may fill.
+	// DefaultBufferBytes is the usual size of the buffer, about 4,000 lines.
+	DefaultBufferBytes = 1 << 20
+	// ordinaryShare is the share of the buffer that lines below the level of a warning
+	// may fill.
 	ordinaryShare = 0.75
-	// writeBytes is the most that one write takes.
-	writeBytes = 64 << 10
-	// collectTime is how long lines are collected before they are written.
-	collectTime = 20 * time.Millisecond
-	// flushTimeout bounds the wait for the last lines at the end of a process.
+	// maxWriteBytes is the size of one write to the output, beyond which the write holds
+	// only the rest of its last line.
+	maxWriteBytes = 64 << 10
+	// batchDelay is how long lines are collected before they are written together.
+	batchDelay = 20 * time.Millisecond
+	// flushTimeout limits how long Close waits for the last lines to be written.
 	flushTimeout = 500 * time.Millisecond
 )
 
-// Shed counts the lines that were not written.
+// Shed counts the lines that were shed.
 type Shed struct {
-	// Ordinary counts lines below the level of a warning, Important the others.
+	// Ordinary counts lines below the level of a warning, Important warnings and above.
 	Ordinary  int64
 	Important int64
 }
 
-// Writer buffers lines for an output. New makes one.
+// Writer buffers lines for an output. Use New to create one.
 type Writer struct {
-	out io.Writer
-	max int
+	out   io.Writer
+	limit int
 
-	mu      sync.Mutex
-	wake    chan struct{}
-	buf     []byte
-	shed    Shed
-	told    Shed
-	closed  bool
-	stopped chan struct{}
+	mu   sync.Mutex
+	wake chan struct{}
+	buf  []byte
+	shed Shed
+	// reported is the value of shed that was last logged.
+	reported Shed
+	closed   bool
+	stopped  chan struct{}
 }
 
-// New returns a writer that buffers at most limit bytes for out.
+// New returns a writer that buffers at most limit bytes for out. It starts a goroutine,
+// which Close ends.
 func New(out io.Writer, limit int) *Writer {
-	wri := &Writer{out: out, max: limit, wake: make(chan struct{}, 1), stopped: make(chan struct{})}
+	wri := &Writer{out: out, limit: limit, wake: make(chan struct{}, 1), stopped: make(chan struct{})}
 	go wri.run()
 	return wri
 }
 
-// Write takes an ordinary line.
-func (wri *Writer) Write(lin []byte) (int, error) { return wri.WriteLevel(zerolog.InfoLevel, lin) }
+// Write buffers or sheds a line at the info level.
+func (wri *Writer) Write(line []byte) (int, error) { return wri.WriteLevel(zerolog.InfoLevel, line) }
 
-// WriteLevel takes a line, or sheds it. It never fails and never blocks.
-func (wri *Writer) WriteLevel(lev zerolog.Level, lin []byte) (int, error) {
+// WriteLevel buffers a line, or sheds it if there is no room. It never fails and never
+// waits for the output.
+func (wri *Writer) WriteLevel(lev zerolog.Level, line []byte) (int, error) {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
-	lim := wri.max
+	limit := wri.limit
 	if lev < zerolog.WarnLevel {
-		lim = int(ordinaryShare * float64(wri.max))
+		limit = int(ordinaryShare * float64(wri.limit))
 	}
 	switch {
-	case len(wri.buf)+len(lin) <= lim:
-		wri.buf = append(wri.buf, lin...)
+	case len(wri.buf)+len(line) <= limit:
+		wri.buf = append(wri.buf, line...)
 		wri.signal()
 	case lev < zerolog.WarnLevel:
 		wri.shed.Ordinary++
 	default:
 		wri.shed.Important++
 	}
-	return len(lin), nil
+	return len(line), nil
 }
 
 func (wri *Writer) signal() {
@@ -86,14 +91,15 @@
 	}
 }
 
-// Shed returns the counts of lines that were not written.
+// Shed returns the numbers of lines shed so far.
 func (wri *Writer) Shed() Shed {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
 	return wri.shed
 }
 
-// Close writes what waits, as far as the output takes it in time.
+// Close writes the buffered lines. It returns after 500 ms even if the output has not
+// accepted all of them.
 func (wri *Writer) Close() {
 	wri.mu.Lock()
 	if !wri.closed {
@@ -111,17 +117,17 @@
 	defer close(wri.stopped)
 	var buf []byte
 	for range wri.wake {
-		clo := wri.isClosed()
-		if !clo {
-			time.Sleep(collectTime)
+		closed := wri.isClosed()
+		if !closed {
+			time.Sleep(batchDelay)
 		}
 		for {
-			if buf = wri.take(buf); len(buf) == 0 {
+			if buf = wri.nextBatch(buf); len(buf) == 0 {
 				break
 			}
 			_, _ = wri.out.Write(buf)
 		}
-		if clo {
+		if closed {
 			return
 		}
 	}
@@ -133,22 +139,23 @@
 	return wri.closed
 }
 
-// take moves lines out of the buffer, with a line on those that were shed.
-func (wri *Writer) take(buf []byte) []byte {
+// nextBatch moves the next complete lines from the buffer to buf. If lines were shed
+// since the last report, it appends a line with the counts.
+func (wri *Writer) nextBatch(buf []byte) []byte {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
-	num := len(wri.buf)
-	if num > writeBytes {
-		num = writeBytes
-		for num < len(wri.buf) && wri.buf[num-1] != '\n' {
-			num++
+	n := len(wri.buf)
+	if n > maxWriteBytes {
+		n = maxWriteBytes
+		for n < len(wri.buf) && wri.buf[n-1] != '\n' {
+			n++
 		}
 	}
-	buf = append(buf[:0], wri.buf[:num]...)
-	wri.buf = append(wri.buf[:0], wri.buf[num:]...)
-	if wri.shed != wri.told {
+	buf = append(buf[:0], wri.buf[:n]...)
+	wri.buf = append(wri.buf[:0], wri.buf[n:]...)
+	if wri.shed != wri.reported {
 		buf = fmt.Appendf(buf, `{"level":"warn","ShedOrdinary":%d,"ShedImportant":%d,"message":"log lines shed since the start"}`+"\n", wri.shed.Ordinary, wri.shed.Important)
-		wri.told = wri.shed
+		wri.reported = wri.shed
 	}
 	return buf
 }
