--- a/process/assigner/held.go
+++ b/process/assigner/held.go
@@ -24,8 +24,8 @@
 }
 
 // event reports the grant to another planner.
-func (gra *activeGrant) event(now time.Time) planner.Held {
-	return planner.Held{Request: gra.req, Parts: gra.parts, Age: now.Sub(gra.grantedAt), Begun: gra.begun}
+func (gra *activeGrant) event(now time.Time) planner.Announced {
+	return planner.Announced{Request: gra.req, Parts: gra.parts, Age: now.Sub(gra.grantedAt), Began: gra.begun}
 }
 
 // addGrant records a grant until it ends.
@@ -65,7 +65,7 @@
 	type announcement struct {
 		hos  host
 		pool string
-		eve  planner.Held
+		eve  planner.Announced
 	}
 	planners := map[string]host{}
 	var out []announcement
@@ -100,14 +100,14 @@
 
 // heldNotice converts a grant in progress to a notice. The times of its request are
 // relative to now, not to the time of the grant.
-func heldNotice(eve planner.Held, now time.Time) *messenger.PlanNotice {
+func heldNotice(eve planner.Announced, now time.Time) *messenger.PlanNotice {
 	not := &messenger.PlanNotice{
-		Id: eve.Request.ID, Kind: messenger.PlanNotice_KIND_HELD, Ask: planRequest("", eve.Request, 0, now), AgeMs: eve.Age.Milliseconds(), Begun: eve.Begun,
+		Id: eve.Request.ID, Kind: messenger.PlanNotice_KIND_HELD, Ask: planRequest("", eve.Request, 0, now), AgeMs: eve.Age.Milliseconds(), Begun: eve.Began,
 	}
 	not.Parts = partMessages(eve.Parts)
 	return not
 }
 
-func heldOf(not *messenger.PlanNotice, now time.Time) planner.Held {
-	return planner.Held{Request: requestOf(not.GetAsk(), now), Parts: partsOf(not.GetParts()), Age: fromMillis(not.GetAgeMs()), Begun: not.GetBegun()}
+func heldOf(not *messenger.PlanNotice, now time.Time) planner.Announced {
+	return planner.Announced{Request: requestOf(not.GetAsk(), now), Parts: partsOf(not.GetParts()), Age: fromMillis(not.GetAgeMs()), Began: not.GetBegun()}
 }
--- a/process/assigner/message.go
+++ b/process/assigner/message.go
@@ -69,7 +69,7 @@
 
 func noticeOf(eve planner.Event, now time.Time) *messenger.PlanNotice {
 	switch eve := eve.(type) {
-	case planner.Held:
+	case planner.Announced:
 		return heldNotice(eve, now)
 	case planner.Began:
 		return &messenger.PlanNotice{Id: eve.ID, Kind: messenger.PlanNotice_KIND_BEGAN}
--- a/process/assigner/planners.go
+++ b/process/assigner/planners.go
@@ -57,8 +57,8 @@
 	noticeTimeout = time.Second
 )
 
-// Caller sends a message to another host and returns its reply.
-type Caller interface {
+// PeerCaller sends a message to another host and returns its reply.
+type PeerCaller interface {
 	Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
 
@@ -75,7 +75,7 @@
 	// duties.
 	Live    func(now time.Time) []gossiper.Peer
 	Leaving func() bool
-	Caller  Caller
+	Caller  PeerCaller
 	Runner  *planner.Runner
 	Clock   func() time.Time
 	Log     zerolog.Logger
--- a/process/orderer/giver.go
+++ b/process/orderer/giver.go
@@ -24,8 +24,8 @@
 	Weights(ctx context.Context, model, version string) (persister.Weights, error)
 }
 
-// Engine reads the configuration of an engine and sends orders to it.
-type Engine interface {
+// EngineClient reads the configuration of an engine and sends orders to it.
+type EngineClient interface {
 	Config(ctx context.Context, address string) (invoker.EngineConfig, error)
 	GiveOrder(ctx context.Context, address string, ord invoker.Order) error
 }
@@ -34,7 +34,7 @@
 type Issuer struct {
 	Store   leaser.ObjectStore
 	Weights WeightStore
-	Engine  Engine
+	Engine  EngineClient
 	Host    string
 }
 
--- a/process/planner/event.go
+++ b/process/planner/event.go
@@ -60,7 +60,7 @@
 	Started time.Time
 }
 
-// Event is the input of a plan: Request, Cancel, Began, Ended, Held, Failed, Listing,
+// Event is the input of a plan: Request, Cancel, Began, Ended, Announced, Failed, Listing,
 // Report, Unreachable, HostRemoved, Parameters or Tick.
 type Event interface{ event() }
 
@@ -81,13 +81,13 @@
 // Ended reports that a grant's request has ended.
 type Ended struct{ ID string }
 
-// Held reports a grant that another planner has made and that has not ended. Age is the
-// time since the grant, Begun reports whether its first event has arrived.
-type Held struct {
+// Announced reports a grant that another planner has made and that has not ended. Age is
+// the time since the grant, Began reports whether its first event has arrived.
+type Announced struct {
 	Request Request
 	Parts   []Part
 	Age     time.Duration
-	Begun   bool
+	Began   bool
 }
 
 // Failed reports that an endpoint failed a request; Endpoint is its ID or its address.
@@ -124,7 +124,7 @@
 func (Cancel) event()      {}
 func (Began) event()       {}
 func (Ended) event()       {}
-func (Held) event()        {}
+func (Announced) event()   {}
 func (Failed) event()      {}
 func (Listing) event()     {}
 func (Report) event()      {}
--- a/process/planner/plan.go
+++ b/process/planner/plan.go
@@ -84,7 +84,7 @@
 		pla.markBegan(eve.ID, now)
 	case Ended:
 		pla.end(eve.ID, now)
-	case Held:
+	case Announced:
 		pla.adopt(eve, now)
 	case Failed:
 		pla.markFailed(eve, now)
@@ -140,13 +140,13 @@
 
 // adopt adds a grant that another planner has made. Prefill that its engines should have
 // done since then counts as done.
-func (pla *Plan) adopt(eve Held, now time.Time) {
+func (pla *Plan) adopt(eve Announced, now time.Time) {
 	pla.waiting = slices.DeleteFunc(pla.waiting, func(pen *pending) bool { return pen.ID == eve.Request.ID })
 	if pla.grants[eve.Request.ID] != nil || len(eve.Parts) == 0 || pla.engines[eve.Parts[0].Endpoint] == nil {
 		return
 	}
 	pen := pla.newPending(eve.Request, now)
-	gra := &grant{req: pen, lead: pla.engines[eve.Parts[0].Endpoint], grantedAt: now.Add(-eve.Age), leadMemory: pen.memory, expectedFirst: now, began: eve.Begun}
+	gra := &grant{req: pen, lead: pla.engines[eve.Parts[0].Endpoint], grantedAt: now.Add(-eve.Age), leadMemory: pen.memory, expectedFirst: now, began: eve.Began}
 	leadHoldsAll := eve.Parts[0].Reserve == 0
 	for i, assigned := range eve.Parts {
 		eng := pla.engines[assigned.Endpoint]
@@ -170,9 +170,9 @@
 }
 
 // adoptPart queues on its engine what is left of the prefill of an adopted part.
-func (pla *Plan) adoptPart(par *part, eve Held, now time.Time) {
+func (pla *Plan) adoptPart(par *part, eve Announced, now time.Time) {
 	left := par.prefill - msOf(eve.Age)
-	if eve.Begun || left <= 0 {
+	if eve.Began || left <= 0 {
 		par.eng.memory += par.memory
 		return
 	}
--- a/process/planner/runner.go
+++ b/process/planner/runner.go
@@ -104,13 +104,13 @@
 	}
 }
 
-// Notify passes events of grants to the plan of a pool, if this host has one. A Held event
-// starts a plan.
+// Notify passes events of grants to the plan of a pool, if this host has one. An Announced
+// event starts a plan.
 func (run *Runner) Notify(pool string, eves ...Event) {
 	run.mu.Lock()
 	pp := run.plans[pool]
 	run.mu.Unlock()
-	if pp == nil && slices.ContainsFunc(eves, func(eve Event) bool { _, ok := eve.(Held); return ok }) {
+	if pp == nil && slices.ContainsFunc(eves, func(eve Event) bool { _, ok := eve.(Announced); return ok }) {
 		pp = run.planFor(pool)
 	}
 	if pp == nil {
--- a/process/planner/runner_test.go
+++ b/process/planner/runner_test.go
@@ -37,9 +37,9 @@
 		run.Run(ctx)
 	}()
 	now := time.Now()
-	run.Notify("llm", Held{
+	run.Notify("llm", Announced{
 		Request: Request{ID: "a", Host: "h", Prompt: Prompt{Tokens: 1000, MaxTokens: 1000, Target: now.Add(time.Second), Deadline: now.Add(time.Minute)}},
-		Parts:   []Part{{Endpoint: "e1"}}, Begun: true,
+		Parts:   []Part{{Endpoint: "e1"}}, Began: true,
 	})
 	time.Sleep(10 * interval)
 	require.Equal(t, 1, run.Granted("llm"))
