--- a/process/planner/backlog_test.go
+++ b/process/planner/backlog_test.go
@@ -9,8 +9,9 @@
 )
 
 // TestBacklogIsBounded fills the engines with long prompts until hundreds of requests
-// wait. A step of the plan must evaluate only some of them, the most urgent ones most
-// often, and each within two seconds; otherwise the work of a step grows with the backlog.
+// wait. A call of Next must evaluate only some of the requests, the most urgent ones most
+// often, and each request within two seconds; otherwise the work of a call grows with the
+// backlog.
 func TestBacklogIsBounded(t *testing.T) {
 	const engines, requests = 20, 400
 	sim := newSimulation(engines, 1)
@@ -42,8 +43,8 @@
 		}
 		highest = max(highest, evaluated)
 	}
-	require.LessOrEqual(t, highest, 40, "an evaluation takes up to a millisecond with a hundred engines")
-	// The steps between ticks evaluate none, and a new request waits its turn.
+	require.LessOrEqual(t, highest, 40, "one call of Next evaluated too many requests; an evaluation takes up to a millisecond with a hundred engines")
+	// Calls of Next between ticks evaluate no request, and a new request waits its turn.
 	for i := range 20 {
 		sim.plan.Next(Ended{fmt.Sprint("none", i)}, now)
 		sim.plan.Next(request(requests+i), now)
--- a/process/planner/choose.go
+++ b/process/planner/choose.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// retryInterval is the shortest time between two evaluations of a waiting request; the
-	// prefill of a part takes some tens of milliseconds. The first retryBatch requests of
-	// a kind are evaluated at this interval, the next retryBatch at twice the interval,
-	// and so on.
+	// retryInterval is the shortest time between two evaluations of a waiting request. It
+	// is short against the prefill of a part, which takes some tens of milliseconds. The
+	// first retryBatch requests of a kind are evaluated at this interval, the next
+	// retryBatch at twice the interval, and so on.
 	retryInterval = 8 * time.Millisecond
 	retryBatch    = 3
 	// longPrefill is the prefill time on one engine, in ms, from which a prompt counts as
@@ -23,21 +23,24 @@
 	maxHelpers = 16
 	// maxParts is the number of engines that may prefill one prompt.
 	maxParts = maxHelpers + 1
-	// acceptableLoss is the share of its weight that a request may be expected to lose and
-	// still start although it could wait.
+	// acceptableLoss is the expected loss, to the request itself and to others, up to which
+	// a request with time to wait starts at once, as a share of its weight.
 	acceptableLoss = 0.06
-	// waitShare is the share of its objective that must be left for a request to wait for
-	// a choice without loss.
+	// waitShare is the spare time, as a share of the objective, below which a request
+	// accepts more than acceptableLoss. The accepted loss rises linearly to lateLoss when no
+	// spare time is left.
 	waitShare = 0.5
-	// waitMargin is a time in ms. A request whose best choice is late waits for a better
-	// one while its time left exceeds the time to the first event on idle engines by more
-	// than this.
+	// waitMargin is the time in ms by which the slack of a request whose best choice is
+	// late must exceed the time to the first event on idle engines for the request to wait
+	// for a better choice.
 	waitMargin = 40
-	// shortsPerEngine is the rate of short prompts per second at which an engine counts as
-	// fully occupied: its passes then spend a third of their time on prefill.
-	shortsPerEngine = 9
-	// finalWindow is the time in ms before the caller gives up in which a late prompt is
-	// prefilled even though other requests could use the engines.
+	// shortRatePerEngine is the rate of short prompts per second at which an engine counts
+	// as fully occupied, although its passes then spend only a third of their time on
+	// prefill.
+	shortRatePerEngine = 9
+	// finalWindow is a time in ms. A late prompt whose first event is expected at most this
+	// long before the caller gives up is prefilled even if other requests could use the
+	// engines.
 	finalWindow = 500
 	// opportunityRate is the weight lost for each second in which an engine is not free
 	// for a prompt that could still meet its objective.
@@ -45,32 +48,35 @@
 	// maxLateBacklog is the greatest backlog in ms of an engine that may get a long prompt
 	// which misses its objective anyway.
 	maxLateBacklog = 80
-	// idleEngineCost is the cost, in units of loss, of placing a short prompt on an engine
-	// that leads no answer with as tight a limit on pauses. Long prompts could use such an
-	// engine as a whole; the value holds where they occupy half of the engines.
-	idleEngineCost = 0.3
+	// newLeadCost is the cost, in units of loss, of placing a short prompt on an engine
+	// that leads no answer with as tight a limit on pauses. It keeps such engines free for
+	// long prompts, and falls as 1/(1+n) with the n such answers that the engine leads. The
+	// value fits a pool in which long prompts occupy half of the engines.
+	newLeadCost = 0.3
 	// shortTieCost is the cost of a short prompt's time to the first event, as a share of
 	// the objective. It decides between choices of equal loss.
 	shortTieCost = 0.1
 	// longTieCost is the same cost for long prompts, relative to their weight.
 	longTieCost = 0.05
-	// interferenceTime is the delay in ms that is accepted to avoid one unit of loss to
+	// delayPerLoss is the delay in ms that is accepted to avoid one unit of loss to
 	// other requests.
-	interferenceTime = 200
-	// leadSeparation is the delay in ms that is accepted to keep an answer away from an
-	// engine that leads no answers with as tight a limit on pauses.
-	leadSeparation = 300
+	delayPerLoss = 200
+	// newLeadDelay is the delay in ms that a long prompt accepts to avoid a lead engine
+	// that leads no answer with as tight a limit on pauses. It falls with the number of
+	// such answers as newLeadCost does.
+	newLeadDelay = 300
 	// networkTime is the time in ms that a request and its first event spend between
 	// hosts.
 	networkTime = 8
 
-	// Callers abandon a stream after the longest of timeoutFloor, timeoutObjectives
-	// objectives and timeoutPauses limits on pauses, as the platform's contract of streams
-	// says. timeoutShare leaves time for the answer to reach them.
-	timeoutFloor      = 2 * time.Second
-	timeoutObjectives = 4
-	timeoutPauses     = 8
-	timeoutShare      = 0.85
+	// A caller abandons a stream after the longest of minCallerTimeout,
+	// objectivesPerTimeout times its objective and pausesPerTimeout times its limit on
+	// pauses, by the platform's contract of streams. The plan counts on timeoutShare of
+	// that time; the rest is left for the answer to reach the caller.
+	minCallerTimeout     = 2 * time.Second
+	objectivesPerTimeout = 4
+	pausesPerTimeout     = 8
+	timeoutShare         = 0.85
 
 	// minRetryAfter and maxRetryAfter bound the time that refused callers are asked to
 	// wait.
@@ -80,7 +86,7 @@
 
 // callerDeadline returns the time at which the caller of a prompt gives up.
 func callerDeadline(pro Prompt) time.Time {
-	timeout := max(timeoutFloor, timeoutObjectives*pro.Objective, timeoutPauses*pro.Pause)
+	timeout := max(minCallerTimeout, objectivesPerTimeout*pro.Objective, pausesPerTimeout*pro.Pause)
 	deadline := pro.Target.Add(-pro.Objective).Add(time.Duration(timeoutShare * float64(timeout)))
 	if deadline.After(pro.Deadline) {
 		return pro.Deadline
@@ -95,8 +101,9 @@
 
 // choice is a way to serve a request.
 type choice struct {
-	lead  *engine
-	parts []*engine
+	lead *engine
+	// engines prefill one part each, the lead engine first.
+	engines []*engine
 	// first is the expected time to the first event.
 	first ms
 	// loss is the expected loss of this and other requests, in units of weight; cost adds
@@ -113,19 +120,19 @@
 // dispatch grants engines to waiting requests, the most urgent first. A new request is
 // evaluated at once if no request of its kind waits ahead of it. Waiting requests are
 // evaluated again after retryInterval, and less often the more of their kind are ahead of
-// them, so that the work of a step hardly grows with the backlog.
+// them, so that the work of a call of Next hardly grows with the backlog.
 func (pla *Plan) dispatch(now time.Time) {
-	if len(pla.waiting) == 0 || !pla.hasNew && now.Sub(pla.lastDispatch) < retryInterval {
+	if len(pla.waiting) == 0 || !pla.hasNewRequest && now.Sub(pla.lastDispatch) < retryInterval {
 		return
 	}
-	pla.hasNew, pla.lastDispatch = false, now
+	pla.hasNewRequest, pla.lastDispatch = false, now
 	pla.sortWaiting(now)
-	var before [2]int
-	var left []*pending
+	var aheadByKind [2]int
+	var stillWaiting []*pending
 	for _, pen := range pla.waiting {
-		ahead := &before[pen.kind()]
+		ahead := &aheadByKind[pen.kindIndex()]
 		if !pen.due(*ahead, now) {
-			left = append(left, pen)
+			stillWaiting = append(stillWaiting, pen)
 			*ahead++
 			continue
 		}
@@ -136,15 +143,16 @@
 			pla.grant(pen, cho, now)
 		case pla.refuseIfInfeasible(pen, cho, ok, now):
 		default:
-			left = append(left, pen)
+			stillWaiting = append(stillWaiting, pen)
 			*ahead++
 		}
 	}
-	pla.waiting = left
+	pla.waiting = stillWaiting
 }
 
-// kind is 1 for requests with long prompts and 0 for the others.
-func (pen *pending) kind() int {
+// kindIndex is the index of the request's kind in dispatch: 1 for a long prompt, 0 for a
+// short one.
+func (pen *pending) kindIndex() int {
 	if pen.long() {
 		return 1
 	}
@@ -153,17 +161,17 @@
 
 // due reports whether a request is to be evaluated, given the number of requests of its
 // kind ahead of it.
-func (pen *pending) due(before int, now time.Time) bool {
+func (pen *pending) due(ahead int, now time.Time) bool {
 	if pen.evaluated.IsZero() {
-		return before == 0 || now.Sub(pen.arrived) >= retryInterval
+		return ahead == 0 || now.Sub(pen.arrived) >= retryInterval
 	}
-	return now.Sub(pen.evaluated) >= retryInterval*time.Duration(1+before/retryBatch)
+	return now.Sub(pen.evaluated) >= retryInterval*time.Duration(1+ahead/retryBatch)
 }
 
 // idleFirst is the shortest time to the first event of a request, on idle engines.
 func (pla *Plan) idleFirst(pen *pending) ms {
-	parts := max(1, min(maxParts, len(pla.order), int(pen.prefill/minPart)))
-	return pen.prefill/ms(parts) + pla.costs.decodePass(1, pen.prompt.Tokens) + networkTime
+	partCount := max(1, min(maxParts, len(pla.sortedEngines), int(pen.prefill/minPart)))
+	return pen.prefill/ms(partCount) + pla.costs.decodePass(1, pen.prompt.Tokens) + networkTime
 }
 
 // sortWaiting orders the waiting requests: those that can still meet their objective come
@@ -183,63 +191,63 @@
 	})
 }
 
-// shouldStart reports whether a request takes a choice now rather than wait for a better
-// one. The loss that it accepts grows as the time in which it could wait runs out.
+// shouldStart reports whether a request starts with a choice now instead of waiting for a
+// better choice. The accepted loss grows as the request's spare time runs out.
 func (pla *Plan) shouldStart(pen *pending, cho choice, now time.Time) bool {
 	weight := pla.weight(pen)
 	if cho.first > msOf(pen.callerDeadline.Sub(now)) {
 		return false
 	}
-	own := pla.latenessLoss(pen, cho.first, now)
-	room := earlyShare*pen.slack(now) - cho.first
-	if own < lateLoss*weight {
-		urgency := 1 - float64(room)/(waitShare*float64(max(1, msOf(pen.prompt.Objective))))
+	ownLoss := pla.latenessLoss(pen, cho.first, now)
+	spare := onTimeShare*pen.slack(now) - cho.first
+	if ownLoss < lateLoss*weight {
+		urgency := 1 - float64(spare)/(waitShare*float64(max(1, msOf(pen.prompt.Objective))))
 		return cho.loss <= weight*(acceptableLoss+(lateLoss-acceptableLoss)*min(1, max(0, urgency)))
 	}
 	if pen.slack(now)-pla.idleFirst(pen) > waitMargin {
 		// Engines that become idle in time could still meet the objective.
 		return false
 	}
-	left := (1 - lateLoss) * weight
+	remainingWeight := (1 - lateLoss) * weight
 	if msOf(pen.callerDeadline.Sub(now))-cho.first > finalWindow {
-		left -= pla.opportunityLoss(pen, now)
+		remainingWeight -= pla.opportunityLoss(pen, now)
 	}
 	if pen.long() && cho.backlog > maxLateBacklog {
 		return false
 	}
-	return cho.loss-own < left
+	return cho.loss-ownLoss < remainingWeight
 }
 
 // opportunityLoss is the expected loss of the requests that will arrive while engines
 // prefill a late prompt. It grows with the share of the engines that other requests
 // occupy.
 func (pla *Plan) opportunityLoss(pen *pending, now time.Time) float64 {
-	engines := float64(max(1, len(pla.order)))
-	busy := min(1, pla.longShare(now)+pla.shortDemand.value(now)/(shortsPerEngine*engines))
+	engines := float64(max(1, len(pla.sortedEngines)))
+	busy := min(1, pla.longShare(now)+pla.shortDemand.value(now)/(shortRatePerEngine*engines))
 	return opportunityRate * busy * busy * float64(pen.prefill) / 1000
 }
 
 // choose finds the best way to serve a request now.
 func (pla *Plan) choose(pen *pending, now time.Time) (choice, bool) {
 	if pen.long() {
-		return pla.chooseMany(pen, now)
+		return pla.chooseForLong(pen, now)
 	}
-	return pla.chooseOne(pen, now)
+	return pla.chooseForShort(pen, now)
 }
 
-// chooseOne finds an engine for a short prompt.
-func (pla *Plan) chooseOne(pen *pending, now time.Time) (choice, bool) {
+// chooseForShort finds an engine for a short prompt.
+func (pla *Plan) chooseForShort(pen *pending, now time.Time) (choice, bool) {
 	var best choice
 	found := false
-	for _, eng := range pla.order {
+	for _, eng := range pla.sortedEngines {
 		if !eng.usable(pen, now) || eng.freeMemory(pla.costs.MemoryTokens) < pen.memory || len(eng.grants)+eng.foreign >= pla.costs.Slots {
 			continue
 		}
-		cho := choice{lead: eng, parts: []*engine{eng}, backlog: eng.backlog(now)}
+		cho := choice{lead: eng, engines: []*engine{eng}, backlog: eng.backlog(now)}
 		cho.first = eng.startDelay(false, now) + eng.nextDecodeTime(pla.costs, pen.prompt.Tokens) + pen.prefill*eng.pace + networkTime
-		cho.loss = pla.latenessLoss(pen, cho.first, now) + pla.interference(eng, pen.prefill, pen.prompt.Tokens, false, now)
+		cho.loss = pla.latenessLoss(pen, cho.first, now) + pla.interferenceLoss(eng, pen.prefill, pen.prompt.Tokens, false, now)
 		cho.cost = cho.loss + shortTieCost*float64(cho.first/max(1, msOf(pen.prompt.Objective)))
-		cho.cost += idleEngineCost / float64(1+eng.tightAnswers(pen.prompt.Pause))
+		cho.cost += newLeadCost / float64(1+eng.tightAnswers(pen.prompt.Pause))
 		if !found || cho.cost < best.cost {
 			best, found = cho, true
 		}
@@ -250,31 +258,33 @@
 // candidate is an engine that could prefill a part of a prompt.
 type candidate struct {
 	eng *engine
-	// startDelay is the time until the engine would start the part, interference the
-	// expected loss of the engine's other requests, free the memory left for grants, and
-	// key the sort key.
-	startDelay   ms
-	interference float64
-	free         int64
-	key          ms
+	// startDelay is the time until the engine would start the part, interferenceLoss the
+	// expected loss of other requests, freeMemory the memory in tokens left for grants, and
+	// sortKey the time until the engine has prefilled the part, with interferenceLoss
+	// converted to a delay.
+	startDelay       ms
+	interferenceLoss float64
+	freeMemory       int64
+	sortKey          ms
 }
 
-// chooseMany divides a long prompt over engines so that its first event arrives early and
+// chooseForLong divides a long prompt over engines so that its first event arrives early and
 // other requests lose little.
-func (pla *Plan) chooseMany(pen *pending, now time.Time) (choice, bool) {
+func (pla *Plan) chooseForLong(pen *pending, now time.Time) (choice, bool) {
 	var cans []candidate
-	for _, eng := range pla.order {
+	for _, eng := range pla.sortedEngines {
 		if !eng.usable(pen, now) || len(eng.grants)+eng.foreign >= pla.costs.Slots {
 			continue
 		}
-		cans = append(cans, candidate{eng: eng, free: eng.freeMemory(pla.costs.MemoryTokens)})
+		cans = append(cans, candidate{eng: eng, freeMemory: eng.freeMemory(pla.costs.MemoryTokens)})
 	}
 	var best choice
 	found := false
-	shorts := pla.shortEngines()
+	shortEngines := pla.shortEngines()
 	limit := min(maxParts, len(cans), max(1, int(pen.prefill/minPart)))
-	for parts := limit; parts >= 1; parts = min(parts-1, parts*4/5) {
-		cho, ok := pla.divide(pen, cans, parts, shorts, now)
+	// Reduce the number of parts by a fifth at a time, to bound the work.
+	for partCount := limit; partCount >= 1; partCount = min(partCount-1, partCount*4/5) {
+		cho, ok := pla.divide(pen, cans, partCount, shortEngines, now)
 		if ok && (!found || cho.cost < best.cost) {
 			best, found = cho, true
 		}
@@ -282,37 +292,37 @@
 	return best, found
 }
 
-// divide chooses engines for a prompt in a given number of parts. shorts is the number of
-// engines that lead short prompts.
-func (pla *Plan) divide(pen *pending, cans []candidate, parts, shorts int, now time.Time) (choice, bool) {
-	prefill := pen.prefill / ms(parts)
+// divide chooses engines for a prompt in a given number of parts. shortEngines is the
+// number of engines that lead short prompts.
+func (pla *Plan) divide(pen *pending, cans []candidate, partCount, shortEngines int, now time.Time) (choice, bool) {
+	prefill := pen.prefill / ms(partCount)
 	for i := range cans {
 		can := &cans[i]
-		can.startDelay = can.eng.startDelay(parts > 1, now)
-		can.interference = pla.interference(can.eng, prefill, 0, parts > 1, now) + pla.blockingLoss(can.eng, prefill, shorts, now)
-		can.key = can.startDelay + prefill*can.eng.pace + interferenceTime*ms(can.interference)
+		can.startDelay = can.eng.startDelay(partCount > 1, now)
+		can.interferenceLoss = pla.interferenceLoss(can.eng, prefill, 0, partCount > 1, now) + pla.blockingLoss(can.eng, prefill, shortEngines, now)
+		can.sortKey = can.startDelay + prefill*can.eng.pace + delayPerLoss*ms(can.interferenceLoss)
 	}
-	slices.SortStableFunc(cans, func(a, b candidate) int { return cmp.Compare(a.key, b.key) })
+	slices.SortStableFunc(cans, func(a, b candidate) int { return cmp.Compare(a.sortKey, b.sortKey) })
 	cho := choice{}
 	lead := pla.chooseLead(pen, cans, prefill, now)
 	if lead < 0 {
 		var ok bool
-		if parts > maxHelpers {
+		if partCount > maxHelpers {
 			return choice{}, false
 		}
-		if cho.reserve, ok = pla.splitMemory(pen, cans[:parts]); !ok {
+		if cho.reserve, ok = pla.splitMemory(pen, cans[:partCount]); !ok {
 			return choice{}, false
 		}
 		lead = 0
 	}
-	chosen := append([]candidate{cans[lead]}, slices.Delete(slices.Clone(cans), lead, lead+1)[:parts-1]...)
+	chosen := append([]candidate{cans[lead]}, slices.Delete(slices.Clone(cans), lead, lead+1)[:partCount-1]...)
 	for _, can := range chosen {
-		cho.parts = append(cho.parts, can.eng)
+		cho.engines = append(cho.engines, can.eng)
 		cho.backlog = max(cho.backlog, can.eng.backlog(now))
 		cho.first = max(cho.first, can.startDelay+prefill*can.eng.pace)
-		cho.loss += can.interference
+		cho.loss += can.interferenceLoss
 	}
-	cho.lead = cho.parts[0]
+	cho.lead = cho.engines[0]
 	cho.first += cho.lead.nextDecodeTime(pla.costs, pen.prompt.Tokens) + networkTime
 	cho.loss += pla.latenessLoss(pen, cho.first, now)
 	cho.cost = cho.loss + longTieCost*pla.weight(pen)*float64(cho.first/max(1, msOf(pen.prompt.Objective)))
@@ -320,46 +330,48 @@
 }
 
 // chooseLead returns the index of the engine that holds the prompt and generates the answer;
-// -1 if none has the memory. It concentrates answers on few engines, so that other engines
-// can take long parts without delaying answers.
+// -1 if none has the memory. Answers are concentrated on few engines, so that other engines
+// can prefill long parts without delaying answers.
 func (pla *Plan) chooseLead(pen *pending, cans []candidate, prefill ms, now time.Time) int {
 	lead := -1
 	var best ms
 	for i, can := range cans {
-		if can.free < pen.memory {
+		if can.freeMemory < pen.memory {
 			continue
 		}
-		interference := pla.interference(can.eng, prefill, pen.prompt.Tokens, true, now)
-		key := can.key + interferenceTime*ms(interference-can.interference) + leadSeparation/ms(1+can.eng.tightAnswers(pen.prompt.Pause))
-		if lead < 0 || key < best {
-			lead, best = i, key
+		leadLoss := pla.interferenceLoss(can.eng, prefill, pen.prompt.Tokens, true, now)
+		sortKey := can.sortKey + delayPerLoss*ms(leadLoss-can.interferenceLoss) + newLeadDelay/ms(1+can.eng.tightAnswers(pen.prompt.Pause))
+		if lead < 0 || sortKey < best {
+			lead, best = i, sortKey
 		}
 	}
 	return lead
 }
 
-// splitMemory divides the memory of a prompt that no single engine can hold over the
-// candidates, those with the most free memory first.
+// splitMemory sorts the candidates by free memory, the most first, and divides the memory
+// of a prompt among them. It returns false if the prompt would fit into one idle engine or
+// if the candidates lack the memory.
 func (pla *Plan) splitMemory(pen *pending, cans []candidate) ([]int64, bool) {
 	if pen.memory <= int64(memoryFill*float64(pla.costs.MemoryTokens)) {
-		// It fits into one engine once that engine's other requests have ended.
+		// The prompt fits into one engine; it waits until other requests on an engine have
+		// ended.
 		return nil, false
 	}
-	left := pen.memory
+	remaining := pen.memory
 	reserve := make([]int64, len(cans))
-	slices.SortStableFunc(cans, func(a, b candidate) int { return cmp.Compare(b.free, a.free) })
+	slices.SortStableFunc(cans, func(a, b candidate) int { return cmp.Compare(b.freeMemory, a.freeMemory) })
 	for i, can := range cans {
-		reserve[i] = max(0, min(left, can.free))
-		left -= reserve[i]
+		reserve[i] = max(0, min(remaining, can.freeMemory))
+		remaining -= reserve[i]
 	}
-	return reserve, left <= 0
+	return reserve, remaining <= 0
 }
 
 func (pla *Plan) grant(pen *pending, cho choice, now time.Time) {
-	gra := &grant{req: pen, lead: cho.lead, grantedAt: now, leadMemory: pen.memory, expectedFirst: now.Add(cho.first.duration()), pendingParts: len(cho.parts)}
+	gra := &grant{req: pen, lead: cho.lead, grantedAt: now, leadMemory: pen.memory, expectedFirst: now.Add(cho.first.duration()), pendingParts: len(cho.engines)}
 	cho.lead.addGrant(gra)
-	for i, eng := range cho.parts {
-		n := len(cho.parts)
+	for i, eng := range cho.engines {
+		n := len(cho.engines)
 		par := &part{gra: gra, eng: eng, prefill: pen.prefill / ms(n) * eng.pace, tokens: float64(pen.prompt.Tokens) / float64(n)}
 		switch {
 		case cho.reserve != nil:
@@ -371,7 +383,7 @@
 		gra.parts = append(gra.parts, par)
 	}
 	if len(gra.parts) == 1 {
-		for _, other := range cho.lead.awaitingFirst() {
+		for _, other := range cho.lead.undividedAwaitingFirst() {
 			if other != gra {
 				other.expectedFirst = other.expectedFirst.Add(gra.parts[0].prefill.duration())
 			}
@@ -379,20 +391,20 @@
 	}
 	for _, par := range gra.parts {
 		par.eng.addPart(pla.costs, par, now)
-		par.eng.markMissedPauses(pla.costs)
+		par.eng.markExceededPauses(pla.costs)
 		pla.postponeExpected(par.eng, now)
 	}
 	if cho.reserve != nil {
 		gra.leadMemory = gra.parts[0].memory
 	}
 	pla.grants[pen.ID] = gra
-	pla.assign(gra, now)
+	pla.appendAssign(gra, now)
 }
 
 // postponeExpected postpones the expected first events of the grants whose parts wait on
 // an engine.
 func (pla *Plan) postponeExpected(eng *engine, now time.Time) {
-	for _, pars := range [][]*part{eng.divided, eng.undivided} {
+	for _, pars := range [][]*part{eng.dividedQueue, eng.undividedQueue} {
 		for _, par := range pars {
 			if expected := now.Add(pla.firstEventDelay(par, now).duration()); expected.After(par.gra.expectedFirst) {
 				par.gra.expectedFirst = expected
@@ -401,7 +413,9 @@
 	}
 }
 
-func (pla *Plan) assign(gra *grant, now time.Time) {
+// appendAssign appends the action that grants engines to a request, also when a granted
+// request is repeated.
+func (pla *Plan) appendAssign(gra *grant, now time.Time) {
 	act := Assign{ID: gra.req.ID, First: gra.expectedFirst.Sub(now), Waited: gra.grantedAt.Sub(gra.req.arrived)}
 	leadHoldsAll := len(gra.parts) > 0 && gra.parts[0].memory >= gra.req.memory
 	for _, par := range gra.parts {
@@ -418,32 +432,32 @@
 // did. cho is the best choice now if found is true.
 func (pla *Plan) refuseIfInfeasible(pen *pending, cho choice, found bool, now time.Time) bool {
 	usable := 0
-	for _, eng := range pla.order {
+	for _, eng := range pla.sortedEngines {
 		if eng.usable(pen, now) {
 			usable++
 		}
 	}
-	left := msOf(min(pen.callerDeadline.Sub(now), pen.prompt.Deadline.Sub(now)))
+	timeLeft := msOf(min(pen.callerDeadline.Sub(now), pen.prompt.Deadline.Sub(now)))
 	wait := pla.queueWait(pen, usable)
 	if found {
 		wait += max(0, cho.first-pla.idleFirst(pen))
 	}
 	switch {
 	case usable == 0:
-		pla.refuse(pen, CodeNoEngine, "no engine of the pool can take the request", minRetryAfter)
-	case pen.memory > int64(usable)*int64(memoryFill*float64(pla.costs.MemoryTokens)) && usable == len(pla.order):
-		pla.refuse(pen, CodeTooLarge, "the prompt exceeds the memory of the engines together", 0)
-	case pla.idleFirst(pen) > left:
-		pla.refuse(pen, CodeTooLate, "the prompt can't be read in the time left", minRetryAfter)
-	case wait+pla.idleFirst(pen) > left:
-		pla.refuse(pen, CodeOverloaded, "the engines are busy for longer than the time left", wait.duration())
+		pla.appendRefuse(pen, CodeNoEngine, "no engine of the pool can take the request", minRetryAfter)
+	case pen.memory > int64(usable)*int64(memoryFill*float64(pla.costs.MemoryTokens)) && usable == len(pla.sortedEngines):
+		pla.appendRefuse(pen, CodeTooLarge, "the prompt exceeds the memory of the engines together", 0)
+	case pla.idleFirst(pen) > timeLeft:
+		pla.appendRefuse(pen, CodeTooLate, "the prompt can't be read in the time left", minRetryAfter)
+	case wait+pla.idleFirst(pen) > timeLeft:
+		pla.appendRefuse(pen, CodeOverloaded, "the engines are busy for longer than the time left", wait.duration())
 	default:
 		return false
 	}
 	return true
 }
 
-// queueWait estimates how long the requests ahead of one occupy the engines.
+// queueWait estimates how long the requests ahead of a request occupy the engines.
 func (pla *Plan) queueWait(pen *pending, usable int) ms {
 	if !pen.long() {
 		return pla.slotWait(pen, usable)
@@ -460,19 +474,19 @@
 
 // slotWait estimates how long the short prompts ahead of a request occupy the slots.
 func (pla *Plan) slotWait(pen *pending, usable int) ms {
-	before := 0
+	ahead := 0
 	for _, other := range pla.waiting {
 		if other == pen {
 			break
 		}
 		if !other.long() {
-			before++
+			ahead++
 		}
 	}
 	answerTime := pla.costs.decodeAnswer(pla.costs.UsualAnswer, pen.prompt.Tokens)
-	return answerTime * ms(before) / ms(max(1, usable*pla.costs.Slots))
+	return answerTime * ms(ahead) / ms(max(1, usable*pla.costs.Slots))
 }
 
-func (pla *Plan) refuse(pen *pending, code, message string, retry time.Duration) {
+func (pla *Plan) appendRefuse(pen *pending, code, message string, retry time.Duration) {
 	pla.actions = append(pla.actions, Refuse{ID: pen.ID, Code: code, Message: message, RetryAfter: min(maxRetryAfter, max(minRetryAfter, retry))})
 }
--- a/process/planner/engine.go
+++ b/process/planner/engine.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// suspectTime is how long an engine is avoided after it failed a request. Work that
-	// depends on a dead engine stalls for this long.
+	// suspectTime is how long an engine is avoided after it failed a request, so that fewer
+	// requests stall on a dead engine.
 	suspectTime = 1500 * time.Millisecond
 	// maxMissedReports is the number of successive reports that must fail before an engine
 	// is no longer used.
@@ -19,26 +19,31 @@
 	arrivalDelay = 3 * time.Millisecond
 	// noticeDelay is the time from an event until the plan receives notice of it.
 	noticeDelay = 4 * time.Millisecond
-	// stepDelay is the time in ms until an engine starts the part of a divided prompt:
-	// half a step, as a step that prefills 2,048 tokens takes about 25 ms.
+	// stepDelay is the longest time in ms until a busy engine starts a new part of a divided
+	// prompt: half a step, as a step that prefills 2,048 tokens takes about 25 ms.
 	stepDelay = 12
-	// overdueDelay is how long the first event of a grant may be late before its parts
-	// count as possibly not prefilled, each with the probability overdueShare.
-	overdueDelay = 60 * time.Millisecond
-	overdueShare = 0.4
+	// overdueDelay is how long the first event of a grant may be late before each of its
+	// unconfirmed parts counts as not prefilled with the probability overdueProbability.
+	overdueDelay       = 60 * time.Millisecond
+	overdueProbability = 0.4
 	// minPass is the least duration of a pass, and of a part's remaining prefill, in ms.
 	// It keeps the model from advancing in tiny steps.
 	minPass = 1
 )
 
 // engine models the work of one engine. An engine that generates answers works in passes:
-// each pass prefills up to a bound, generates a stride of every answer, and ends with the
-// first events of the prompts that it has prefilled. Parts of divided prompts take
+// each pass prefills up to a bound, generates a stride of tokens (Batching.Stride), which
+// is one event, for every answer, and ends with the first events of the prompts that it has
+// prefilled. Parts of divided prompts take
 // precedence over undivided prompts, the newest first, and interrupt older prefills. A
 // pass of the model prefills either one such part or the undivided prompts that wait.
 type engine struct {
 	Engine
-	removed       bool
+	// removed reports that the last Listing lacks the engine, which is kept while it leads
+	// grants.
+	removed bool
+	// pace is the factor by which the engine is slower than its parameters; its type is ms
+	// only so that it multiplies times.
 	pace          ms
 	missedReports int
 	// suspectUntil is the time until which the engine is avoided after a failure.
@@ -47,16 +52,17 @@
 	// for an idle engine.
 	passEnd  time.Time
 	passTime ms
-	// inPass are the parts that the pass in progress prefills; divided and undivided are
-	// those that later passes prefill, the oldest first.
-	inPass    []*part
-	divided   []*part
-	undivided []*part
-	// unconfirmed are parts of divided prompts whose prefill should have ended, of grants
-	// whose first event has not arrived.
+	// inPass are the parts that the pass in progress prefills; dividedQueue and
+	// undividedQueue are those that later passes prefill, the oldest first.
+	inPass         []*part
+	dividedQueue   []*part
+	undividedQueue []*part
+	// unconfirmed are the parts of divided prompts that the model counts as prefilled
+	// although the first events of their grants have not arrived.
 	unconfirmed []*part
 	// grants are those that the engine leads, shortPrompts is the number of short prompts
-	// among them, and contextTokens the sum of their prompts' lengths.
+	// among them, and contextTokens the sum of their prompts' lengths. memory is the number
+	// of tokens of memory that grants use.
 	grants        []*grant
 	shortPrompts  int
 	contextTokens int64
@@ -72,8 +78,9 @@
 	gra *grant
 	eng *engine
 	// prefill is the time left to prefill at the engine's pace, fullPrefill that of the
-	// part as a whole, tokens the number of tokens left, and passPrefill the share of
-	// prefill that belongs to the pass in progress.
+	// complete part, tokens the number of tokens that no pass has started to prefill, and
+	// passPrefill the share of prefill that belongs to the pass in progress. memory is the
+	// number of tokens of memory that the part uses on its engine.
 	prefill     ms
 	fullPrefill ms
 	tokens      float64
@@ -92,13 +99,14 @@
 	// pendingParts is the estimated number of parts whose prefill has not ended.
 	pendingParts int
 	began        bool
-	// pauseMissed reports that the answer has paused, or will pause, for longer than its
-	// objective allows.
-	pauseMissed bool
-	grantedAt   time.Time
+	// pauseExceeded reports that the answer has paused, or will pause, for longer than its
+	// limit on pauses.
+	pauseExceeded bool
+	grantedAt     time.Time
 	// expectedFirst is the time at which the first event should arrive.
 	expectedFirst time.Time
-	leadMemory    int64
+	// leadMemory is the memory in tokens that the grant holds on the lead engine.
+	leadMemory int64
 }
 
 // decoding reports whether the lead engine generates the answer.
@@ -136,12 +144,12 @@
 // advance ends the passes that should have ended by now.
 func (eng *engine) advance(cos costModel, now time.Time) {
 	for !eng.passEnd.IsZero() && !now.Before(eng.passEnd) {
-		eng.startPass(cos, eng.passEnd)
+		eng.nextPass(cos, eng.passEnd)
 	}
 }
 
-// startPass ends the pass in progress and begins the next one.
-func (eng *engine) startPass(cos costModel, at time.Time) {
+// nextPass ends the pass in progress and begins the next one.
+func (eng *engine) nextPass(cos costModel, at time.Time) {
 	for _, par := range eng.inPass {
 		if par.prefill -= par.passPrefill; par.prefill <= 0 {
 			par.gra.pendingParts--
@@ -167,24 +175,24 @@
 func (eng *engine) requeue(par *part) {
 	par.passPrefill = 0
 	if par.divided() {
-		eng.divided = append(eng.divided, par)
+		eng.dividedQueue = append(eng.dividedQueue, par)
 	} else {
-		eng.undivided = slices.Insert(eng.undivided, 0, par)
+		eng.undividedQueue = slices.Insert(eng.undividedQueue, 0, par)
 	}
 }
 
-// fillPass chooses what the next pass prefills and returns the time for it.
+// fillPass chooses what the next pass prefills and returns the prefill time.
 func (eng *engine) fillPass(decoding bool, cos costModel) ms {
-	if last := len(eng.divided) - 1; last >= 0 {
-		par := eng.divided[last]
-		eng.divided = eng.divided[:last]
+	if last := len(eng.dividedQueue) - 1; last >= 0 {
+		par := eng.dividedQueue[last]
+		eng.dividedQueue = eng.dividedQueue[:last]
 		return eng.startPart(par, 1)
 	}
 	var total ms
 	budget := cos.passTokens()
-	for budget > 0 && len(eng.undivided) > 0 {
-		par := eng.undivided[0]
-		eng.undivided = eng.undivided[1:]
+	for budget > 0 && len(eng.undividedQueue) > 0 {
+		par := eng.undividedQueue[0]
+		eng.undividedQueue = eng.undividedQueue[1:]
 		share := 1.0
 		if decoding {
 			share = min(1, budget/par.tokens)
@@ -205,15 +213,15 @@
 	return par.passPrefill
 }
 
-// passEnded records that a pass of the engine has ended with the first event of a part
-// that it led.
+// passEnded corrects the model: the first event of a grant that the engine leads shows
+// that a pass ended at a time. par is the part of the grant that the engine prefills.
 func (eng *engine) passEnded(cos costModel, par *part, at time.Time) {
 	if eng.hasPart(par) {
 		eng.removePart(par, at)
-		eng.startPass(cos, at)
+		eng.nextPass(cos, at)
 		return
 	}
-	// The model had the pass in progress begin too early.
+	// The pass in progress began later than in the model; postpone its end.
 	if end := at.Add(eng.passTime.duration()); !eng.passEnd.IsZero() && end.After(eng.passEnd) {
 		eng.passEnd = end
 	}
@@ -221,13 +229,15 @@
 
 // hasPart reports whether the engine has yet to finish the prefill of a part.
 func (eng *engine) hasPart(par *part) bool {
-	return slices.Contains(eng.inPass, par) || slices.Contains(eng.divided, par) || slices.Contains(eng.undivided, par)
+	return slices.Contains(eng.inPass, par) || slices.Contains(eng.dividedQueue, par) || slices.Contains(eng.undividedQueue, par)
 }
 
 // queuedPrefill is the prefill time of the parts that wait for later passes.
-func (eng *engine) queuedPrefill() ms { return totalPrefill(eng.divided) + totalPrefill(eng.undivided) }
+func (eng *engine) queuedPrefill() ms {
+	return totalPrefill(eng.dividedQueue) + totalPrefill(eng.undividedQueue)
+}
 
-func passPrefill(pars []*part) ms {
+func totalPassPrefill(pars []*part) ms {
 	var total ms
 	for _, par := range pars {
 		total += par.passPrefill
@@ -243,53 +253,53 @@
 	return total
 }
 
-// decodeTime is the time that the pass in progress spends on generating answers.
+// decodeTime is the time that a pass that begins now spends on generating answers.
 func (eng *engine) decodeTime(cos costModel) ms {
-	answers, context := eng.foreign, int64(0)
+	answers, contextTokens := eng.foreign, int64(0)
 	for _, gra := range eng.grants {
 		if gra.decoding() {
 			answers++
-			context += gra.req.prompt.Tokens
+			contextTokens += gra.req.prompt.Tokens
 		}
 	}
-	return cos.decodePass(answers, context) * eng.pace
+	return cos.decodePass(answers, contextTokens) * eng.pace
 }
 
 // nextDecodeTime is the time that the next pass spends on generating answers, with the
-// answers to the prompts being prefilled and, if more is positive, one to a further prompt
-// of that many tokens.
-func (eng *engine) nextDecodeTime(cos costModel, more int64) ms {
-	answers, context := eng.foreign+len(eng.grants), more+eng.contextTokens
-	if more > 0 {
+// answers to the prompts being prefilled and, if extraTokens is positive, the answer to a
+// further prompt of extraTokens tokens.
+func (eng *engine) nextDecodeTime(cos costModel, extraTokens int64) ms {
+	answers, contextTokens := eng.foreign+len(eng.grants), extraTokens+eng.contextTokens
+	if extraTokens > 0 {
 		answers++
 	}
-	return cos.decodePass(answers, context) * eng.pace
+	return cos.decodePass(answers, contextTokens) * eng.pace
 }
 
 // addPart queues a part for prefill.
 func (eng *engine) addPart(cos costModel, par *part, now time.Time) {
 	eng.memory += par.memory
 	if !par.divided() {
-		eng.undivided = append(eng.undivided, par)
+		eng.undividedQueue = append(eng.undividedQueue, par)
 	} else {
 		eng.interrupt(now)
-		eng.divided = append(eng.divided, par)
+		eng.dividedQueue = append(eng.dividedQueue, par)
 	}
 	if eng.passEnd.IsZero() {
-		eng.startPass(cos, now.Add(arrivalDelay))
+		eng.nextPass(cos, now.Add(arrivalDelay))
 	}
 }
 
 // interrupt ends the prefills of the pass in progress and requeues their rest.
 func (eng *engine) interrupt(now time.Time) {
-	inPass := passPrefill(eng.inPass)
-	if inPass <= 0 {
+	passTotal := totalPassPrefill(eng.inPass)
+	if passTotal <= 0 {
 		return
 	}
 	residual := eng.residual(now)
-	left := min(residual, inPass)
+	left := min(residual, passTotal)
 	for _, par := range eng.inPass {
-		par.prefill = max(minPass, par.prefill-par.passPrefill*(1-left/inPass))
+		par.prefill = max(minPass, par.prefill-par.passPrefill*(1-left/passTotal))
 		eng.requeue(par)
 	}
 	eng.inPass = nil
@@ -312,8 +322,8 @@
 		}
 	}
 	eng.inPass = slices.DeleteFunc(eng.inPass, match)
-	eng.divided = slices.DeleteFunc(eng.divided, match)
-	eng.undivided = slices.DeleteFunc(eng.undivided, match)
+	eng.dividedQueue = slices.DeleteFunc(eng.dividedQueue, match)
+	eng.undividedQueue = slices.DeleteFunc(eng.undividedQueue, match)
 	eng.unconfirmed = slices.DeleteFunc(eng.unconfirmed, match)
 }
 
@@ -323,7 +333,7 @@
 }
 
 // overdueParts returns the parts that the engine may still have to prefill although the
-// model has them done: the first events of their grants are overdue.
+// model counts them as done, because the first events of their grants are overdue.
 func (eng *engine) overdueParts(now time.Time) []*part {
 	var out []*part
 	for _, par := range eng.unconfirmed {
@@ -339,7 +349,7 @@
 func (eng *engine) overduePrefill(now time.Time) ms {
 	var total ms
 	for _, par := range eng.overdueParts(now) {
-		total += overdueShare * par.fullPrefill
+		total += overdueProbability * par.fullPrefill
 	}
 	return total
 }
@@ -355,7 +365,7 @@
 // backlog is the time until the engine has prefilled all parts that it has; zero if there
 // are none.
 func (eng *engine) backlog(now time.Time) ms {
-	if len(eng.inPass) == 0 && len(eng.divided) == 0 && len(eng.undivided) == 0 {
+	if len(eng.inPass) == 0 && len(eng.dividedQueue) == 0 && len(eng.undividedQueue) == 0 {
 		return 0
 	}
 	return eng.residual(now) + eng.queuedPrefill()
@@ -375,12 +385,12 @@
 	if slices.Contains(eng.inPass, par) && par.passPrefill >= par.prefill {
 		return total
 	}
-	for _, other := range slices.Backward(eng.divided) {
+	for _, other := range slices.Backward(eng.dividedQueue) {
 		if total += other.prefill; other == par {
 			return total
 		}
 	}
-	for _, other := range eng.undivided {
+	for _, other := range eng.undividedQueue {
 		if total += other.prefill; other == par {
 			break
 		}
@@ -393,13 +403,13 @@
 	if !divided {
 		return nil
 	}
-	return slices.Concat(eng.inPass, eng.divided, eng.undivided)
+	return slices.Concat(eng.inPass, eng.dividedQueue, eng.undividedQueue)
 }
 
-// awaitingFirst returns the grants with undivided prompts that the engine leads and whose
-// first events have not arrived. An engine continues to prefill within a pass, and the
-// first events come at its end.
-func (eng *engine) awaitingFirst() []*grant {
+// undividedAwaitingFirst returns the grants with undivided prompts that the engine leads
+// and whose first events have not arrived. The engine prefills a new undivided prompt
+// within the pass in progress, and so delays the first events at the end of that pass.
+func (eng *engine) undividedAwaitingFirst() []*grant {
 	var out []*grant
 	for _, gra := range eng.grants {
 		if !gra.began && len(gra.parts) == 1 {
@@ -409,8 +419,8 @@
 	return out
 }
 
-// tightAnswers counts the answers that the engine leads whose limit on pauses is no longer
-// than that of a request.
+// tightAnswers counts the answers that the engine leads whose limit on pauses is at most
+// that of a request.
 func (eng *engine) tightAnswers(pause time.Duration) int {
 	n := 0
 	for _, gra := range eng.grants {
@@ -421,9 +431,10 @@
 	return n
 }
 
-// freeMemory is the number of tokens of memory that is left for further grants.
-func (eng *engine) freeMemory(total int64) int64 {
-	return int64(memoryFill*float64(total)) - eng.memory - eng.foreignMemory
+// freeMemory is the number of tokens of memory that is left for further grants. capacity
+// is the engine's memory in tokens.
+func (eng *engine) freeMemory(capacity int64) int64 {
+	return int64(memoryFill*float64(capacity)) - eng.memory - eng.foreignMemory
 }
 
 // applyLoad records a report of the engine.
--- a/process/planner/event.go
+++ b/process/planner/event.go
@@ -4,10 +4,11 @@
 // Engines prefill prompts between the decode steps of the answers that they generate, so a
 // long prefill delays the other answers of the engine. Plan models the prefills, the
 // answers and the memory of each engine, gives short prompts engines whose passes are
-// short, and divides long prompts over engines without such answers.
+// short, and divides long prompts over engines that generate no answers with tight limits
+// on pauses.
 //
-// Plan is a state machine without input, output or a clock. Runner carries out its
-// decisions.
+// Plan is a state machine without input, output or a clock. Runner passes events to plans
+// and delivers their actions to the hosts that submitted the requests.
 package planner
 
 import (
@@ -16,7 +17,7 @@
 	"hemlockpin/version/parser"
 )
 
-// Prompt is what a plan knows of a request.
+// Prompt describes the prompt of a request with its limits and objectives.
 type Prompt struct {
 	// Tokens is the length of the prompt, MaxTokens the limit on the length of its answer
 	// and AnswerTokens the expected length of the answer; 0 if unknown.
@@ -33,7 +34,7 @@
 	// pause between events.
 	Objective time.Duration
 	Pause     time.Duration
-	// Excluded are the endpoints that have failed the request.
+	// Excluded are the IDs of the endpoints that have failed the request.
 	Excluded []string
 }
 
@@ -45,8 +46,9 @@
 	Started time.Time
 }
 
-// Load is an engine's report of its own load.
+// Load is the load that an engine reports.
 type Load struct {
+	// Waiting and Running count the requests on the engine.
 	Waiting int
 	Running int
 	// MemoryUsed and MemoryTotal are in tokens; Reserved is the part of MemoryUsed that
@@ -90,7 +92,8 @@
 	Began   bool
 }
 
-// Failed reports that an endpoint failed a request; Endpoint is its ID or its address.
+// Failed reports that an endpoint failed a request. ID is that of the request, Endpoint
+// the ID or the address of the endpoint.
 type Failed struct {
 	ID       string
 	Endpoint string
@@ -99,13 +102,13 @@
 // Listing lists the engines of the pool.
 type Listing struct{ Engines []Engine }
 
-// Report is a report of an engine's load.
+// Report passes the load that an engine has reported to the plan.
 type Report struct {
 	Endpoint string
 	Load     Load
 }
 
-// Unreachable reports that an engine did not answer a request for its report.
+// Unreachable reports that an engine's report could not be read.
 type Unreachable struct{ Endpoint string }
 
 // HostRemoved reports that a host's processes up to an incarnation have ended.
@@ -133,7 +136,7 @@
 func (Parameters) event()  {}
 func (Tick) event()        {}
 
-// Action is the answer to a request: Assign or Refuse.
+// Action is the plan's decision on a request: Assign or Refuse.
 type Action interface{ action() }
 
 // Part is one engine's part of a grant.
@@ -144,7 +147,8 @@
 	Reserve int64
 }
 
-// Assign grants engines to a request; the first one leads.
+// Assign grants engines to a request. The first engine leads: it generates the answer and
+// holds the prompt, or a part of the prompt if memory is reserved.
 type Assign struct {
 	ID    string
 	Parts []Part
--- a/process/planner/helper_test.go
+++ b/process/planner/helper_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHelpersAreFew requests engines for prompts of all lengths on many idle engines: a
-// call must not name more engines than the engines accept. A call with reserved memory
-// also names its lead engine.
-func TestHelpersAreFew(t *testing.T) {
+// TestHelpersAreBounded requests engines for prompts of all lengths on many idle engines. A
+// call must not name more engines than the 16 that engines accept (maxHelpers). A call with
+// reserved memory also names its lead engine.
+func TestHelpersAreBounded(t *testing.T) {
 	for _, engines := range []int{14, 17, 40, 112} {
 		for tokens := int64(100_000); tokens <= 1_200_000; tokens += 50_000 {
 			sim := newSimulation(engines, 1)
@@ -18,7 +18,7 @@
 				Tokens: tokens, MaxTokens: 1000, Target: epoch.Add(4 * time.Second), Deadline: epoch.Add(15 * time.Second), Objective: 4 * time.Second, Pause: time.Second,
 			}}, epoch)
 			if len(acts) == 0 && tokens > 700_000 {
-				// It waits for a better choice.
+				// The request waits for a better choice.
 				continue
 			}
 			require.Len(t, acts, 1, "%d tokens on %d engines", tokens, engines)
--- a/process/planner/load_test.go
+++ b/process/planner/load_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLoad runs patterns of load against simulated engines. Each pattern states the least
-// share of each class of requests that has to be in time, or served; these bounds are what
-// callers are to get. Each line of a pattern is a phase: its seconds, and the factor on
-// the usual rate of each class. With seeds, the shares are those of several runs.
+// TestLoad runs patterns of load against simulated engines. Each pattern gives, for each
+// class, the least share of requests that must be in time, or served. Each line of a
+// pattern is a phase: its length in seconds, and the factor on the usual rate of each
+// class. seeds=n counts the requests of n runs together.
 func TestLoad(t *testing.T) {
 	datadriven.Walk(t, "testdata/load", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, dat *datadriven.TestData) string {
@@ -57,21 +57,22 @@
 // slowEngines makes some engines slower than their parameters say and reports their pace
 // to the plan.
 func slowEngines(t *testing.T, sim *simulation, dat *datadriven.TestData) {
-	n, by := 0, 1.0
+	n, slowdown := 0, 1.0
 	dat.MaybeScanArgs(t, "slow", &n)
 	var text string
 	if dat.MaybeScanArgs(t, "by", &text); text != "" {
-		_, err := fmt.Sscan(text, &by)
+		_, err := fmt.Sscan(text, &slowdown)
 		require.NoError(t, err)
 	}
 	for i := range n {
 		id := fmt.Sprintf("e%02d", i)
-		sim.engines[id].slowdown = by
-		sim.next(Report{Endpoint: id, Load: Load{Pace: by}}, epoch)
+		sim.engines[id].slowdown = slowdown
+		sim.next(Report{Endpoint: id, Load: Load{Pace: slowdown}}, epoch)
 	}
 }
 
-// compareShares compares the shares with the bounds.
+// compareShares returns a line for each bound, which says whether the share reaches the
+// bound.
 func compareShares(t *testing.T, sim *simulation, dat *datadriven.TestData) string {
 	var sb strings.Builder
 	for index, cla := range classes {
--- a/process/planner/loss.go
+++ b/process/planner/loss.go
@@ -6,20 +6,20 @@
 	// lateLoss is the share of a request's weight that is lost when its answer is late:
 	// callers still use it, but have waited.
 	lateLoss = 0.75
-	// earlyShare and lateShare, as shares of the time left, bound the estimates of the
-	// first event between which a request may be late: estimates are off by some ten per
-	// cent.
-	earlyShare = 0.55
-	lateShare  = 1.05
-	// delayWeight is the share of a request's weight that a delay by its full objective
-	// costs even if it should still be in time.
+	// A request counts as in time if the estimated time to its first event is at most
+	// onTimeShare of its slack, and as late from lateShare on. In between, the expected
+	// loss rises linearly, since estimates are off by some ten per cent.
+	onTimeShare = 0.55
+	lateShare   = 1.05
+	// delayWeight is the loss, as a share of its weight, of a request that is delayed by
+	// its full objective, in addition to the loss from lateness.
 	delayWeight = 0.3
 	// pauseShare is the share of the limit on pauses that a pass may take.
 	pauseShare = 0.85
-	// blockingPrefill is the prefill time in ms from which short prompts that arrive
-	// meanwhile are late.
+	// blockingPrefill is the prefill time of a part in ms from which short prompts are late
+	// that arrive on the engine during the prefill.
 	blockingPrefill = 120
-	// blockedShare is the share of these short prompts that finds no other engine.
+	// blockedShare is the share of these short prompts for which no other engine is free.
 	blockedShare = 0.25
 	// shortWeight is the weight of a short prompt that has not arrived yet.
 	shortWeight = 1.4
@@ -28,8 +28,8 @@
 	defaultUsualPrompt = 10_000
 )
 
-// weight is the importance of a request relative to others. Callers with longer prompts
-// are fewer and wait for more.
+// weight is the importance of a request relative to others. Longer prompts are rarer, and
+// their answers are worth more to the callers.
 func (pla *Plan) weight(pen *pending) float64 {
 	usual := pla.costs.UsualPrompt
 	if usual <= 0 {
@@ -38,15 +38,15 @@
 	return 1 + float64(pen.prompt.Tokens)/float64(usual)
 }
 
-// latenessLoss is the expected loss of a request whose first event arrives after the time
-// first.
+// latenessLoss is the expected loss of a request whose first event is expected in the time
+// first from now.
 func (pla *Plan) latenessLoss(pen *pending, first ms, now time.Time) float64 {
 	weight := pla.weight(pen)
 	if first > msOf(pen.callerDeadline.Sub(now)) {
 		return weight
 	}
 	slack := pen.slack(now)
-	low, high := earlyShare*slack, lateShare*slack
+	low, high := onTimeShare*slack, lateShare*slack
 	switch {
 	case slack <= 0 || first >= high:
 		return lateLoss * weight
@@ -57,52 +57,54 @@
 	}
 }
 
-// interference is the expected loss of the requests on an engine when it gets a further
-// prefill. context is the length of the prompt if the engine also generates its answer,
-// and otherwise 0.
-func (pla *Plan) interference(eng *engine, prefill ms, context int64, divided bool, now time.Time) float64 {
+// interferenceLoss is the expected loss of the requests on an engine when the engine gets
+// a further prefill. contextTokens is the length of the prompt if the engine also generates
+// the answer, and otherwise 0.
+func (pla *Plan) interferenceLoss(eng *engine, prefill ms, contextTokens int64, divided bool, now time.Time) float64 {
 	if len(eng.grants) == 0 && len(eng.unconfirmed) == 0 && eng.passEnd.IsZero() {
 		return 0
 	}
-	old := eng.nextDecodeTime(pla.costs, 0) + eng.queuedPrefill()
-	next := eng.nextDecodeTime(pla.costs, context) + eng.queuedPrefill() + prefill*eng.pace
+	// passBefore and passAfter are the durations of the next pass without and with the
+	// prefill.
+	passBefore := eng.nextDecodeTime(pla.costs, 0) + eng.queuedPrefill()
+	passAfter := eng.nextDecodeTime(pla.costs, contextTokens) + eng.queuedPrefill() + prefill*eng.pace
 	var total float64
-	// The pass in progress becomes longer, too.
+	// The prefill also prolongs the pass in progress.
 	var current ms
 	if !eng.passEnd.IsZero() {
 		current = eng.passTime
 	}
 	for _, gra := range eng.grants {
-		total += pla.pauseLoss(gra, max(old, current), max(next, current+prefill*eng.pace))
+		total += pla.pauseLoss(gra, max(passBefore, current), max(passAfter, current+prefill*eng.pace))
 	}
 	for _, par := range eng.delayedParts(divided) {
-		total += pla.delayLoss(par, next-old, now)
+		total += pla.delayLoss(par, passAfter-passBefore, now)
 	}
 	if !divided {
-		for _, gra := range eng.awaitingFirst() {
-			total += pla.joinLoss(gra, next-old, now)
+		for _, gra := range eng.undividedAwaitingFirst() {
+			total += pla.prolongedPassLoss(gra, passAfter-passBefore, now)
 		}
 	}
 	for _, par := range eng.overdueParts(now) {
-		total += overdueShare * pla.overdueLoss(par, next-old, now)
+		total += overdueProbability * pla.overdueLoss(par, passAfter-passBefore, now)
 	}
 	return total
 }
 
 // blockingLoss is the expected loss of the short prompts that will arrive while an engine
-// which leads short prompts prefills a long part. shorts is the number of such engines,
-// over which these prompts are divided.
-func (pla *Plan) blockingLoss(eng *engine, prefill ms, shorts int, now time.Time) float64 {
+// which leads short prompts prefills a long part. shortEngines is the number of such
+// engines, over which these prompts are divided.
+func (pla *Plan) blockingLoss(eng *engine, prefill ms, shortEngines int, now time.Time) float64 {
 	if prefill < blockingPrefill || eng.shortPrompts == 0 {
 		return 0
 	}
-	return blockedShare * lateLoss * shortWeight * pla.shortDemand.value(now) * float64(prefill) / 1000 / float64(max(1, shorts))
+	return blockedShare * lateLoss * shortWeight * pla.shortDemand.value(now) * float64(prefill) / 1000 / float64(max(1, shortEngines))
 }
 
 // shortEngines counts the engines that lead short prompts.
 func (pla *Plan) shortEngines() int {
 	n := 0
-	for _, eng := range pla.order {
+	for _, eng := range pla.sortedEngines {
 		if eng.shortPrompts > 0 {
 			n++
 		}
@@ -110,11 +112,11 @@
 	return n
 }
 
-// pauseLoss is the loss of a request if the next pass makes its answer pause for longer
-// than its limit.
-func (pla *Plan) pauseLoss(gra *grant, old, next ms) float64 {
+// pauseLoss is the loss of a request if a prefill prolongs the next pass from passBefore to
+// passAfter, so that its answer pauses for longer than its limit.
+func (pla *Plan) pauseLoss(gra *grant, passBefore, passAfter ms) float64 {
 	limit := pauseShare * msOf(gra.req.prompt.Pause)
-	if limit <= 0 || gra.pauseMissed || old > limit || next <= limit {
+	if limit <= 0 || gra.pauseExceeded || passBefore > limit || passAfter <= limit {
 		return 0
 	}
 	return lateLoss * pla.weight(gra.req)
@@ -127,14 +129,14 @@
 		return 0
 	}
 	expected := msOf(gra.expectedFirst.Sub(now))
-	next := max(expected, pla.firstEventDelay(par, now)+delay)
-	risk := delayWeight * pla.weight(gra.req) * float64((next-expected)/max(1, msOf(gra.req.prompt.Objective)))
-	return max(0, pla.latenessLoss(gra.req, next, now)-pla.latenessLoss(gra.req, expected, now)) + risk
+	delayed := max(expected, pla.firstEventDelay(par, now)+delay)
+	risk := delayWeight * pla.weight(gra.req) * float64((delayed-expected)/max(1, msOf(gra.req.prompt.Objective)))
+	return max(0, pla.latenessLoss(gra.req, delayed, now)-pla.latenessLoss(gra.req, expected, now)) + risk
 }
 
-// joinLoss is the loss of a request whose first event arrives at the end of a pass that a
-// further prefill prolongs.
-func (pla *Plan) joinLoss(gra *grant, delay ms, now time.Time) float64 {
+// prolongedPassLoss is the loss of a request whose first event arrives at the end of a
+// pass that a further prefill prolongs.
+func (pla *Plan) prolongedPassLoss(gra *grant, delay ms, now time.Time) float64 {
 	expected := msOf(gra.expectedFirst.Sub(now))
 	return max(0, pla.latenessLoss(gra.req, expected+delay, now)-pla.latenessLoss(gra.req, expected, now))
 }
@@ -152,14 +154,14 @@
 	return par.eng.finishDelay(par, now) + par.gra.lead.nextDecodeTime(pla.costs, 0) + networkTime
 }
 
-// markMissedPauses records which answers the next pass of an engine makes pause for longer
-// than their limit.
-func (eng *engine) markMissedPauses(cos costModel) {
+// markExceededPauses records which answers the next pass of an engine makes pause for
+// longer than their limit.
+func (eng *engine) markExceededPauses(cos costModel) {
 	pass := eng.nextDecodeTime(cos, 0) + eng.queuedPrefill()
 	for _, gra := range eng.grants {
 		limit := pauseShare * msOf(gra.req.prompt.Pause)
 		if limit > 0 && pass > limit && gra.decoding() {
-			gra.pauseMissed = true
+			gra.pauseExceeded = true
 		}
 	}
 }
--- a/process/planner/plan.go
+++ b/process/planner/plan.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// grantGrace is the time after its request's deadline at which a grant ends.
+	// grantGrace is how long after its request's deadline a grant ends if no event has
+	// ended it.
 	grantGrace = time.Second
 	// requestTimeout is the time after which a waiting request that its host has not
 	// repeated is dropped. Hosts repeat their requests every second.
@@ -19,9 +20,11 @@
 	demandPeriod = 3 * time.Second
 )
 
-// pending is a request that waits for engines, or for which they have been granted.
+// pending is a request of the plan, waiting or granted.
 type pending struct {
 	Request
+	// prompt is Request.Prompt, prefill its prefill time on one engine, and memory the
+	// number of tokens of memory for the prompt and its answer.
 	prompt   Prompt
 	prefill  ms
 	memory   int64
@@ -42,14 +45,15 @@
 type Plan struct {
 	costs   costModel
 	engines map[string]*engine
-	order   []*engine
-	waiting []*pending
-	grants  map[string]*grant
-	actions []Action
-	// hasNew reports that a request has arrived since lastDispatch, the time of the last
+	// sortedEngines are the engines by ID.
+	sortedEngines []*engine
+	waiting       []*pending
+	grants        map[string]*grant
+	actions       []Action
+	// hasNewRequest reports that a request has arrived since lastDispatch, the time of the last
 	// dispatch.
-	hasNew       bool
-	lastDispatch time.Time
+	hasNewRequest bool
+	lastDispatch  time.Time
 	// longDemand is the average work of long prompts in seconds of prefill per second,
 	// that is in engines; shortDemand is the average rate of short prompts per second.
 	longDemand  average
@@ -64,7 +68,7 @@
 		pla.costs = newCostModel(parser.Batching{})
 	}
 	pla.actions = nil
-	for _, eng := range pla.order {
+	for _, eng := range pla.sortedEngines {
 		eng.advance(pla.costs, now)
 	}
 	pla.apply(eve, now)
@@ -79,15 +83,15 @@
 		pla.enqueue(eve, now)
 	case Cancel:
 		pla.waiting = slices.DeleteFunc(pla.waiting, func(pen *pending) bool { return pen.ID == eve.ID })
-		pla.end(eve.ID, now)
+		pla.endGrant(eve.ID, now)
 	case Began:
 		pla.markBegan(eve.ID, now)
 	case Ended:
-		pla.end(eve.ID, now)
+		pla.endGrant(eve.ID, now)
 	case Announced:
 		pla.adopt(eve, now)
 	case Failed:
-		pla.markFailed(eve, now)
+		pla.suspectEngine(eve, now)
 	case Listing:
 		pla.setEngines(eve.Engines)
 	case Report:
@@ -103,26 +107,26 @@
 	}
 }
 
-// Waiting counts the requests that wait.
+// Waiting returns the number of requests that wait for engines.
 func (pla *Plan) Waiting() int { return len(pla.waiting) }
 
-// Granted counts the grants that have not ended.
+// Granted returns the number of grants that have not ended.
 func (pla *Plan) Granted() int { return len(pla.grants) }
 
-func (pla *Plan) enqueue(eve Request, now time.Time) {
-	if gra := pla.grants[eve.ID]; gra != nil {
-		pla.assign(gra, now)
+func (pla *Plan) enqueue(req Request, now time.Time) {
+	if gra := pla.grants[req.ID]; gra != nil {
+		pla.appendAssign(gra, now)
 		return
 	}
 	for _, pen := range pla.waiting {
-		if pen.ID == eve.ID {
+		if pen.ID == req.ID {
 			pen.lastSeen = now
 			return
 		}
 	}
-	pen := pla.newPending(eve, now)
+	pen := pla.newPending(req, now)
 	pla.waiting = append(pla.waiting, pen)
-	pla.hasNew = true
+	pla.hasNewRequest = true
 	if pen.long() {
 		pla.longDemand = pla.longDemand.plus(float64(pen.prefill)/1000, now)
 	} else {
@@ -130,16 +134,16 @@
 	}
 }
 
-func (pla *Plan) newPending(eve Request, now time.Time) *pending {
-	pro := eve.Prompt
-	pen := &pending{Request: eve, prompt: pro, prefill: pla.costs.prefill(pro.Tokens), arrived: now, lastSeen: now}
+func (pla *Plan) newPending(req Request, now time.Time) *pending {
+	pro := req.Prompt
+	pen := &pending{Request: req, prompt: pro, prefill: pla.costs.prefill(pro.Tokens), arrived: now, lastSeen: now}
 	pen.memory = pro.Tokens + pla.answerTokens(pro)
 	pen.callerDeadline = callerDeadline(pro)
 	return pen
 }
 
 // adopt adds a grant that another planner has made. Prefill that its engines should have
-// done since then counts as done.
+// done since the grant counts as done.
 func (pla *Plan) adopt(eve Announced, now time.Time) {
 	pla.waiting = slices.DeleteFunc(pla.waiting, func(pen *pending) bool { return pen.ID == eve.Request.ID })
 	if pla.grants[eve.Request.ID] != nil || len(eve.Parts) == 0 || pla.engines[eve.Parts[0].Endpoint] == nil {
@@ -171,13 +175,13 @@
 
 // adoptPart queues on its engine what is left of the prefill of an adopted part.
 func (pla *Plan) adoptPart(par *part, eve Announced, now time.Time) {
-	left := par.prefill - msOf(eve.Age)
-	if eve.Began || left <= 0 {
+	remaining := par.prefill - msOf(eve.Age)
+	if eve.Began || remaining <= 0 {
 		par.eng.memory += par.memory
 		return
 	}
-	par.tokens *= float64(left / par.prefill)
-	par.prefill = left
+	par.tokens *= float64(remaining / par.prefill)
+	par.prefill = remaining
 	par.gra.pendingParts++
 	par.eng.addPart(pla.costs, par, now)
 	if expected := now.Add(pla.firstEventDelay(par, now).duration()); expected.After(par.gra.expectedFirst) {
@@ -185,7 +189,8 @@
 	}
 }
 
-// answerTokens is the number of tokens of memory that is set aside for an answer.
+// answerTokens is the number of tokens of memory that is reserved for an answer: its
+// limit, or twice its expected length.
 func (pla *Plan) answerTokens(pro Prompt) int64 {
 	if pro.MaxTokens > 0 {
 		return pro.MaxTokens
@@ -193,15 +198,15 @@
 	return 2 * cmp.Or(pro.AnswerTokens, pla.costs.UsualAnswer)
 }
 
-// average is a moving average. It falls linearly to zero over twice demandPeriod when
-// nothing is added.
+// average is a moving average; rate is its value at the time at. It falls linearly to zero
+// over twice demandPeriod when nothing is added.
 type average struct {
-	sum float64
-	at  time.Time
+	rate float64
+	at   time.Time
 }
 
 func (ave average) value(now time.Time) float64 {
-	return ave.sum * max(0, 1-now.Sub(ave.at).Seconds()/demandPeriod.Seconds()/2)
+	return ave.rate * max(0, 1-now.Sub(ave.at).Seconds()/demandPeriod.Seconds()/2)
 }
 
 // plus returns the average after an amount has been added, as a rate per second.
@@ -211,7 +216,7 @@
 
 // longShare is the share of the engines that long prompts have recently occupied.
 func (pla *Plan) longShare(now time.Time) float64 {
-	return min(1, pla.longDemand.value(now)/float64(max(1, len(pla.order))))
+	return min(1, pla.longDemand.value(now)/float64(max(1, len(pla.sortedEngines))))
 }
 
 // markBegan records the first event of a grant. The event also shows when a pass of the
@@ -230,7 +235,8 @@
 	gra.lead.passEnded(pla.costs, gra.parts[0], now.Add(-noticeDelay))
 }
 
-func (pla *Plan) end(id string, now time.Time) {
+// endGrant ends a grant; it does nothing for an unknown ID.
+func (pla *Plan) endGrant(id string, now time.Time) {
 	gra := pla.grants[id]
 	if gra == nil {
 		return
@@ -243,8 +249,8 @@
 	}
 }
 
-func (pla *Plan) markFailed(eve Failed, now time.Time) {
-	for _, eng := range pla.order {
+func (pla *Plan) suspectEngine(eve Failed, now time.Time) {
+	for _, eng := range pla.sortedEngines {
 		if eng.ID == eve.Endpoint || eng.Address == eve.Endpoint {
 			eng.suspectUntil = now.Add(suspectTime)
 		}
@@ -270,11 +276,11 @@
 			}
 		}
 	}
-	pla.order = pla.order[:0]
+	pla.sortedEngines = pla.sortedEngines[:0]
 	for _, eng := range pla.engines {
-		pla.order = append(pla.order, eng)
+		pla.sortedEngines = append(pla.sortedEngines, eng)
 	}
-	slices.SortFunc(pla.order, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(pla.sortedEngines, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
 }
 
 func (pla *Plan) applyReport(eve Report, now time.Time) {
@@ -292,19 +298,22 @@
 	lag := time.Duration(pla.costs.ReportLagMs * float64(time.Millisecond))
 	// The report may be older than the newest grants, so that it may or may not include
 	// them.
-	var own, recent int
+	var granted, recent int
 	var recentMemory int64
 	for _, gra := range eng.grants {
-		own++
+		granted++
 		if now.Sub(gra.grantedAt) < 2*lag {
 			recent++
 			recentMemory += gra.leadMemory
 		}
 	}
-	others := eve.Load.Running + eve.Load.Waiting - own
-	eng.foreign = max(0, min(max(eng.foreign, others), others+recent))
-	memory := eve.Load.MemoryUsed - eng.memory
-	eng.foreignMemory = max(0, min(max(eng.foreignMemory, memory), memory+recentMemory))
+	unknownRequests := eve.Load.Running + eve.Load.Waiting - granted
+	// unknownRequests is the number of foreign requests if the report includes the recent
+	// grants, unknownRequests+recent that if it does not. foreign is kept within these
+	// bounds, foreignMemory likewise.
+	eng.foreign = max(0, min(max(eng.foreign, unknownRequests), unknownRequests+recent))
+	unknownMemory := eve.Load.MemoryUsed - eng.memory
+	eng.foreignMemory = max(0, min(max(eng.foreignMemory, unknownMemory), unknownMemory+recentMemory))
 }
 
 func (pla *Plan) removeHost(eve HostRemoved, now time.Time) {
@@ -312,7 +321,7 @@
 	pla.waiting = slices.DeleteFunc(pla.waiting, match)
 	for id, gra := range pla.grants {
 		if match(gra.req) {
-			pla.end(id, now)
+			pla.endGrant(id, now)
 		}
 	}
 }
@@ -322,7 +331,7 @@
 func (pla *Plan) expire(now time.Time) {
 	for id, gra := range pla.grants {
 		if now.After(gra.req.prompt.Deadline.Add(grantGrace)) {
-			pla.end(id, now)
+			pla.endGrant(id, now)
 		}
 	}
 	pla.waiting = slices.DeleteFunc(pla.waiting, func(pen *pending) bool { return now.Sub(pen.lastSeen) > requestTimeout })
--- a/process/planner/report_test.go
+++ b/process/planner/report_test.go
@@ -8,29 +8,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestForeignWork reports the load of an engine that still works on requests of a lost
-// plan while new grants are made. What the report shows for certain must count as foreign
-// at once; what may be a new grant counts only once that is clear.
+// TestForeignWork applies a report of an engine that also works on requests that the plan
+// has not granted. Requests that no grant explains must count as foreign at once; requests
+// that may be recent grants must not count.
 func TestForeignWork(t *testing.T) {
 	tts := []struct {
 		name string
 		// Every report includes the old grants; it may or may not include the recent ones.
 		old, recent int
-		// before is the foreign work that was known before the report.
+		// before is the number of foreign requests that was known before the report.
 		before  int
 		running int
 		want    int
 	}{
 		{"idle", 0, 0, 0, 0, 0},
 		{"all foreign", 0, 0, 0, 12, 12},
-		{"own ones only", 3, 0, 0, 3, 0},
-		{"foreign beside own ones", 3, 0, 0, 9, 6},
-		{"foreign ones beside fresh grants", 0, 2, 0, 12, 10},
-		{"fresh grants that the report lacks", 3, 2, 0, 3, 0},
-		{"fresh grants that it may hold", 3, 2, 0, 5, 0},
-		{"foreign ones that have ended", 0, 0, 12, 0, 0},
-		{"foreign ones that may have ended", 0, 2, 12, 5, 5},
-		{"foreign ones that are known", 0, 2, 12, 13, 12},
+		{"only granted", 3, 0, 0, 3, 0},
+		{"foreign and granted", 3, 0, 0, 9, 6},
+		{"foreign and recent grants", 0, 2, 0, 12, 10},
+		{"recent grants not in the report", 3, 2, 0, 3, 0},
+		{"recent grants possibly in the report", 3, 2, 0, 5, 0},
+		{"foreign ended", 0, 0, 12, 0, 0},
+		{"foreign may have ended", 0, 2, 12, 5, 5},
+		{"foreign already known", 0, 2, 12, 13, 12},
 	}
 	for _, tt := range tts {
 		t.Run(tt.name, func(t *testing.T) {
--- a/process/planner/runner.go
+++ b/process/planner/runner.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// tickInterval is the interval of the Tick events of a plan with waiting requests; the
-	// prefill of a part takes some tens of milliseconds.
+	// tickInterval is the interval of the Tick events of a plan with waiting requests. Like
+	// retryInterval, it is short against the prefill of a part.
 	tickInterval = 8 * time.Millisecond
 	// pollIdleLimit is the time without a request after which the reports of a pool's
 	// engines are no longer read, planIdleLimit that after which its plan is dropped.
@@ -22,11 +22,11 @@
 	planIdleLimit = 30 * time.Second
 	// firstPollTime is the time over which the first reports of a plan are read.
 	firstPollTime = 100 * time.Millisecond
-	// maxReports is the greatest number of reports that a plan reads per second, and
-	// firstMaxReports that of a new plan. They leave the host time for requests, however
-	// many engines the pool has.
-	maxReports      = 256
-	firstMaxReports = 1024
+	// maxReportRate is the greatest number of reports read per second for a plan, and
+	// firstReportRate that for a new plan. They bound the host's processor time for reports
+	// whatever the number of engines, to leave time for requests.
+	maxReportRate   = 256
+	firstReportRate = 1024
 	// loadTimeout is the time limit for reading one report.
 	loadTimeout = 400 * time.Millisecond
 )
@@ -53,7 +53,7 @@
 	plans map[string]*poolPlan
 }
 
-// poolPlan is the plan of one pool with the callers that wait for its actions.
+// poolPlan is the plan of one pool with the submissions that wait for its actions.
 type poolPlan struct {
 	pool string
 	log  zerolog.Logger
@@ -62,39 +62,41 @@
 	plan    Plan
 	engines []Engine
 	waiters map[string]chan Action
-	// lastRequest is the time of the last request, initially that at which the plan began:
-	// grants of other planners are announced before the first request.
+	// lastRequest is the time of the last request, initially that of the plan's start: a
+	// plan that an announced grant has started must not be dropped as idle before its first
+	// request.
 	lastRequest time.Time
 	ticking     bool
 	// pollEnd is the time until which the last poll of the reports is in progress.
 	pollEnd time.Time
 }
 
-// Submit queues a request and waits at most hold for an action. It returns nil while the
-// request waits; the host then submits it again. If ctx ends, the request is cancelled.
+// Submit queues a request and waits at most hold for an action. It returns nil if the
+// request still waits after hold; the host then submits the request again. If ctx ends, the
+// request is cancelled.
 func (run *Runner) Submit(ctx context.Context, pool string, req Request, hold time.Duration) Action {
 	pp := run.planFor(pool)
 	if pp == nil {
 		return Refuse{ID: req.ID, Code: CodeNoEngine, Message: "this host does not know the pool", RetryAfter: minRetryAfter}
 	}
-	answer := pp.submit(req, run.Clock())
+	decision := pp.submit(req, run.Clock())
 	pp.startTicking(run.Clock)
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
 	select {
-	case act := <-answer:
-		run.count(act)
+	case act := <-decision:
+		run.countAction(act)
 		return act
 	case <-timer.C:
-		return pp.stopWaiting(req.ID, answer)
+		return pp.stopWaiting(req.ID, decision)
 	case <-ctx.Done():
-		_ = pp.stopWaiting(req.ID, answer)
+		_ = pp.stopWaiting(req.ID, decision)
 		pp.apply(Cancel{req.ID}, run.Clock())
 		return nil
 	}
 }
 
-func (run *Runner) count(act Action) {
+func (run *Runner) countAction(act Action) {
 	switch act := act.(type) {
 	case Refuse:
 		run.Scope.Tagged(map[string]string{"code": act.Code}).Counter("plan_refusals").Inc(1)
@@ -139,7 +141,7 @@
 	return out
 }
 
-// Granted counts the grants of a pool that have not ended.
+// Granted returns the number of grants of a pool that have not ended.
 func (run *Runner) Granted(pool string) int {
 	run.mu.Lock()
 	pp := run.plans[pool]
@@ -152,6 +154,8 @@
 	return pp.plan.Granted()
 }
 
+// planFor returns the plan of a pool and starts the plan if there is none. It returns nil
+// for an unknown pool or a pool without batching parameters.
 func (run *Runner) planFor(pool string) *poolPlan {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -167,16 +171,16 @@
 		run.plans = map[string]*poolPlan{}
 	}
 	run.plans[pool] = pp
-	run.refresh(pp)
+	run.refreshPlan(pp)
 	run.Log.Info().Str("Pool", pool).Int("Engines", len(pp.engines)).Msg("started planning for pool")
-	// A previous planner of the pool may have failed, and its knowledge of the engines'
-	// load with it.
-	run.poll(context.Background(), pp, firstPollTime, firstMaxReports)
+	// If another planner of the pool has failed, its record of the engines' load is lost:
+	// read the reports soon.
+	run.poll(context.Background(), pp, firstPollTime, firstReportRate)
 	return pp
 }
 
-// refresh updates the parameters and the engines of a plan.
-func (run *Runner) refresh(pp *poolPlan) {
+// refreshPlan updates the parameters and the engines of a plan.
+func (run *Runner) refreshPlan(pp *poolPlan) {
 	poo, ok := run.Pool(pp.pool)
 	if !ok || poo.Batching == nil {
 		return
@@ -193,7 +197,7 @@
 // Refresh applies changes of the tables and of the endpoints at once.
 func (run *Runner) Refresh() {
 	for _, pp := range run.allPlans() {
-		run.refresh(pp)
+		run.refreshPlan(pp)
 	}
 }
 
@@ -213,34 +217,34 @@
 				run.mu.Lock()
 				delete(run.plans, pp.pool)
 				run.mu.Unlock()
-				run.Log.Info().Str("Pool", pp.pool).Msg("dropped idle plan of pool")
+				run.Log.Info().Str("Pool", pp.pool).Msg("no requests for pool; dropped its plan")
 				continue
 			}
-			run.refresh(pp)
+			run.refreshPlan(pp)
 			if idle < pollIdleLimit {
-				run.poll(ctx, pp, run.Interval, maxReports)
+				run.poll(ctx, pp, run.Interval, maxReportRate)
 			}
 		}
 	}
 }
 
 // poll reads the reports of all engines, unless the previous poll is still in progress. It
-// spreads the reads over a time, or over a longer one if the rate requires it: reading the
-// reports of a hundred engines at once would delay requests.
-func (run *Runner) poll(ctx context.Context, pp *poolPlan, over time.Duration, rate int) {
+// distributes the reads over a period, which it prolongs if they would exceed rate per
+// second: reading the reports of a hundred engines at once would delay requests.
+func (run *Runner) poll(ctx context.Context, pp *poolPlan, period time.Duration, rate int) {
 	now := run.Clock()
 	pp.mu.Lock()
 	engines := pp.engines
-	over = max(over, time.Duration(len(engines))*time.Second/time.Duration(rate))
+	period = max(period, time.Duration(len(engines))*time.Second/time.Duration(rate))
 	if now.Before(pp.pollEnd) {
 		pp.mu.Unlock()
 		return
 	}
 	// The ticker may fire slightly early.
-	pp.pollEnd = now.Add(over - over/8)
+	pp.pollEnd = now.Add(period - period/8)
 	pp.mu.Unlock()
 	for i, eng := range engines {
-		time.AfterFunc(over*time.Duration(i)/time.Duration(len(engines)), func() {
+		time.AfterFunc(period*time.Duration(i)/time.Duration(len(engines)), func() {
 			if ctx.Err() != nil {
 				return
 			}
@@ -267,22 +271,22 @@
 	pp.mu.Lock()
 	defer pp.mu.Unlock()
 	pp.lastRequest = now
-	answer := make(chan Action, 1)
-	pp.waiters[req.ID] = answer
+	decision := make(chan Action, 1)
+	pp.waiters[req.ID] = decision
 	pp.deliver(pp.plan.Next(req, now))
-	return answer
+	return decision
 }
 
 // stopWaiting stops waiting for a request and returns the action that has arrived
 // meanwhile, if any.
-func (pp *poolPlan) stopWaiting(id string, answer chan Action) Action {
+func (pp *poolPlan) stopWaiting(id string, decision chan Action) Action {
 	pp.mu.Lock()
 	defer pp.mu.Unlock()
-	if pp.waiters[id] == answer {
+	if pp.waiters[id] == decision {
 		delete(pp.waiters, id)
 	}
 	select {
-	case act := <-answer:
+	case act := <-decision:
 		return act
 	default:
 		return nil
@@ -315,8 +319,8 @@
 	}
 }
 
-// deliver logs actions and sends them to their waiting callers. A grant for which nobody
-// waits stays until its request is repeated. The caller holds the lock.
+// deliver logs actions and sends them to the waiting submissions. A grant without a waiting
+// submission is delivered when its request is repeated. pp.mu must be held.
 func (pp *poolPlan) deliver(acts []Action) {
 	for _, act := range acts {
 		var id string
@@ -324,15 +328,15 @@
 		case Assign:
 			id = act.ID
 			pp.log.Info().Str("RequestID", id).Str("Pool", pp.pool).Strs("Endpoints", act.endpoints()).
-				Dur("FirstMs", act.First).Dur("WaitedMs", act.Waited).Int("Waiting", pp.plan.Waiting()).Int("Granted", pp.plan.Granted()).Msg("plan granted")
+				Dur("FirstMs", act.First).Dur("WaitedMs", act.Waited).Int("Waiting", pp.plan.Waiting()).Int("Granted", pp.plan.Granted()).Msg("engines granted to request")
 		case Refuse:
 			id = act.ID
 			pp.log.Warn().Str("RequestID", id).Str("Pool", pp.pool).Str("Code", act.Code).Dur("RetryAfterMs", act.RetryAfter).
-				Int("Waiting", pp.plan.Waiting()).Int("Granted", pp.plan.Granted()).Msg("plan refused")
+				Int("Waiting", pp.plan.Waiting()).Int("Granted", pp.plan.Granted()).Msg("request refused by plan; caller may retry after a time")
 		}
-		if answer := pp.waiters[id]; answer != nil {
+		if decision := pp.waiters[id]; decision != nil {
 			delete(pp.waiters, id)
-			answer <- act
+			decision <- act
 		}
 	}
 }
--- a/process/planner/runner_test.go
+++ b/process/planner/runner_test.go
@@ -20,9 +20,10 @@
 
 func (idleEngines) Load(context.Context, string) (Load, error) { return Load{Pace: 1}, nil }
 
-// TestAnnouncedPlanStays announces a grant to a host that has received no request yet: its
-// plan must keep the grant until the first request arrives.
-func TestAnnouncedPlanStays(t *testing.T) {
+// TestAnnouncedGrantKeepsPlan announces a grant to a host that has received no request yet.
+// The host must keep the plan with the grant until the first request arrives; otherwise it
+// plans over engines that are in use.
+func TestAnnouncedGrantKeepsPlan(t *testing.T) {
 	const interval = 5 * time.Millisecond
 	run := &Runner{
 		Loader:   idleEngines{},
@@ -55,10 +56,12 @@
 	return Load{Pace: 1}, nil
 }
 
-// TestReportsAreBounded checks that the rate at which reports are read grows with the
+// TestReportRateIsBounded checks that the rate at which reports are read grows with the
 // number of engines only up to a bound.
-func TestReportsAreBounded(t *testing.T) {
-	tts := []struct{ engines, least, most int }{{14, 14 * 18, 14 * 23}, {112, 112 * 18, 112 * 23}, {3000, 10 * 200, 3000 + 10*maxReports}}
+func TestReportRateIsBounded(t *testing.T) {
+	// least and most bound the reports read in 10 s: two reports per second of every
+	// engine, but at most maxReportRate per second after the plan's first poll.
+	tts := []struct{ engines, least, most int }{{14, 14 * 18, 14 * 23}, {112, 112 * 18, 112 * 23}, {3000, 10 * 200, 3000 + 10*maxReportRate}}
 	for _, tt := range tts {
 		t.Run(fmt.Sprint(tt.engines), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/process/planner/world_test.go
+++ b/process/planner/world_test.go
@@ -63,47 +63,49 @@
 	return req.finished && req.first.Sub(req.arrived) <= cla.objective && req.longestPause <= cla.pause
 }
 
-// simPart is the prefill of one engine for a request. tokens and prefill are what is left
-// of it.
+// simPart is the prefill of one engine for a request. tokens and prefillMs are the prompt
+// tokens and the prefill time that are left.
 type simPart struct {
-	req     *simRequest
-	tokens  float64
-	prefill float64
+	req       *simRequest
+	tokens    float64
+	prefillMs float64
 }
 
-// consume prefills the tokens that fit into a budget and returns the time that it takes.
+// consume prefills the tokens that fit into a budget and returns the prefill time in ms.
 func (par *simPart) consume(budget *float64) float64 {
 	if par.tokens <= *budget {
 		*budget -= par.tokens
-		dur := par.prefill
-		par.tokens, par.prefill = 0, 0
-		return dur
+		spentMs := par.prefillMs
+		par.tokens, par.prefillMs = 0, 0
+		return spentMs
 	}
 	share := *budget / par.tokens
-	dur := share * par.prefill
+	spentMs := share * par.prefillMs
 	par.tokens -= *budget
-	par.prefill -= dur
+	par.prefillMs -= spentMs
 	*budget = 0
-	return dur
+	return spentMs
 }
 
 // simEngine works in steps, as the platform's contract of engines says: each step prefills
-// up to a chunk, and a stride of steps generates an event of every answer. Parts of
-// divided prompts take precedence over other prefills, the newest first. Engines of the
-// test bench (quiet-1 of solepost-mu) do the same: a replay of that order gave the first
-// events of 41 divided prompts within 0.1 s in the median.
+// up to a chunk, and a pass, which is a stride of steps, generates an event of every
+// answer. Parts of divided prompts take precedence over other prefills, the newest first.
+// Engines of the test bench use this order: replaying it gave the first events of 41
+// divided prompts within 0.1 s in the median.
 type simEngine struct {
 	id        string
 	slowdown  float64
 	divided   []*simPart
 	undivided []*simPart
-	// prefilled are the prompts that the engine leads whose first event comes at the end
+	// prefilled are the prompts that the engine leads whose first event arrives at the end
 	// of the pass.
 	prefilled []*simRequest
 	decoding  []*simRequest
-	// stepsLeft is the number of steps left of the pass. sliceStart is when the slice in
-	// progress began, whose steps take stepMs each. sliceID distinguishes its end from the
-	// ends of slices that were interrupted.
+	// stepsLeft is the number of steps left of the pass. A slice is one step with prefill,
+	// or the rest of the pass without prefill. sliceStart is the time at which the slice in
+	// progress began, and sliceID distinguishes its end from the ends of slices that were
+	// interrupted. stepMs is the time of one step of a slice without prefill; 0 for a slice
+	// that cannot be interrupted, or if there is none.
 	stepsLeft  int
 	sliceStart time.Time
 	stepMs     float64
@@ -124,7 +126,7 @@
 	eng.undivided = slices.DeleteFunc(eng.undivided, match)
 }
 
-func (eng *simEngine) drop(req *simRequest) {
+func (eng *simEngine) removeRequest(req *simRequest) {
 	eng.remove(func(par *simPart) bool { return par.req == req })
 	match := func(other *simRequest) bool { return other == req }
 	eng.decoding = slices.DeleteFunc(eng.decoding, match)
@@ -175,10 +177,11 @@
 	sequence int
 	random   *rand.Rand
 	ticking  bool
-	// timed, if not nil, receives the duration of each step of the plan.
-	timed func(dur time.Duration)
+	// onNext, if not nil, receives the duration of each call of Next.
+	onNext func(dur time.Duration)
 }
 
+// simHop is the time of one message between hosts, simTick the interval of Tick events.
 const (
 	simHop  = 1500 * time.Microsecond
 	simTick = 8 * time.Millisecond
@@ -197,7 +200,8 @@
 	return sim
 }
 
-func (sim *simulation) at(at time.Time, run func(now time.Time)) {
+// schedule runs a function at a time of the simulation.
+func (sim *simulation) schedule(at time.Time, run func(now time.Time)) {
 	sim.sequence++
 	heap.Push(&sim.queue, simEvent{at, sim.sequence, run})
 }
@@ -209,12 +213,12 @@
 	}
 }
 
-// addArrivals adds the requests of a class that arrive at a rate over a time.
-func (sim *simulation) addArrivals(index int, rate float64, from time.Time, dur time.Duration) {
+// addArrivals adds the requests of a class that arrive at a rate during a period.
+func (sim *simulation) addArrivals(index int, rate float64, from time.Time, period time.Duration) {
 	at := from
 	for rate > 0 {
 		at = at.Add(time.Duration(sim.random.ExpFloat64() / rate * float64(time.Second)))
-		if at.Sub(from) >= dur {
+		if at.Sub(from) >= period {
 			return
 		}
 		sim.addRequest(index, sim.drawLength(classes[index]), at)
@@ -232,7 +236,7 @@
 	req.events = max(1, int(classes[index].events*math.Exp(0.5*sim.random.NormFloat64()-0.125)))
 	sim.requests[req.id] = req
 	sim.ordered = append(sim.ordered, req)
-	sim.at(at.Add(simHop), func(now time.Time) { sim.submit(req, now) })
+	sim.schedule(at.Add(simHop), func(now time.Time) { sim.submit(req, now) })
 	return req
 }
 
@@ -251,7 +255,7 @@
 		return
 	}
 	sim.ticking = true
-	sim.at(now.Add(simTick), func(now time.Time) {
+	sim.schedule(now.Add(simTick), func(now time.Time) {
 		sim.ticking = false
 		for _, pen := range sim.plan.waiting {
 			pen.lastSeen = now
@@ -264,13 +268,13 @@
 func (sim *simulation) next(eve Event, now time.Time) {
 	start := time.Now()
 	acts := sim.plan.Next(eve, now)
-	if sim.timed != nil {
-		sim.timed(time.Since(start))
+	if sim.onNext != nil {
+		sim.onNext(time.Since(start))
 	}
 	for _, act := range acts {
 		switch act := act.(type) {
 		case Assign:
-			sim.at(now.Add(2*simHop), func(now time.Time) { sim.send(sim.requests[act.ID], act, now) })
+			sim.schedule(now.Add(2*simHop), func(now time.Time) { sim.send(sim.requests[act.ID], act, now) })
 		case Refuse:
 			sim.requests[act.ID].refused = true
 		}
@@ -281,10 +285,10 @@
 	req.sent++
 	req.pendingParts = len(act.Parts)
 	req.lead = sim.engines[act.Parts[0].Endpoint]
-	prefill := float64(newCostModel(batching).prefill(req.tokens)) / float64(len(act.Parts))
+	prefillMs := float64(newCostModel(batching).prefill(req.tokens)) / float64(len(act.Parts))
 	for _, par := range act.Parts {
 		eng := sim.engines[par.Endpoint]
-		work := &simPart{req, float64(req.tokens) / float64(len(act.Parts)), prefill}
+		work := &simPart{req, float64(req.tokens) / float64(len(act.Parts)), prefillMs}
 		if len(act.Parts) > 1 {
 			eng.divided = append(eng.divided, work)
 		} else {
@@ -293,7 +297,7 @@
 		sim.interrupt(eng, now)
 	}
 	deadline := callerDeadline(Prompt{Target: req.arrived.Add(classes[req.class].objective), Objective: classes[req.class].objective, Pause: classes[req.class].pause, Deadline: req.arrived.Add(classes[req.class].deadline)})
-	sim.at(deadline, func(now time.Time) {
+	sim.schedule(deadline, func(now time.Time) {
 		if req.first.IsZero() {
 			sim.giveUp(req, now)
 		}
@@ -304,7 +308,7 @@
 func (sim *simulation) giveUp(req *simRequest, now time.Time) {
 	req.gaveUp = true
 	for _, eng := range sim.engines {
-		eng.drop(req)
+		eng.removeRequest(req)
 	}
 	sim.next(Ended{req.id}, now)
 }
@@ -335,22 +339,23 @@
 		eng.stepsLeft = batching.Stride
 	}
 	steps, id := 1, eng.sliceID
-	took := eng.stepTime()
+	stepMs := eng.stepTime()
 	if len(queue) == 0 {
 		steps = eng.stepsLeft
-		eng.sliceStart, eng.stepMs = now, eng.slowdown*took
+		eng.sliceStart, eng.stepMs = now, eng.slowdown*stepMs
 	} else {
 		eng.stepMs = 0
 		budget := float64(batching.ChunkTokens)
 		for _, par := range queue {
-			took += par.consume(&budget)
+			stepMs += par.consume(&budget)
 		}
 	}
-	end := time.Duration(eng.slowdown * max(0.1, took*float64(steps)) * float64(time.Millisecond))
-	sim.at(now.Add(end), func(now time.Time) { sim.endSlice(eng, id, steps, now) })
+	length := time.Duration(eng.slowdown * max(0.1, stepMs*float64(steps)) * float64(time.Millisecond))
+	sim.schedule(now.Add(length), func(now time.Time) { sim.endSlice(eng, id, steps, now) })
 }
 
-// endSlice ends a slice.
+// endSlice records the prefills and the events of a slice that was not interrupted, and
+// starts the next slice.
 func (sim *simulation) endSlice(eng *simEngine, slice, steps int, now time.Time) {
 	if slice != eng.sliceID {
 		return
@@ -377,6 +382,7 @@
 	}
 	lead := req.lead
 	if len(lead.decoding) == 0 && len(lead.prefilled) == 0 {
+		// If the lead engine prefilled the last part, endSlice still subtracts the step.
 		lead.stepsLeft = batching.Stride + 1
 	}
 	lead.prefilled = append(lead.prefilled, req)
@@ -398,17 +404,19 @@
 	eng.decoding = slices.DeleteFunc(eng.decoding, func(req *simRequest) bool { return req.finished })
 }
 
+// sendEvent records an event of an answer. The plan receives notice of the first and of the
+// last event after 4 ms, which is noticeDelay.
 func (sim *simulation) sendEvent(req *simRequest, now time.Time) {
 	if req.first.IsZero() {
 		req.first = now
-		sim.at(now.Add(4*time.Millisecond), func(now time.Time) { sim.next(Began{req.id}, now) })
+		sim.schedule(now.Add(4*time.Millisecond), func(now time.Time) { sim.next(Began{req.id}, now) })
 	} else {
 		req.longestPause = max(req.longestPause, now.Sub(req.last))
 	}
 	req.last = now
 	if req.events--; req.events == 0 {
 		req.finished = true
-		sim.at(now.Add(4*time.Millisecond), func(now time.Time) { sim.next(Ended{req.id}, now) })
+		sim.schedule(now.Add(4*time.Millisecond), func(now time.Time) { sim.next(Ended{req.id}, now) })
 	}
 }
 
