--- a/process/orderer/giver.go
+++ b/process/orderer/giver.go
@@ -76,6 +76,7 @@
 	case Send:
 		return iss.send(ctx, address, act)
 	default:
+		// Unreachable: Issue handles End, the cases above all other actions.
 		return Expired{"unexpected action"}
 	}
 }
@@ -89,8 +90,8 @@
 	return ctx.Err() == nil
 }
 
-func (iss *Issuer) requestWeights(ctx context.Context, ord invoker.Order, action RequestWeights) Event {
-	if !wait(ctx, action.Pause) {
+func (iss *Issuer) requestWeights(ctx context.Context, ord invoker.Order, act RequestWeights) Event {
+	if !wait(ctx, act.Pause) {
 		return Expired{"the weight store granted no read in time"}
 	}
 	ctx, stop := context.WithTimeout(ctx, weightsTimeout)
@@ -106,8 +107,8 @@
 	}
 }
 
-func (iss *Issuer) readConfig(ctx context.Context, address string, action ReadConfig) Event {
-	if !wait(ctx, action.Pause) {
+func (iss *Issuer) readConfig(ctx context.Context, address string, act ReadConfig) Event {
+	if !wait(ctx, act.Pause) {
 		return Expired{"the engine's configuration could not be read in time"}
 	}
 	ctx, stop := context.WithTimeout(ctx, OrderTimeout)
@@ -119,10 +120,10 @@
 	return ConfigRead{cfg}
 }
 
-func (iss *Issuer) send(ctx context.Context, address string, action Send) Event {
+func (iss *Issuer) send(ctx context.Context, address string, act Send) Event {
 	ctx, stop := context.WithTimeout(ctx, OrderTimeout)
 	defer stop()
-	err := iss.Engine.GiveOrder(ctx, address, action.Order)
+	err := iss.Engine.GiveOrder(ctx, address, act.Order)
 	var invErr *invoker.Error
 	switch {
 	case err == nil:
--- a/process/orderer/giver_test.go
+++ b/process/orderer/giver_test.go
@@ -16,6 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// refusedDials exceeds maxSends: sends that do not reach the engine must not count.
 const refusedDials = 2 * maxSends
 
 // unreachable is a client of an engine that the first orders do not reach.
@@ -33,7 +34,8 @@
 }
 
 // TestIssue issues orders through a platform with a low write rate to an engine that is
-// unreachable at first.
+// unreachable at first. Sends that do not reach the engine must not count as attempts, and
+// refused writes of the lease must be retried.
 func TestIssue(t *testing.T) {
 	platform := httptest.NewServer(keeper.New(keeper.Settings{ReadRate: 1000, WriteRate: 4, WeightRate: 1, MaxWatchers: 1}).Handler())
 	defer platform.Close()
@@ -58,5 +60,5 @@
 	end = iss.Issue(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: "none", Kind: invoker.LoadModel})
 	require.Equal(t, "weights_not_found", end.Code)
 	end = iss.Issue(ctx, "engine-0", eng.Listener.Addr().String(), invoker.Order{ID: "five", Kind: invoker.LoadModel, Model: "other"})
-	require.Equal(t, Applied, end.Effect, "the current version")
+	require.Equal(t, Applied, end.Effect, "an order without a version loads the current version")
 }
--- a/process/orderer/matrix_test.go
+++ b/process/orderer/matrix_test.go
@@ -16,15 +16,28 @@
 )
 
 var (
-	engines = []string{"checks-fence", "checks-generation", "checks-nothing"}
-	steps   = []string{"lease-read", "lease-write", "weigh", "config", "send", "release"}
-	faults  = []string{"down", "lost", "late", "slow", "die-before", "die-after", "late-die", "later-die", "hold", "stall", "pause"}
+	engineKinds = []string{"checks-fence", "checks-generation", "checks-nothing"}
+	// steps are the steps of an attempt; weigh is the request to the weight store.
+	steps = []string{"lease-read", "lease-write", "weigh", "config", "send", "release"}
+	// faults are the faults that are injected into steps:
+	//   - down: the other side cannot be reached.
+	//   - lost: the answer is lost.
+	//   - late: the effect is delayed by maxTransit, and there is no answer.
+	//   - slow: the answer arrives after the time limit.
+	//   - die-before, die-after: the host ends before or after the step.
+	//   - late-die: the host ends, and the effect is delayed by maxTransit.
+	//   - later-die: the host ends, and the effect follows the second host's next read of
+	//     the engine's configuration.
+	//   - hold: the host pauses until the last moment at which it may send an order.
+	//   - stall: the host pauses until after the end of its lease.
+	//   - pause: the second host issues its order before the step.
+	faults = []string{"down", "lost", "late", "slow", "die-before", "die-after", "late-die", "later-die", "hold", "stall", "pause"}
 )
 
 const (
 	attemptTimeout = 30 * time.Second
-	// maxTransit is the longest time for which an order may be in transit such that a host
-	// that takes over the lease still waits for its arrival.
+	// maxTransit is the longest delay of an order that still arrives before the next holder
+	// of the lease may send its first order.
 	maxTransit = OrderTimeout + leaser.Margin - time.Millisecond
 )
 
@@ -74,7 +87,8 @@
 	}
 }
 
-// delay delays an effect if the fault says so and reports whether it did.
+// delay applies an effect later if the fault is late, late-die or later-die, and reports
+// whether it does so. The last two faults also end the host, by a panic.
 func (att *attempt) delay(fault string, apply func()) bool {
 	switch fault {
 	case "late", "late-die":
@@ -104,7 +118,8 @@
 	return &attempt{sim: sim, id: id, faults: injected, lease: leaser.State{Host: id, Nonce: id}, deadline: sim.now.Add(attemptTimeout)}
 }
 
-// nextFault returns the fault injected into a step and simulates what precedes its effect.
+// nextFault returns the fault injected into a step and simulates the part of the fault
+// before the step.
 func (att *attempt) nextFault(step string) string {
 	for _, inj := range att.faults {
 		if inj.step != step || inj.done {
@@ -118,10 +133,12 @@
 			att.sim.runSecond()
 		case "hold":
 			// The host continues at the last moment at which it may send an order.
-			att.sim.watchSecond()
+			att.sim.startSecondWait()
 			att.sim.advance(leaser.Term - OrderTimeout - time.Millisecond)
 		case "stall":
-			att.sim.watchSecond()
+			// The host continues after its own lease has ended, shortly before the second
+			// host's wait ends.
+			att.sim.startSecondWait()
 			att.sim.advance(leaser.Term + leaser.Margin - OrderTimeout/2)
 		}
 		return inj.fault
@@ -129,7 +146,8 @@
 	return ""
 }
 
-func (att *attempt) after(fault string) {
+// applyAfterStep simulates the part of a fault after the step.
+func (att *attempt) applyAfterStep(fault string) {
 	switch fault {
 	case "die-after":
 		panic(hostDied{})
@@ -152,8 +170,8 @@
 	}
 }
 
-// watchSecond makes the second host read the lease, so that its wait begins.
-func (sim *simulation) watchSecond() {
+// startSecondWait makes the second host read the lease, so that its wait begins.
+func (sim *simulation) startSecondWait() {
 	if sim.second == nil {
 		sim.second = sim.newAttempt("second")
 		sim.second.leaseNext(leaser.Loaded{Lease: sim.lease, Version: sim.version})
@@ -196,7 +214,7 @@
 		fault := att.nextFault("weigh")
 		att.delay(fault, func() {})
 		att.sim.advance(act.Pause)
-		att.after(fault)
+		att.applyAfterStep(fault)
 		if fault == "down" || unanswered(fault) {
 			return Unavailable{fault}
 		}
@@ -209,7 +227,7 @@
 		if att == att.sim.second {
 			att.sim.applyDelayed(func(del delayedEffect) bool { return del.at.IsZero() })
 		}
-		att.after(fault)
+		att.applyAfterStep(fault)
 		if fault == "down" || unanswered(fault) {
 			return Unavailable{fault}
 		}
@@ -229,7 +247,7 @@
 		return NoAnswer{fault}
 	}
 	code := att.sim.applyOrder(ord)
-	att.after(fault)
+	att.applyAfterStep(fault)
 	switch {
 	case unanswered(fault):
 		return NoAnswer{fault}
@@ -286,7 +304,7 @@
 	fault := att.nextFault("lease-read")
 	att.delay(fault, func() {})
 	loa := leaser.Loaded{Lease: att.sim.lease, Version: att.sim.version}
-	att.after(fault)
+	att.applyAfterStep(fault)
 	if fault == "down" || unanswered(fault) {
 		return leaser.LoadFailed{Message: fault}
 	}
@@ -310,7 +328,7 @@
 		return leaser.Lost{}
 	}
 	ok := put()
-	att.after(fault)
+	att.applyAfterStep(fault)
 	switch {
 	case unanswered(fault):
 		return leaser.Lost{}
@@ -321,8 +339,8 @@
 	}
 }
 
-// simulate issues an order under faults, and another one from a second host during a pause
-// of the first host or after it.
+// simulate issues an order under faults, and another order from a second host during a pause
+// of the first host or after the first host's attempt.
 func simulate(engine string, injected ...*injectedFault) string {
 	sim := &simulation{engine: engine, now: time.Date(2026, 12, 4, 9, 0, 0, 0, time.UTC), config: invoker.EngineConfig{Generation: 1}}
 	first := sim.newAttempt("first", injected...)
@@ -344,7 +362,7 @@
 	return out
 }
 
-func faultCells() []string {
+func faultNames() []string {
 	var out []string
 	for _, step := range steps {
 		for _, fault := range faults {
@@ -354,46 +372,48 @@
 	return out
 }
 
-func newFault(cell string) *injectedFault {
-	step, fault, _ := strings.Cut(cell, "/")
+func newFault(name string) *injectedFault {
+	step, fault, _ := strings.Cut(name, "/")
 	return &injectedFault{step: step, fault: fault}
 }
 
-// TestMatrix issues an order under every injected fault at every step, and under every two
-// of them, to each kind of engine.
-func TestMatrix(t *testing.T) {
+// TestFaultMatrix issues an order under every injected fault at every step, and under every
+// two of these faults, to each kind of engine. The result must not contradict what the
+// engine did, and an engine that checks fencing numbers or generations must not carry out
+// an order of an earlier lease after an order of a later lease.
+func TestFaultMatrix(t *testing.T) {
 	datadriven.RunTest(t, "testdata/matrix", func(t *testing.T, td *datadriven.TestData) string {
-		ends := map[string][]string{}
-		for _, eng := range engines {
-			for _, other := range append([]string{"alone"}, faultCells()...) {
-				end := simulate(eng, newFault(td.Cmd), newFault(other))
-				require.NotContains(t, end, "FALSE", "%s: %s and %s", eng, td.Cmd, other)
+		outcomes := map[string][]string{}
+		for _, eng := range engineKinds {
+			for _, other := range append([]string{"alone"}, faultNames()...) {
+				outcome := simulate(eng, newFault(td.Cmd), newFault(other))
+				require.NotContains(t, outcome, "FALSE", "%s: %s and %s", eng, td.Cmd, other)
 				if eng != "checks-nothing" {
-					require.NotContains(t, end, "old-after-new", "%s: %s and %s", eng, td.Cmd, other)
+					require.NotContains(t, outcome, "old-after-new", "%s: %s and %s", eng, td.Cmd, other)
 				}
-				key := eng + ": " + end
-				ends[key] = append(ends[key], other)
+				key := eng + ": " + outcome
+				outcomes[key] = append(outcomes[key], other)
 			}
 		}
 		var lines []string
-		for end, others := range ends {
-			lines = append(lines, end+"\n  "+strings.Join(others, " ")+"\n")
+		for outcome, others := range outcomes {
+			lines = append(lines, outcome+"\n  "+strings.Join(others, " ")+"\n")
 		}
 		slices.Sort(lines)
 		return strings.Join(lines, "")
 	})
 }
 
-// TestMatrixIsComplete checks that the data file contains every pair of faults.
-func TestMatrixIsComplete(t *testing.T) {
+// TestFaultMatrixIsComplete checks that the data file contains every pair of faults.
+func TestFaultMatrixIsComplete(t *testing.T) {
 	text, err := os.ReadFile("testdata/matrix")
 	require.NoError(t, err)
-	var cells []string
+	var names []string
 	for _, block := range strings.Split(string(text), "\n\n") {
 		line, out, ok := strings.Cut(strings.TrimLeft(block, "\n"), "\n----\n")
 		require.True(t, ok, block)
-		cells = append(cells, line)
-		for _, eng := range engines {
+		names = append(names, line)
+		for _, eng := range engineKinds {
 			var others []string
 			var engine string
 			for line := range strings.Lines(out) {
@@ -403,8 +423,8 @@
 					others = append(others, strings.Fields(line)...)
 				}
 			}
-			require.ElementsMatch(t, append([]string{"alone"}, faultCells()...), others, "%s %s", line, eng)
+			require.ElementsMatch(t, append([]string{"alone"}, faultNames()...), others, "%s %s", line, eng)
 		}
 	}
-	require.Equal(t, faultCells(), cells)
+	require.Equal(t, faultNames(), names)
 }
--- a/process/orderer/orderer.go
+++ b/process/orderer/orderer.go
@@ -2,18 +2,23 @@
 // change the role.
 //
 // An order is issued only under the lease of its engine, with the lease's fencing number
-// and the configuration generation that it applies to, and only while the lease lasts
-// longer than an order may take. A host that takes over the lease waits for the end of the
-// previous holder's term and a margin before its first order.
+// and the configuration generation to which the order applies, and only while the lease
+// lasts longer than an order may take. A host that takes over the lease waits for the end
+// of the previous holder's term and a margin before its first order.
 //
-// This has the following effects. An engine that checks fencing numbers never carries out
-// an order of an old holder after one of a new holder. An engine that ignores fencing
-// numbers but checks the generation does not either, since the new order changes the
-// generation; an old order that arrives before the new one is carried out first, and the
-// new one is issued again for the generation that results. An engine that checks neither
-// can carry out a delayed order of a paused holder at any time, which an issuer cannot
-// prevent. Nor can it prevent this where an engine restarts and counts its generations
-// anew; the next order then applies to the configuration that the issuer reads.
+// The effects depend on what an engine checks:
+//   - An engine that checks fencing numbers refuses the orders of an old holder after an
+//     order of a new holder.
+//   - An engine that checks only the generation also refuses an old order after a new
+//     order, since each order changes the generation. If the old order arrives first, it is
+//     carried out, and the new order is sent again for the resulting generation.
+//   - An engine that checks neither may carry out a delayed order of a paused holder at any
+//     time; the issuer cannot prevent this.
+//
+// The issuer also cannot prevent a delayed order from being carried out if the engine has
+// restarted and its generation starts again: the delayed order may match the new
+// generation. The next order applies to the configuration that the issuer reads after the
+// restart.
 package orderer
 
 import (
@@ -24,16 +29,16 @@
 )
 
 const (
-	// OrderTimeout is the time limit for sending one order. It is shorter than the margin
-	// of a lease.
+	// OrderTimeout is the time limit for sending one order or reading a configuration. It
+	// is shorter than the margin of a lease.
 	OrderTimeout = time.Second
-	// maxSends is the number of times that one order is sent at most; retryPause is the
-	// pause before an attempt is repeated.
+	// maxSends is the greatest number of sends of one order; retryPause is the pause before
+	// a step is repeated.
 	maxSends   = 4
 	retryPause = 100 * time.Millisecond
 )
 
-// Effect is what is known of whether an order was carried out.
+// Effect is the known effect of an order on its engine.
 type Effect string
 
 // Effects of an order.
@@ -47,7 +52,8 @@
 type State struct {
 	Order invoker.Order
 
-	until          time.Time
+	// leaseUntil is the time until which the lease is held.
+	leaseUntil     time.Time
 	weightsGranted bool
 	sends          int
 	// lastWasSend reports that the last action was Send.
@@ -82,13 +88,15 @@
 // CarriedOut reports that the engine carried out the order.
 type CarriedOut struct{}
 
-// Refused reports that the engine refused the order without effect.
+// Refused reports that the engine or the weight store refused the order, which had no
+// effect.
 type Refused struct{ Code, Message string }
 
 // NoAnswer reports that the engine did not answer an order, so that its effect is unknown.
 type NoAnswer struct{ Message string }
 
-// Expired reports that the time for the order has passed.
+// Expired reports that the lease could not be acquired or that the time for the order has
+// passed.
 type Expired struct{ Message string }
 
 func (Started) event()        {}
@@ -139,7 +147,7 @@
 	case Started:
 		return sta, Lease{}
 	case Leased:
-		return sta.leased(eve)
+		return sta.onLeased(eve)
 	case WeightsGranted:
 		sta.weightsGranted = true
 		return sta, ReadConfig{}
@@ -148,13 +156,13 @@
 			// The engine was not reached, so the send does not count.
 			sta.sends--
 		}
-		return sta.busy()
+		return sta.retry()
 	case ConfigRead:
-		return sta.read(eve.Config, now)
+		return sta.onConfigRead(eve.Config, now)
 	case CarriedOut:
 		return sta, End{Effect: Applied, Fence: sta.Order.Fence}
 	case Refused:
-		return sta.refused(eve)
+		return sta.onRefused(eve)
 	case NoAnswer:
 		sta.mayTakeEffect = true
 		return sta, ReadConfig{Pause: retryPause}
@@ -174,24 +182,26 @@
 	return End{Effect: eff, Code: code, Message: message, Fence: sta.Order.Fence}
 }
 
-func (sta State) leased(lea Leased) (State, Action) {
+func (sta State) onLeased(lea Leased) (State, Action) {
 	sta.Order.Fence = lea.Fence
-	sta.until = lea.Until
+	sta.leaseUntil = lea.Until
 	if sta.Order.Kind != invoker.ChangeRole && !sta.weightsGranted {
 		return sta, RequestWeights{}
 	}
 	return sta, ReadConfig{}
 }
 
-func (sta State) busy() (State, Action) {
+// retry repeats the step that failed because the weight store or the engine was
+// unavailable.
+func (sta State) retry() (State, Action) {
 	if sta.Order.Kind != invoker.ChangeRole && !sta.weightsGranted {
 		return sta, RequestWeights{Pause: retryPause}
 	}
 	return sta, ReadConfig{Pause: retryPause}
 }
 
-// read decides what to do with the configuration that the engine has.
-func (sta State) read(cfg invoker.EngineConfig, now time.Time) (State, Action) {
+// onConfigRead returns the next action for the engine's configuration.
+func (sta State) onConfigRead(cfg invoker.EngineConfig, now time.Time) (State, Action) {
 	switch {
 	case slices.Contains(cfg.Orders, sta.Order.ID):
 		return sta, End{Effect: Applied, Fence: sta.Order.Fence}
@@ -199,7 +209,8 @@
 		return sta, sta.end("superseded", "the engine has an order of a newer lease")
 	case sta.sends >= maxSends:
 		return sta, sta.end("order_failed", "the engine did not carry out the order")
-	case !now.Add(OrderTimeout).Before(sta.until):
+	case !now.Add(OrderTimeout).Before(sta.leaseUntil):
+		// The lease could end while the order is sent: renew the lease first.
 		return sta, Lease{}
 	}
 	sta.sends++
@@ -208,7 +219,7 @@
 	return sta, Send{sta.Order}
 }
 
-func (sta State) refused(ref Refused) (State, Action) {
+func (sta State) onRefused(ref Refused) (State, Action) {
 	switch ref.Code {
 	case invoker.CodeWrongGeneration:
 		return sta, ReadConfig{}
