--- a/internal/streammatrix/request_test.go
+++ b/internal/streammatrix/request_test.go
@@ -222,7 +222,7 @@
 	}
 	if eng.silent(req.now) {
 		req.pass(time.Second)
-		return grouper.Lost{}
+		return grouper.NoAnswer{}
 	}
 	return grouper.Granted{}
 }
--- a/internal/streammatrix/world_test.go
+++ b/internal/streammatrix/world_test.go
@@ -158,7 +158,7 @@
 	switch act := act.(type) {
 	case reclaimer.Free:
 		wor.drop(eng, act)
-	case reclaimer.Ask:
+	case reclaimer.Query:
 		if wor.hostFrozen() || wor.hostDead {
 			return
 		}
@@ -169,7 +169,7 @@
 		if wor.exporting {
 			ans.Known[exportID] = 0
 		}
-		for _, fre := range reclaimer.Answered(act, ans) {
+		for _, fre := range reclaimer.ResolveQuery(act, ans) {
 			wor.drop(eng, fre)
 		}
 	}
--- a/process/allocator/group.go
+++ b/process/allocator/group.go
@@ -23,7 +23,7 @@
 		Code: codeGroupUnavailable, Message: "the engines cannot hold the prompt together now: " + err.Error(), RetryAfter: time.Second,
 	}}}
 	var unavailable *grouper.UnavailableError
-	if errors.As(err, &unavailable) && unavailable.Lost {
+	if errors.As(err, &unavailable) && unavailable.NoAnswer {
 		out.unresponsive = unavailable.Engine
 	}
 	return out
--- a/process/allocator/group_test.go
+++ b/process/allocator/group_test.go
@@ -19,7 +19,7 @@
 		err  error
 		want []string
 	}{
-		{"silent", &grouper.UnavailableError{Engine: "e", Lost: true}, []string{"x", "e"}},
+		{"silent", &grouper.UnavailableError{Engine: "e", NoAnswer: true}, []string{"x", "e"}},
 		{"busy", &grouper.UnavailableError{Engine: "e"}, []string{"x"}},
 		{"ended", eris.New("ended"), []string{"x"}},
 	} {
--- a/process/allocator/overflow.go
+++ b/process/allocator/overflow.go
@@ -70,7 +70,7 @@
 	if all.Cells == nil || len(poo.Overflow) == 0 {
 		return overflower.Digest{}, false
 	}
-	want := overflower.Want{Pool: poo.Name, Own: all.Cells.Region, Takes: poo.Takes, Slack: req.Deadline.Sub(now)}
+	want := overflower.Requirements{Pool: poo.Name, OwnRegion: all.Cells.Region, AllowsRegion: poo.Takes, TimeLeft: req.Deadline.Sub(now)}
 	return all.Cells.OtherRegions.Choose(want, now)
 }
 
@@ -88,12 +88,12 @@
 		cel.notify(hos, cell, cellReq.ID, messenger.GrantNotice_KIND_RELEASED)
 		if ctx.Err() == nil {
 			cel.suspect(hos.id, time.Now())
-			cel.OtherRegions.Silent(dig.Region, time.Now())
+			cel.OtherRegions.RecordUnresponsive(dig.Region, time.Now())
 		}
 		return executor.Lease{}, err
 	}
 	if _, ok := act.(scheduler.Refuse); ok {
-		cel.OtherRegions.Refused(dig, time.Now())
+		cel.OtherRegions.RecordRefusal(dig, time.Now())
 	}
 	return all.leaseFromAction(ctx, req, act, grantRef{hos, cell, cellReq.ID})
 }
@@ -128,6 +128,6 @@
 		dig.Wait = cel.expectedWait(cell, now)
 		dig.Full = cel.digests[cell].full && now.Sub(cel.digests[cell].at) < digestTimeout
 		cel.mu.Unlock()
-		cel.OtherRegions.Note(dig)
+		cel.OtherRegions.Record(dig)
 	}
 }
--- a/process/allocator/overflow_test.go
+++ b/process/allocator/overflow_test.go
@@ -44,8 +44,8 @@
 			all := &Allocator{Cells: cel}
 			req := placer.Request{ID: "r", Deadline: now.Add(time.Minute)}
 			poo := parser.Pool{Name: "p", Overflow: []string{"far"}}
-			cel.OtherRegions.Note(overflower.Digest{Region: "near", Pool: "p", Cells: 1, Engines: 4, At: now})
-			cel.OtherRegions.Note(overflower.Digest{Region: "far", Pool: "p", Cells: 1, Engines: 4, At: now})
+			cel.OtherRegions.Record(overflower.Digest{Region: "near", Pool: "p", Cells: 1, Engines: 4, At: now})
+			cel.OtherRegions.Record(overflower.Digest{Region: "far", Pool: "p", Cells: 1, Engines: 4, At: now})
 			_, ok := all.chooseOtherRegion(req, parser.Pool{Name: "p"}, now)
 			require.False(t, ok, "the pool has no overflow")
 			lea, ok := all.placeInOtherRegion(t.Context(), req, poo)
--- a/process/grouper/grouper.go
+++ b/process/grouper/grouper.go
@@ -46,16 +46,16 @@
 type Denied struct{ Message string }
 
 // Lost reports that it is not known whether the engine holds the next part.
-type Lost struct{ Message string }
+type NoAnswer struct{ Message string }
 
 // Expired reports that the request has ended.
 type Expired struct{}
 
-func (Started) event() {}
-func (Granted) event() {}
-func (Denied) event()  {}
-func (Lost) event()    {}
-func (Expired) event() {}
+func (Started) event()  {}
+func (Granted) event()  {}
+func (Denied) event()   {}
+func (NoAnswer) event() {}
+func (Expired) event()  {}
 
 // Action is what to do next: Reserve, Complete or GiveUp.
 type Action interface{ action() }
@@ -73,10 +73,10 @@
 // could not be had; it is empty when the request itself has ended. Lost says
 // that the engine did not answer.
 type GiveUp struct {
-	Release []invoker.Part
-	Engine  string
-	Lost    bool
-	Message string
+	Release  []invoker.Part
+	Engine   string
+	NoAnswer bool
+	Message  string
 }
 
 func (Reserve) action()  {}
@@ -97,7 +97,7 @@
 		sta.Held++
 	case Denied:
 		return sta.giveUp(sta.Held, false, eve.Message)
-	case Lost:
+	case NoAnswer:
 		return sta.giveUp(sta.Held+1, true, eve.Message)
 	case Expired:
 		// A reservation that is under way may still be granted.
@@ -112,7 +112,7 @@
 
 func (sta State) giveUp(held int, lost bool, message string) (State, Action) {
 	eng := sta.Parts[sta.Held].Endpoint
-	return State{Parts: sta.Parts, Deadline: sta.Deadline}, GiveUp{Release: sta.Parts[:held], Engine: eng, Lost: lost, Message: message}
+	return State{Parts: sta.Parts, Deadline: sta.Deadline}, GiveUp{Release: sta.Parts[:held], Engine: eng, NoAnswer: lost, Message: message}
 }
 
 func (sta State) wait(now time.Time) time.Duration {
--- a/process/grouper/grouper_test.go
+++ b/process/grouper/grouper_test.go
@@ -85,7 +85,7 @@
 		name string
 		eve  Event
 		want int
-	}{{"denied", Denied{}, 1}, {"lost", Lost{}, 2}, {"expired", Expired{}, 2}}
+	}{{"denied", Denied{}, 1}, {"lost", NoAnswer{}, 2}, {"expired", Expired{}, 2}}
 	for _, tt := range tts {
 		t.Run(tt.name, func(t *testing.T) {
 			sta := New([]invoker.Part{{Endpoint: "c"}, {Endpoint: "a"}, {Endpoint: "b"}}, start.Add(time.Minute))
@@ -94,7 +94,7 @@
 			sta, _ = sta.Next(Granted{}, start)
 			sta, act = sta.Next(tt.eve, start)
 			require.Len(t, act.(GiveUp).Release, tt.want)
-			require.Equal(t, tt.name == "lost", act.(GiveUp).Lost)
+			require.Equal(t, tt.name == "lost", act.(GiveUp).NoAnswer)
 			require.Zero(t, sta.Held)
 		})
 	}
--- a/process/grouper/runner.go
+++ b/process/grouper/runner.go
@@ -23,8 +23,8 @@
 	// Engine is the one that could not be had.
 	Engine string
 	// Lost says that it did not answer.
-	Lost    bool
-	Message string
+	NoAnswer bool
+	Message  string
 }
 
 // Error names the engine.
@@ -69,7 +69,7 @@
 			if ctx.Err() != nil {
 				return Group{}, eris.Wrap(ctx.Err(), "Runner.Reserve")
 			}
-			return Group{}, &UnavailableError{Engine: one.Engine, Lost: one.Lost, Message: one.Message}
+			return Group{}, &UnavailableError{Engine: one.Engine, NoAnswer: one.NoAnswer, Message: one.Message}
 		}
 	}
 }
@@ -90,7 +90,7 @@
 	case errors.As(err, &ine) && ine.Ran == invoker.NotRun:
 		return Denied{Message: err.Error()}
 	default:
-		return Lost{Message: err.Error()}
+		return NoAnswer{Message: err.Error()}
 	}
 }
 
--- a/process/journaler/batch.go
+++ b/process/journaler/batch.go
@@ -38,7 +38,7 @@
 type Event interface{ event() }
 
 // Begun starts the batch.
-type Begun struct{}
+type Started struct{}
 
 // Loaded reports what a read returned.
 type Loaded struct {
@@ -59,19 +59,19 @@
 type Refused struct{ Message string }
 
 // Lost reports a write of which it is unknown whether it took effect.
-type Lost struct{ Message string }
+type WriteUnknown struct{ Message string }
 
 // Expired reports that the time of the batch has passed.
 type Expired struct{}
 
-func (Begun) event()      {}
-func (Loaded) event()     {}
-func (LoadFailed) event() {}
-func (Stored) event()     {}
-func (Conflicted) event() {}
-func (Refused) event()    {}
-func (Lost) event()       {}
-func (Expired) event()    {}
+func (Started) event()      {}
+func (Loaded) event()       {}
+func (LoadFailed) event()   {}
+func (Stored) event()       {}
+func (Conflicted) event()   {}
+func (Refused) event()      {}
+func (WriteUnknown) event() {}
+func (Expired) event()      {}
 
 // Action is what to do next: Load, Store or Answer.
 type Action interface{ action() }
@@ -96,7 +96,7 @@
 // Next decides on an event.
 func (bat Batch) Next(eve Event, now time.Time) (Batch, Action) {
 	switch eve := eve.(type) {
-	case Begun:
+	case Started:
 		if !bat.loaded {
 			return bat, Load{}
 		}
@@ -114,7 +114,7 @@
 		return bat.reload("", false)
 	case Refused:
 		return bat.reload(eve.Message, true)
-	case Lost:
+	case WriteUnknown:
 		bat.lost = true
 		return bat.reload(eve.Message, true)
 	default:
--- a/process/journaler/journaler.go
+++ b/process/journaler/journaler.go
@@ -38,7 +38,7 @@
 }
 
 // Caller places calls to other hosts.
-type Caller interface {
+type PeerCaller interface {
 	Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
 
@@ -49,7 +49,7 @@
 	// Without Members the host writes all shards itself.
 	Self    Member
 	Members Members
-	Peers   Caller
+	Peers   PeerCaller
 	// Clock returns the present time; nil stands for the system's clock.
 	Clock func() time.Time
 	Scope tally.Scope
--- a/process/journaler/log_test.go
+++ b/process/journaler/log_test.go
@@ -187,7 +187,7 @@
 // drive commits one change without pauses between the tries.
 func (tri *logTrial) drive(wri *writer, com *messenger.ClaimCommit) messenger.ClaimResult_State {
 	bat := NewBatch([]*messenger.ClaimCommit{com}, &wri.log.shard, wri.log.seq, wri.log.known())
-	var eve Event = Begun{}
+	var eve Event = Started{}
 	for try := 0; ; try++ {
 		nex, act := bat.Next(eve, tri.now)
 		bat = nex
--- a/process/journaler/world_test.go
+++ b/process/journaler/world_test.go
@@ -332,7 +332,7 @@
 // write drives a batch of one change against the store.
 func (cal *simCall) write(com *messenger.ClaimCommit, step string, at *simCall) *messenger.ClaimResult {
 	bat := NewBatch([]*messenger.ClaimCommit{com}, &Shard{}, 0, at.host == "repeat")
-	var eve Event = Begun{}
+	var eve Event = Started{}
 	at.expired = at.expired && com.GetStep() == messenger.ClaimCommit_STEP_CLAIM
 	for try := 0; ; try++ {
 		nex, act := bat.Next(eve, epoch)
@@ -376,13 +376,13 @@
 		return Refused{fau}
 	case "late":
 		wor.late = append(wor.late, func() { put() })
-		return Lost{fau}
+		return WriteUnknown{fau}
 	}
 	ok := put()
 	cal.after(fau)
 	switch {
 	case fau == "lost" || fau == "slow":
-		return Lost{fau}
+		return WriteUnknown{fau}
 	case !ok:
 		return Conflicted{}
 	default:
--- a/process/journaler/writer.go
+++ b/process/journaler/writer.go
@@ -198,7 +198,7 @@
 	bat := NewBatch(coms, &wri.log.shard, wri.log.seq, wri.log.known())
 	bac := &backoff.ExponentialBackOff{InitialInterval: minRetryPause, MaxInterval: maxRetryPause, Multiplier: 2, RandomizationFactor: 0.5}
 	bac.Reset()
-	var eve Event = Begun{}
+	var eve Event = Started{}
 	for {
 		nex, act := bat.Next(eve, wri.jou.now())
 		bat = nex
@@ -261,7 +261,7 @@
 		return Refused{err.Error()}
 	default:
 		wri.jou.scope().Counter("claim_writes_lost").Inc(1)
-		return Lost{err.Error()}
+		return WriteUnknown{err.Error()}
 	}
 }
 
--- a/process/leaser/holder.go
+++ b/process/leaser/holder.go
@@ -44,7 +44,7 @@
 	if hol.state.Nonce == "" {
 		hol.state = State{Host: hol.Host, Nonce: uuid.NewString()}
 	}
-	var eve Event = Wanted{}
+	var eve Event = AcquireRequested{}
 	for {
 		sta, act := hol.state.Next(eve, hol.now())
 		hol.state = sta
@@ -66,7 +66,7 @@
 
 // Release gives the lease back once. If that fails, others wait out the term.
 func (hol *Holder) Release(ctx context.Context) {
-	sta, act := hol.state.Next(Released{}, hol.now())
+	sta, act := hol.state.Next(ReleaseRequested{}, hol.now())
 	hol.state = sta
 	if sto, ok := act.(Store); ok {
 		hol.put(ctx, sto)
@@ -100,7 +100,7 @@
 func (hol *Holder) put(ctx context.Context, sto Store) Event {
 	val, err := json.Marshal(sto.Lease)
 	if err != nil {
-		return Lost{err.Error()}
+		return WriteUnknown{err.Error()}
 	}
 	ctx, stop := context.WithTimeout(ctx, storeTimeout)
 	defer stop()
@@ -112,6 +112,6 @@
 		return Conflicted{}
 	default:
 		// Whatever the error, the next read shows whether the write took effect.
-		return Lost{err.Error()}
+		return WriteUnknown{err.Error()}
 	}
 }
--- a/process/leaser/leaser.go
+++ b/process/leaser/leaser.go
@@ -54,7 +54,7 @@
 type Event interface{ event() }
 
 // Wanted asks for the lease, or for a longer time of a held one.
-type Wanted struct{}
+type AcquireRequested struct{}
 
 // Loaded reports the object; version 0 stands for an absent one.
 type Loaded struct {
@@ -72,18 +72,18 @@
 type Conflicted struct{}
 
 // Lost reports a write of which it is unknown whether it took effect.
-type Lost struct{ Message string }
+type WriteUnknown struct{ Message string }
 
 // Released gives the lease back.
-type Released struct{}
+type ReleaseRequested struct{}
 
-func (Wanted) event()     {}
-func (Loaded) event()     {}
-func (LoadFailed) event() {}
-func (Stored) event()     {}
-func (Conflicted) event() {}
-func (Lost) event()       {}
-func (Released) event()   {}
+func (AcquireRequested) event() {}
+func (Loaded) event()           {}
+func (LoadFailed) event()       {}
+func (Stored) event()           {}
+func (Conflicted) event()       {}
+func (WriteUnknown) event()     {}
+func (ReleaseRequested) event() {}
 
 // Action is what to do next: Load, Store, Hold or Stop.
 type Action interface{ action() }
@@ -120,7 +120,7 @@
 // Next decides on an event.
 func (sta State) Next(eve Event, now time.Time) (State, Action) {
 	switch eve := eve.(type) {
-	case Wanted:
+	case AcquireRequested:
 		return sta.wanted(now)
 	case Loaded:
 		return sta.withLease(eve.Lease, eve.Version, now).wanted(now)
@@ -132,10 +132,10 @@
 		return sta, Load{now}
 	case LoadFailed:
 		return sta, Load{now.Add(failPause)}
-	case Lost:
+	case WriteUnknown:
 		sta.loaded = false
 		return sta, Load{now.Add(failPause)}
-	case Released:
+	case ReleaseRequested:
 		return sta.released()
 	default:
 		return sta, Stop{}
--- a/process/limiter/exchanger.go
+++ b/process/limiter/exchanger.go
@@ -34,7 +34,7 @@
 	Self        string
 	Incarnation uint64
 	Limiter     *Limiter
-	Keeper      *Keeper
+	Coordinator *Coordinator
 	// Live returns the other hosts that can be given work.
 	Live func() []Host
 	Call func(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
@@ -62,7 +62,7 @@
 
 func (exc *Exchanger) exchange(ctx context.Context, now time.Time) {
 	hoss := exc.Live()
-	exc.Keeper.Forget(now)
+	exc.Coordinator.DropIdleTeams(now)
 	var gros [keepers][]Demand
 	for _, dem := range exc.Limiter.Demands(now) {
 		gro := xxhash.Sum64String(dem.Team) % keepers
@@ -91,7 +91,7 @@
 
 func (exc *Exchanger) report(ctx context.Context, address string, dems []Demand, now time.Time) {
 	if address == "" {
-		exc.Limiter.Learn(exc.Keeper.Report(exc.Self, dems, now), now)
+		exc.Limiter.SetShares(exc.Coordinator.Report(exc.Self, dems, now), now)
 		return
 	}
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
@@ -100,7 +100,7 @@
 		Host: exc.Self, Incarnation: exc.Incarnation, Demands: encode(dems),
 	}}})
 	if err == nil {
-		exc.Limiter.Learn(sharesOf(rep.GetDemandReply().GetShares()), now)
+		exc.Limiter.SetShares(sharesOf(rep.GetDemandReply().GetShares()), now)
 	}
 }
 
@@ -111,8 +111,8 @@
 		dems = append(dems, Demand{dem.GetTeam(), dem.GetRate()})
 	}
 	var shas []*messenger.TeamShare
-	for _, sha := range exc.Keeper.Report(rep.GetHost(), dems, now) {
-		shas = append(shas, &messenger.TeamShare{Team: sha.Team, Part: sha.Part})
+	for _, sha := range exc.Coordinator.Report(rep.GetHost(), dems, now) {
+		shas = append(shas, &messenger.TeamShare{Team: sha.Team, Part: sha.Fraction})
 	}
 	return &messenger.Envelope{Body: &messenger.Envelope_DemandReply{DemandReply: &messenger.DemandReply{Shares: shas}}}
 }
--- a/process/limiter/exchanger_test.go
+++ b/process/limiter/exchanger_test.go
@@ -17,7 +17,7 @@
 func TestSilentKeepersCostOneTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		exc := &Exchanger{
-			Self: "host-0", Limiter: &Limiter{}, Keeper: &Keeper{},
+			Self: "host-0", Limiter: &Limiter{}, Coordinator: &Coordinator{},
 			Live: func() (out []Host) {
 				for ind := range 40 {
 					out = append(out, Host{ID: fmt.Sprintf("silent-%d", ind), Address: "silent"})
--- a/process/limiter/keeper.go
+++ b/process/limiter/keeper.go
@@ -11,7 +11,7 @@
 const settleTime = 2 * Interval
 
 // Keeper hands out the shares of teams' rates. Its zero value is ready.
-type Keeper struct {
+type Coordinator struct {
 	mu    sync.Mutex
 	teams map[string]*account
 }
@@ -31,7 +31,7 @@
 // Report takes a host's demands and returns its shares: its part of all hosts'
 // demand, but no more than the shares of the others leave. Teams that the
 // keeper has just taken over are left out.
-func (kee *Keeper) Report(host string, dems []Demand, now time.Time) []Share {
+func (kee *Coordinator) Report(host string, dems []Demand, now time.Time) []Share {
 	kee.mu.Lock()
 	defer kee.mu.Unlock()
 	if kee.teams == nil {
@@ -77,7 +77,7 @@
 }
 
 // Forget drops the teams that no host has reported lately.
-func (kee *Keeper) Forget(now time.Time) {
+func (kee *Coordinator) DropIdleTeams(now time.Time) {
 	kee.mu.Lock()
 	defer kee.mu.Unlock()
 	for nam, acc := range kee.teams {
--- a/process/limiter/limiter.go
+++ b/process/limiter/limiter.go
@@ -46,8 +46,8 @@
 
 // Share is a host's part of a team's rate, 0 to 1.
 type Share struct {
-	Team string
-	Part float64
+	Team     string
+	Fraction float64
 }
 
 // Limiter is the state of one host. Its zero value is ready.
@@ -156,7 +156,7 @@
 }
 
 // Learn takes over the shares that a keeper gave.
-func (lim *Limiter) Learn(shas []Share, now time.Time) {
+func (lim *Limiter) SetShares(shas []Share, now time.Time) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	for _, sha := range shas {
@@ -165,7 +165,7 @@
 			continue
 		}
 		buc.advance(lim.hosts, now)
-		buc.share = math.Min(1, math.Max(0, sha.Part))
+		buc.share = math.Min(1, math.Max(0, sha.Fraction))
 		buc.shared = now
 	}
 }
--- a/process/limiter/limiter_test.go
+++ b/process/limiter/limiter_test.go
@@ -22,7 +22,7 @@
 type fleet struct {
 	now  time.Time
 	lims []*Limiter
-	kees []*Keeper
+	kees []*Coordinator
 	lost int
 	// replies is the share of replies that get lost, in per cent.
 	replies  int
@@ -50,11 +50,11 @@
 				}
 				return ""
 			case "keeper-lost":
-				fle.kees = []*Keeper{{}}
+				fle.kees = []*Coordinator{{}}
 				fle.losses++
 				return ""
 			case "split":
-				fle.kees = append(fle.kees, &Keeper{})
+				fle.kees = append(fle.kees, &Coordinator{})
 				return ""
 			case "restarted":
 				for ind := range number(t, dat, "hosts") {
@@ -82,7 +82,7 @@
 }
 
 func newFleet(hosts, rate int) *fleet {
-	fle := &fleet{now: time.Unix(0, 0), kees: []*Keeper{{}}, ran: rand.New(rand.NewPCG(5, 6)), tea: parser.Team{Name: "t", TokensPerSecond: float64(rate)}}
+	fle := &fleet{now: time.Unix(0, 0), kees: []*Coordinator{{}}, ran: rand.New(rand.NewPCG(5, 6)), tea: parser.Team{Name: "t", TokensPerSecond: float64(rate)}}
 	for range hosts {
 		fle.lims = append(fle.lims, &Limiter{})
 	}
@@ -129,7 +129,7 @@
 // judge holds what was admitted against the bound.
 func (fle *fleet) judge(t *testing.T, adm float64, beg time.Time, largest int64) string {
 	rat, per := fle.tea.TokensPerSecond, fle.now.Sub(beg)
-	bou := Fleet{Hosts: len(fle.lims), Cut: fle.cut, Parts: len(fle.kees), Restarts: fle.restarts, Losses: fle.losses}.Bound(rat, per, largest)
+	bou := Fleet{Hosts: len(fle.lims), WithoutCoordinator: fle.cut, Partitions: len(fle.kees), Restarts: fle.restarts, CoordinatorLosses: fle.losses}.Bound(rat, per, largest)
 	require.LessOrEqual(t, adm, bou, "bound of admission")
 	return fmt.Sprintf("%.1f of the rate\n", adm/(rat*per.Seconds()))
 }
@@ -153,7 +153,7 @@
 		dems := lim.Demands(fle.now)
 		shas := fle.kees[ind%len(fle.kees)].Report(fmt.Sprint(ind), dems, fle.now)
 		if fle.replies == 0 || fle.ran.IntN(100) >= fle.replies {
-			lim.Learn(shas, fle.now)
+			lim.SetShares(shas, fle.now)
 		}
 	}
 }
--- a/process/orderer/matrix_test.go
+++ b/process/orderer/matrix_test.go
@@ -180,7 +180,7 @@
 		}
 		eve = att.perform(act)
 	}
-	if sto, ok := att.leaseNext(leaser.Released{}).(leaser.Store); ok {
+	if sto, ok := att.leaseNext(leaser.ReleaseRequested{}).(leaser.Store); ok {
 		att.store(sto, "release")
 	}
 }
@@ -265,7 +265,7 @@
 }
 
 func (att *attempt) acquire() Event {
-	var eve leaser.Event = leaser.Wanted{}
+	var eve leaser.Event = leaser.AcquireRequested{}
 	for {
 		if att.sim.now.After(att.deadline) {
 			return Expired{}
@@ -307,13 +307,13 @@
 		return leaser.Conflicted{}
 	}
 	if att.delay(fault, func() { put() }) {
-		return leaser.Lost{}
+		return leaser.WriteUnknown{}
 	}
 	ok := put()
 	att.after(fault)
 	switch {
 	case unanswered(fault):
-		return leaser.Lost{}
+		return leaser.WriteUnknown{}
 	case !ok:
 		return leaser.Conflicted{}
 	default:
--- a/process/overflower/digests.go
+++ b/process/overflower/digests.go
@@ -47,7 +47,7 @@
 }
 
 // Note takes a digest and reports whether it was news.
-func (digs *Digests) Note(dig Digest) bool {
+func (digs *Digests) Record(dig Digest) bool {
 	digs.mu.Lock()
 	defer digs.mu.Unlock()
 	if digs.known == nil {
@@ -62,7 +62,7 @@
 }
 
 // Refused notes that a cell has refused a request.
-func (digs *Digests) Refused(dig Digest, now time.Time) {
+func (digs *Digests) RecordRefusal(dig Digest, now time.Time) {
 	digs.mu.Lock()
 	defer digs.mu.Unlock()
 	if digs.refused == nil {
@@ -72,7 +72,7 @@
 }
 
 // Silent notes that a scheduler of a region did not answer.
-func (digs *Digests) Silent(region string, now time.Time) {
+func (digs *Digests) RecordUnresponsive(region string, now time.Time) {
 	digs.mu.Lock()
 	defer digs.mu.Unlock()
 	if digs.silent == nil {
@@ -82,7 +82,7 @@
 }
 
 // Choose takes a cell of another region for a request, or none.
-func (digs *Digests) Choose(wan Want, now time.Time) (Digest, bool) {
+func (digs *Digests) Choose(wan Requirements, now time.Time) (Digest, bool) {
 	return Choose(digs.open(now), wan, now, rand.IntN)
 }
 
@@ -149,7 +149,7 @@
 }
 
 // Take notes digests of peers.
-func (digs *Digests) Take(mess []*messenger.CellDigest, now time.Time) {
+func (digs *Digests) Merge(mess []*messenger.CellDigest, now time.Time) {
 	for _, mes := range mess {
 		dig := Digest{
 			Region: mes.GetRegion(), Pool: mes.GetPool(), Number: int(mes.GetNumber()), Cells: int(mes.GetCells()),
@@ -157,7 +157,7 @@
 			At: now.Add(-time.Duration(max(0, mes.GetAgeMs())) * time.Millisecond),
 		}
 		if now.Sub(dig.At) <= digestLife && dig.Number < dig.Cells {
-			digs.Note(dig)
+			digs.Record(dig)
 		}
 	}
 }
--- a/process/overflower/overflower.go
+++ b/process/overflower/overflower.go
@@ -40,21 +40,21 @@
 }
 
 // Want is what a request needs of another region.
-type Want struct {
+type Requirements struct {
 	Pool string
 	// Own is the region of the host; it is not chosen.
-	Own string
+	OwnRegion string
 	// Takes tells the regions that may be chosen.
-	Takes func(region string) bool
+	AllowsRegion func(region string) bool
 	// Slack is the time left for the request.
-	Slack time.Duration
+	TimeLeft time.Duration
 }
 
 // Choose takes one of the digests that fit, or none: of two drawn at random in
 // proportion to their engines the one with less wait, so that hosts that hold
 // the same digests don't all choose the same cell. draw returns a number below
 // its argument.
-func Choose(digs []Digest, wan Want, now time.Time, draw func(below int) int) (Digest, bool) {
+func Choose(digs []Digest, wan Requirements, now time.Time, draw func(below int) int) (Digest, bool) {
 	fit := slices.DeleteFunc(slices.Clone(digs), func(dig Digest) bool { return !wan.fits(dig, now) })
 	var engs int
 	for _, dig := range fit {
@@ -70,14 +70,14 @@
 	return one, true
 }
 
-func (wan Want) fits(dig Digest, now time.Time) bool {
+func (wan Requirements) fits(dig Digest, now time.Time) bool {
 	switch {
-	case dig.Pool != wan.Pool, dig.Region == wan.Own, !wan.Takes(dig.Region):
+	case dig.Pool != wan.Pool, dig.Region == wan.OwnRegion, !wan.AllowsRegion(dig.Region):
 		return false
 	case dig.Full, now.Sub(dig.At) > digestLife:
 		return false
 	default:
-		return dig.Wait.Seconds() <= waitShare*wan.Slack.Seconds()
+		return dig.Wait.Seconds() <= waitShare*wan.TimeLeft.Seconds()
 	}
 }
 
--- a/process/overflower/overflower_test.go
+++ b/process/overflower/overflower_test.go
@@ -26,11 +26,11 @@
 			fies := strings.Fields(lin)
 			switch fies[0] {
 			case "refused":
-				digs.Refused(Digest{Region: fies[1], Pool: "p"}, epoch)
+				digs.RecordRefusal(Digest{Region: fies[1], Pool: "p"}, epoch)
 			case "silent":
-				digs.Silent(fies[1], epoch)
+				digs.RecordUnresponsive(fies[1], epoch)
 			case "choose":
-				wan := Want{Pool: "p", Own: "own", Slack: duration(t, fies[1]), Takes: func(reg string) bool {
+				wan := Requirements{Pool: "p", OwnRegion: "own", TimeLeft: duration(t, fies[1]), AllowsRegion: func(reg string) bool {
 					return len(taken) == 0 || taken[0].Key == reg
 				}}
 				now := epoch.Add(duration(t, fies[2]))
@@ -45,7 +45,7 @@
 				dig := Digest{Region: fies[0], Pool: "p", Cells: 2, Wait: duration(t, fies[3]), At: epoch.Add(-duration(t, fies[4])), Full: len(fies) > 5}
 				_, err := fmt.Sscan(fies[1]+" "+fies[2], &dig.Number, &dig.Engines)
 				require.NoError(t, err)
-				digs.Take([]*messenger.CellDigest{dig.message(epoch)}, epoch)
+				digs.Merge([]*messenger.CellDigest{dig.message(epoch)}, epoch)
 			}
 		}
 		return out.String()
--- a/process/reclaimer/reclaimer.go
+++ b/process/reclaimer/reclaimer.go
@@ -51,7 +51,7 @@
 }
 
 // Owned is what this host itself works on.
-type Owned interface {
+type LocalRequests interface {
 	// Attempt returns the newest attempt of a request in progress.
 	Attempt(id string) (int, bool)
 }
@@ -90,14 +90,14 @@
 }
 
 // Ask asks an owner which requests it still works on.
-type Ask struct {
+type Query struct {
 	Host        string
 	Incarnation uint64
 	Holdings    []Free
 }
 
-func (Free) action() {}
-func (Ask) action()  {}
+func (Free) action()  {}
+func (Query) action() {}
 
 // Answer is the reply of an owner to an Ask.
 type Answer struct {
@@ -114,10 +114,10 @@
 }
 
 // Decide judges the holdings of one report.
-func (rec *Reclaimer) Decide(rep Report, mem Members, own Owned, now time.Time) []Action {
+func (rec *Reclaimer) Decide(rep Report, mem Members, own LocalRequests, now time.Time) []Action {
 	rec.forget(now)
 	var acts []Action
-	asks := map[invoker.Owner]*Ask{}
+	asks := map[invoker.Owner]*Query{}
 	for _, seq := range rep.Load.Sequences {
 		fre := freeOf(rep, seq)
 		fre.Reason = rec.reason(rep, seq, mem, own, now)
@@ -142,7 +142,7 @@
 }
 
 // reason is empty while the owner may still need the memory.
-func (rec *Reclaimer) reason(rep Report, seq invoker.Sequence, mem Members, own Owned, now time.Time) Reason {
+func (rec *Reclaimer) reason(rep Report, seq invoker.Sequence, mem Members, own LocalRequests, now time.Time) Reason {
 	if time.Duration(seq.AgeMs)*time.Millisecond < MinAge {
 		return ""
 	}
@@ -170,7 +170,7 @@
 }
 
 // ended judges a holding of this host itself.
-func ended(seq invoker.Sequence, own Owned) Reason {
+func ended(seq invoker.Sequence, own LocalRequests) Reason {
 	att, ok := own.Attempt(requestOf(seq.RequestID, seq.ID))
 	switch {
 	case !ok:
@@ -207,10 +207,10 @@
 	return !asked || now.Sub(at) >= askPause
 }
 
-func (rec *Reclaimer) ask(asks map[invoker.Owner]*Ask, fre Free, now time.Time) {
+func (rec *Reclaimer) ask(asks map[invoker.Owner]*Query, fre Free, now time.Time) {
 	own := fre.Free.Owner
 	if asks[own] == nil {
-		asks[own] = &Ask{Host: own.Host, Incarnation: own.Incarnation}
+		asks[own] = &Query{Host: own.Host, Incarnation: own.Incarnation}
 	}
 	ask := asks[own]
 	if len(ask.Holdings) >= maxAsked {
@@ -232,12 +232,12 @@
 	}
 }
 
-func sorted(asks map[invoker.Owner]*Ask) []*Ask {
-	out := make([]*Ask, 0, len(asks))
+func sorted(asks map[invoker.Owner]*Query) []*Query {
+	out := make([]*Query, 0, len(asks))
 	for _, ask := range asks {
 		out = append(out, ask)
 	}
-	slices.SortFunc(out, func(one, two *Ask) int {
+	slices.SortFunc(out, func(one, two *Query) int {
 		return cmp.Or(cmp.Compare(one.Host, two.Host), cmp.Compare(one.Incarnation, two.Incarnation))
 	})
 	return out
@@ -245,7 +245,7 @@
 
 // Answered judges the holdings of a question by its answer. A process older
 // than the owner can't speak for it; a newer one proves it replaced.
-func Answered(ask Ask, ans Answer) []Free {
+func ResolveQuery(ask Query, ans Answer) []Free {
 	var fres []Free
 	for _, fre := range ask.Holdings {
 		att, known := ans.Known[requestOf(fre.Free.RequestID, fre.Free.ID)]
--- a/process/reclaimer/reclaimer_test.go
+++ b/process/reclaimer/reclaimer_test.go
@@ -88,7 +88,7 @@
 	switch act := act.(type) {
 	case Free:
 		return fmt.Sprintf("free %s %s/%d: %s", act.Free.Kind, act.Free.RequestID, act.Free.Attempt, act.Reason)
-	case Ask:
+	case Query:
 		var ids []string
 		for _, fre := range act.Holdings {
 			ids = append(ids, fre.Free.RequestID)
@@ -99,7 +99,7 @@
 }
 
 func TestAnswered(t *testing.T) {
-	ask := Ask{Host: "host-b", Incarnation: 3, Holdings: []Free{
+	ask := Query{Host: "host-b", Incarnation: 3, Holdings: []Free{
 		{Free: invoker.Free{RequestID: "old", Attempt: 1}},
 		{Free: invoker.Free{RequestID: "new", Attempt: 2}},
 		{Free: invoker.Free{RequestID: "gone", Attempt: 1}},
@@ -115,7 +115,7 @@
 	}
 	for _, tt := range tts {
 		var got []Reason
-		for _, fre := range Answered(ask, Answer{Incarnation: tt.incarnation, Known: known}) {
+		for _, fre := range ResolveQuery(ask, Answer{Incarnation: tt.incarnation, Known: known}) {
 			got = append(got, fre.Reason)
 		}
 		require.Equal(t, tt.want, got)
@@ -127,12 +127,12 @@
 func TestDutyMovesOnlyFromTheLost(t *testing.T) {
 	hosts := []string{"host-0", "host-1", "host-2", "host-3", "host-4"}
 	counts := map[string]int{}
-	all, less := NewDuties(hosts), NewDuties(hosts[:4])
+	all, less := NewAssignment(hosts), NewAssignment(hosts[:4])
 	for ind := range 1000 {
 		eng := fmt.Sprintf("engine-%d", ind)
-		bef := all.Of(eng)
+		bef := all.HostOf(eng)
 		counts[bef]++
-		if aft := less.Of(eng); bef != "host-4" {
+		if aft := less.HostOf(eng); bef != "host-4" {
 			require.Equal(t, bef, aft)
 		}
 	}
@@ -171,9 +171,9 @@
 				engs = append(engs, fmt.Sprintf("engine-%d", ind))
 			}
 			for b.Loop() {
-				dut := NewDuties(nams)
+				dut := NewAssignment(nams)
 				for _, eng := range engs {
-					dut.Of(eng)
+					dut.HostOf(eng)
 				}
 			}
 		})
--- a/process/reclaimer/runner.go
+++ b/process/reclaimer/runner.go
@@ -24,14 +24,14 @@
 // Runner carries the decisions out for the engines of which this host has the
 // duty. All fields must be set.
 type Runner struct {
-	Self    invoker.Owner
-	Invoker *invoker.Invoker
-	Members Members
-	Owned   Owned
-	Scope   tally.Scope
+	Self          invoker.Owner
+	Invoker       *invoker.Invoker
+	Members       Members
+	LocalRequests LocalRequests
+	Scope         tally.Scope
 	// Engines lists the engines of the region, Live its other hosts that are alive.
-	Engines func() []Engine
-	Live    func(now time.Time) []string
+	Engines   func() []Engine
+	LiveHosts func(now time.Time) []string
 	// Call sends an envelope to a host.
 	Call func(ctx context.Context, host string, env *messenger.Envelope) (*messenger.Envelope, error)
 
@@ -56,14 +56,14 @@
 // Duties shares engines over hosts: each goes to the host with the highest
 // mixed hash, so that a lost host's engines spread over the others and no other
 // moves. Two hosts that differ on who is alive may both look after an engine.
-type Duties struct {
+type Assignment struct {
 	hosts []string
 	sums  []uint64
 }
 
 // NewDuties prepares the hashes of the hosts.
-func NewDuties(hosts []string) Duties {
-	dut := Duties{hosts: hosts}
+func NewAssignment(hosts []string) Assignment {
+	dut := Assignment{hosts: hosts}
 	for _, hos := range hosts {
 		dut.sums = append(dut.sums, xxhash.Sum64String(hos))
 	}
@@ -71,7 +71,7 @@
 }
 
 // Of returns the host that looks after an engine.
-func (dut Duties) Of(engine string) string {
+func (dut Assignment) HostOf(engine string) string {
 	var bes string
 	var top uint64
 	own := xxhash.Sum64String(engine)
@@ -91,11 +91,11 @@
 }
 
 func (run *Runner) round(ctx context.Context, now time.Time) {
-	dut := NewDuties(append(run.Live(now), run.Self.Host))
+	dut := NewAssignment(append(run.LiveHosts(now), run.Self.Host))
 	reps := make(chan Report)
 	var gro sync.WaitGroup
 	for _, eng := range run.Engines() {
-		if dut.Of(eng.ID) == run.Self.Host {
+		if dut.HostOf(eng.ID) == run.Self.Host {
 			gro.Go(func() { run.read(ctx, eng, reps) })
 		}
 	}
@@ -104,7 +104,7 @@
 		close(reps)
 	}()
 	for rep := range reps {
-		for _, act := range run.reclaimer.Decide(rep, run.Members, run.Owned, time.Now()) {
+		for _, act := range run.reclaimer.Decide(rep, run.Members, run.LocalRequests, time.Now()) {
 			run.carryOut(ctx, act)
 		}
 	}
@@ -128,13 +128,13 @@
 	switch act := act.(type) {
 	case Free:
 		run.free(ctx, act)
-	case Ask:
+	case Query:
 		ans, err := run.ask(ctx, act)
 		if err != nil {
 			run.Scope.Counter("reclaim_questions_failed").Inc(1)
 			return
 		}
-		for _, fre := range Answered(act, ans) {
+		for _, fre := range ResolveQuery(act, ans) {
 			run.free(ctx, fre)
 		}
 	}
@@ -150,7 +150,7 @@
 	sco.Counter("reclaimed_tokens").Inc(fre.Tokens)
 }
 
-func (run *Runner) ask(ctx context.Context, ask Ask) (Answer, error) {
+func (run *Runner) ask(ctx context.Context, ask Query) (Answer, error) {
 	que := &messenger.OwnerQuery{Incarnation: ask.Incarnation}
 	for _, fre := range ask.Holdings {
 		que.Requests = append(que.Requests, requestOf(fre.Free.RequestID, fre.Free.ID))
@@ -174,7 +174,7 @@
 func (run *Runner) HandleQuery(que *messenger.OwnerQuery) *messenger.Envelope {
 	ans := &messenger.OwnerAnswer{Incarnation: run.Self.Incarnation}
 	for _, id := range que.GetRequests() {
-		if att, ok := run.Owned.Attempt(id); ok {
+		if att, ok := run.LocalRequests.Attempt(id); ok {
 			ans.Known = append(ans.Known, &messenger.OwnedRequest{Id: id, Attempt: int64(att)})
 		}
 	}
--- a/process/server/reclaim.go
+++ b/process/server/reclaim.go
@@ -26,8 +26,8 @@
 func (ser *Server) newReclaimer(own invoker.Owner) *reclaimer.Runner {
 	mem := &members{gossiper: ser.gossiper, watcher: ser.watcher, region: ser.Settings.Region}
 	return &reclaimer.Runner{
-		Self: own, Invoker: ser.invoker, Members: mem, Owned: ser.executor, Scope: ser.scope,
-		Engines: ser.engines, Live: mem.live,
+		Self: own, Invoker: ser.invoker, Members: mem, LocalRequests: ser.executor, Scope: ser.scope,
+		Engines: ser.engines, LiveHosts: mem.live,
 		Call: func(ctx context.Context, host string, env *messenger.Envelope) (*messenger.Envelope, error) {
 			per, ok := mem.peer(host)
 			if !ok {
--- a/process/server/schedule.go
+++ b/process/server/schedule.go
@@ -50,7 +50,7 @@
 }
 
 func (ser *Server) mergeFarCells(digs []*messenger.CellDigest, now time.Time) {
-	ser.cells.OtherRegions.Take(digs, now)
+	ser.cells.OtherRegions.Merge(digs, now)
 }
 
 // announceCells announces the free capacity of this host's cells to other regions until
@@ -79,7 +79,7 @@
 	lim := &limiter.Limiter{}
 	ser.admitter.Limiter = lim
 	return &limiter.Exchanger{
-		Self: ser.Settings.HostID, Incarnation: ser.Incarnation, Limiter: lim, Keeper: &limiter.Keeper{},
+		Self: ser.Settings.HostID, Incarnation: ser.Incarnation, Limiter: lim, Coordinator: &limiter.Coordinator{},
 		Live: ser.liveHosts, Call: ser.multiplexer.Call,
 	}
 }
