--- a/process/leaser/holder.go
+++ b/process/leaser/holder.go
@@ -13,7 +13,7 @@
 
 const storeTimeout = 2 * time.Second
 
-// ObjectStore is the part of the platform that leases need.
+// ObjectStore is the part of the platform's object API that leases use.
 type ObjectStore interface {
 	Get(ctx context.Context, path string) (persister.Object, error)
 	Put(ctx context.Context, obj persister.Object) (uint64, error)
@@ -22,10 +22,10 @@
 // Holder acquires and holds one lease. It is not safe for concurrent use.
 type Holder struct {
 	Store ObjectStore
-	// Name names the lease; its object is leases/{Name}.
+	// Name is the name of the lease; its object is leases/{Name}.
 	Name string
 	Host string
-	// Clock returns the present time; nil stands for the system's clock.
+	// Clock returns the present time; the system's clock is used if it is nil.
 	Clock func() time.Time
 
 	state State
@@ -38,8 +38,9 @@
 	return hol.Clock()
 }
 
-// Acquire waits until the lease is held, or renews a held one. The fencing
-// number of Hold changes if the lease had lapsed in between.
+// Acquire waits until the lease is held, or renews a held one. The fencing number in Hold
+// changes if the lease ended in between. Acquire fails if ctx ends before the lease is
+// held.
 func (hol *Holder) Acquire(ctx context.Context) (Hold, error) {
 	if hol.state.Nonce == "" {
 		hol.state = State{Host: hol.Host, Nonce: uuid.NewString()}
@@ -57,19 +58,20 @@
 		case Load:
 			eve = hol.load(ctx, act)
 		case Store:
-			eve = hol.put(ctx, act)
+			eve = hol.write(ctx, act)
 		default:
 			return Hold{}, eris.Errorf("Holder.Acquire: lease %s: unexpected action %T", hol.Name, act)
 		}
 	}
 }
 
-// Release gives the lease back once. If that fails, others wait out the term.
+// Release releases the lease with one write. If the write fails, other hosts can acquire
+// the lease after Term and Margin.
 func (hol *Holder) Release(ctx context.Context) {
 	sta, act := hol.state.Next(ReleaseRequested{}, hol.now())
 	hol.state = sta
 	if sto, ok := act.(Store); ok {
-		hol.put(ctx, sto)
+		hol.write(ctx, sto)
 	}
 }
 
@@ -97,7 +99,7 @@
 	return Loaded{Lease: lea, Version: obj.Version}
 }
 
-func (hol *Holder) put(ctx context.Context, sto Store) Event {
+func (hol *Holder) write(ctx context.Context, sto Store) Event {
 	val, err := json.Marshal(sto.Lease)
 	if err != nil {
 		return WriteUnknown{err.Error()}
--- a/process/leaser/leaser.go
+++ b/process/leaser/leaser.go
@@ -1,14 +1,14 @@
-// Package leaser grants exclusive leases with fencing numbers through
-// conditional writes of the platform's object API.
+// Package leaser grants exclusive leases with fencing numbers through conditional writes
+// of the platform's object API.
 //
-// A lease object is never deleted, so its fencing number only grows. The object
-// holds no times: a host that wants a lease held by another waits until it has
-// seen the same version for the whole term and a margin by its own clock, and a
-// holder counts its term from before its write was sent. Clocks need not agree.
+// A lease object is never deleted, so its fencing number only grows. The object contains
+// no times: a host that wants a lease held by another waits until it has seen the same
+// version for Term and Margin by its own clock, and a holder counts the term from before
+// it sent its write. The clocks of hosts need not agree.
 //
-// A lease does not stop a holder that is paused between its last look at the
-// clock and its action. What must not happen then has to be refused by whoever
-// receives the action, by the fencing number or by another condition.
+// A lease does not stop a holder that is paused after it has checked the time and before
+// it acts. Whoever receives the action must refuse it, by the fencing number or by
+// another condition, where it must not happen.
 package leaser
 
 import "time"
@@ -16,8 +16,9 @@
 const (
 	// Term is how long a lease is held without renewal.
 	Term = 4 * time.Second
-	// Margin is what a taker waits beyond the term. It covers the time that an
-	// action of the old holder may take to arrive.
+	// Margin is how long beyond the term a host waits before it acquires a lease that
+	// another holds. It covers the time that an action of the old holder may take to
+	// arrive.
 	Margin = 2 * time.Second
 )
 
@@ -25,14 +26,14 @@
 type Lease struct {
 	// Fence grows by one with each acquisition.
 	Fence uint64
-	// Nonce names the acquisition; it is empty when the lease was given back.
+	// Nonce identifies the acquisition; it is empty if the lease was released.
 	Nonce string
 	Host  string
 	// Renewal counts the renewals of the acquisition.
 	Renewal uint64
 }
 
-// State is what one acquirer knows of a lease. It is an immutable value.
+// State is the state of one acquirer of a lease. It is an immutable value.
 type State struct {
 	Host  string
 	Nonce string
@@ -40,41 +41,41 @@
 	lease   Lease
 	version uint64
 	loaded  bool
-	// since is when the version was first seen.
-	since time.Time
-	// sent is when the write under way was sent, and next its lease.
-	sent time.Time
-	next Lease
-	// until is when the held lease ends; zero if it is not held.
+	// versionSeen is when the version was first seen.
+	versionSeen time.Time
+	// writeSent is when the last write was sent, and written the lease in it.
+	writeSent time.Time
+	written   Lease
+	// until is when the held lease ends; it is zero if the lease is not held.
 	until time.Time
 }
 
-// Event is a step of an acquisition: Wanted, Loaded, LoadFailed, Stored,
-// Conflicted, Lost or Released.
+// Event is an event of an acquisition: AcquireRequested, Loaded, LoadFailed, Stored,
+// Conflicted, WriteUnknown or ReleaseRequested.
 type Event interface{ event() }
 
-// Wanted asks for the lease, or for a longer time of a held one.
+// AcquireRequested requests the lease, or a later end of a held one.
 type AcquireRequested struct{}
 
-// Loaded reports the object; version 0 stands for an absent one.
+// Loaded reports the object that was read; version 0 stands for an absent one.
 type Loaded struct {
 	Lease   Lease
 	Version uint64
 }
 
-// LoadFailed reports a read without result.
+// LoadFailed reports a read that failed.
 type LoadFailed struct{ Message string }
 
 // Stored reports a write that took effect.
 type Stored struct{ Version uint64 }
 
-// Conflicted reports a write that certainly had no effect.
+// Conflicted reports a write that had no effect because the object has another version.
 type Conflicted struct{}
 
-// Lost reports a write of which it is unknown whether it took effect.
+// WriteUnknown reports a write of which it is not known whether it took effect.
 type WriteUnknown struct{ Message string }
 
-// Released gives the lease back.
+// ReleaseRequested requests that the lease be released.
 type ReleaseRequested struct{}
 
 func (AcquireRequested) event() {}
@@ -88,22 +89,22 @@
 // Action is what to do next: Load, Store, Hold or Stop.
 type Action interface{ action() }
 
-// Load reads the object at At or later.
+// Load reads the object at time At or later.
 type Load struct{ At time.Time }
 
-// Store writes the lease on the condition of the version.
+// Store writes the lease on condition that the object has the version.
 type Store struct {
 	Lease   Lease
 	Version uint64
 }
 
-// Hold says that the lease is held until Until.
+// Hold reports that the lease is held until Until.
 type Hold struct {
 	Fence uint64
 	Until time.Time
 }
 
-// Stop says that nothing remains to be done.
+// Stop reports that nothing remains to be done.
 type Stop struct{}
 
 func (Load) action()  {}
@@ -112,91 +113,93 @@
 func (Stop) action()  {}
 
 const (
-	// pollPause is how often a lease held by another is looked at.
-	pollPause = 250 * time.Millisecond
-	failPause = 100 * time.Millisecond
+	// pollInterval is the time between two reads of a lease that another host holds.
+	pollInterval = 250 * time.Millisecond
+	// retryDelay is the delay after a failed read or a write with unknown effect.
+	retryDelay = 100 * time.Millisecond
 )
 
-// Next decides on an event.
+// Next returns the state after an event and the next action.
 func (sta State) Next(eve Event, now time.Time) (State, Action) {
 	switch eve := eve.(type) {
 	case AcquireRequested:
-		return sta.wanted(now)
+		return sta.acquire(now)
 	case Loaded:
-		return sta.withLease(eve.Lease, eve.Version, now).wanted(now)
+		return sta.withLease(eve.Lease, eve.Version, now).acquire(now)
 	case Stored:
-		sta = sta.withLease(sta.next, eve.Version, now)
-		return sta.held()
+		sta = sta.withLease(sta.written, eve.Version, now)
+		return sta.hold()
 	case Conflicted:
 		sta.loaded = false
 		return sta, Load{now}
 	case LoadFailed:
-		return sta, Load{now.Add(failPause)}
+		return sta, Load{now.Add(retryDelay)}
 	case WriteUnknown:
 		sta.loaded = false
-		return sta, Load{now.Add(failPause)}
+		return sta, Load{now.Add(retryDelay)}
 	case ReleaseRequested:
-		return sta.released()
+		return sta.release()
 	default:
 		return sta, Stop{}
 	}
 }
 
-// withLease notes what the object holds.
+// withLease returns the state after the object was read or written.
 func (sta State) withLease(lea Lease, version uint64, now time.Time) State {
-	if version != sta.version || sta.since.IsZero() {
-		sta.since = now
+	if version != sta.version || sta.versionSeen.IsZero() {
+		sta.versionSeen = now
 	}
 	sta.lease, sta.version, sta.loaded = lea, version, true
 	return sta
 }
 
-func (sta State) wanted(now time.Time) (State, Action) {
+func (sta State) acquire(now time.Time) (State, Action) {
 	switch {
 	case !sta.loaded:
 		return sta, Load{now}
-	case sta.lease.Nonce == sta.Nonce && sta.lease == sta.next:
+	case sta.lease.Nonce == sta.Nonce && sta.lease == sta.written:
 		// A write without an answer took effect, or the lease is held already.
-		return sta.renewed(now)
+		return sta.keepOrRenew(now)
 	case sta.lease.Nonce == sta.Nonce:
 		// An older write of this acquirer is in force; its time is not known.
 		return sta.store(Lease{Fence: sta.lease.Fence + 1, Nonce: sta.Nonce, Host: sta.Host}, now)
-	case sta.lease.Nonce == "" || !now.Before(sta.since.Add(Term+Margin)):
+	case sta.lease.Nonce == "" || !now.Before(sta.versionSeen.Add(Term+Margin)):
 		return sta.store(Lease{Fence: sta.lease.Fence + 1, Nonce: sta.Nonce, Host: sta.Host}, now)
 	default:
-		return sta, Load{now.Add(pollPause)}
+		return sta, Load{now.Add(pollInterval)}
 	}
 }
 
-// renewed holds the lease on while half of its term is left, renews it before
-// its end, and acquires it anew after that, under another fencing number.
-func (sta State) renewed(now time.Time) (State, Action) {
-	end := sta.sent.Add(Term)
+// keepOrRenew holds the lease without a write during the first half of its term, renews
+// it during the second half, and acquires it again with a new fencing number after its
+// end.
+func (sta State) keepOrRenew(now time.Time) (State, Action) {
+	end := sta.writeSent.Add(Term)
 	switch {
-	case now.Before(sta.sent.Add(Term / 2)):
-		return sta.held()
+	case now.Before(sta.writeSent.Add(Term / 2)):
+		return sta.hold()
 	case now.Before(end):
-		nex := sta.lease
-		nex.Renewal++
-		return sta.store(nex, now)
+		renewed := sta.lease
+		renewed.Renewal++
+		return sta.store(renewed, now)
 	default:
 		return sta.store(Lease{Fence: sta.lease.Fence + 1, Nonce: sta.Nonce, Host: sta.Host}, now)
 	}
 }
 
 func (sta State) store(lea Lease, now time.Time) (State, Action) {
-	sta.next = lea
-	sta.sent = now
+	sta.written = lea
+	sta.writeSent = now
 	return sta, Store{Lease: lea, Version: sta.version}
 }
 
-func (sta State) held() (State, Action) {
-	sta.until = sta.sent.Add(Term)
+func (sta State) hold() (State, Action) {
+	sta.until = sta.writeSent.Add(Term)
 	return sta, Hold{Fence: sta.lease.Fence, Until: sta.until}
 }
 
-// released gives the lease back if it is still as this acquirer wrote it.
-func (sta State) released() (State, Action) {
+// release releases the lease if the object still has the nonce of this acquirer.
+func (sta State) release() (State, Action) {
 	if !sta.loaded || sta.lease.Nonce != sta.Nonce {
 		return sta, Stop{}
 	}
--- a/process/reclaimer/reclaimer.go
+++ b/process/reclaimer/reclaimer.go
@@ -1,15 +1,17 @@
-// Package reclaimer finds memory of engines that no live owner holds, and frees
-// it. Every sequence, reservation and export names its owner: a host, the
-// incarnation of its process, and a request. Memory is freed only when
+// Package reclaimer frees memory of engines that is held for requests that no host
+// works on any more. Every holding (a sequence, a reservation or an export) names its
+// owner: a host, the incarnation of its process, and a request. A holding is freed only
+// if
 //
 //   - the owner's process is known to have been replaced,
-//   - the owner is dead to the membership and absent from the platform's list
-//     for DeadGrace,
-//   - the owner itself says that the request or the attempt has ended, or
-//   - the request's deadline has passed by ExpiryMargin.
+//   - for DeadGrace, the membership has listed the owner as dead and the platform has
+//     not listed it,
+//   - the owner itself reports that the request or the attempt has ended, or
+//   - the request's deadline passed more than ExpiryMargin ago.
 //
-// An owner that is silent or frozen keeps its memory until the last of these.
-// Freeing names owner and attempt, so that an engine never drops newer work.
+// An unresponsive or paused owner keeps its holdings until ExpiryMargin after the
+// request's deadline. An order to free names owner and attempt, so that an engine never
+// drops newer work.
 package reclaimer
 
 import (
@@ -21,51 +23,53 @@
 )
 
 const (
-	// DeadGrace is how long a host must be dead and unlisted.
+	// DeadGrace is how long a host must be dead and unlisted before its holdings are
+	// freed.
 	DeadGrace = 15 * time.Second
 	// ExpiryMargin is how long after its deadline a request may still hold memory.
 	ExpiryMargin = 5 * time.Second
-	// MinAge is the age below which work is left alone. It covers the lag of
+	// MinAge is the age below which a holding is never freed. It covers the delay of
 	// the engines' reports.
 	MinAge = 2 * time.Second
 
-	// askPause is the time between two questions about the same holding.
-	askPause = 5 * time.Second
-	// suspectIdle is how long work may stand still before its owner is asked.
+	// queryInterval is the minimum time between two queries about the same holding.
+	queryInterval = 5 * time.Second
+	// suspectIdle is how long a sequence may make no progress before its owner is
+	// queried.
 	suspectIdle = 5 * time.Second
-	// suspectHold is how long memory may be set aside before its owner is asked.
-	suspectHold = 10 * time.Second
-	// maxAsked bounds the requests in one question.
-	maxAsked = 256
-	// askedRetention is how long a question is remembered.
-	askedRetention = 10 * time.Minute
+	// suspectReservationIdle is the same for a reservation or an export.
+	suspectReservationIdle = 10 * time.Second
+	// maxHoldings bounds the holdings in one query.
+	maxHoldings = 256
+	// queryRetention is how long the time of a query is kept.
+	queryRetention = 10 * time.Minute
 )
 
-// Members is what the membership knows of the hosts.
+// Members provides the state of hosts according to the membership.
 type Members interface {
-	// Incarnation returns the newest process of a host that was heard of.
+	// Incarnation returns the newest known incarnation of a host.
 	Incarnation(host string) (uint64, bool)
-	// DeadSince returns since when a host is both dead to the membership and
-	// absent from the platform's list.
+	// DeadSince returns the time since which a host has been both dead according to
+	// the membership and absent from the platform's list.
 	DeadSince(host string) (time.Time, bool)
 }
 
-// Owned is what this host itself works on.
+// LocalRequests provides the requests that this host works on.
 type LocalRequests interface {
 	// Attempt returns the newest attempt of a request in progress.
 	Attempt(id string) (int, bool)
 }
 
-// Report is what an engine says of its memory.
+// Report is an engine's report of the memory that it holds for requests.
 type Report struct {
 	Endpoint string
 	Address  string
 	Load     invoker.Load
-	// At is when the engine took the report.
+	// At is when the engine made the report.
 	At time.Time
 }
 
-// Reason says why memory is freed.
+// Reason is the reason for which a holding is freed.
 type Reason string
 
 // Reasons.
@@ -77,10 +81,10 @@
 	Abandoned Reason = "Abandoned"
 )
 
-// Action is what to do next: Free or Ask.
+// Action is what to do about one or more holdings: Free or Query.
 type Action interface{ action() }
 
-// Free drops one holding of an engine.
+// Free frees one holding of an engine.
 type Free struct {
 	Endpoint string
 	Address  string
@@ -89,7 +93,7 @@
 	Tokens   int64
 }
 
-// Ask asks an owner which requests it still works on.
+// Query asks an owner which of the requests it still works on.
 type Query struct {
 	Host        string
 	Incarnation uint64
@@ -99,37 +103,37 @@
 func (Free) action()  {}
 func (Query) action() {}
 
-// Answer is the reply of an owner to an Ask.
+// Answer is the reply to a Query.
 type Answer struct {
-	// Incarnation is that of the process that answered.
+	// Incarnation is the incarnation of the process that answered.
 	Incarnation uint64
-	// Known maps the requests in progress to their newest attempts.
+	// Known maps the requests in progress to the numbers of their newest attempts.
 	Known map[string]int
 }
 
-// Reclaimer decides. Its zero value needs Self.
+// Reclaimer decides which holdings to free and which owners to query. Self must be set.
 type Reclaimer struct {
-	Self  invoker.Owner
-	asked map[Free]time.Time
+	Self      invoker.Owner
+	queriedAt map[Free]time.Time
 }
 
-// Decide judges the holdings of one report.
-func (rec *Reclaimer) Decide(rep Report, mem Members, own LocalRequests, now time.Time) []Action {
-	rec.forget(now)
+// Decide returns the actions for the holdings in one report.
+func (rec *Reclaimer) Decide(rep Report, mem Members, loc LocalRequests, now time.Time) []Action {
+	rec.dropOldQueries(now)
 	var acts []Action
-	asks := map[invoker.Owner]*Query{}
+	queries := map[invoker.Owner]*Query{}
 	for _, seq := range rep.Load.Sequences {
 		fre := freeOf(rep, seq)
-		fre.Reason = rec.reason(rep, seq, mem, own, now)
+		fre.Reason = rec.reason(rep, seq, mem, loc, now)
 		switch {
 		case fre.Reason != "":
 			acts = append(acts, fre)
-		case rec.suspect(fre, seq, now):
-			rec.ask(asks, fre, now)
+		case rec.shouldQuery(fre, seq, now):
+			rec.addToQuery(queries, fre, now)
 		}
 	}
-	for _, ask := range sorted(asks) {
-		acts = append(acts, *ask)
+	for _, que := range sortedQueries(queries) {
+		acts = append(acts, *que)
 	}
 	return acts
 }
@@ -141,127 +145,131 @@
 	}
 }
 
-// reason is empty while the owner may still need the memory.
-func (rec *Reclaimer) reason(rep Report, seq invoker.Sequence, mem Members, own LocalRequests, now time.Time) Reason {
+// reason returns the reason to free a holding. It is empty while the owner may still
+// need the memory.
+func (rec *Reclaimer) reason(rep Report, seq invoker.Sequence, mem Members, loc LocalRequests, now time.Time) Reason {
 	if time.Duration(seq.AgeMs)*time.Millisecond < MinAge {
 		return ""
 	}
 	if seq.Owner == rec.Self {
-		return ended(seq, own)
+		return localReason(seq, loc)
 	}
-	inc, known := rec.newest(seq.Owner.Host, mem)
-	if known && inc > seq.Owner.Incarnation {
+	incarnation, known := rec.newestIncarnation(seq.Owner.Host, mem)
+	if known && incarnation > seq.Owner.Incarnation {
 		return Replaced
 	}
 	if seq.Expired(now.Sub(rep.At), ExpiryMargin) {
 		return Expired
 	}
-	if sin, dead := mem.DeadSince(seq.Owner.Host); dead && now.Sub(sin) >= DeadGrace {
+	if since, dead := mem.DeadSince(seq.Owner.Host); dead && now.Sub(since) >= DeadGrace {
 		return Dead
 	}
 	return ""
 }
 
-func (rec *Reclaimer) newest(host string, mem Members) (uint64, bool) {
+func (rec *Reclaimer) newestIncarnation(host string, mem Members) (uint64, bool) {
 	if host == rec.Self.Host {
 		return rec.Self.Incarnation, true
 	}
 	return mem.Incarnation(host)
 }
 
-// ended judges a holding of this host itself.
-func ended(seq invoker.Sequence, own LocalRequests) Reason {
-	att, ok := own.Attempt(requestOf(seq.RequestID, seq.ID))
+// localReason returns the reason to free a holding that this host owns.
+func localReason(seq invoker.Sequence, loc LocalRequests) Reason {
+	attempt, ok := loc.Attempt(requestKey(seq.RequestID, seq.ID))
 	switch {
 	case !ok:
 		return Disowned
-	case seq.Attempt > 0 && seq.Attempt < att:
+	case seq.Attempt > 0 && seq.Attempt < attempt:
 		return Abandoned
 	default:
 		return ""
 	}
 }
 
-// requestOf names what an owner knows a holding by.
-func requestOf(request, id string) string {
+// requestKey returns the identifier under which the owner of a holding knows it: the
+// request ID, or the holding's own ID if it has no request.
+func requestKey(request, id string) string {
 	if request == "" {
 		return id
 	}
 	return request
 }
 
-// suspect tells the holdings worth a question from those in plain use.
-func (rec *Reclaimer) suspect(fre Free, seq invoker.Sequence, now time.Time) bool {
+// shouldQuery reports whether a holding appears unused, so that its owner should be
+// queried, and was not queried about within queryInterval.
+func (rec *Reclaimer) shouldQuery(fre Free, seq invoker.Sequence, now time.Time) bool {
 	if seq.Owner == rec.Self || time.Duration(seq.AgeMs)*time.Millisecond < MinAge {
 		return false
 	}
-	lim := suspectIdle
+	limit := suspectIdle
 	if seq.ID != "" {
-		lim = suspectHold
+		limit = suspectReservationIdle
 	}
-	if !seq.Detached && time.Duration(seq.IdleMs)*time.Millisecond < lim {
+	if !seq.Detached && time.Duration(seq.IdleMs)*time.Millisecond < limit {
 		return false
 	}
 	fre.Tokens = 0
-	at, asked := rec.asked[fre]
-	return !asked || now.Sub(at) >= askPause
+	at, queried := rec.queriedAt[fre]
+	return !queried || now.Sub(at) >= queryInterval
 }
 
-func (rec *Reclaimer) ask(asks map[invoker.Owner]*Query, fre Free, now time.Time) {
-	own := fre.Free.Owner
-	if asks[own] == nil {
-		asks[own] = &Query{Host: own.Host, Incarnation: own.Incarnation}
+func (rec *Reclaimer) addToQuery(queries map[invoker.Owner]*Query, fre Free, now time.Time) {
+	owner := fre.Free.Owner
+	if queries[owner] == nil {
+		queries[owner] = &Query{Host: owner.Host, Incarnation: owner.Incarnation}
 	}
-	ask := asks[own]
-	if len(ask.Holdings) >= maxAsked {
+	que := queries[owner]
+	if len(que.Holdings) >= maxHoldings {
 		return
 	}
-	ask.Holdings = append(ask.Holdings, fre)
-	if rec.asked == nil {
-		rec.asked = map[Free]time.Time{}
+	que.Holdings = append(que.Holdings, fre)
+	if rec.queriedAt == nil {
+		rec.queriedAt = map[Free]time.Time{}
 	}
 	fre.Tokens = 0
-	rec.asked[fre] = now
+	rec.queriedAt[fre] = now
 }
 
-func (rec *Reclaimer) forget(now time.Time) {
-	for fre, at := range rec.asked {
-		if now.Sub(at) > askedRetention {
-			delete(rec.asked, fre)
+func (rec *Reclaimer) dropOldQueries(now time.Time) {
+	for fre, at := range rec.queriedAt {
+		if now.Sub(at) > queryRetention {
+			delete(rec.queriedAt, fre)
 		}
 	}
 }
 
-func sorted(asks map[invoker.Owner]*Query) []*Query {
-	out := make([]*Query, 0, len(asks))
-	for _, ask := range asks {
-		out = append(out, ask)
+func sortedQueries(queries map[invoker.Owner]*Query) []*Query {
+	out := make([]*Query, 0, len(queries))
+	for _, que := range queries {
+		out = append(out, que)
 	}
-	slices.SortFunc(out, func(one, two *Query) int {
-		return cmp.Or(cmp.Compare(one.Host, two.Host), cmp.Compare(one.Incarnation, two.Incarnation))
+	slices.SortFunc(out, func(que, other *Query) int {
+		return cmp.Or(cmp.Compare(que.Host, other.Host), cmp.Compare(que.Incarnation, other.Incarnation))
 	})
 	return out
 }
 
-// Answered judges the holdings of a question by its answer. A process older
-// than the owner can't speak for it; a newer one proves it replaced.
-func ResolveQuery(ask Query, ans Answer) []Free {
-	var fres []Free
-	for _, fre := range ask.Holdings {
-		att, known := ans.Known[requestOf(fre.Free.RequestID, fre.Free.ID)]
+// ResolveQuery returns the holdings of a query that can be freed according to the answer.
+// An answer of an older process than the owner says nothing about it; an answer of a
+// newer process proves that the owner was replaced.
+func ResolveQuery(que Query, ans Answer) []Free {
+	var out []Free
+	for _, fre := range que.Holdings {
+		attempt, known := ans.Known[requestKey(fre.Free.RequestID, fre.Free.ID)]
 		switch {
-		case ans.Incarnation < ask.Incarnation:
+		case ans.Incarnation < que.Incarnation:
 			continue
-		case ans.Incarnation > ask.Incarnation:
+		case ans.Incarnation > que.Incarnation:
 			fre.Reason = Replaced
 		case !known:
 			fre.Reason = Disowned
-		case fre.Free.Attempt > 0 && fre.Free.Attempt < att:
+		case fre.Free.Attempt > 0 && fre.Free.Attempt < attempt:
 			fre.Reason = Abandoned
 		default:
 			continue
 		}
-		fres = append(fres, fre)
+		out = append(out, fre)
 	}
-	return fres
+	return out
 }
--- a/process/reclaimer/reclaimer_test.go
+++ b/process/reclaimer/reclaimer_test.go
@@ -14,68 +14,69 @@
 
 var now = time.Unix(1_700_000_000, 0)
 
-// fleet is what the membership and the host itself know.
-type fleet struct {
+// fixture implements Members and LocalRequests.
+type fixture struct {
 	incarnations map[string]uint64
 	dead         map[string]time.Time
 	own          map[string]int
 }
 
-func (fle fleet) Incarnation(host string) (uint64, bool) {
-	inc, ok := fle.incarnations[host]
-	return inc, ok
+func (fix fixture) Incarnation(host string) (uint64, bool) {
+	incarnation, ok := fix.incarnations[host]
+	return incarnation, ok
 }
 
-func (fle fleet) DeadSince(host string) (time.Time, bool) {
-	sin, ok := fle.dead[host]
-	return sin, ok
+func (fix fixture) DeadSince(host string) (time.Time, bool) {
+	since, ok := fix.dead[host]
+	return since, ok
 }
 
-func (fle fleet) Attempt(id string) (int, bool) {
-	att, ok := fle.own[id]
-	return att, ok
+func (fix fixture) Attempt(id string) (int, bool) {
+	attempt, ok := fix.own[id]
+	return attempt, ok
 }
 
-func newFleet() fleet {
-	return fleet{map[string]uint64{}, map[string]time.Time{}, map[string]int{}}
+func newFixture() fixture {
+	return fixture{map[string]uint64{}, map[string]time.Time{}, map[string]int{}}
 }
 
-// holding reads one line: kind, owner, incarnation, request, attempt and times.
-func holding(t *testing.T, lin string) invoker.Sequence {
+// parseHolding parses a line of kind, owner, incarnation, request, attempt, age, idle
+// time, time until expiry and whether the request is detached.
+func parseHolding(t *testing.T, line string) invoker.Sequence {
 	seq := invoker.Sequence{ExpiresMs: 60_000}
-	_, err := fmt.Sscan(lin, &seq.Kind, &seq.Owner.Host, &seq.Owner.Incarnation, &seq.RequestID, &seq.Attempt, &seq.AgeMs, &seq.IdleMs, &seq.ExpiresMs, &seq.Detached)
-	require.NoError(t, err, lin)
+	_, err := fmt.Sscan(line, &seq.Kind, &seq.Owner.Host, &seq.Owner.Incarnation, &seq.RequestID, &seq.Attempt, &seq.AgeMs, &seq.IdleMs, &seq.ExpiresMs, &seq.Detached)
+	require.NoError(t, err, line)
 	if seq.Kind == "Reservation" {
 		seq.ID = "hold-" + seq.RequestID
 	}
 	return seq
 }
 
-// TestDecide reads the knowledge of host-a, incarnation 5, and an engine's
-// report from data files.
+// TestDecide runs the cases of a data file: the state of the hosts as known to host-a,
+// incarnation 5, and an engine's report.
 func TestDecide(t *testing.T) {
 	datadriven.RunTest(t, "testdata/decide", func(t *testing.T, dat *datadriven.TestData) string {
-		fle := newFleet()
+		fix := newFixture()
 		for _, arg := range dat.CmdArgs {
-			var num int
-			arg.Scan(t, 1, &num)
+			var n int
+			arg.Scan(t, 1, &n)
 			switch arg.Key {
 			case "incarnation":
-				fle.incarnations[arg.Vals[0]] = uint64(num)
+				fix.incarnations[arg.Vals[0]] = uint64(n)
 			case "dead":
-				fle.dead[arg.Vals[0]] = now.Add(-time.Duration(num) * time.Second)
+				fix.dead[arg.Vals[0]] = now.Add(-time.Duration(n) * time.Second)
 			case "own":
-				fle.own[arg.Vals[0]] = num
+				fix.own[arg.Vals[0]] = n
 			}
 		}
 		rep := Report{Endpoint: "engine-0", At: now}
-		for lin := range strings.Lines(dat.Input) {
-			rep.Load.Sequences = append(rep.Load.Sequences, holding(t, lin))
+		for line := range strings.Lines(dat.Input) {
+			rep.Load.Sequences = append(rep.Load.Sequences, parseHolding(t, line))
 		}
 		rec := &Reclaimer{Self: invoker.Owner{Host: "host-a", Incarnation: 5}}
 		var out []string
-		for _, act := range rec.Decide(rep, fle, fle, now) {
-			out = append(out, text(act))
+		for _, act := range rec.Decide(rep, fix, fix, now) {
+			out = append(out, formatAction(act))
 		}
 		if len(out) == 0 {
 			return "keep"
@@ -84,7 +85,7 @@
 	})
 }
 
-func text(act Action) string {
+func formatAction(act Action) string {
 	switch act := act.(type) {
 	case Free:
 		return fmt.Sprintf("free %s %s/%d: %s", act.Free.Kind, act.Free.RequestID, act.Free.Attempt, act.Reason)
@@ -98,8 +99,8 @@
 	return ""
 }
 
-func TestAnswered(t *testing.T) {
-	ask := Query{Host: "host-b", Incarnation: 3, Holdings: []Free{
+func TestResolveQuery(t *testing.T) {
+	que := Query{Host: "host-b", Incarnation: 3, Holdings: []Free{
 		{Free: invoker.Free{RequestID: "old", Attempt: 1}},
 		{Free: invoker.Free{RequestID: "new", Attempt: 2}},
 		{Free: invoker.Free{RequestID: "gone", Attempt: 1}},
@@ -115,65 +116,65 @@
 	}
 	for _, tt := range tts {
 		var got []Reason
-		for _, fre := range ResolveQuery(ask, Answer{Incarnation: tt.incarnation, Known: known}) {
+		for _, fre := range ResolveQuery(que, Answer{Incarnation: tt.incarnation, Known: known}) {
 			got = append(got, fre.Reason)
 		}
 		require.Equal(t, tt.want, got)
 	}
 }
 
-// TestDutyMovesOnlyFromTheLost checks that an engine changes hands only when
-// the host that looked after it is gone.
-func TestDutyMovesOnlyFromTheLost(t *testing.T) {
+// TestAssignmentChangesOnlyForRemovedHost checks that an engine is assigned to another
+// host only if its own host was removed, and that engines are spread evenly.
+func TestAssignmentChangesOnlyForRemovedHost(t *testing.T) {
 	hosts := []string{"host-0", "host-1", "host-2", "host-3", "host-4"}
 	counts := map[string]int{}
-	all, less := NewAssignment(hosts), NewAssignment(hosts[:4])
-	for ind := range 1000 {
-		eng := fmt.Sprintf("engine-%d", ind)
-		bef := all.HostOf(eng)
-		counts[bef]++
-		if aft := less.HostOf(eng); bef != "host-4" {
-			require.Equal(t, bef, aft)
+	all, fewer := NewAssignment(hosts), NewAssignment(hosts[:4])
+	for i := range 1000 {
+		eng := fmt.Sprintf("engine-%d", i)
+		before := all.HostOf(eng)
+		counts[before]++
+		if after := fewer.HostOf(eng); before != "host-4" {
+			require.Equal(t, before, after)
 		}
 	}
-	for _, hos := range hosts {
-		require.InDelta(t, 200, counts[hos], 60)
+	for _, host := range hosts {
+		require.InDelta(t, 200, counts[host], 60)
 	}
 }
 
-// BenchmarkDecide judges one report of 200 sequences, none of them lost.
+// BenchmarkDecide measures a report of 200 sequences, of which none is to be freed.
 func BenchmarkDecide(b *testing.B) {
-	fle := newFleet()
+	fix := newFixture()
 	rep := Report{Endpoint: "engine-0", At: now}
-	for ind := range 200 {
-		hos := fmt.Sprintf("host-%d", ind%40)
-		fle.incarnations[hos] = 1
+	for i := range 200 {
+		host := fmt.Sprintf("host-%d", i%40)
+		fix.incarnations[host] = 1
 		rep.Load.Sequences = append(rep.Load.Sequences, invoker.Sequence{
-			RequestID: fmt.Sprintf("request-%d", ind), Attempt: 1, Owner: invoker.Owner{Host: hos, Incarnation: 1}, AgeMs: 9000, ExpiresMs: 9000,
+			RequestID: fmt.Sprintf("request-%d", i), Attempt: 1, Owner: invoker.Owner{Host: host, Incarnation: 1}, AgeMs: 9000, ExpiresMs: 9000,
 		})
 	}
 	rec := &Reclaimer{Self: invoker.Owner{Host: "self", Incarnation: 1}}
 	b.ReportAllocs()
 	for b.Loop() {
-		rec.Decide(rep, fle, fle, now)
+		rec.Decide(rep, fix, fix, now)
 	}
 }
 
-// BenchmarkDuties shares 10,000 engines over 920 hosts, once a round.
-func BenchmarkDuties(b *testing.B) {
+// BenchmarkAssignment measures the assignment of 10,000 engines to 20, 230 and 920 hosts.
+func BenchmarkAssignment(b *testing.B) {
 	for _, hosts := range []int{20, 230, 920} {
 		b.Run(fmt.Sprintf("%d-hosts", hosts), func(b *testing.B) {
-			var nams, engs []string
-			for ind := range hosts {
-				nams = append(nams, fmt.Sprintf("host-%d", ind))
+			var hostIDs, engineIDs []string
+			for i := range hosts {
+				hostIDs = append(hostIDs, fmt.Sprintf("host-%d", i))
 			}
-			for ind := range 10_000 {
-				engs = append(engs, fmt.Sprintf("engine-%d", ind))
+			for i := range 10_000 {
+				engineIDs = append(engineIDs, fmt.Sprintf("engine-%d", i))
 			}
 			for b.Loop() {
-				dut := NewAssignment(nams)
-				for _, eng := range engs {
-					dut.HostOf(eng)
+				asn := NewAssignment(hostIDs)
+				for _, eng := range engineIDs {
+					asn.HostOf(eng)
 				}
 			}
 		})
--- a/process/reclaimer/runner.go
+++ b/process/reclaimer/runner.go
@@ -21,15 +21,16 @@
 	Address string
 }
 
-// Runner carries the decisions out for the engines of which this host has the
-// duty. All fields must be set.
+// Runner reads the reports of the engines that are assigned to this host, and frees
+// memory or queries owners as the Reclaimer decides. All fields must be set.
 type Runner struct {
 	Self          invoker.Owner
 	Invoker       *invoker.Invoker
 	Members       Members
 	LocalRequests LocalRequests
 	Scope         tally.Scope
-	// Engines lists the engines of the region, Live its other hosts that are alive.
+	// Engines returns the engines of the region, LiveHosts the IDs of its other live
+	// hosts.
 	Engines   func() []Engine
 	LiveHosts func(now time.Time) []string
 	// Call sends an envelope to a host.
@@ -46,41 +47,41 @@
 	for {
 		select {
 		case now := <-tic.C:
-			run.round(ctx, now)
+			run.checkEngines(ctx, now)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// Duties shares engines over hosts: each goes to the host with the highest
-// mixed hash, so that a lost host's engines spread over the others and no other
-// moves. Two hosts that differ on who is alive may both look after an engine.
+// Assignment assigns engines to hosts by rendezvous hashing: if a host is removed, its
+// engines are spread over the other hosts, and no other engine changes hosts. Two hosts
+// whose views of the live hosts differ may both check an engine.
 type Assignment struct {
-	hosts []string
-	sums  []uint64
+	hosts  []string
+	hashes []uint64
 }
 
-// NewDuties prepares the hashes of the hosts.
+// NewAssignment returns the assignment for a set of hosts.
 func NewAssignment(hosts []string) Assignment {
-	dut := Assignment{hosts: hosts}
-	for _, hos := range hosts {
-		dut.sums = append(dut.sums, xxhash.Sum64String(hos))
+	asn := Assignment{hosts: hosts}
+	for _, host := range hosts {
+		asn.hashes = append(asn.hashes, xxhash.Sum64String(host))
 	}
-	return dut
+	return asn
 }
 
-// Of returns the host that looks after an engine.
-func (dut Assignment) HostOf(engine string) string {
-	var bes string
-	var top uint64
-	own := xxhash.Sum64String(engine)
-	for ind, sum := range dut.sums {
-		if val := mix(own ^ sum); bes == "" || val > top {
-			bes, top = dut.hosts[ind], val
+// HostOf returns the host to which an engine is assigned.
+func (asn Assignment) HostOf(engine string) string {
+	var best string
+	var bestScore uint64
+	engineHash := xxhash.Sum64String(engine)
+	for i, hostHash := range asn.hashes {
+		if score := mix(engineHash ^ hostHash); best == "" || score > bestScore {
+			best, bestScore = asn.hosts[i], score
 		}
 	}
-	return bes
+	return best
 }
 
 // mix is the finalizer of SplitMix64.
@@ -90,13 +91,13 @@
 	return val ^ val>>31
 }
 
-func (run *Runner) round(ctx context.Context, now time.Time) {
-	dut := NewAssignment(append(run.LiveHosts(now), run.Self.Host))
+func (run *Runner) checkEngines(ctx context.Context, now time.Time) {
+	asn := NewAssignment(append(run.LiveHosts(now), run.Self.Host))
 	reps := make(chan Report)
 	var gro sync.WaitGroup
 	for _, eng := range run.Engines() {
-		if dut.HostOf(eng.ID) == run.Self.Host {
-			gro.Go(func() { run.read(ctx, eng, reps) })
+		if asn.HostOf(eng.ID) == run.Self.Host {
+			gro.Go(func() { run.readReport(ctx, eng, reps) })
 		}
 	}
 	go func() {
@@ -105,12 +106,12 @@
 	}()
 	for rep := range reps {
 		for _, act := range run.reclaimer.Decide(rep, run.Members, run.LocalRequests, time.Now()) {
-			run.carryOut(ctx, act)
+			run.execute(ctx, act)
 		}
 	}
 }
 
-func (run *Runner) read(ctx context.Context, eng Engine, reps chan<- Report) {
+func (run *Runner) readReport(ctx context.Context, eng Engine, reps chan<- Report) {
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	loa, err := run.Invoker.Suspects(ctx, eng.Address, suspectIdle)
@@ -122,14 +123,14 @@
 	reps <- Report{Endpoint: eng.ID, Address: eng.Address, Load: loa, At: at}
 }
 
-func (run *Runner) carryOut(ctx context.Context, act Action) {
+func (run *Runner) execute(ctx context.Context, act Action) {
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	switch act := act.(type) {
 	case Free:
 		run.free(ctx, act)
 	case Query:
-		ans, err := run.ask(ctx, act)
+		ans, err := run.query(ctx, act)
 		if err != nil {
 			run.Scope.Counter("reclaim_questions_failed").Inc(1)
 			return
@@ -150,32 +151,32 @@
 	sco.Counter("reclaimed_tokens").Inc(fre.Tokens)
 }
 
-func (run *Runner) ask(ctx context.Context, ask Query) (Answer, error) {
-	que := &messenger.OwnerQuery{Incarnation: ask.Incarnation}
-	for _, fre := range ask.Holdings {
-		que.Requests = append(que.Requests, requestOf(fre.Free.RequestID, fre.Free.ID))
+func (run *Runner) query(ctx context.Context, que Query) (Answer, error) {
+	msg := &messenger.OwnerQuery{Incarnation: que.Incarnation}
+	for _, fre := range que.Holdings {
+		msg.Requests = append(msg.Requests, requestKey(fre.Free.RequestID, fre.Free.ID))
 	}
-	rep, err := run.Call(ctx, ask.Host, &messenger.Envelope{Body: &messenger.Envelope_OwnerQuery{OwnerQuery: que}})
+	rep, err := run.Call(ctx, que.Host, &messenger.Envelope{Body: &messenger.Envelope_OwnerQuery{OwnerQuery: msg}})
 	if err != nil {
-		return Answer{}, eris.Wrapf(err, "Runner.ask: host %s", ask.Host)
+		return Answer{}, eris.Wrapf(err, "Runner.query: host %s", que.Host)
 	}
-	own := rep.GetOwnerAnswer()
-	if own == nil {
-		return Answer{}, eris.Errorf("Runner.ask: host %s: unexpected reply", ask.Host)
+	reply := rep.GetOwnerAnswer()
+	if reply == nil {
+		return Answer{}, eris.Errorf("Runner.query: host %s: unexpected reply", que.Host)
 	}
-	ans := Answer{Incarnation: own.GetIncarnation(), Known: map[string]int{}}
-	for _, req := range own.GetKnown() {
+	ans := Answer{Incarnation: reply.GetIncarnation(), Known: map[string]int{}}
+	for _, req := range reply.GetKnown() {
 		ans.Known[req.GetId()] = int(req.GetAttempt())
 	}
 	return ans, nil
 }
 
-// HandleQuery answers a peer's question from what this host works on.
+// HandleQuery answers a peer's query about requests of this host.
 func (run *Runner) HandleQuery(que *messenger.OwnerQuery) *messenger.Envelope {
 	ans := &messenger.OwnerAnswer{Incarnation: run.Self.Incarnation}
 	for _, id := range que.GetRequests() {
-		if att, ok := run.LocalRequests.Attempt(id); ok {
-			ans.Known = append(ans.Known, &messenger.OwnedRequest{Id: id, Attempt: int64(att)})
+		if attempt, ok := run.LocalRequests.Attempt(id); ok {
+			ans.Known = append(ans.Known, &messenger.OwnedRequest{Id: id, Attempt: int64(attempt)})
 		}
 	}
 	return &messenger.Envelope{Body: &messenger.Envelope_OwnerAnswer{OwnerAnswer: ans}}
