--- a/process/overflower/digests.go
+++ b/process/overflower/digests.go
@@ -13,156 +13,159 @@
 const (
 	// AnnounceInterval is the time between two digests of a cell.
 	AnnounceInterval = 2 * time.Second
-	// newsAge is how much younger than the digest held one must be to replace
-	// it. It is above the error that the transport makes in a digest's age.
-	newsAge = AnnounceInterval / 2
-	// maxCarried bounds the digests that one heartbeat carries.
-	maxCarried = 8
-	// maxSent is how often a host passes a digest on.
-	maxSent = 12
-	// refusedPeriod is how long a cell that refused a request is left alone.
-	refusedPeriod = time.Second
-	// silentPeriod is how long a region whose scheduler did not answer is left
-	// alone.
-	silentPeriod = 3 * time.Second
+	// minAgeDifference is how much newer than the stored digest another must be to
+	// replace it. It is above the error in a digest's age that the transport causes.
+	minAgeDifference = AnnounceInterval / 2
+	// maxPerHeartbeat bounds the digests in one heartbeat.
+	maxPerHeartbeat = 8
+	// maxSends bounds how often a host sends a digest to other hosts.
+	maxSends = 12
+	// refusalPause is how long a cell is not chosen after it refused a request.
+	refusalPause = time.Second
+	// unresponsivePause is how long a region is not chosen after its scheduler did not
+	// answer.
+	unresponsivePause = 3 * time.Second
 )
 
-type key struct {
+type cellKey struct {
 	region string
 	pool   string
 	number int
 }
 
-type held struct {
+type entry struct {
 	Digest
-	sent int
+	sends int
 }
 
-// Digests holds the digests that a host knows. Its zero value is ready.
+// Digests stores the digests that a host has received or made. Its zero value is ready.
 type Digests struct {
-	mu      sync.Mutex
-	known   map[key]held
-	refused map[key]time.Time
-	silent  map[string]time.Time
+	mu             sync.Mutex
+	known          map[cellKey]entry
+	refusedAt      map[cellKey]time.Time
+	unresponsiveAt map[string]time.Time
 }
 
-// Note takes a digest and reports whether it was news.
+// Record stores a digest if it is newer by minAgeDifference than the stored one of its
+// cell, or the first, and reports whether it did.
 func (digs *Digests) Record(dig Digest) bool {
 	digs.mu.Lock()
 	defer digs.mu.Unlock()
 	if digs.known == nil {
-		digs.known = map[key]held{}
+		digs.known = map[cellKey]entry{}
 	}
-	nam := key{dig.Region, dig.Pool, dig.Number}
-	if old, ok := digs.known[nam]; ok && dig.At.Sub(old.At) < newsAge {
+	key := cellKey{dig.Region, dig.Pool, dig.Number}
+	if old, ok := digs.known[key]; ok && dig.At.Sub(old.At) < minAgeDifference {
 		return false
 	}
-	digs.known[nam] = held{Digest: dig}
+	digs.known[key] = entry{Digest: dig}
 	return true
 }
 
-// Refused notes that a cell has refused a request.
+// RecordRefusal records that a cell refused a request.
 func (digs *Digests) RecordRefusal(dig Digest, now time.Time) {
 	digs.mu.Lock()
 	defer digs.mu.Unlock()
-	if digs.refused == nil {
-		digs.refused = map[key]time.Time{}
+	if digs.refusedAt == nil {
+		digs.refusedAt = map[cellKey]time.Time{}
 	}
-	digs.refused[key{dig.Region, dig.Pool, dig.Number}] = now
+	digs.refusedAt[cellKey{dig.Region, dig.Pool, dig.Number}] = now
 }
 
-// Silent notes that a scheduler of a region did not answer.
+// RecordUnresponsive records that a scheduler of a region did not answer.
 func (digs *Digests) RecordUnresponsive(region string, now time.Time) {
 	digs.mu.Lock()
 	defer digs.mu.Unlock()
-	if digs.silent == nil {
-		digs.silent = map[string]time.Time{}
+	if digs.unresponsiveAt == nil {
+		digs.unresponsiveAt = map[string]time.Time{}
 	}
-	digs.silent[region] = now
+	digs.unresponsiveAt[region] = now
 }
 
-// Choose takes a cell of another region for a request, or none.
-func (digs *Digests) Choose(wan Requirements, now time.Time) (Digest, bool) {
-	return Choose(digs.open(now), wan, now, rand.IntN)
+// Choose returns the digest of a cell in another region that meets the requirements, if
+// there is one.
+func (digs *Digests) Choose(reqs Requirements, now time.Time) (Digest, bool) {
+	return Choose(digs.available(now), reqs, now, rand.IntN)
 }
 
-// open returns the digests but for those of regions and cells left alone.
-func (digs *Digests) open(now time.Time) []Digest {
+// available returns the digests without those of cells that refused and of regions that
+// did not answer a short time ago.
+func (digs *Digests) available(now time.Time) []Digest {
 	digs.mu.Lock()
 	defer digs.mu.Unlock()
-	digs.forget(now)
+	digs.dropOld(now)
 	out := make([]Digest, 0, len(digs.known))
-	for nam, dig := range digs.known {
-		if now.Sub(digs.refused[nam]) >= refusedPeriod && now.Sub(digs.silent[nam.region]) >= silentPeriod {
+	for key, dig := range digs.known {
+		if now.Sub(digs.refusedAt[key]) >= refusalPause && now.Sub(digs.unresponsiveAt[key.region]) >= unresponsivePause {
 			out = append(out, dig.Digest)
 		}
 	}
 	return out
 }
 
-// Count returns the number of cells of other regions whose digests are held.
+// Count returns the number of cells in other regions whose digests are stored.
 func (digs *Digests) Count(region string, now time.Time) int {
 	digs.mu.Lock()
 	defer digs.mu.Unlock()
-	digs.forget(now)
-	cou := 0
-	for nam := range digs.known {
-		if nam.region != region {
-			cou++
+	digs.dropOld(now)
+	count := 0
+	for key := range digs.known {
+		if key.region != region {
+			count++
 		}
 	}
-	return cou
+	return count
 }
 
-// forget drops old digests. The caller holds the lock.
-func (digs *Digests) forget(now time.Time) {
-	for nam, dig := range digs.known {
-		if now.Sub(dig.At) > digestLife {
-			delete(digs.known, nam)
-			delete(digs.refused, nam)
+// dropOld removes old digests. The caller holds the lock.
+func (digs *Digests) dropOld(now time.Time) {
+	for key, dig := range digs.known {
+		if now.Sub(dig.At) > maxDigestAge {
+			delete(digs.known, key)
+			delete(digs.refusedAt, key)
 		}
 	}
 }
 
-// Outgoing returns the digests for a heartbeat to a host of a region, those sent
-// least often first. A region's own digests are of no use to its hosts.
+// Outgoing returns the digests for a heartbeat to a host of a region, those sent least
+// often first. Digests of the region itself are left out since its hosts do not use them.
 func (digs *Digests) Outgoing(region string, now time.Time) []*messenger.CellDigest {
 	digs.mu.Lock()
 	defer digs.mu.Unlock()
-	digs.forget(now)
-	var fit []held
+	digs.dropOld(now)
+	var fit []entry
 	for _, dig := range digs.known {
-		if dig.Region != region && dig.sent < maxSent {
+		if dig.Region != region && dig.sends < maxSends {
 			fit = append(fit, dig)
 		}
 	}
-	slices.SortFunc(fit, func(one, two held) int {
-		return cmp.Or(cmp.Compare(one.sent, two.sent), two.At.Compare(one.At))
+	slices.SortFunc(fit, func(ent, other entry) int {
+		return cmp.Or(cmp.Compare(ent.sends, other.sends), other.At.Compare(ent.At))
 	})
 	var out []*messenger.CellDigest
-	for _, dig := range fit[:min(len(fit), maxCarried)] {
-		dig.sent++
-		digs.known[key{dig.Region, dig.Pool, dig.Number}] = dig
-		out = append(out, dig.message(now))
+	for _, dig := range fit[:min(len(fit), maxPerHeartbeat)] {
+		dig.sends++
+		digs.known[cellKey{dig.Region, dig.Pool, dig.Number}] = dig
+		out = append(out, dig.toMessage(now))
 	}
 	return out
 }
 
-// Take notes digests of peers.
-func (digs *Digests) Merge(mess []*messenger.CellDigest, now time.Time) {
-	for _, mes := range mess {
+// Merge stores the digests that a peer sent.
+func (digs *Digests) Merge(msgs []*messenger.CellDigest, now time.Time) {
+	for _, msg := range msgs {
 		dig := Digest{
-			Region: mes.GetRegion(), Pool: mes.GetPool(), Number: int(mes.GetNumber()), Cells: int(mes.GetCells()),
-			Engines: int(mes.GetEngines()), Wait: time.Duration(mes.GetWaitMs()) * time.Millisecond, Full: mes.GetFull(),
-			At: now.Add(-time.Duration(max(0, mes.GetAgeMs())) * time.Millisecond),
+			Region: msg.GetRegion(), Pool: msg.GetPool(), Number: int(msg.GetNumber()), Cells: int(msg.GetCells()),
+			Engines: int(msg.GetEngines()), Wait: time.Duration(msg.GetWaitMs()) * time.Millisecond, Full: msg.GetFull(),
+			At: now.Add(-time.Duration(max(0, msg.GetAgeMs())) * time.Millisecond),
 		}
-		if now.Sub(dig.At) <= digestLife && dig.Number < dig.Cells {
+		if now.Sub(dig.At) <= maxDigestAge && dig.Number < dig.Cells {
 			digs.Record(dig)
 		}
 	}
 }
 
-func (dig Digest) message(now time.Time) *messenger.CellDigest {
+func (dig Digest) toMessage(now time.Time) *messenger.CellDigest {
 	return &messenger.CellDigest{
 		Region: dig.Region, Pool: dig.Pool, Number: uint32(dig.Number), Cells: uint32(dig.Cells), Engines: uint32(dig.Engines),
 		WaitMs: dig.Wait.Milliseconds(), Full: dig.Full, AgeMs: max(0, now.Sub(dig.At).Milliseconds()),
--- a/process/overflower/overflower.go
+++ b/process/overflower/overflower.go
@@ -1,10 +1,10 @@
-// Package overflower decides which cell of another region takes a request that
-// the host's own region can't serve in time.
+// Package overflower decides which cell of another region takes a request that the host's
+// own region cannot serve in time.
 //
-// The scheduler of a cell sums the cell up in a digest. Digests travel with the
-// heartbeats, newest first and few in each, so that their cost does not grow
-// with the fleet. A request goes to another region once at most: a scheduler
-// never passes an ask on.
+// The scheduler of a cell summarises its capacity in a digest. Heartbeats carry the
+// digests, those sent least often and the newest first and only a few each, so that their
+// cost does not grow with the fleet. A request goes to another region at most once: a
+// scheduler never passes a request on.
 package overflower
 
 import (
@@ -13,17 +13,17 @@
 )
 
 const (
-	// digestLife is the age from which a digest says nothing any more.
-	digestLife = 15 * time.Second
-	// waitShare is the part of a request's time that the expected wait in
+	// maxDigestAge is the age above which a digest is not used.
+	maxDigestAge = 15 * time.Second
+	// maxWaitShare is the share of a request's remaining time that the expected wait in
 	// another region may take.
-	waitShare = 0.25
-	// ageWeight counts the age of a digest as wait, since what it says may have
-	// changed.
+	maxWaitShare = 0.25
+	// ageWeight is the share of a digest's age that counts as additional wait, since the
+	// state of the cell may have changed.
 	ageWeight = 0.02
 )
 
-// Digest says what a cell can take.
+// Digest is the capacity of a cell.
 type Digest struct {
 	Region string
 	Pool   string
@@ -33,65 +33,67 @@
 	Engines int
 	// Wait is the expected wait of a new request.
 	Wait time.Duration
-	// Full says that the cell refuses new requests.
+	// Full reports that the cell refuses new requests.
 	Full bool
-	// At is when the scheduler took the digest.
+	// At is when the scheduler made the digest.
 	At time.Time
 }
 
-// Want is what a request needs of another region.
+// Requirements are what a request requires of a cell in another region.
 type Requirements struct {
 	Pool string
-	// Own is the region of the host; it is not chosen.
+	// OwnRegion is the region of the host. Its cells are not chosen.
 	OwnRegion string
-	// Takes tells the regions that may be chosen.
+	// AllowsRegion reports whether cells of a region may be chosen.
 	AllowsRegion func(region string) bool
-	// Slack is the time left for the request.
+	// TimeLeft is the remaining time of the request.
 	TimeLeft time.Duration
 }
 
-// Choose takes one of the digests that fit, or none: of two drawn at random in
-// proportion to their engines the one with less wait, so that hosts that hold
-// the same digests don't all choose the same cell. draw returns a number below
-// its argument.
-func Choose(digs []Digest, wan Requirements, now time.Time, draw func(below int) int) (Digest, bool) {
-	fit := slices.DeleteFunc(slices.Clone(digs), func(dig Digest) bool { return !wan.fits(dig, now) })
-	var engs int
+// Choose returns a digest that meets the requirements, if there is one. It draws two at
+// random in proportion to their engines and takes the one with the lower cost, so that
+// hosts with the same digests do not all choose the same cell. draw returns a number from
+// 0 to below-1.
+func Choose(digs []Digest, reqs Requirements, now time.Time, draw func(below int) int) (Digest, bool) {
+	fit := slices.DeleteFunc(slices.Clone(digs), func(dig Digest) bool { return !reqs.fits(dig, now) })
+	var engines int
 	for _, dig := range fit {
-		engs += dig.Engines
+		engines += dig.Engines
 	}
-	if engs == 0 {
+	if engines == 0 {
 		return Digest{}, false
 	}
-	one, two := pick(fit, draw(engs)), pick(fit, draw(engs))
-	if two.cost(now) < one.cost(now) {
-		return two, true
+	first, second := digestAt(fit, draw(engines)), digestAt(fit, draw(engines))
+	if second.cost(now) < first.cost(now) {
+		return second, true
 	}
-	return one, true
+	return first, true
 }
 
-func (wan Requirements) fits(dig Digest, now time.Time) bool {
+func (reqs Requirements) fits(dig Digest, now time.Time) bool {
 	switch {
-	case dig.Pool != wan.Pool, dig.Region == wan.OwnRegion, !wan.AllowsRegion(dig.Region):
+	case dig.Pool != reqs.Pool, dig.Region == reqs.OwnRegion, !reqs.AllowsRegion(dig.Region):
 		return false
-	case dig.Full, now.Sub(dig.At) > digestLife:
+	case dig.Full, now.Sub(dig.At) > maxDigestAge:
 		return false
 	default:
-		return dig.Wait.Seconds() <= waitShare*wan.TimeLeft.Seconds()
+		return dig.Wait.Seconds() <= maxWaitShare*reqs.TimeLeft.Seconds()
 	}
 }
 
+// cost is the expected wait and a share of the digest's age.
 func (dig Digest) cost(now time.Time) time.Duration {
 	return dig.Wait + time.Duration(ageWeight*float64(now.Sub(dig.At)))
 }
 
-// pick returns the digest in whose engines a number falls.
-func pick(digs []Digest, num int) Digest {
+// digestAt returns the digest at position n when each digest occupies as many positions
+// as it has engines.
+func digestAt(digs []Digest, n int) Digest {
 	for _, dig := range digs {
-		if num < dig.Engines {
+		if n < dig.Engines {
 			return dig
 		}
-		num -= dig.Engines
+		n -= dig.Engines
 	}
 	return digs[len(digs)-1]
 }
--- a/process/overflower/overflower_test.go
+++ b/process/overflower/overflower_test.go
@@ -14,46 +14,47 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// TestChoose plays a host of region "own". A line is a digest (region, number,
-// engines, wait, age, and full if it is), or a step: refused, silent, or choose
-// with the slack and the age of now, which lists the cells that may be chosen.
+// TestChoose runs the cases of a data file for a host of region "own". A line is either a
+// digest (region, number, engines, wait, age, and "full" if the cell is full) or a step:
+// refused, silent, or choose with the remaining time and the time passed since the epoch.
+// The output lists the cells that may be chosen.
 func TestChoose(t *testing.T) {
 	datadriven.RunTest(t, "testdata/choose", func(t *testing.T, dat *datadriven.TestData) string {
 		var digs Digests
 		var out strings.Builder
-		taken := dat.CmdArgs
-		for lin := range strings.Lines(dat.Input) {
-			fies := strings.Fields(lin)
-			switch fies[0] {
+		allowed := dat.CmdArgs
+		for line := range strings.Lines(dat.Input) {
+			fields := strings.Fields(line)
+			switch fields[0] {
 			case "refused":
-				digs.RecordRefusal(Digest{Region: fies[1], Pool: "p"}, epoch)
+				digs.RecordRefusal(Digest{Region: fields[1], Pool: "p"}, epoch)
 			case "silent":
-				digs.RecordUnresponsive(fies[1], epoch)
+				digs.RecordUnresponsive(fields[1], epoch)
 			case "choose":
-				wan := Requirements{Pool: "p", OwnRegion: "own", TimeLeft: duration(t, fies[1]), AllowsRegion: func(reg string) bool {
-					return len(taken) == 0 || taken[0].Key == reg
+				reqs := Requirements{Pool: "p", OwnRegion: "own", TimeLeft: duration(t, fields[1]), AllowsRegion: func(region string) bool {
+					return len(allowed) == 0 || allowed[0].Key == region
 				}}
-				now := epoch.Add(duration(t, fies[2]))
-				see := map[string]bool{}
+				now := epoch.Add(duration(t, fields[2]))
+				chosen := map[string]bool{}
 				for draw := range 16 {
-					if dig, ok := Choose(digs.open(now), wan, now, func(below int) int { return draw % below }); ok {
-						see[fmt.Sprintf("%s/%d", dig.Region, dig.Number)] = true
+					if dig, ok := Choose(digs.available(now), reqs, now, func(below int) int { return draw % below }); ok {
+						chosen[fmt.Sprintf("%s/%d", dig.Region, dig.Number)] = true
 					}
 				}
-				out.WriteString(fmt.Sprint("may choose ", see) + "\n")
+				out.WriteString(fmt.Sprint("may choose ", chosen) + "\n")
 			default:
-				dig := Digest{Region: fies[0], Pool: "p", Cells: 2, Wait: duration(t, fies[3]), At: epoch.Add(-duration(t, fies[4])), Full: len(fies) > 5}
-				_, err := fmt.Sscan(fies[1]+" "+fies[2], &dig.Number, &dig.Engines)
+				dig := Digest{Region: fields[0], Pool: "p", Cells: 2, Wait: duration(t, fields[3]), At: epoch.Add(-duration(t, fields[4])), Full: len(fields) > 5}
+				_, err := fmt.Sscan(fields[1]+" "+fields[2], &dig.Number, &dig.Engines)
 				require.NoError(t, err)
-				digs.Merge([]*messenger.CellDigest{dig.message(epoch)}, epoch)
+				digs.Merge([]*messenger.CellDigest{dig.toMessage(epoch)}, epoch)
 			}
 		}
 		return out.String()
 	})
 }
 
-func duration(t *testing.T, txt string) time.Duration {
-	dur, err := time.ParseDuration(txt)
+func duration(t *testing.T, text string) time.Duration {
+	d, err := time.ParseDuration(text)
 	require.NoError(t, err)
-	return dur
+	return d
 }
