--- a/process/grouper/grouper.go
+++ b/process/grouper/grouper.go
@@ -1,12 +1,12 @@
-// Package grouper reserves memory on a group of engines that together hold one
-// long prompt: on all of them or on none.
+// Package grouper reserves memory on a group of engines that together hold one long
+// prompt: on all of them or on none.
 //
-// Engines are taken in the order of their names, whatever the plan says, and a
-// host that waits for one holds only engines that come before it. So hosts that
-// race for the same engines can't wait for each other in a circle. An engine
-// keeps what becomes free for the reservation that waits longest, so that a long
-// prompt is not passed by short ones for ever; the wait is bounded, after which
-// everything is given back, so that short ones are not held up for ever either.
+// Engines are reserved in the order of their names, whatever the order in the plan, and a
+// host that waits for one holds only engines with smaller names. So hosts that compete
+// for the same engines cannot deadlock. An engine keeps the memory that becomes free for
+// the reservation that has waited longest, so that short prompts do not delay a long one
+// for ever. The wait is bounded; after it all parts are released, so that a long prompt
+// does not delay short ones for ever either.
 package grouper
 
 import (
@@ -20,32 +20,33 @@
 const (
 	// MaxWait bounds the wait for one engine.
 	MaxWait = 5 * time.Second
-	// waitShare of the time left may be spent on waiting for one engine.
-	waitShare = 8
+	// waitDivisor bounds the wait for one engine to 1/waitDivisor of the request's
+	// remaining time.
+	waitDivisor = 8
 )
 
-// State is a reservation in progress. It is an immutable value.
+// State is the state of a reservation in progress. It is an immutable value.
 type State struct {
-	// Parts are in the order in which they are taken.
+	// Parts are in the order in which they are reserved.
 	Parts []invoker.Part
-	// Held counts the leading parts that are reserved.
+	// Held is the number of leading parts that are reserved.
 	Held     int
 	Deadline time.Time
 }
 
-// Event is a step of a reservation: Started, Granted, Denied, Lost or Expired.
+// Event is an event of a reservation: Started, Granted, Denied, NoAnswer or Expired.
 type Event interface{ event() }
 
-// Started begins with the first part.
+// Started starts the reservation with the first part.
 type Started struct{}
 
-// Granted reports that the engine holds the next part.
+// Granted reports that the engine reserved the next part.
 type Granted struct{}
 
-// Denied reports that the engine does not hold the next part.
+// Denied reports that the engine did not reserve the next part.
 type Denied struct{ Message string }
 
-// Lost reports that it is not known whether the engine holds the next part.
+// NoAnswer reports that it is not known whether the engine reserved the next part.
 type NoAnswer struct{ Message string }
 
 // Expired reports that the request has ended.
@@ -60,18 +61,18 @@
 // Action is what to do next: Reserve, Complete or GiveUp.
 type Action interface{ action() }
 
-// Reserve asks an engine for its part and waits at most Wait for memory.
+// Reserve requests a part from its engine, which waits at most Wait for free memory.
 type Reserve struct {
 	Part invoker.Part
 	Wait time.Duration
 }
 
-// Complete ends with all parts held.
+// Complete ends the reservation with all parts held.
 type Complete struct{}
 
-// GiveUp releases the parts and ends with none held. Engine is the one that
-// could not be had; it is empty when the request itself has ended. Lost says
-// that the engine did not answer.
+// GiveUp releases the parts in Release and ends the reservation with none held. Engine is
+// the one that did not reserve its part; it is empty if the request has ended. NoAnswer
+// reports that the engine did not answer.
 type GiveUp struct {
 	Release  []invoker.Part
 	Engine   string
@@ -83,14 +84,14 @@
 func (Complete) action() {}
 func (GiveUp) action()   {}
 
-// New puts the parts of a plan into the order in which they are taken.
+// New returns the initial state for the parts of a plan.
 func New(pars []invoker.Part, deadline time.Time) State {
 	pars = slices.Clone(pars)
-	slices.SortFunc(pars, func(one, two invoker.Part) int { return cmp.Compare(one.Endpoint, two.Endpoint) })
+	slices.SortFunc(pars, func(par, other invoker.Part) int { return cmp.Compare(par.Endpoint, other.Endpoint) })
 	return State{Parts: pars, Deadline: deadline}
 }
 
-// Next decides on an event.
+// Next returns the state after an event and the next action.
 func (sta State) Next(eve Event, now time.Time) (State, Action) {
 	switch eve := eve.(type) {
 	case Granted:
@@ -111,10 +112,10 @@
 }
 
 func (sta State) giveUp(held int, lost bool, message string) (State, Action) {
-	eng := sta.Parts[sta.Held].Endpoint
-	return State{Parts: sta.Parts, Deadline: sta.Deadline}, GiveUp{Release: sta.Parts[:held], Engine: eng, NoAnswer: lost, Message: message}
+	engine := sta.Parts[sta.Held].Endpoint
+	return State{Parts: sta.Parts, Deadline: sta.Deadline}, GiveUp{Release: sta.Parts[:held], Engine: engine, NoAnswer: lost, Message: message}
 }
 
 func (sta State) wait(now time.Time) time.Duration {
-	return max(0, min(MaxWait, sta.Deadline.Sub(now)/waitShare))
+	return max(0, min(MaxWait, sta.Deadline.Sub(now)/waitDivisor))
 }
--- a/process/grouper/runner.go
+++ b/process/grouper/runner.go
@@ -18,38 +18,39 @@
 	releaseTimeout = time.Second
 )
 
-// UnavailableError reports a group that can't be had now. Nothing is held.
+// UnavailableError reports a group that cannot be reserved now. No part is held.
 type UnavailableError struct {
-	// Engine is the one that could not be had.
+	// Engine is the engine that did not reserve its part.
 	Engine string
-	// Lost says that it did not answer.
+	// NoAnswer reports that the engine did not answer.
 	NoAnswer bool
 	Message  string
 }
 
-// Error names the engine.
+// Error returns the engine and the cause.
 func (err *UnavailableError) Error() string {
 	return "Runner.Reserve: engine " + err.Engine + ": " + err.Message
 }
 
-// Runner reserves groups for one host.
+// Runner reserves groups of engines for one host.
 type Runner struct {
 	Invoker *invoker.Invoker
 	Owner   invoker.Owner
 }
 
-// Group is a reservation of all its parts.
+// Group is a reservation of all parts of a plan.
 type Group struct {
 	// Parts are in the order of the plan, the leader first.
 	Parts         []invoker.Part
 	ReservationID string
-	// Release gives all parts back. It is idempotent.
+	// Release releases all parts. It is idempotent.
 	Release func()
 }
 
-// Reserve takes all parts of a plan, or fails with an UnavailableError and
-// holds none. The name of the reservation is new each time, so that a late release of
-// an earlier one can't free it.
+// Reserve reserves all parts of a plan. If that fails it returns an UnavailableError, or
+// the error of ctx if the request has ended, and holds no part. Each call uses a new
+// reservation ID, so that a delayed release of an earlier reservation cannot release this
+// one.
 func (run *Runner) Reserve(ctx context.Context, req placer.Request, plan []placer.Part, now time.Time) (Group, error) {
 	id := req.ID + "." + uuid.NewString()
 	var pars []invoker.Part
@@ -58,44 +59,44 @@
 	}
 	sta, act := New(pars, req.Deadline).Next(Started{}, now)
 	for {
-		switch one := act.(type) {
+		switch action := act.(type) {
 		case Reserve:
-			eve := run.reserve(ctx, req, one)
+			eve := run.reservePart(ctx, req, action)
 			sta, act = sta.Next(eve, time.Now())
 		case Complete:
 			return Group{Parts: pars, ReservationID: id, Release: sync.OnceFunc(func() { run.release(ctx, pars) })}, nil
 		case GiveUp:
-			run.release(ctx, one.Release)
+			run.release(ctx, action.Release)
 			if ctx.Err() != nil {
 				return Group{}, eris.Wrap(ctx.Err(), "Runner.Reserve")
 			}
-			return Group{}, &UnavailableError{Engine: one.Engine, NoAnswer: one.NoAnswer, Message: one.Message}
+			return Group{}, &UnavailableError{Engine: action.Engine, NoAnswer: action.NoAnswer, Message: action.Message}
 		}
 	}
 }
 
-func (run *Runner) reserve(ctx context.Context, req placer.Request, res Reserve) Event {
-	one, stop := context.WithTimeout(ctx, res.Wait+callTimeout)
+func (run *Runner) reservePart(ctx context.Context, req placer.Request, res Reserve) Event {
+	callCtx, stop := context.WithTimeout(ctx, res.Wait+callTimeout)
 	defer stop()
-	err := run.Invoker.ReserveFor(one, res.Part.Address, invoker.Reservation{
+	err := run.Invoker.ReserveFor(callCtx, res.Part.Address, invoker.Reservation{
 		ReservationID: res.Part.ReservationID, RequestID: req.ID, Owner: run.Owner, Tokens: res.Part.Tokens,
 		BudgetMs: time.Until(req.Deadline).Milliseconds(), WaitMs: res.Wait.Milliseconds(),
 	})
-	var ine *invoker.Error
+	var invokerErr *invoker.Error
 	switch {
 	case err == nil:
 		return Granted{}
 	case ctx.Err() != nil:
 		return Expired{}
-	case errors.As(err, &ine) && ine.Ran == invoker.NotRun:
+	case errors.As(err, &invokerErr) && invokerErr.Ran == invoker.NotRun:
 		return Denied{Message: err.Error()}
 	default:
 		return NoAnswer{Message: err.Error()}
 	}
 }
 
-// release gives parts back at once. What can't be reached is found by the
-// reclaimer.
+// release releases parts concurrently. The reclaimer frees those whose engine did not
+// answer.
 func (run *Runner) release(ctx context.Context, pars []invoker.Part) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer stop()
