--- a/process/limiter/bound.go
+++ b/process/limiter/bound.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Fleet is what the bound of a team's admission depends on.
+// Fleet holds what the bound on a team's admitted tokens depends on.
 type Fleet struct {
 	Hosts int
-	// Cut is the number of hosts that don't reach the team's keeper.
+	// WithoutCoordinator is the number of hosts that cannot reach the team's coordinator.
 	WithoutCoordinator int
-	// Parts is the number of parts of the fleet that hold each other for dead;
-	// 0 means one.
+	// Partitions is the number of partitions of the fleet whose hosts consider those of
+	// the others dead; 0 means one.
 	Partitions int
-	// Restarts counts the hosts that were restarted in the time. They don't know
-	// what they have admitted before.
+	// Restarts is the number of hosts that restarted in the period. A restarted host does
+	// not know what it admitted before.
 	Restarts int
-	// Losses counts the keepers that were lost in the time, and their lost
-	// replies.
+	// CoordinatorLosses is the number of coordinators that failed in the period and of
+	// their replies that were lost.
 	CoordinatorLosses int
 }
 
-// Bound returns the most tokens that a fleet admits of a team with a rate in a
-// time, when no request has more than largest tokens. Hosts that don't reach the
-// keeper take 1/Hosts each beside the rate that the others share, and parts of
-// a fleet that don't know of each other share the whole rate each.
+// Bound returns the most tokens that a fleet admits in a period for a team with a rate,
+// if no request has more than largest tokens. Each host that cannot reach the coordinator
+// uses 1/Hosts of the rate in addition to what the other hosts share, and each partition
+// uses the full rate.
 func (fle Fleet) Bound(rate float64, period time.Duration, largest int64) float64 {
-	hos := float64(max(1, fle.Hosts))
-	sha := 1 + startShare + float64(fle.WithoutCoordinator)/hos
-	sav := Burst + ShareLife + time.Duration(fle.CoordinatorLosses)*ShareLife
-	sta := hos + float64(fle.Restarts)
-	return float64(max(1, fle.Partitions))*rate*(sha*period.Seconds()+sav.Seconds()+Burst.Seconds()*float64(fle.Restarts)/hos) + sta*float64(largest)
+	hosts := float64(max(1, fle.Hosts))
+	rateShare := 1 + baseShare + float64(fle.WithoutCoordinator)/hosts
+	savedTime := Burst + ShareLife + time.Duration(fle.CoordinatorLosses)*ShareLife
+	starts := hosts + float64(fle.Restarts)
+	return float64(max(1, fle.Partitions))*rate*(rateShare*period.Seconds()+savedTime.Seconds()+Burst.Seconds()*float64(fle.Restarts)/hosts) + starts*float64(largest)
 }
--- a/process/limiter/exchanger.go
+++ b/process/limiter/exchanger.go
@@ -13,46 +13,46 @@
 )
 
 const (
-	// keepers is the number of groups of teams, each with a host of its own
-	// that keeps their demands. It bounds the messages of a host whatever the
+	// teamGroups is the number of groups of teams. Each group has one host that
+	// coordinates its shares. The number bounds the messages of a host, whatever the
 	// number of teams.
-	keepers     = 8
+	teamGroups  = 8
 	callTimeout = time.Second
-	// countInterval is the interval at which the live hosts are counted.
-	countInterval = 250 * time.Millisecond
+	// hostCountInterval is the interval at which the live hosts are counted.
+	hostCountInterval = 250 * time.Millisecond
 )
 
-// Host is another host that can keep demands.
+// Host is another host that can be a coordinator.
 type Host struct {
 	ID      string
 	Address string
 }
 
-// Exchanger reports a host's demands to the keepers and learns its shares. All
-// its fields are needed.
+// Exchanger reports the demands of a host to the coordinators and receives its shares.
+// All fields must be set.
 type Exchanger struct {
 	Self        string
 	Incarnation uint64
 	Limiter     *Limiter
 	Coordinator *Coordinator
-	// Live returns the other hosts that can be given work.
+	// Live returns the other hosts that requests can be sent to.
 	Live func() []Host
 	Call func(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
 
-// Run exchanges until ctx ends.
+// Run exchanges demands and shares until ctx ends.
 func (exc *Exchanger) Run(ctx context.Context) {
-	tic := time.NewTicker(countInterval)
+	tic := time.NewTicker(hostCountInterval)
 	defer tic.Stop()
-	nex := time.Time{}
+	next := time.Time{}
 	for {
 		select {
 		case now := <-tic.C:
 			exc.Limiter.SetHosts(len(exc.Live()) + 1)
-			if now.Before(nex) {
+			if now.Before(next) {
 				continue
 			}
-			nex = now.Add(Interval)
+			next = now.Add(Interval)
 			exc.exchange(ctx, now)
 		case <-ctx.Done():
 			return
@@ -61,35 +61,37 @@
 }
 
 func (exc *Exchanger) exchange(ctx context.Context, now time.Time) {
-	hoss := exc.Live()
+	hosts := exc.Live()
 	exc.Coordinator.DropIdleTeams(now)
-	var gros [keepers][]Demand
+	var groups [teamGroups][]Demand
 	for _, dem := range exc.Limiter.Demands(now) {
-		gro := xxhash.Sum64String(dem.Team) % keepers
-		gros[gro] = append(gros[gro], dem)
+		group := xxhash.Sum64String(dem.Team) % teamGroups
+		groups[group] = append(groups[group], dem)
 	}
-	// A keeper that does not answer must not use up the life of other shares.
-	var wai sync.WaitGroup
-	defer wai.Wait()
-	for num, dems := range gros {
+	// The reports run concurrently since a coordinator that does not answer must not
+	// delay the others until shares expire.
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	for group, dems := range groups {
 		if len(dems) > 0 {
-			wai.Go(func() { exc.report(ctx, keeperOf(num, exc.Self, hoss), dems, now) })
+			wg.Go(func() { exc.reportDemands(ctx, coordinatorOf(group, exc.Self, hosts), dems, now) })
 		}
 	}
 }
 
-// keeperOf returns the host that keeps a group; no address stands for this host.
-func keeperOf(num int, self string, hoss []Host) string {
+// coordinatorOf returns the address of the host that coordinates a group; it is empty for
+// this host.
+func coordinatorOf(group int, self string, hosts []Host) string {
 	ids := []string{self}
-	adds := map[string]string{}
-	for _, hos := range hoss {
-		ids = append(ids, hos.ID)
-		adds[hos.ID] = hos.Address
+	addresses := map[string]string{}
+	for _, host := range hosts {
+		ids = append(ids, host.ID)
+		addresses[host.ID] = host.Address
 	}
-	return adds[scheduler.Candidates("limits/"+strconv.Itoa(num), ids)[0]]
+	return addresses[scheduler.Candidates("limits/"+strconv.Itoa(group), ids)[0]]
 }
 
-func (exc *Exchanger) report(ctx context.Context, address string, dems []Demand, now time.Time) {
+func (exc *Exchanger) reportDemands(ctx context.Context, address string, dems []Demand, now time.Time) {
 	if address == "" {
 		exc.Limiter.SetShares(exc.Coordinator.Report(exc.Self, dems, now), now)
 		return
@@ -97,14 +99,14 @@
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	rep, err := exc.Call(ctx, address, &messenger.Envelope{Body: &messenger.Envelope_DemandReport{DemandReport: &messenger.DemandReport{
-		Host: exc.Self, Incarnation: exc.Incarnation, Demands: encode(dems),
+		Host: exc.Self, Incarnation: exc.Incarnation, Demands: demandMessages(dems),
 	}}})
 	if err == nil {
 		exc.Limiter.SetShares(sharesOf(rep.GetDemandReply().GetShares()), now)
 	}
 }
 
-// HandleReport answers another host's report.
+// HandleReport records another host's demands and returns its shares.
 func (exc *Exchanger) HandleReport(rep *messenger.DemandReport, now time.Time) *messenger.Envelope {
 	var dems []Demand
 	for _, dem := range rep.GetDemands() {
@@ -117,18 +119,18 @@
 	return &messenger.Envelope{Body: &messenger.Envelope_DemandReply{DemandReply: &messenger.DemandReply{Shares: shas}}}
 }
 
-func encode(dems []Demand) []*messenger.TeamDemand {
+func demandMessages(dems []Demand) []*messenger.TeamDemand {
 	out := make([]*messenger.TeamDemand, len(dems))
-	for ind, dem := range dems {
-		out[ind] = &messenger.TeamDemand{Team: dem.Team, Rate: dem.Rate}
+	for i, dem := range dems {
+		out[i] = &messenger.TeamDemand{Team: dem.Team, Rate: dem.Rate}
 	}
 	return out
 }
 
 func sharesOf(shas []*messenger.TeamShare) []Share {
 	out := make([]Share, len(shas))
-	for ind, sha := range shas {
-		out[ind] = Share{sha.GetTeam(), sha.GetPart()}
+	for i, sha := range shas {
+		out[i] = Share{sha.GetTeam(), sha.GetPart()}
 	}
 	return out
 }
--- a/process/limiter/exchanger_test.go
+++ b/process/limiter/exchanger_test.go
@@ -13,14 +13,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Keepers that don't answer must not use up the life of the others' shares.
-func TestSilentKeepersCostOneTimeout(t *testing.T) {
+// TestUnresponsiveCoordinatorsCostOneTimeout checks that an exchange takes one time-out
+// in all if no coordinator answers, so that shares from the others do not expire.
+func TestUnresponsiveCoordinatorsCostOneTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		exc := &Exchanger{
 			Self: "host-0", Limiter: &Limiter{}, Coordinator: &Coordinator{},
 			Live: func() (out []Host) {
-				for ind := range 40 {
-					out = append(out, Host{ID: fmt.Sprintf("silent-%d", ind), Address: "silent"})
+				for i := range 40 {
+					out = append(out, Host{ID: fmt.Sprintf("silent-%d", i), Address: "silent"})
 				}
 				return out
 			},
@@ -29,11 +30,11 @@
 				return nil, ctx.Err()
 			},
 		}
-		for ind := range 100 {
-			exc.Limiter.Take(parser.Team{Name: fmt.Sprint(ind), TokensPerSecond: 1}, 1, time.Now())
+		for i := range 100 {
+			exc.Limiter.Take(parser.Team{Name: fmt.Sprint(i), TokensPerSecond: 1}, 1, time.Now())
 		}
-		beg := time.Now()
-		exc.exchange(t.Context(), beg)
-		require.Equal(t, callTimeout, time.Since(beg))
+		start := time.Now()
+		exc.exchange(t.Context(), start)
+		require.Equal(t, callTimeout, time.Since(start))
 	})
 }
--- a/process/limiter/keeper.go
+++ b/process/limiter/keeper.go
@@ -6,83 +6,83 @@
 	"time"
 )
 
-// settleTime is the time that a new keeper listens before it gives shares, so
-// that it has heard of all hosts. It is shorter than ShareLife.
-const settleTime = 2 * Interval
+// learningTime is the time for which a new coordinator only collects demands, so that it
+// has received those of all hosts before it assigns shares. It is shorter than ShareLife.
+const learningTime = 2 * Interval
 
-// Keeper hands out the shares of teams' rates. Its zero value is ready.
+// Coordinator assigns shares of the teams' rates to hosts. Its zero value is ready.
 type Coordinator struct {
 	mu    sync.Mutex
-	teams map[string]*account
+	teams map[string]*teamShares
 }
 
-type account struct {
+type teamShares struct {
 	since time.Time
-	hosts map[string]holding
+	hosts map[string]hostShare
 }
 
-// holding is a host's demand and the share that it holds for it.
-type holding struct {
+// hostShare is a host's demand and the share that was assigned for it.
+type hostShare struct {
 	rate  float64
 	share float64
 	at    time.Time
 }
 
-// Report takes a host's demands and returns its shares: its part of all hosts'
-// demand, but no more than the shares of the others leave. Teams that the
-// keeper has just taken over are left out.
-func (kee *Coordinator) Report(host string, dems []Demand, now time.Time) []Share {
-	kee.mu.Lock()
-	defer kee.mu.Unlock()
-	if kee.teams == nil {
-		kee.teams = map[string]*account{}
+// Report records a host's demands and returns its shares. A share is the host's part of
+// the demand of all hosts, but no more than the shares of the other hosts leave. Teams
+// that the coordinator has had for less than learningTime are left out.
+func (coo *Coordinator) Report(host string, dems []Demand, now time.Time) []Share {
+	coo.mu.Lock()
+	defer coo.mu.Unlock()
+	if coo.teams == nil {
+		coo.teams = map[string]*teamShares{}
 	}
 	var out []Share
 	for _, dem := range dems {
-		acc := kee.teams[dem.Team]
-		if acc == nil {
-			acc = &account{since: now, hosts: map[string]holding{}}
-			kee.teams[dem.Team] = acc
+		tsh := coo.teams[dem.Team]
+		if tsh == nil {
+			tsh = &teamShares{since: now, hosts: map[string]hostShare{}}
+			coo.teams[dem.Team] = tsh
 		}
-		par := acc.give(host, dem.Rate, now)
-		if now.Sub(acc.since) >= settleTime {
-			out = append(out, Share{dem.Team, par})
+		fraction := tsh.assign(host, dem.Rate, now)
+		if now.Sub(tsh.since) >= learningTime {
+			out = append(out, Share{dem.Team, fraction})
 		}
 	}
 	return out
 }
 
-func (acc *account) give(host string, rate float64, now time.Time) float64 {
-	delete(acc.hosts, host)
-	tot, hel := acc.sum(now)
-	hol := holding{rate: rate, at: now}
-	if tot+rate > 0 && now.Sub(acc.since) >= settleTime {
-		hol.share = math.Max(0, math.Min(rate/(tot+rate), 1-hel))
+func (tsh *teamShares) assign(host string, rate float64, now time.Time) float64 {
+	delete(tsh.hosts, host)
+	totalRate, heldShare := tsh.sum(now)
+	own := hostShare{rate: rate, at: now}
+	if totalRate+rate > 0 && now.Sub(tsh.since) >= learningTime {
+		own.share = math.Max(0, math.Min(rate/(totalRate+rate), 1-heldShare))
 	}
-	acc.hosts[host] = hol
-	return hol.share
+	tsh.hosts[host] = own
+	return own.share
 }
 
-// sum adds up demands and shares and forgets the hosts whose share has lapsed.
-func (acc *account) sum(now time.Time) (rate, share float64) {
-	for hos, hol := range acc.hosts {
-		if now.Sub(hol.at) > ShareLife {
-			delete(acc.hosts, hos)
+// sum returns the sums of demands and shares, and drops hosts whose share has expired.
+func (tsh *teamShares) sum(now time.Time) (rate, share float64) {
+	for host, sha := range tsh.hosts {
+		if now.Sub(sha.at) > ShareLife {
+			delete(tsh.hosts, host)
 			continue
 		}
-		rate += hol.rate
-		share += hol.share
+		rate += sha.rate
+		share += sha.share
 	}
 	return rate, share
 }
 
-// Forget drops the teams that no host has reported lately.
-func (kee *Coordinator) DropIdleTeams(now time.Time) {
-	kee.mu.Lock()
-	defer kee.mu.Unlock()
-	for nam, acc := range kee.teams {
-		if _, _ = acc.sum(now); len(acc.hosts) == 0 {
-			delete(kee.teams, nam)
+// DropIdleTeams drops the teams for which no host has a valid share.
+func (coo *Coordinator) DropIdleTeams(now time.Time) {
+	coo.mu.Lock()
+	defer coo.mu.Unlock()
+	for name, tsh := range coo.teams {
+		if _, _ = tsh.sum(now); len(tsh.hosts) == 0 {
+			delete(coo.teams, name)
 		}
 	}
 }
--- a/process/limiter/limiter_test.go
+++ b/process/limiter/limiter_test.go
@@ -13,147 +13,147 @@
 )
 
 const (
-	fleetStep     = 10 * time.Millisecond
-	requestTokens = 500
+	simulationStep = 10 * time.Millisecond
+	requestTokens  = 500
 )
 
-// fleet is a number of hosts with one keeper. Exchanges of hosts are spread
-// over the interval and some get lost.
-type fleet struct {
-	now  time.Time
-	lims []*Limiter
-	kees []*Coordinator
-	lost int
-	// replies is the share of replies that get lost, in per cent.
-	replies  int
-	cut      int
-	losses   int
-	restarts int
-	ran      *rand.Rand
-	tea      parser.Team
-	steps    int
+// simulation simulates hosts and their coordinators. The hosts' exchanges are spread over
+// the interval, and some are lost.
+type simulation struct {
+	now          time.Time
+	limiters     []*Limiter
+	coordinators []*Coordinator
+	lostPercent  int
+	// lostRepliesPercent is the part of the replies that is lost, in per cent.
+	lostRepliesPercent int
+	withoutCoordinator int
+	coordinatorLosses  int
+	restarts           int
+	rnd                *rand.Rand
+	team               parser.Team
+	steps              int
 }
 
-// TestLimits offers a team's requests to the hosts of a fleet and prints what
-// was admitted, in parts of the rate, for each phase.
+// TestLimits runs the scenarios of the data files. Each phase offers a team's requests to
+// the hosts and prints what was admitted, relative to the team's rate.
 func TestLimits(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var fle *fleet
+		var sim *simulation
 		datadriven.RunTest(t, path, func(t *testing.T, dat *datadriven.TestData) string {
 			switch dat.Cmd {
 			case "fleet":
-				fle = newFleet(number(t, dat, "hosts"), number(t, dat, "rate"))
+				sim = newSimulation(intArg(t, dat, "hosts"), intArg(t, dat, "rate"))
 				return ""
 			case "counted":
-				for _, lim := range fle.lims {
-					lim.SetHosts(len(fle.lims) / len(fle.kees))
+				for _, lim := range sim.limiters {
+					lim.SetHosts(len(sim.limiters) / len(sim.coordinators))
 				}
 				return ""
 			case "keeper-lost":
-				fle.kees = []*Coordinator{{}}
-				fle.losses++
+				sim.coordinators = []*Coordinator{{}}
+				sim.coordinatorLosses++
 				return ""
 			case "split":
-				fle.kees = append(fle.kees, &Coordinator{})
+				sim.coordinators = append(sim.coordinators, &Coordinator{})
 				return ""
 			case "restarted":
-				for ind := range number(t, dat, "hosts") {
-					fle.lims[ind] = &Limiter{}
-					fle.lims[ind].SetHosts(len(fle.lims))
-					fle.restarts++
+				for i := range intArg(t, dat, "hosts") {
+					sim.limiters[i] = &Limiter{}
+					sim.limiters[i].SetHosts(len(sim.limiters))
+					sim.restarts++
 				}
 				return ""
 			case "spaced":
-				return fle.spaced(t, dat)
+				return sim.offerSpaced(t, dat)
 			case "cut":
-				fle.cut = number(t, dat, "hosts")
+				sim.withoutCoordinator = intArg(t, dat, "hosts")
 				return ""
 			default:
-				return fle.offer(t, dat)
+				return sim.offer(t, dat)
 			}
 		})
 	})
 }
 
-func number(t *testing.T, dat *datadriven.TestData, key string) int {
-	val := 0
-	dat.MaybeScanArgs(t, key, &val)
-	return val
+func intArg(t *testing.T, dat *datadriven.TestData, key string) int {
+	n := 0
+	dat.MaybeScanArgs(t, key, &n)
+	return n
 }
 
-func newFleet(hosts, rate int) *fleet {
-	fle := &fleet{now: time.Unix(0, 0), kees: []*Coordinator{{}}, ran: rand.New(rand.NewPCG(5, 6)), tea: parser.Team{Name: "t", TokensPerSecond: float64(rate)}}
+func newSimulation(hosts, rate int) *simulation {
+	sim := &simulation{now: time.Unix(0, 0), coordinators: []*Coordinator{{}}, rnd: rand.New(rand.NewPCG(5, 6)), team: parser.Team{Name: "t", TokensPerSecond: float64(rate)}}
 	for range hosts {
-		fle.lims = append(fle.lims, &Limiter{})
+		sim.limiters = append(sim.limiters, &Limiter{})
 	}
-	return fle
+	return sim
 }
 
 // offer sends a load, in per cent of the rate, to some of the hosts.
-func (fle *fleet) offer(t *testing.T, dat *datadriven.TestData) string {
-	fro, cou, sec := number(t, dat, "from"), number(t, dat, "hosts"), number(t, dat, "seconds")
-	loa := fle.tea.TokensPerSecond * float64(number(t, dat, "percent")) / 100
-	fle.lost = number(t, dat, "lost-percent")
-	fle.replies = number(t, dat, "lost-replies-percent")
-	jum := number(t, dat, "jump-seconds")
-	var adm, due float64
-	beg := fle.now
-	for range time.Duration(sec) * time.Second / fleetStep {
-		for due += loa * fleetStep.Seconds(); due >= requestTokens; due -= requestTokens {
-			if _, ok := fle.lims[(fro+fle.jumps(beg, jum)*cou+fle.ran.IntN(cou))%len(fle.lims)].Take(fle.tea, requestTokens, fle.now); ok {
-				adm += requestTokens
+func (sim *simulation) offer(t *testing.T, dat *datadriven.TestData) string {
+	from, count, seconds := intArg(t, dat, "from"), intArg(t, dat, "hosts"), intArg(t, dat, "seconds")
+	load := sim.team.TokensPerSecond * float64(intArg(t, dat, "percent")) / 100
+	sim.lostPercent = intArg(t, dat, "lost-percent")
+	sim.lostRepliesPercent = intArg(t, dat, "lost-replies-percent")
+	moveSeconds := intArg(t, dat, "jump-seconds")
+	var admitted, due float64
+	start := sim.now
+	for range time.Duration(seconds) * time.Second / simulationStep {
+		for due += load * simulationStep.Seconds(); due >= requestTokens; due -= requestTokens {
+			if _, ok := sim.limiters[(from+sim.moves(start, moveSeconds)*count+sim.rnd.IntN(count))%len(sim.limiters)].Take(sim.team, requestTokens, sim.now); ok {
+				admitted += requestTokens
 			}
 		}
-		fle.step()
+		sim.step()
 	}
-	return fle.judge(t, adm, beg, requestTokens)
+	return sim.checkBound(t, admitted, start, requestTokens)
 }
 
-// spaced sends one large request to each host at a time, with long pauses.
-func (fle *fleet) spaced(t *testing.T, dat *datadriven.TestData) string {
-	tok, pau := int64(number(t, dat, "tokens")), time.Duration(number(t, dat, "pause"))*time.Second
-	beg, adm := fle.now, int64(0)
-	for range number(t, dat, "times") {
-		for _, lim := range fle.lims {
-			if _, ok := lim.Take(fle.tea, tok, fle.now); ok {
-				adm += tok
+// offerSpaced sends one large request to each host at a time, with long pauses.
+func (sim *simulation) offerSpaced(t *testing.T, dat *datadriven.TestData) string {
+	tokens, pause := int64(intArg(t, dat, "tokens")), time.Duration(intArg(t, dat, "pause"))*time.Second
+	start, admitted := sim.now, int64(0)
+	for range intArg(t, dat, "times") {
+		for _, lim := range sim.limiters {
+			if _, ok := lim.Take(sim.team, tokens, sim.now); ok {
+				admitted += tokens
 			}
 		}
-		for end := fle.now.Add(pau); fle.now.Before(end); {
-			fle.step()
+		for end := sim.now.Add(pause); sim.now.Before(end); {
+			sim.step()
 		}
 	}
-	return fle.judge(t, float64(adm), beg, tok)
+	return sim.checkBound(t, float64(admitted), start, tokens)
 }
 
-// judge holds what was admitted against the bound.
-func (fle *fleet) judge(t *testing.T, adm float64, beg time.Time, largest int64) string {
-	rat, per := fle.tea.TokensPerSecond, fle.now.Sub(beg)
-	bou := Fleet{Hosts: len(fle.lims), WithoutCoordinator: fle.cut, Partitions: len(fle.kees), Restarts: fle.restarts, CoordinatorLosses: fle.losses}.Bound(rat, per, largest)
-	require.LessOrEqual(t, adm, bou, "bound of admission")
-	return fmt.Sprintf("%.1f of the rate\n", adm/(rat*per.Seconds()))
+// checkBound checks what was admitted against the bound.
+func (sim *simulation) checkBound(t *testing.T, admitted float64, start time.Time, largest int64) string {
+	rate, period := sim.team.TokensPerSecond, sim.now.Sub(start)
+	bound := Fleet{Hosts: len(sim.limiters), WithoutCoordinator: sim.withoutCoordinator, Partitions: len(sim.coordinators), Restarts: sim.restarts, CoordinatorLosses: sim.coordinatorLosses}.Bound(rate, period, largest)
+	require.LessOrEqual(t, admitted, bound, "bound of admission")
+	return fmt.Sprintf("%.1f of the rate\n", admitted/(rate*period.Seconds()))
 }
 
-// jumps counts how often the load has gone to the next hosts.
-func (fle *fleet) jumps(beg time.Time, seconds int) int {
+// moves returns how often the load has moved on to other hosts.
+func (sim *simulation) moves(start time.Time, seconds int) int {
 	if seconds == 0 {
 		return 0
 	}
-	return int(fle.now.Sub(beg) / time.Second / time.Duration(seconds))
+	return int(sim.now.Sub(start) / time.Second / time.Duration(seconds))
 }
 
-func (fle *fleet) step() {
-	fle.now = fle.now.Add(fleetStep)
-	fle.steps++
-	per := int(Interval / fleetStep)
-	for ind, lim := range fle.lims {
-		if fle.steps%per != ind*per/len(fle.lims) || ind < fle.cut || fle.ran.IntN(100) < fle.lost {
+func (sim *simulation) step() {
+	sim.now = sim.now.Add(simulationStep)
+	sim.steps++
+	period := int(Interval / simulationStep)
+	for i, lim := range sim.limiters {
+		if sim.steps%period != i*period/len(sim.limiters) || i < sim.withoutCoordinator || sim.rnd.IntN(100) < sim.lostPercent {
 			continue
 		}
-		dems := lim.Demands(fle.now)
-		shas := fle.kees[ind%len(fle.kees)].Report(fmt.Sprint(ind), dems, fle.now)
-		if fle.replies == 0 || fle.ran.IntN(100) >= fle.replies {
-			lim.SetShares(shas, fle.now)
+		dems := lim.Demands(sim.now)
+		shas := sim.coordinators[i%len(sim.coordinators)].Report(fmt.Sprint(i), dems, sim.now)
+		if sim.lostRepliesPercent == 0 || sim.rnd.IntN(100) >= sim.lostRepliesPercent {
+			lim.SetShares(shas, sim.now)
 		}
 	}
 }
