--- a/process/reclaimer/reclaimer.go
+++ b/process/reclaimer/reclaimer.go
@@ -72,12 +72,17 @@
 // Reason is the reason for which a holding is freed.
 type Reason string
 
-// Reasons.
+// Reasons to free a holding.
 const (
-	Replaced  Reason = "Replaced"
-	Dead      Reason = "Dead"
-	Expired   Reason = "Expired"
-	Disowned  Reason = "Disowned"
+	// Replaced is used if a newer process of the owner's host is known.
+	Replaced Reason = "Replaced"
+	// Dead is used if the owner's host has been dead and unlisted for DeadGrace.
+	Dead Reason = "Dead"
+	// Expired is used if the request's deadline passed more than ExpiryMargin ago.
+	Expired Reason = "Expired"
+	// Disowned is used if the owner does not work on the request any more.
+	Disowned Reason = "Disowned"
+	// Abandoned is used if the owner works on a newer attempt of the request.
 	Abandoned Reason = "Abandoned"
 )
 
