--- a/process/journaler/batch.go
+++ b/process/journaler/batch.go
@@ -123,7 +123,7 @@
 }
 
 func (bat Batch) attempt(now time.Time) (Batch, Action) {
-	del, ress, cha := bat.shard.Apply(bat.Changes, now)
+	del, ress, cha := bat.shard.Evaluate(bat.Changes, now)
 	switch {
 	case cha:
 		bat.results = ress
--- a/process/journaler/bench_test.go
+++ b/process/journaler/bench_test.go
@@ -91,12 +91,12 @@
 		val, err := segment{delta: Delta{claims: sha.claims}}.encode()
 		require.NoError(b, err)
 		one := &messenger.ClaimCommit{Key: "team/new", BodyDigest: make([]byte, 16), Nonce: "n", KeyTimeMs: epoch.UnixMilli()}
-		del, _, _ := sha.Apply([]*messenger.ClaimCommit{one}, epoch)
+		del, _, _ := sha.Evaluate([]*messenger.ClaimCommit{one}, epoch)
 		works := []struct {
 			name string
 			fun  func()
 		}{
-			{"apply", func() { sha.Apply([]*messenger.ClaimCommit{one}, epoch) }},
+			{"apply", func() { sha.Evaluate([]*messenger.ClaimCommit{one}, epoch) }},
 			{"entry", func() { _, _ = entry{1, del}.encode() }},
 			{"take", func() { sha.take(del) }},
 			{"load", func() { clone(b, sha) }},
--- a/process/journaler/shard.go
+++ b/process/journaler/shard.go
@@ -29,7 +29,7 @@
 )
 
 // Shard holds the claims of a shard for its writer. Its zero value is the shard
-// of an empty log. Apply reads it; only take changes it, by a Delta that is in
+// of an empty log. Evaluate reads it; only take changes it, by a Delta that is in
 // the log.
 type Shard struct {
 	claims map[string]*Claim
@@ -91,10 +91,10 @@
 	return *cla, true
 }
 
-// Apply carries out changes in their order and returns how they change the
+// Evaluate carries out changes in their order and returns how they change the
 // shard, a result for each, and whether the shard must be written. The shard
 // stays as it is. The cost follows the changes, not the shard.
-func (sha *Shard) Apply(coms []*messenger.ClaimCommit, now time.Time) (Delta, []*messenger.ClaimResult, bool) {
+func (sha *Shard) Evaluate(coms []*messenger.ClaimCommit, now time.Time) (Delta, []*messenger.ClaimResult, bool) {
 	dra := newDraft(sha, len(coms))
 	dra.forget(now)
 	ress := make([]*messenger.ClaimResult, 0, len(coms))
--- a/process/journaler/shard_test.go
+++ b/process/journaler/shard_test.go
@@ -114,7 +114,7 @@
 			}
 			was := formatShard(sha)
 			old := clone(t, sha)
-			del, ress, cha := sha.Apply(coms, epoch.Add(at))
+			del, ress, cha := sha.Evaluate(coms, epoch.Add(at))
 			require.Equal(t, was, formatShard(sha), "the shard changes by take only")
 			var bui strings.Builder
 			for _, res := range ress {
@@ -145,7 +145,7 @@
 		coms = append(coms, finishedClaim(num, 0)...)
 	}
 	sha := &Shard{}
-	del, _, _ := sha.Apply(coms, epoch)
+	del, _, _ := sha.Evaluate(coms, epoch)
 	sha.take(del)
 	require.Equal(t, cou, sha.Len())
 	return sha
@@ -159,7 +159,7 @@
 		for num := cou; num < cou+step; num++ {
 			coms = append(coms, finishedClaim(num, body)...)
 		}
-		del, ress, _ := sha.Apply(coms, epoch)
+		del, ress, _ := sha.Evaluate(coms, epoch)
 		sha.take(del)
 		for ind := 0; ind < len(ress); ind += 2 {
 			if ress[ind].GetState() == messenger.ClaimResult_STATE_FULL {
@@ -182,7 +182,7 @@
 	t.Log("claims a shard: " + strconv.Itoa(cou))
 
 	one := &messenger.ClaimCommit{Key: "team/0193a000-0000-7000-8000-000000000000", BodyDigest: make([]byte, 16), Nonce: "other", KeyTimeMs: epoch.UnixMilli()}
-	_, ress, cha := sha.Apply([]*messenger.ClaimCommit{one}, epoch)
+	_, ress, cha := sha.Evaluate([]*messenger.ClaimCommit{one}, epoch)
 	require.False(t, cha)
 	require.Equal(t, messenger.ClaimResult_STATE_FINISHED, ress[0].GetState())
 	require.True(t, ress[0].GetOutcome().GetTruncated())
--- a/process/journaler/world_test.go
+++ b/process/journaler/world_test.go
@@ -131,7 +131,7 @@
 func (wor *world) touch() {
 	wor.stales++
 	com := &messenger.ClaimCommit{Key: "other" + strconv.Itoa(wor.stales), Nonce: "other", KeyTimeMs: epoch.UnixMilli()}
-	del, _, _ := wor.value.Apply([]*messenger.ClaimCommit{com}, epoch)
+	del, _, _ := wor.value.Evaluate([]*messenger.ClaimCommit{com}, epoch)
 	wor.put(del)
 }
 
