--- a/connection/exchanger/exchanger.go
+++ b/connection/exchanger/exchanger.go
@@ -49,21 +49,21 @@
 // Unwrap returns the cause.
 func (err *DialError) Unwrap() error { return err.Err }
 
-// BrokenError reports that a request was sent, at least in part, and no answer
+// NoAnswerError reports that a request was sent, at least in part, and no answer
 // could be read. The endpoint may have run it.
-type BrokenError struct {
+type NoAnswerError struct {
 	Peer string
 	Step string
 	Err  error
 }
 
 // Error names the step and the peer.
-func (err *BrokenError) Error() string {
+func (err *NoAnswerError) Error() string {
 	return fmt.Sprintf("%s of %s: %v", err.Step, err.Peer, err.Err)
 }
 
 // Unwrap returns the cause.
-func (err *BrokenError) Unwrap() error { return err.Err }
+func (err *NoAnswerError) Unwrap() error { return err.Err }
 
 // Request is what is sent.
 type Request struct {
@@ -110,7 +110,7 @@
 
 // Exchange sends a request and waits for the head of its answer. The end of ctx
 // ends the connection at once, also while the body is read. It fails with a
-// DialError or a BrokenError.
+// DialError or a NoAnswerError.
 func (exc *Exchanger) Exchange(ctx context.Context, address string, req Request) (*Answer, error) {
 	dia := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
 	con, err := dia.DialContext(ctx, "tcp", address)
@@ -137,7 +137,7 @@
 	return ans, nil
 }
 
-func exchange(con net.Conn, address string, req Request, hea http.Header) (*Answer, *BrokenError) {
+func exchange(con net.Conn, address string, req Request, hea http.Header) (*Answer, *NoAnswerError) {
 	sent := make(chan error, 1)
 	if len(req.Body) >= concurrentBody {
 		go func() { sent <- send(con, req, hea) }()
@@ -149,11 +149,11 @@
 		select {
 		case wri := <-sent:
 			if wri != nil {
-				return nil, &BrokenError{Peer: address, Step: "sending the request", Err: errors.Join(wri, err)}
+				return nil, &NoAnswerError{Peer: address, Step: "sending the request", Err: errors.Join(wri, err)}
 			}
 		default:
 		}
-		return nil, &BrokenError{Peer: address, Step: "reading the answer", Err: err}
+		return nil, &NoAnswerError{Peer: address, Step: "reading the answer", Err: err}
 	}
 	return &Answer{
 		Status: res.StatusCode, Header: res.Header, Length: res.ContentLength, Body: bufio.NewReaderSize(res.Body, readBuffer),
--- a/connection/invoker/engine.go
+++ b/connection/invoker/engine.go
@@ -199,8 +199,8 @@
 	ExpectedGeneration uint64
 }
 
-// GiveOrder sends an order to an engine.
-func (inv *Invoker) GiveOrder(ctx context.Context, address string, ord Order) error {
+// SendOrder sends an order to an engine.
+func (inv *Invoker) SendOrder(ctx context.Context, address string, ord Order) error {
 	return inv.post(ctx, "Invoker.GiveOrder", address, "/v1/orders", ord)
 }
 
--- a/connection/invoker/invoker.go
+++ b/connection/invoker/invoker.go
@@ -33,8 +33,8 @@
 	clientRetention = 10 * time.Minute
 )
 
-// ErrSilent marks a connection on which nothing arrived within the timeout.
-var ErrSilent = eris.New("invoker: no progress within the timeout")
+// ErrUnresponsive marks a connection on which nothing arrived within the timeout.
+var ErrUnresponsive = eris.New("invoker: no progress within the timeout")
 
 // Execution says whether a request ran on an endpoint.
 type Execution string
@@ -152,15 +152,15 @@
 // request again by itself when a reused connection fails under it, so a call
 // that must run at most once gets a connection of its own.
 func (inv *Invoker) clientFor(address string, cal ServiceCall) *http.Client {
-	if cal.Once {
+	if cal.AtMostOnce {
 		return onceClient
 	}
 	return inv.client(peer{address: address})
 }
 
-// Condemn closes the idle connections to an endpoint, so that later calls dial
+// CloseIdleConnections closes the idle connections to an endpoint, so that later calls dial
 // anew. Connections in use are judged by their own progress.
-func (inv *Invoker) Condemn(address string) {
+func (inv *Invoker) CloseIdleConnections(address string) {
 	inv.mu.Lock()
 	defer inv.mu.Unlock()
 	for _, con := range []bool{false, true} {
--- a/connection/invoker/service.go
+++ b/connection/invoker/service.go
@@ -18,8 +18,8 @@
 	Body   []byte
 	// Key is the idempotency key of the call; empty for repeatable calls without one.
 	Key string
-	// Once marks a call that must not be sent a second time.
-	Once bool
+	// AtMostOnce marks a call that must not be sent a second time.
+	AtMostOnce bool
 }
 
 // ServiceReply is the whole answer of a plain service.
--- a/connection/invoker/stream.go
+++ b/connection/invoker/stream.go
@@ -19,9 +19,9 @@
 	maxEventBytes = 1 << 20
 	// streamBufferBytes holds some dozens of tokens that arrived together.
 	streamBufferBytes = 8 << 10
-	// SilenceTimeout bounds the time without any sign of life on a stream.
+	// EventTimeout bounds the time without any sign of life on a stream.
 	// Engines send one every 500 ms.
-	SilenceTimeout = 1500 * time.Millisecond
+	EventTimeout = 1500 * time.Millisecond
 	// uploadRate is the least rate, in bytes a second, at which an engine
 	// takes a prompt.
 	uploadRate = 16 << 20
@@ -99,7 +99,7 @@
 	}
 	str := &Stream{peer: address, ran: Unknown}
 	str.ctx, str.cancel = context.WithCancel(ctx)
-	str.watch = time.AfterFunc(SilenceTimeout+uploadTime(len(body)), str.giveUp)
+	str.watch = time.AfterFunc(EventTimeout+uploadTime(len(body)), str.giveUp)
 	req, err := http.NewRequestWithContext(str.ctx, http.MethodPost, "http://"+address+"/v1/generate", bytes.NewReader(body))
 	if err != nil {
 		defer str.Close()
@@ -139,7 +139,7 @@
 // tells nothing about what the engine did.
 func (str *Stream) openError(err error) error {
 	if str.silent.Load() {
-		return &Error{Step: "Invoker.Generate: silent", Peer: str.peer, Ran: Unknown, Err: ErrSilent}
+		return &Error{Step: "Invoker.Generate: silent", Peer: str.peer, Ran: Unknown, Err: ErrUnresponsive}
 	}
 	return &Error{Step: "Invoker.Generate: send", Peer: str.peer, Ran: ranAfterSend(err), Err: err}
 }
@@ -190,7 +190,7 @@
 	switch {
 	case str.silent.Load():
 		out.Step = "Stream.Next: silent"
-		out.Err = ErrSilent
+		out.Err = ErrUnresponsive
 	case str.ctx.Err() != nil:
 		out.Err = str.ctx.Err()
 	case eris.As(err, &rep):
--- a/connection/multiplexer/multiplexer.go
+++ b/connection/multiplexer/multiplexer.go
@@ -36,9 +36,9 @@
 	Handler Handler
 	// Traffic counts the bytes of all sessions.
 	Traffic counter.Traffic
-	// Panicked is told of a call that the handler could not answer because it
+	// OnPanic is told of a call that the handler could not answer because it
 	// panicked; nil for nobody. The peer gets a failure, and the host goes on.
-	Panicked func(env *messenger.Envelope, cause any, stack []byte)
+	OnPanic func(env *messenger.Envelope, cause any, stack []byte)
 
 	mu       sync.Mutex
 	sessions map[string]*session
@@ -269,12 +269,12 @@
 	delete(mul.accepted, lin)
 }
 
-// Answer answers one call with the handler. One message must not end the process.
-func (mul *Multiplexer) Answer(ctx context.Context, env *messenger.Envelope) (rep *messenger.Envelope) {
+// Handle answers one call with the handler. One message must not end the process.
+func (mul *Multiplexer) Handle(ctx context.Context, env *messenger.Envelope) (rep *messenger.Envelope) {
 	defer func() {
 		if val := recover(); val != nil {
-			if mul.Panicked != nil {
-				mul.Panicked(env, val, debug.Stack())
+			if mul.OnPanic != nil {
+				mul.OnPanic(env, val, debug.Stack())
 			}
 			rep = messenger.NewFailure("internal", "the host could not answer the message")
 		}
@@ -292,7 +292,7 @@
 		return
 	}
 	if env.GetCall() > 0 {
-		servePipeline(str, gua.handler(mul.Answer), env)
+		servePipeline(str, gua.handler(mul.Handle), env)
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -303,7 +303,7 @@
 		_, _ = str.Read(one[:])
 		cancel()
 	}()
-	if rep := gua.handler(mul.Answer)(ctx, env); rep != nil {
+	if rep := gua.handler(mul.Handle)(ctx, env); rep != nil {
 		_ = messenger.Write(str, rep)
 	}
 }
--- a/connection/multiplexer/multiplexer_test.go
+++ b/connection/multiplexer/multiplexer_test.go
@@ -149,7 +149,7 @@
 			}
 			return done()
 		},
-		Panicked: func(*messenger.Envelope, any, []byte) { noted.Add(1) },
+		OnPanic: func(*messenger.Envelope, any, []byte) { noted.Add(1) },
 	}
 	go func() { _ = srv.Serve(lis) }()
 	defer srv.Close()
--- a/connection/persister/list.go
+++ b/connection/persister/list.go
@@ -55,8 +55,8 @@
 	return ents, nil
 }
 
-// ListCost returns the bytes that the last read of the list took.
-func (per *Persister) ListCost() int {
+// ListBytes returns the bytes that the last read of the list took.
+func (per *Persister) ListBytes() int {
 	per.list.mu.Lock()
 	defer per.list.mu.Unlock()
 	return per.list.cost
--- a/connection/persister/list_test.go
+++ b/connection/persister/list_test.go
@@ -27,19 +27,19 @@
 			DataCenter: fmt.Sprintf("dc-%d", ind%14), Region: fmt.Sprintf("region-%d", ind%4), Models: []string{"m"},
 		})
 	}
-	put(persister.Entry{ID: "host-0", Kind: persister.KindEntry, Region: "region-3"})
+	put(persister.Entry{ID: "host-0", Kind: persister.KindHost, Region: "region-3"})
 	time.Sleep(time.Millisecond)
 	per := persister.Persister{BaseURL: ser.URL, Region: "region-1"}
 	ents, err := per.Entries(t.Context())
 	require.NoError(t, err)
 	require.Len(t, ents, 101)
-	whole := per.ListCost()
+	whole := per.ListBytes()
 	require.Less(t, whole, 40*len(ents))
 	again, err := per.Entries(t.Context())
 	require.NoError(t, err)
 	require.Equal(t, ents, again)
-	require.Zero(t, per.ListCost())
-	put(persister.Entry{ID: "host-0", Kind: persister.KindEntry, Region: "region-3", Leaving: true})
+	require.Zero(t, per.ListBytes())
+	put(persister.Entry{ID: "host-0", Kind: persister.KindHost, Region: "region-3", Leaving: true})
 	time.Sleep(time.Millisecond)
 	ents, err = per.Entries(t.Context())
 	require.NoError(t, err)
--- a/connection/persister/persister.go
+++ b/connection/persister/persister.go
@@ -57,7 +57,7 @@
 
 // Kinds of listed processes.
 const (
-	KindEntry   EntryKind = "Entry"
+	KindHost    EntryKind = "Entry"
 	KindEngine  EntryKind = "Engine"
 	KindService EntryKind = "Service"
 )
--- a/internal/streammatrix/request_test.go
+++ b/internal/streammatrix/request_test.go
@@ -268,7 +268,7 @@
 }
 
 func (req *request) silence(ran invoker.Execution) attempter.Event {
-	req.pass(invoker.SilenceTimeout)
+	req.pass(invoker.EventTimeout)
 	return attempter.Failed{Endpoint: req.leader().id, Ran: ran, Connection: true}
 }
 
--- a/internal/testkit/fleet.go
+++ b/internal/testkit/fleet.go
@@ -253,7 +253,7 @@
 	if fle.Plan.PeerVia != nil {
 		listed = fle.Plan.PeerVia(id, pee)
 	}
-	return fle.List(ctx, persister.Entry{ID: id, Kind: persister.KindEntry, Address: listed, DataCenter: fle.dataCenter(ind), Region: fle.region(ind)})
+	return fle.List(ctx, persister.Entry{ID: id, Kind: persister.KindHost, Address: listed, DataCenter: fle.dataCenter(ind), Region: fle.region(ind)})
 }
 
 // List puts an entry into the platform's list.
--- a/process/allocator/cells.go
+++ b/process/allocator/cells.go
@@ -279,7 +279,7 @@
 	}
 	cel.mu.Lock()
 	for _, ent := range ents {
-		if ent.Kind != persister.KindEntry || ent.Leaving || ent.ID == cel.Self || ent.Region != region && ent.Region != "" {
+		if ent.Kind != persister.KindHost || ent.Leaving || ent.ID == cel.Self || ent.Region != region && ent.Region != "" {
 			continue
 		}
 		if now.Before(cel.suspects[ent.ID]) {
--- a/process/allocator/cells_test.go
+++ b/process/allocator/cells_test.go
@@ -32,7 +32,7 @@
 	var ents []persister.Entry
 	for i := range hosts {
 		id := fmt.Sprintf("h%d", i)
-		ents = append(ents, persister.Entry{ID: id, Kind: persister.KindEntry, Address: id})
+		ents = append(ents, persister.Entry{ID: id, Kind: persister.KindHost, Address: id})
 	}
 	return &Cells{Self: "self", Entries: func() []persister.Entry { return ents }, Caller: client, Scope: tally.NoopScope}
 }
--- a/process/allocator/overflow_test.go
+++ b/process/allocator/overflow_test.go
@@ -34,8 +34,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			now := time.Now()
 			ents := []persister.Entry{
-				{ID: "near-host", Kind: persister.KindEntry, Address: "near", Region: "near"},
-				{ID: "far-host", Kind: persister.KindEntry, Address: "far", Region: "far"},
+				{ID: "near-host", Kind: persister.KindHost, Address: "near", Region: "near"},
+				{ID: "far-host", Kind: persister.KindHost, Address: "far", Region: "far"},
 			}
 			cel := &Cells{
 				Self: "self", Region: "near", Entries: func() []persister.Entry { return ents },
--- a/process/forwarder/forwarder.go
+++ b/process/forwarder/forwarder.go
@@ -71,7 +71,7 @@
 	planners         *assigner.Planners
 	relayer          *relayer.Relayer
 	quota            *budgeter.Quota
-	bodies           receiver.Budget
+	bodies           receiver.MemoryBudget
 	endpoints        counter.Traffic
 	draining         atomic.Bool
 	inFlight         atomic.Int64
@@ -105,7 +105,7 @@
 	fwd.scope, fwd.metrics = measurer.New(log)
 	fwd.bodies.MaxBytes = set.BodyBytes()
 	fwd.publisher = &publisher.Publisher{}
-	fwd.multiplexer = &multiplexer.Multiplexer{Handler: fwd.handlePeer, Panicked: fwd.logPanic}
+	fwd.multiplexer = &multiplexer.Multiplexer{Handler: fwd.handlePeer, OnPanic: fwd.logPanic}
 	fwd.initGossiper()
 	fwd.follower = &follower.Follower{
 		Source: pla.Source, Wait: fwd.watchWait(), ShouldRead: fwd.shouldReadStore, OnTables: fwd.applyTables, OnEndpoints: fwd.applyEndpoints, OnUnavailable: fwd.storeLost, OnAvailable: fwd.storeBack, Log: log,
--- a/process/forwarder/peer_test.go
+++ b/process/forwarder/peer_test.go
@@ -114,7 +114,7 @@
 		fie := fies.Get(i)
 		t.Run(string(fie.Name()), func(t *testing.T) {
 			fwd := newPlannerHost(t)
-			fwd.multiplexer.Panicked = func(env *messenger.Envelope, cause any, stack []byte) {
+			fwd.multiplexer.OnPanic = func(env *messenger.Envelope, cause any, stack []byte) {
 				require.Fail(t, "the handler panicked", "%v: %v\n%s", env, cause, stack)
 			}
 			for seed := range uint64(seeds) {
@@ -131,10 +131,10 @@
 				require.NoError(t, err)
 				require.NoError(t, proto.Unmarshal(buf, env))
 				ctx, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
-				require.NotNil(t, fwd.multiplexer.Answer(ctx, env))
+				require.NotNil(t, fwd.multiplexer.Handle(ctx, env))
 				stop()
 			}
-			rep := fwd.multiplexer.Answer(t.Context(), &messenger.Envelope{Body: &messenger.Envelope_PlanRequest{PlanRequest: &messenger.PlanRequest{
+			rep := fwd.multiplexer.Handle(t.Context(), &messenger.Envelope{Body: &messenger.Envelope_PlanRequest{PlanRequest: &messenger.PlanRequest{
 				Id: "sound", Host: "host-1", Pool: "llm", PromptTokens: 1000, MaxTokens: 100, TargetMs: 1000, BudgetMs: 5000, ObjectiveMs: 1000, PauseMs: 500, HoldMs: 50, Relayed: true,
 			}}})
 			require.NotNil(t, rep.GetPlanReply(), rep)
--- a/process/gossiper/gossiper.go
+++ b/process/gossiper/gossiper.go
@@ -147,7 +147,7 @@
 func (gos *Gossiper) listedPeers() []Peer {
 	var out []Peer
 	for _, ent := range gos.Entries() {
-		if ent.Kind != persister.KindEntry {
+		if ent.Kind != persister.KindHost {
 			continue
 		}
 		per := Peer{ID: ent.ID, Address: ent.Address, DataCenter: ent.DataCenter, Region: ent.Region}
--- a/process/incarnator/incarnator.go
+++ b/process/incarnator/incarnator.go
@@ -91,7 +91,7 @@
 	var listed []string
 	ents, _ := inc.Entries(ctx)
 	for _, ent := range ents {
-		if ent.Kind == persister.KindEntry && ent.ID != inc.Host {
+		if ent.Kind == persister.KindHost && ent.ID != inc.Host {
 			listed = append(listed, ent.Address)
 		}
 	}
--- a/process/incarnator/incarnator_test.go
+++ b/process/incarnator/incarnator_test.go
@@ -31,9 +31,9 @@
 			addrs := inc.Seeds
 			inc.Seeds = nil
 			inc.Entries = func(context.Context) ([]persister.Entry, error) {
-				ents := []persister.Entry{{ID: "host-a", Kind: persister.KindEntry, Address: "self"}, {ID: "engine", Kind: persister.KindEngine, Address: "engine"}}
+				ents := []persister.Entry{{ID: "host-a", Kind: persister.KindHost, Address: "self"}, {ID: "engine", Kind: persister.KindEngine, Address: "engine"}}
 				for _, addr := range addrs {
-					ents = append(ents, persister.Entry{ID: addr, Kind: persister.KindEntry, Address: addr})
+					ents = append(ents, persister.Entry{ID: addr, Kind: persister.KindHost, Address: addr})
 				}
 				return ents, nil
 			}
--- a/process/orderer/giver.go
+++ b/process/orderer/giver.go
@@ -27,7 +27,7 @@
 // Engine reads the configuration of an engine and sends orders to it.
 type Engine interface {
 	Config(ctx context.Context, address string) (invoker.EngineConfig, error)
-	GiveOrder(ctx context.Context, address string, ord invoker.Order) error
+	SendOrder(ctx context.Context, address string, ord invoker.Order) error
 }
 
 // Issuer issues orders to engines.
@@ -122,7 +122,7 @@
 func (iss *Issuer) send(ctx context.Context, address string, action Send) Event {
 	ctx, stop := context.WithTimeout(ctx, OrderTimeout)
 	defer stop()
-	err := iss.Engine.GiveOrder(ctx, address, action.Order)
+	err := iss.Engine.SendOrder(ctx, address, action.Order)
 	var invErr *invoker.Error
 	switch {
 	case err == nil:
--- a/process/orderer/giver_test.go
+++ b/process/orderer/giver_test.go
@@ -24,12 +24,12 @@
 	left int
 }
 
-func (unr *unreachable) GiveOrder(ctx context.Context, address string, ord invoker.Order) error {
+func (unr *unreachable) SendOrder(ctx context.Context, address string, ord invoker.Order) error {
 	if unr.left > 0 {
 		unr.left--
 		return &invoker.Error{Ran: invoker.NotRun, Err: &net.OpError{Op: "dial", Err: eris.New("refused")}}
 	}
-	return unr.Invoker.GiveOrder(ctx, address, ord)
+	return unr.Invoker.SendOrder(ctx, address, ord)
 }
 
 // TestIssue issues orders through a platform with a low write rate to an engine that is
--- a/process/server/edge.go
+++ b/process/server/edge.go
@@ -24,7 +24,7 @@
 			return
 		}
 		began := time.Now()
-		rec := &responder.Recorder{ResponseWriter: wri, Clock: time.Now, WriteTimeout: ser.Settings.WriteTimeout, Interval: ser.meter.recordInterval}
+		rec := &responder.Recorder{ResponseWriter: wri, Clock: time.Now, WriteTimeout: ser.Settings.WriteTimeout, OnInterval: ser.meter.recordInterval}
 		bod := receiver.NewBody(htr.Body, &ser.bodies, htr.ContentLength, ser.Settings.MaxBodyBytes)
 		// net/http inspects the body of its own request, so the wrapped body goes into a
 		// copy of the request.
--- a/process/server/hosts.go
+++ b/process/server/hosts.go
@@ -116,7 +116,7 @@
 // otherHosts returns the listed entry hosts but this one.
 func (ser *Server) otherHosts() []persister.Entry {
 	return slices.DeleteFunc(slices.Clone(ser.watcher.Entries()), func(ent persister.Entry) bool {
-		return ent.Kind != persister.KindEntry || ent.ID == ser.Settings.HostID
+		return ent.Kind != persister.KindHost || ent.ID == ser.Settings.HostID
 	})
 }
 
@@ -135,7 +135,7 @@
 	now := time.Now()
 	statuses := []EndpointStatus{}
 	for _, ent := range ser.watcher.Entries() {
-		if ent.Kind == persister.KindEntry {
+		if ent.Kind == persister.KindHost {
 			continue
 		}
 		statuses = append(statuses, ser.endpointStatus(ent, now))
--- a/process/server/meter_bench_test.go
+++ b/process/server/meter_bench_test.go
@@ -67,7 +67,7 @@
 func BenchmarkRecorderWrite(b *testing.B) {
 	sco, _ := measurer.New(zerolog.Nop())
 	met := newMeter(sco)
-	rec := &responder.Recorder{ResponseWriter: discard{}, Clock: time.Now, WriteTimeout: time.Second, Interval: met.recordInterval}
+	rec := &responder.Recorder{ResponseWriter: discard{}, Clock: time.Now, WriteTimeout: time.Second, OnInterval: met.recordInterval}
 	buf := []byte("data: x\n\n")
 	for b.Loop() {
 		_, _ = rec.Write(buf)
--- a/process/server/meter_test.go
+++ b/process/server/meter_test.go
@@ -22,7 +22,7 @@
 // the path is /fail.
 func stream(tokens int64) http.HandlerFunc {
 	return func(wri http.ResponseWriter, htr *http.Request) {
-		responder.Describe(wri, responder.Labels{Route: "questions", Pool: "pedal", Team: "tailors", PromptTokens: tokens})
+		responder.SetLabels(wri, responder.Labels{Route: "questions", Pool: "pedal", Team: "tailors", PromptTokens: tokens})
 		wri.Header().Set("Content-Type", "text/event-stream")
 		wri.Header().Set(responder.RunHeader, string(invoker.Ran))
 		for range 3 {
--- a/process/server/reclaim.go
+++ b/process/server/reclaim.go
@@ -109,7 +109,7 @@
 
 func (mem *members) listed(host string) bool {
 	for _, ent := range mem.watcher.Entries() {
-		if ent.Kind == persister.KindEntry && ent.ID == host {
+		if ent.Kind == persister.KindHost && ent.ID == host {
 			return true
 		}
 	}
--- a/process/server/schedule.go
+++ b/process/server/schedule.go
@@ -135,7 +135,7 @@
 	var out []persister.Entry
 	for _, per := range ser.gossiper.Live(time.Now()) {
 		out = append(out, persister.Entry{
-			ID: per.ID, Kind: persister.KindEntry, Address: per.Address, DataCenter: per.DataCenter, Region: per.Region,
+			ID: per.ID, Kind: persister.KindHost, Address: per.Address, DataCenter: per.DataCenter, Region: per.Region,
 		})
 	}
 	return out
--- a/process/server/server.go
+++ b/process/server/server.go
@@ -62,7 +62,7 @@
 	executor    *executor.Executor
 	reclaimer   *reclaimer.Runner
 	meter       *meter
-	bodies      receiver.Budget
+	bodies      receiver.MemoryBudget
 	scheduler   *scheduler.Scheduler
 	cells       *allocator.Cells
 	exchanger   *limiter.Exchanger
@@ -98,7 +98,7 @@
 	ser.lister = ser.newLister()
 	ser.watcher = &watcher.Watcher{Lister: ser.lister, Loader: summaryLoader{ser.invoker}}
 	ser.admitter = &admitter.Admitter{MaxRequests: set.MaxRequests}
-	ser.multiplexer = &multiplexer.Multiplexer{Handler: ser.servePeer, Panicked: ser.logPanic}
+	ser.multiplexer = &multiplexer.Multiplexer{Handler: ser.servePeer, OnPanic: ser.logPanic}
 	ser.initGossiper()
 	ser.journal = ser.newJournal()
 	ser.allocator = ser.newAllocator(own)
--- a/process/server/tables.go
+++ b/process/server/tables.go
@@ -71,7 +71,7 @@
 	}
 	return &lister.Lister{
 		Platform: &platformMonitor{Lister: ser.persister, log: ser.Log, scope: ser.scope}, Self: ser.Settings.HostID, Incarnation: inc, Region: ser.regionHosts,
-		MinInterval: ser.Settings.ListInterval, LastReadBytes: ser.persister.ListCost, Clock: time.Now,
+		MinInterval: ser.Settings.ListInterval, LastReadBytes: ser.persister.ListBytes, Clock: time.Now,
 		OnChange: func() { go ser.withForwardTimeout(ser.gossiper.PushList) },
 	}
 }
--- a/request/executor/call.go
+++ b/request/executor/call.go
@@ -50,7 +50,7 @@
 	defer cancel()
 	cal := &call{request: req, service: invoker.ServiceCall{
 		Method: htr.Method, Path: htr.URL.RequestURI(), Header: forwardedHeaders(htr.Header), Body: bod,
-		Key: htr.Header.Get(receiver.KeyHeader), Once: !req.route.Repeatable,
+		Key: htr.Header.Get(receiver.KeyHeader), AtMostOnce: !req.route.Repeatable,
 	}}
 	done, ref := exe.admit(ctx, cal.placement(), cal.team, cal.pool)
 	if ref != nil {
--- a/request/executor/executor.go
+++ b/request/executor/executor.go
@@ -189,7 +189,7 @@
 	if err != nil {
 		return err
 	}
-	responder.Describe(req.writer, responder.Labels{Route: rou.Name, Pool: poo.Name, Team: req.team.Name, PromptTokens: que.PromptTokens})
+	responder.SetLabels(req.writer, responder.Labels{Route: rou.Name, Pool: poo.Name, Team: req.team.Name, PromptTokens: que.PromptTokens})
 	req.route = rou
 	req.pool = poo
 	req.deadline = deadline
--- a/request/executor/relay.go
+++ b/request/executor/relay.go
@@ -58,7 +58,7 @@
 // sent together.
 func (exe *Executor) relay(ctx context.Context, gen *generation) error {
 	for {
-		eve, err := gen.stream.Next(invoker.SilenceTimeout)
+		eve, err := gen.stream.Next(invoker.EventTimeout)
 		if err == nil {
 			err = exe.handleEvent(gen, eve)
 		}
@@ -218,14 +218,14 @@
 	if errors.As(err, &invokeErr) {
 		eve.Ran = invokeErr.Ran
 		eve.Permanent = invokeErr.Status == http.StatusBadRequest || invokeErr.Status == http.StatusRequestEntityTooLarge
-		eve.Connection = errors.Is(err, invoker.ErrSilent) || invokeErr.Status == 0 && invokeErr.Code == "" && invokeErr.Ran != invoker.NotRun
+		eve.Connection = errors.Is(err, invoker.ErrUnresponsive) || invokeErr.Status == 0 && invokeErr.Code == "" && invokeErr.Ran != invoker.NotRun
 	}
 	if !eve.Permanent {
 		gen.lease.report(false, exe.Clock())
 	}
-	if eris.Is(err, invoker.ErrSilent) {
+	if eris.Is(err, invoker.ErrUnresponsive) {
 		exe.counters().silent.Inc(1)
-		exe.Invoker.Condemn(gen.lease.Address)
+		exe.Invoker.CloseIdleConnections(gen.lease.Address)
 	}
 	return eve
 }
--- a/request/receiver/body.go
+++ b/request/receiver/body.go
@@ -22,9 +22,9 @@
 	memoryRetryAfter = time.Second
 )
 
-// Budget bounds the memory that bodies of requests in progress take. It is safe
+// MemoryBudget bounds the memory that bodies of requests in progress take. It is safe
 // for concurrent use.
-type Budget struct {
+type MemoryBudget struct {
 	// MaxBytes is the bound; 0 stands for none.
 	MaxBytes int64
 
@@ -33,13 +33,13 @@
 }
 
 // Used returns the bytes reserved now.
-func (bud *Budget) Used() int64 {
+func (bud *MemoryBudget) Used() int64 {
 	bud.mu.Lock()
 	defer bud.mu.Unlock()
 	return bud.used
 }
 
-func (bud *Budget) take(num int64) bool {
+func (bud *MemoryBudget) take(num int64) bool {
 	bud.mu.Lock()
 	defer bud.mu.Unlock()
 	if bud.MaxBytes > 0 && bud.used+num > bud.MaxBytes {
@@ -49,7 +49,7 @@
 	return true
 }
 
-func (bud *Budget) give(num int64) {
+func (bud *MemoryBudget) give(num int64) {
 	bud.mu.Lock()
 	defer bud.mu.Unlock()
 	bud.used -= num
@@ -59,7 +59,7 @@
 // held for a caller that is refused before. Release gives it back.
 type Body struct {
 	io.ReadCloser
-	budget   *Budget
+	budget   *MemoryBudget
 	length   int64
 	read     int64
 	reserved int64
@@ -67,7 +67,7 @@
 
 // NewBody wraps a body whose announced length is -1 if unknown. Bodies over
 // maxBytes reserve no more than that; ReadBody refuses them.
-func NewBody(bod io.ReadCloser, bud *Budget, length, maxBytes int64) *Body {
+func NewBody(bod io.ReadCloser, bud *MemoryBudget, length, maxBytes int64) *Body {
 	return &Body{ReadCloser: bod, budget: bud, length: min(length, maxBytes)}
 }
 
--- a/request/receiver/receiver_test.go
+++ b/request/receiver/receiver_test.go
@@ -83,7 +83,7 @@
 	}
 	for _, tc := range tt {
 		t.Run(tc.name, func(t *testing.T) {
-			bud := &Budget{MaxBytes: 50_000}
+			bud := &MemoryBudget{MaxBytes: 50_000}
 			bod := NewBody(io.NopCloser(strings.NewReader(strings.Repeat("x", tc.size))), bud, tc.length, tc.max)
 			buf, err := ReadBody(bod, tc.max)
 			require.Equal(t, tc.held, bud.Used())
@@ -104,7 +104,7 @@
 // TestBodyUnknownLength reads whole bodies around the steps of the reservation.
 func TestBodyUnknownLength(t *testing.T) {
 	for _, siz := range []int{0, 1, reserveStep - 1, reserveStep, reserveStep + 1, 5*reserveStep + 7} {
-		bud := &Budget{MaxBytes: 64 * reserveStep}
+		bud := &MemoryBudget{MaxBytes: 64 * reserveStep}
 		bod := NewBody(io.NopCloser(strings.NewReader(strings.Repeat("x", siz))), bud, -1, 1<<20)
 		buf, err := ReadBody(bod, 1<<20)
 		require.NoError(t, err)
--- a/request/relayer/relayer.go
+++ b/request/relayer/relayer.go
@@ -62,7 +62,7 @@
 	Placer      Placer
 	Exchanger   *exchanger.Exchanger
 	RetryBudget RetryBudget
-	Bodies      *receiver.Budget
+	Bodies      *receiver.MemoryBudget
 	// Ready is closed once the host has tables and the list of endpoints; nil if it
 	// always has both.
 	Ready <-chan struct{}
--- a/request/responder/recorder.go
+++ b/request/responder/recorder.go
@@ -23,8 +23,8 @@
 	Clock func() time.Time
 	// WriteTimeout bounds each write; 0 stands for no bound.
 	WriteTimeout time.Duration
-	// Interval is told the time between two writes of a stream; nil for none.
-	Interval func(time.Duration)
+	// OnInterval is told the time between two writes of a stream; nil for none.
+	OnInterval func(time.Duration)
 
 	// Labels are set once the route is known.
 	Labels Labels
@@ -63,8 +63,8 @@
 	}
 	if rec.First.IsZero() {
 		rec.First = now
-	} else if rec.Interval != nil {
-		rec.Interval(now.Sub(rec.Last))
+	} else if rec.OnInterval != nil {
+		rec.OnInterval(now.Sub(rec.Last))
 	}
 	rec.Last = now
 	rec.extend(now)
@@ -99,8 +99,8 @@
 	}
 }
 
-// Describe notes what the request is.
-func Describe(wri http.ResponseWriter, lab Labels) {
+// SetLabels notes what the request is.
+func SetLabels(wri http.ResponseWriter, lab Labels) {
 	if rec := recorderOf(wri); rec != nil {
 		rec.Labels = lab
 	}
--- a/standin/keeper/list.go
+++ b/standin/keeper/list.go
@@ -43,7 +43,7 @@
 	defer kee.mu.Unlock()
 	out := []persister.Entry{}
 	for _, ent := range kee.lagging(now.Add(-kee.set.ListLag)) {
-		if region == "" || ent.Region == "" || ent.Region == region || ent.Kind == persister.KindEntry {
+		if region == "" || ent.Region == "" || ent.Region == region || ent.Kind == persister.KindHost {
 			out = append(out, ent)
 		}
 	}
