--- a/connection/exchanger/exchanger.go
+++ b/connection/exchanger/exchanger.go
@@ -1,10 +1,9 @@
-// Package exchanger sends one HTTP request to an endpoint on a connection of its
-// own and reads the answer.
+// Package exchanger sends one HTTP request to an endpoint on a new connection and
+// reads the answer.
 //
-// A connection serves one request only. So a late answer to an earlier request,
-// bytes after an answer, a connection that the endpoint has dropped while it was
-// idle, or a body that was answered before it was read can't touch another
-// request.
+// Connections are not reused. A late answer to an earlier request, extra bytes
+// after an answer, an idle connection closed by the endpoint, or an answer sent
+// before the body was read therefore cannot affect another request.
 package exchanger
 
 import (
@@ -23,41 +22,43 @@
 )
 
 const (
-	// dialTimeout bounds the set-up of a connection, which takes milliseconds
-	// between data centres of a region.
+	// dialTimeout bounds the connection set-up, which takes milliseconds between
+	// data centres of a region.
 	dialTimeout = 400 * time.Millisecond
-	// readBuffer holds an answer's head and several events of a stream.
-	readBuffer = 4 << 10
-	// maxInterim bounds the interim answers before a final one, and maxHead the bytes
-	// of all their heads: an endpoint in trouble may send bytes without end.
-	maxInterim = 8
-	maxHead    = 64 << 10
-	// concurrentBody is the size from which a body is sent while the answer is
-	// read, since an endpoint may answer before it has read it.
-	concurrentBody = 16 << 10
+	// readBufferBytes holds the head of an answer and several events of a stream.
+	readBufferBytes = 4 << 10
+	// maxInterimAnswers bounds the interim (1xx) answers before the final one, and
+	// maxHeadBytes the total size of all their heads: a faulty endpoint may send
+	// bytes without end.
+	maxInterimAnswers = 8
+	maxHeadBytes      = 64 << 10
+	// concurrentBodyBytes is the size from which the body is sent while the answer
+	// is read, since an endpoint may answer before it has read the whole body.
+	concurrentBodyBytes = 16 << 10
 )
 
-// DialError reports that nothing was sent: no connection was made, or not in time.
+// DialError reports that nothing was sent: no connection was made in time, or
+// Request.Header refused the send.
 type DialError struct {
 	Peer string
 	Err  error
 }
 
-// Error names the peer.
+// Error returns the peer and the cause.
 func (err *DialError) Error() string { return fmt.Sprintf("dial %s: %v", err.Peer, err.Err) }
 
 // Unwrap returns the cause.
 func (err *DialError) Unwrap() error { return err.Err }
 
-// NoAnswerError reports that a request was sent, at least in part, and no answer
-// could be read. The endpoint may have run it.
+// NoAnswerError reports that a request was sent, at least in part, and that no
+// answer could be read. The endpoint may have run the request.
 type NoAnswerError struct {
 	Peer string
 	Step string
 	Err  error
 }
 
-// Error names the step and the peer.
+// Error returns the step, the peer and the cause.
 func (err *NoAnswerError) Error() string {
 	return fmt.Sprintf("%s of %s: %v", err.Step, err.Peer, err.Err)
 }
@@ -65,28 +66,28 @@
 // Unwrap returns the cause.
 func (err *NoAnswerError) Unwrap() error { return err.Err }
 
-// Request is what is sent.
+// Request is an HTTP request to an endpoint.
 type Request struct {
 	Method string
-	// Target is the path and query as the caller sent them.
+	// Target is the path and query, unchanged from the caller's request.
 	Target string
 	Host   string
-	// Header makes the head once the connection stands, so that the times in it are
-	// those of the send. It fails where the request must not be sent any more, and then
-	// nothing was sent.
+	// Header builds the header after the connection is established, so that its
+	// times are those of the send. If it fails, the request is not sent.
 	Header func() (http.Header, error)
 	Body   []byte
 }
 
-// Answer is the head of an answer; its body is read from Body. Close ends the
-// connection and must be called.
+// Answer is the head of an answer, with its body as a stream. Close must be
+// called; it closes the connection.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   *bufio.Reader
-	// Length is the announced length of the body; -1 if there is none.
+	// Length is the announced length of the body in bytes; -1 if it is unknown.
 	Length int64
-	// Framed says that the end of the body is marked, by its length or by chunks.
+	// Framed reports whether the end of the body is marked, by its length or by
+	// chunked encoding, and not only by the end of the connection.
 	Framed bool
 
 	con  net.Conn
@@ -94,7 +95,7 @@
 	once sync.Once
 }
 
-// Close ends the connection. It is idempotent.
+// Close closes the connection. It is idempotent.
 func (ans *Answer) Close() {
 	ans.once.Do(func() {
 		ans.stop()
@@ -102,14 +103,14 @@
 	})
 }
 
-// Exchanger places requests. Its zero value is ready.
+// Exchanger sends requests. Its zero value is ready to use.
 type Exchanger struct {
-	// Traffic counts the bytes of the connections; nil counts nothing.
+	// Traffic counts the bytes of all connections; nil disables counting.
 	Traffic *counter.Traffic
 }
 
-// Exchange sends a request and waits for the head of its answer. The end of ctx
-// ends the connection at once, also while the body is read. It fails with a
+// Exchange sends a request and waits for the head of its answer. When ctx ends,
+// the connection is closed at once, also while the body is read. Errors are a
 // DialError or a NoAnswerError.
 func (exc *Exchanger) Exchange(ctx context.Context, address string, req Request) (*Answer, error) {
 	dia := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
@@ -124,65 +125,65 @@
 	}
 	con = exc.Traffic.Wrap(con)
 	stop := context.AfterFunc(ctx, func() { _ = con.Close() })
-	ans, bro := exchange(con, address, req, hea)
-	if bro != nil {
+	ans, noAnswer := exchange(con, address, req, hea)
+	if noAnswer != nil {
 		stop()
 		_ = con.Close()
 		if ctx.Err() != nil {
-			bro.Err = errors.Join(context.Cause(ctx), bro.Err)
+			noAnswer.Err = errors.Join(context.Cause(ctx), noAnswer.Err)
 		}
-		return nil, bro
+		return nil, noAnswer
 	}
 	ans.con, ans.stop = con, stop
 	return ans, nil
 }
 
 func exchange(con net.Conn, address string, req Request, hea http.Header) (*Answer, *NoAnswerError) {
-	sent := make(chan error, 1)
-	if len(req.Body) >= concurrentBody {
-		go func() { sent <- send(con, req, hea) }()
+	sendResult := make(chan error, 1)
+	if len(req.Body) >= concurrentBodyBytes {
+		go func() { sendResult <- send(con, req, hea) }()
 	} else {
-		sent <- send(con, req, hea)
+		sendResult <- send(con, req, hea)
 	}
 	res, err := receive(con, req.Method) //nolint:bodyclose // Answer.Close ends the connection.
 	if err != nil {
 		select {
-		case wri := <-sent:
-			if wri != nil {
-				return nil, &NoAnswerError{Peer: address, Step: "sending the request", Err: errors.Join(wri, err)}
+		case sendErr := <-sendResult:
+			if sendErr != nil {
+				return nil, &NoAnswerError{Peer: address, Step: "sending the request", Err: errors.Join(sendErr, err)}
 			}
 		default:
 		}
 		return nil, &NoAnswerError{Peer: address, Step: "reading the answer", Err: err}
 	}
 	return &Answer{
-		Status: res.StatusCode, Header: res.Header, Length: res.ContentLength, Body: bufio.NewReaderSize(res.Body, readBuffer),
+		Status: res.StatusCode, Header: res.Header, Length: res.ContentLength, Body: bufio.NewReaderSize(res.Body, readBufferBytes),
 		Framed: res.ContentLength >= 0 || len(res.TransferEncoding) > 0,
 	}, nil
 }
 
-// send writes the head and the body in one call.
-func send(con net.Conn, req Request, header http.Header) error {
-	var hea bytes.Buffer
-	fmt.Fprintf(&hea, "%s %s HTTP/1.1\r\nHost: %s\r\n", req.Method, req.Target, req.Host)
+// send writes the head and the body with one vectored write.
+func send(con net.Conn, req Request, hea http.Header) error {
+	var head bytes.Buffer
+	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", req.Method, req.Target, req.Host)
 	if len(req.Body) > 0 || req.Method == http.MethodPost || req.Method == http.MethodPut {
-		fmt.Fprintf(&hea, "Content-Length: %d\r\n", len(req.Body))
+		fmt.Fprintf(&head, "Content-Length: %d\r\n", len(req.Body))
 	}
-	if err := header.Write(&hea); err != nil {
+	if err := hea.Write(&head); err != nil {
 		return err
 	}
-	hea.WriteString("\r\n")
-	bufs := net.Buffers{hea.Bytes(), req.Body}
+	head.WriteString("\r\n")
+	bufs := net.Buffers{head.Bytes(), req.Body}
 	_, err := bufs.WriteTo(con)
 	return err
 }
 
-// receive reads the head of the final answer.
+// receive skips interim answers and reads the head of the final one.
 func receive(con net.Conn, method string) (*http.Response, error) {
-	hea := &headReader{Reader: con, left: maxHead}
-	rea := bufio.NewReaderSize(hea, readBuffer)
-	for range maxInterim {
-		res, err := http.ReadResponse(rea, &http.Request{Method: method})
+	hea := &headReader{Reader: con, remaining: maxHeadBytes}
+	reader := bufio.NewReaderSize(hea, readBufferBytes)
+	for range maxInterimAnswers {
+		res, err := http.ReadResponse(reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
@@ -194,24 +195,25 @@
 	return nil, errors.New("too many interim answers")
 }
 
-var errHeadTooLarge = fmt.Errorf("the head of the answer is over %d bytes", maxHead)
+var errHeadTooLarge = fmt.Errorf("the head of the answer is over %d bytes", maxHeadBytes)
 
-// headReader bounds what is read until the head of an answer is done.
+// headReader limits the bytes that are read before the head of the final answer
+// is complete.
 type headReader struct {
 	io.Reader
-	left int
-	done bool
+	remaining int
+	done      bool
 }
 
-// Read reads from the connection.
+// Read fails once the heads exceed the limit.
 func (hea *headReader) Read(buf []byte) (int, error) {
 	if hea.done {
 		return hea.Reader.Read(buf)
 	}
-	if hea.left <= 0 {
+	if hea.remaining <= 0 {
 		return 0, errHeadTooLarge
 	}
-	num, err := hea.Reader.Read(buf[:min(len(buf), hea.left)])
-	hea.left -= num
-	return num, err
+	n, err := hea.Reader.Read(buf[:min(len(buf), hea.remaining)])
+	hea.remaining -= n
+	return n, err
 }
