--- a/connection/invoker/invoker.go
+++ b/connection/invoker/invoker.go
@@ -1,5 +1,5 @@
-// Package invoker is the client of endpoints: model engines and plain services.
-// All knowledge of their wire format stands here.
+// Package invoker is the HTTP client of endpoints: model engines and plain
+// services. It is the only package that knows their wire format.
 package invoker
 
 import (
@@ -23,30 +23,32 @@
 )
 
 const (
-	// packed is the content encoding that reports may come in.
-	packed = "gzip"
+	// gzipEncoding is the content encoding of compressed reports.
+	gzipEncoding = "gzip"
 
 	dialTimeout        = 500 * time.Millisecond
 	idleConnTimeout    = 30 * time.Second
 	maxIdlePerEndpoint = 64
-	// clientRetention is how long an endpoint that is not called is remembered.
+	// clientRetention is how long the connections to an endpoint are kept without
+	// a call.
 	clientRetention = 10 * time.Minute
 )
 
-// ErrUnresponsive marks a connection on which nothing arrived within the timeout.
+// ErrUnresponsive reports that nothing arrived on a connection within the timeout.
 var ErrUnresponsive = eris.New("invoker: no progress within the timeout")
 
-// Execution says whether a request ran on an endpoint.
+// Execution states whether a request ran on an endpoint.
 type Execution string
 
-// Executions. An error is NotRun only where that is certain.
+// Values of Execution. NotRun is used only if it is certain that the request did
+// not run.
 const (
 	NotRun  Execution = "NotRun"
 	Ran     Execution = "Ran"
 	Unknown Execution = "Unknown"
 )
 
-// Error is a failure at an endpoint with the step and the peer.
+// Error is a failed call to an endpoint.
 type Error struct {
 	Step   string
 	Peer   string
@@ -56,7 +58,7 @@
 	Err    error
 }
 
-// Error formats the failure.
+// Error returns the step, the endpoint, its status and code, and the cause.
 func (err *Error) Error() string {
 	return fmt.Sprintf("%s: endpoint %s: status %d %s: %v", err.Step, err.Peer, err.Status, err.Code, err.Err)
 }
@@ -64,30 +66,33 @@
 // Unwrap returns the cause.
 func (err *Error) Unwrap() error { return err.Err }
 
-// Invoker calls endpoints by address. Its zero value is ready.
+// Invoker calls endpoints by address. Its zero value is ready to use.
 type Invoker struct {
-	// Traffic counts the bytes of prompts and of calls that may be repeated,
-	// Control those of all other calls, such as load reports.
+	// Traffic counts the bytes of prompts and of service calls that may be
+	// repeated, Control those of control calls, such as load reports. Service
+	// calls that run at most once are not counted.
 	Traffic counter.Traffic
 	Control counter.Traffic
 
-	mu      sync.Mutex
-	clients map[peer]*client
-	swept   time.Time
+	mu        sync.Mutex
+	clients   map[peer]*client
+	lastSweep time.Time
 }
 
-// peer is an endpoint by its address and by what the connections to it are for.
+// peer identifies a connection pool by the endpoint's address and by whether the
+// pool serves control calls.
 type peer struct {
 	address string
 	control bool
 }
 
-// client holds the connections to one endpoint, so that those of a silent one
-// can be closed without touching the others.
+// client is the connection pool of one peer. Pools are separate so that the
+// connections to an unresponsive endpoint can be closed without affecting other
+// endpoints.
 type client struct {
 	http.Client
 	transport *http.Transport
-	used      time.Time
+	lastUsed  time.Time
 }
 
 func (inv *Invoker) client(pee peer) *http.Client {
@@ -102,8 +107,8 @@
 		}
 		inv.clients[pee] = cli
 	}
-	cli.used = now
-	inv.sweep(now)
+	cli.lastUsed = now
+	inv.removeUnused(now)
 	return &cli.Client
 }
 
@@ -124,22 +129,22 @@
 	return &client{Client: http.Client{Transport: tra}, transport: tra}
 }
 
-// sweep forgets endpoints that were not called for long. The caller holds the
-// lock.
-func (inv *Invoker) sweep(now time.Time) {
-	if now.Sub(inv.swept) < clientRetention {
+// removeUnused removes the clients of endpoints that have not been called for
+// clientRetention. The caller holds the lock.
+func (inv *Invoker) removeUnused(now time.Time) {
+	if now.Sub(inv.lastSweep) < clientRetention {
 		return
 	}
-	inv.swept = now
+	inv.lastSweep = now
 	for pee, cli := range inv.clients {
-		if now.Sub(cli.used) > clientRetention {
+		if now.Sub(cli.lastUsed) > clientRetention {
 			cli.transport.CloseIdleConnections()
 			delete(inv.clients, pee)
 		}
 	}
 }
 
-var onceClient = &http.Client{
+var atMostOnceClient = &http.Client{
 	Transport: &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		DisableKeepAlives:  true,
@@ -148,53 +153,55 @@
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
-// clientFor picks the client of a call. The transport of net/http sends a
-// request again by itself when a reused connection fails under it, so a call
-// that must run at most once gets a connection of its own.
+// clientFor chooses the client of a service call. The transport of net/http
+// retries a request by itself when a reused connection fails, so a call that
+// must run at most once gets a new connection.
 func (inv *Invoker) clientFor(address string, cal ServiceCall) *http.Client {
 	if cal.AtMostOnce {
-		return onceClient
+		return atMostOnceClient
 	}
 	return inv.client(peer{address: address})
 }
 
-// CloseIdleConnections closes the idle connections to an endpoint, so that later calls dial
-// anew. Connections in use are judged by their own progress.
+// CloseIdleConnections closes the idle connections to an endpoint, so that later
+// calls dial again. Connections in use are not closed: the calls on them have
+// timeouts of their own.
 func (inv *Invoker) CloseIdleConnections(address string) {
 	inv.mu.Lock()
 	defer inv.mu.Unlock()
-	for _, con := range []bool{false, true} {
-		if cli := inv.clients[peer{address, con}]; cli != nil {
+	for _, control := range []bool{false, true} {
+		if cli := inv.clients[peer{address, control}]; cli != nil {
 			cli.transport.CloseIdleConnections()
 		}
 	}
 }
 
-func inject(ctx context.Context, req *http.Request) {
+func setHeaders(ctx context.Context, req *http.Request) {
 	req.Header.Set("Content-Type", "application/json")
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
 }
 
-// ranAfterSend is NotRun only if no connection was made.
-func ranAfterSend(err error) Execution {
-	var ope *net.OpError
-	if errors.As(err, &ope) && ope.Op == "dial" {
+// executionAfter returns NotRun if err says that no connection was made, and
+// Unknown otherwise.
+func executionAfter(err error) Execution {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return NotRun
 	}
 	return Unknown
 }
 
 func replyError(step, address string, res *http.Response) error {
-	var bod struct {
+	var body struct {
 		Code    string
 		Message string
 		Ran     Execution
 	}
 	buf, _ := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
-	if json.Unmarshal(buf, &bod) != nil || bod.Ran == "" {
-		bod.Ran = Unknown
+	if json.Unmarshal(buf, &body) != nil || body.Ran == "" {
+		body.Ran = Unknown
 	}
-	return &Error{Step: step, Peer: address, Status: res.StatusCode, Code: bod.Code, Ran: bod.Ran, Err: eris.New(bod.Message)}
+	return &Error{Step: step, Peer: address, Status: res.StatusCode, Code: body.Code, Ran: body.Ran, Err: eris.New(body.Message)}
 }
 
 func (inv *Invoker) get(ctx context.Context, step, address, path string, out any) error {
@@ -214,19 +221,19 @@
 	if err != nil {
 		return &Error{Step: step, Peer: address, Ran: NotRun, Err: err}
 	}
-	inject(ctx, req)
+	setHeaders(ctx, req)
 	if method == http.MethodGet {
-		req.Header.Set("Accept-Encoding", packed)
+		req.Header.Set("Accept-Encoding", gzipEncoding)
 	}
 	res, err := inv.client(peer{address, true}).Do(req)
 	if err != nil {
-		return &Error{Step: step, Peer: address, Ran: ranAfterSend(err), Err: err}
+		return &Error{Step: step, Peer: address, Ran: executionAfter(err), Err: err}
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
 		return replyError(step, address, res)
 	}
-	if res.Header.Get("Content-Encoding") == packed {
+	if res.Header.Get("Content-Encoding") == gzipEncoding {
 		res.Body, err = gzip.NewReader(res.Body)
 		if err != nil {
 			return &Error{Step: step + ": unpack", Peer: address, Ran: Ran, Err: err}
--- a/connection/invoker/orders.go
+++ b/connection/invoker/orders.go
@@ -18,13 +18,13 @@
 
 // EngineConfig is the configuration of an engine.
 type EngineConfig struct {
-	// Generation counts from 1 and grows with each order carried out.
+	// Generation starts at 1 and increases with each order carried out.
 	Generation uint64
-	// Fence is the highest fencing number seen.
+	// Fence is the highest fencing number that the engine has seen.
 	Fence    uint64
 	Models   []string
 	Adapters []string
-	// Versions holds the loaded version of each model.
+	// Versions maps each model to its loaded version.
 	Versions map[string]string
 	Role     string
 	// Orders are the identifiers of the latest orders, oldest first.
--- a/connection/invoker/scanner.go
+++ b/connection/invoker/scanner.go
@@ -10,79 +10,81 @@
 	"github.com/rotisserie/eris"
 )
 
-// errMalformed marks an event that can't be read.
+// errMalformed reports an event that cannot be decoded.
 var errMalformed = eris.New("malformed event")
 
-// reportedError is a failure that the engine itself reports on a stream.
+// reportedError is a failure that the engine reports as an event of a stream.
 type reportedError struct {
 	Code    string
 	Message string
 }
 
-// Error formats the report.
+// Error returns the engine's code and message.
 func (err *reportedError) Error() string { return err.Code + ": " + err.Message }
 
-// scanner reads server-sent events. Tokens in the plain form, which is nearly
-// all of a stream, are read without reflection.
+// scanner reads server-sent events. Token events in the usual form, which are
+// nearly all events of a stream, are decoded without reflection.
 type scanner struct {
-	// requestID saves a copy of the identifier for each token.
+	// requestID is the expected identifier; tokens share this string instead of
+	// each allocating a copy.
 	requestID string
 	kind      []byte
 	data      []byte
-	long      []byte
+	longLine  []byte
 }
 
 // next reads one event.
-func (sca *scanner) next(rea *bufio.Reader) (Event, error) {
+func (sca *scanner) next(reader *bufio.Reader) (Event, error) {
 	sca.kind = sca.kind[:0]
 	sca.data = sca.data[:0]
 	for {
-		lin, err := sca.line(rea)
+		line, err := sca.readLine(reader)
 		if err != nil {
 			return nil, err
 		}
-		if len(lin) == 0 && len(sca.kind) == 0 && len(sca.data) == 0 {
+		if len(line) == 0 && len(sca.kind) == 0 && len(sca.data) == 0 {
 			continue
 		}
-		if len(lin) == 0 {
+		if len(line) == 0 {
 			return sca.decode()
 		}
-		if err := sca.field(lin); err != nil {
+		if err := sca.parseField(line); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// line reads one line without its end. It is valid until the next read.
-func (sca *scanner) line(rea *bufio.Reader) ([]byte, error) {
-	lin, err := rea.ReadSlice('\n')
+// readLine returns one line without its line end. The result is valid until the
+// next read.
+func (sca *scanner) readLine(reader *bufio.Reader) ([]byte, error) {
+	line, err := reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		sca.long = append(sca.long[:0], lin...)
-		lin, err = sca.longLine(rea)
+		sca.longLine = append(sca.longLine[:0], line...)
+		line, err = sca.readLongLine(reader)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return bytes.TrimSuffix(lin[:len(lin)-1], []byte("\r")), nil
+	return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
 }
 
-func (sca *scanner) longLine(rea *bufio.Reader) ([]byte, error) {
+func (sca *scanner) readLongLine(reader *bufio.Reader) ([]byte, error) {
 	for {
-		lin, err := rea.ReadSlice('\n')
-		sca.long = append(sca.long, lin...)
-		if len(sca.long) > maxEventBytes {
+		line, err := reader.ReadSlice('\n')
+		sca.longLine = append(sca.longLine, line...)
+		if len(sca.longLine) > maxEventBytes {
 			return nil, eris.Wrapf(errMalformed, "the event is over %d bytes", maxEventBytes)
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
-			return sca.long, err
+			return sca.longLine, err
 		}
 	}
 }
 
-func (sca *scanner) field(lin []byte) error {
-	nam, val, _ := bytes.Cut(lin, []byte(":"))
+func (sca *scanner) parseField(line []byte) error {
+	name, val, _ := bytes.Cut(line, []byte(":"))
 	val = bytes.TrimPrefix(val, []byte(" "))
-	switch string(nam) {
+	switch string(name) {
 	case "event":
 		sca.kind = append(sca.kind[:0], val...)
 	case "data":
@@ -100,7 +102,7 @@
 func (sca *scanner) decode() (Event, error) {
 	switch string(sca.kind) {
 	case "Token":
-		if tok, ok := sca.token(); ok {
+		if tok, ok := sca.parseToken(); ok {
 			return tok, nil
 		}
 		return decodeAs[Token](sca.data)
@@ -119,63 +121,64 @@
 	}
 }
 
-func decodeAs[E Event](dat []byte) (Event, error) {
+func decodeAs[E Event](data []byte) (Event, error) {
 	var eve E
-	if err := json.Unmarshal(dat, &eve); err != nil {
+	if err := json.Unmarshal(data, &eve); err != nil {
 		return nil, eris.Wrapf(errMalformed, "%T: %v", eve, err)
 	}
 	return eve, nil
 }
 
-// token reads a token whose fields come in the usual order without escapes.
-func (sca *scanner) token() (Token, bool) {
-	cur := cursor{rest: sca.data, ok: true}
-	cur.skip(`{"RequestID":`)
+// parseToken decodes a token whose fields come in the usual order and without
+// escapes. It returns false for any other form.
+func (sca *scanner) parseToken() (Token, bool) {
+	cur := cursor{remaining: sca.data, ok: true}
+	cur.expect(`{"RequestID":`)
 	id := cur.text()
-	cur.skip(`,"Attempt":`)
-	att := cur.number()
-	cur.skip(`,"Index":`)
-	ind := cur.number()
-	cur.skip(`,"Text":`)
-	txt := cur.text()
-	cur.skip("}")
-	if !cur.ok || len(cur.rest) > 0 {
+	cur.expect(`,"Attempt":`)
+	attempt := cur.number()
+	cur.expect(`,"Index":`)
+	index := cur.number()
+	cur.expect(`,"Text":`)
+	text := cur.text()
+	cur.expect("}")
+	if !cur.ok || len(cur.remaining) > 0 {
 		return Token{}, false
 	}
-	tok := Token{RequestID: sca.requestID, Attempt: int(att), Index: ind, Text: string(txt)}
+	tok := Token{RequestID: sca.requestID, Attempt: int(attempt), Index: index, Text: string(text)}
 	if string(id) != sca.requestID {
 		tok.RequestID = string(id)
 	}
 	return tok, true
 }
 
-// cursor walks over JSON of a known form; ok turns false where it differs.
+// cursor parses JSON of a known form; ok becomes false at the first difference.
 type cursor struct {
-	rest []byte
-	ok   bool
+	remaining []byte
+	ok        bool
 }
 
-func (cur *cursor) skip(txt string) {
-	if !cur.ok || len(cur.rest) < len(txt) || string(cur.rest[:len(txt)]) != txt {
+func (cur *cursor) expect(text string) {
+	if !cur.ok || len(cur.remaining) < len(text) || string(cur.remaining[:len(text)]) != text {
 		cur.ok = false
 		return
 	}
-	cur.rest = cur.rest[len(txt):]
+	cur.remaining = cur.remaining[len(text):]
 }
 
-// text reads a string of printable ASCII without escapes.
+// text parses a string of printable ASCII without escapes.
 func (cur *cursor) text() []byte {
-	cur.skip(`"`)
+	cur.expect(`"`)
 	if !cur.ok {
 		return nil
 	}
-	for ind, byt := range cur.rest {
-		if byt == '"' {
-			txt := cur.rest[:ind]
-			cur.rest = cur.rest[ind+1:]
-			return txt
+	for i, char := range cur.remaining {
+		if char == '"' {
+			text := cur.remaining[:i]
+			cur.remaining = cur.remaining[i+1:]
+			return text
 		}
-		if byt < ' ' || byt > '~' || byt == '\\' {
+		if char < ' ' || char > '~' || char == '\\' {
 			break
 		}
 	}
@@ -185,14 +188,14 @@
 
 func (cur *cursor) number() int64 {
 	end := 0
-	for end < len(cur.rest) && cur.rest[end] >= '0' && cur.rest[end] <= '9' {
+	for end < len(cur.remaining) && cur.remaining[end] >= '0' && cur.remaining[end] <= '9' {
 		end++
 	}
-	num, err := strconv.ParseInt(string(cur.rest[:end]), 10, 64)
-	if err != nil || end > 1 && cur.rest[0] == '0' {
+	n, err := strconv.ParseInt(string(cur.remaining[:end]), 10, 64)
+	if err != nil || end > 1 && cur.remaining[0] == '0' {
 		cur.ok = false
 		return 0
 	}
-	cur.rest = cur.rest[end:]
-	return num
+	cur.remaining = cur.remaining[end:]
+	return n
 }
--- a/connection/invoker/scanner_test.go
+++ b/connection/invoker/scanner_test.go
@@ -12,12 +12,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func scanAll(txt string) ([]Event, error) {
+func scanAll(text string) ([]Event, error) {
 	sca := scanner{requestID: "r"}
-	rea := bufio.NewReaderSize(strings.NewReader(txt), 64)
+	reader := bufio.NewReaderSize(strings.NewReader(text), 64)
 	var eves []Event
 	for {
-		eve, err := sca.next(rea)
+		eve, err := sca.next(reader)
 		if err != nil {
 			return eves, err
 		}
@@ -54,27 +54,28 @@
 	}
 }
 
-// FuzzToken checks that the fast reading of tokens agrees with encoding/json.
+// FuzzToken checks that parseToken agrees with encoding/json.
 func FuzzToken(f *testing.F) {
 	f.Add(`{"RequestID":"r","Attempt":1,"Index":2,"Text":" t"}`)
 	f.Add(`{"RequestID":"other","Attempt":1,"Index":9223372036854775808,"Text":"\""}`)
-	f.Fuzz(func(t *testing.T, dat string) {
-		sca := scanner{requestID: "r", data: []byte(dat)}
-		fast, ok := sca.token()
+	f.Fuzz(func(t *testing.T, data string) {
+		sca := scanner{requestID: "r", data: []byte(data)}
+		parsed, ok := sca.parseToken()
 		if !ok {
 			return
 		}
-		var slow Token
-		require.NoError(t, json.Unmarshal([]byte(dat), &slow))
-		require.Equal(t, slow, fast)
+		var want Token
+		require.NoError(t, json.Unmarshal([]byte(data), &want))
+		require.Equal(t, want, parsed)
 	})
 }
 
-// FuzzScanner checks that no input makes the scanner fail but by its errors.
+// FuzzScanner checks that the scanner neither panics nor returns unknown errors,
+// whatever the input.
 func FuzzScanner(f *testing.F) {
 	f.Add("event: Token\ndata: {}\n\n")
-	f.Fuzz(func(t *testing.T, txt string) {
-		_, err := scanAll(txt)
+	f.Fuzz(func(t *testing.T, text string) {
+		_, err := scanAll(text)
 		var rep *reportedError
 		known := errors.Is(err, io.EOF) || errors.Is(err, errMalformed) || errors.As(err, &rep)
 		require.True(t, known, fmt.Sprint(err))
--- a/connection/invoker/service.go
+++ b/connection/invoker/service.go
@@ -10,42 +10,43 @@
 // KeyHeader carries the idempotency key to a plain service.
 const KeyHeader = "Idempotency-Key"
 
-// ServiceCall is one call of a plain service.
+// ServiceCall is one call to a plain service.
 type ServiceCall struct {
 	Method string
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Key is the idempotency key of the call; empty for repeatable calls without one.
+	// Key is the idempotency key of the call; empty for a repeatable call without
+	// a key.
 	Key string
-	// AtMostOnce marks a call that must not be sent a second time.
+	// AtMostOnce marks a call that must not be sent twice.
 	AtMostOnce bool
 }
 
-// ServiceReply is the whole answer of a plain service.
+// ServiceReply is the complete answer of a plain service.
 type ServiceReply struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Call runs a call on the service at address. Any status is a reply; an error
-// says whether the call ran.
+// Call sends a call to the service at address. A reply with any status is
+// returned without an error; an Error states whether the call ran.
 func (inv *Invoker) Call(ctx context.Context, address string, cal ServiceCall) (ServiceReply, error) {
 	req, err := http.NewRequestWithContext(ctx, cal.Method, "http://"+address+cal.Path, bytes.NewReader(cal.Body))
 	if err != nil {
 		return ServiceReply{}, &Error{Step: "Invoker.Call: build", Peer: address, Ran: NotRun, Err: err}
 	}
-	for nam, val := range cal.Header {
-		req.Header[nam] = val
+	for name, val := range cal.Header {
+		req.Header[name] = val
 	}
-	inject(ctx, req)
+	setHeaders(ctx, req)
 	if cal.Key != "" {
 		req.Header.Set(KeyHeader, cal.Key)
 	}
 	res, err := inv.clientFor(address, cal).Do(req)
 	if err != nil {
-		return ServiceReply{}, &Error{Step: "Invoker.Call: send", Peer: address, Ran: ranAfterSend(err), Err: err}
+		return ServiceReply{}, &Error{Step: "Invoker.Call: send", Peer: address, Ran: executionAfter(err), Err: err}
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
--- a/connection/invoker/stream.go
+++ b/connection/invoker/stream.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// maxEventBytes bounds one event of a stream.
+	// maxEventBytes bounds the size of one event of a stream.
 	maxEventBytes = 1 << 20
-	// streamBufferBytes holds some dozens of tokens that arrived together.
+	// streamBufferBytes holds some dozens of tokens that arrive together.
 	streamBufferBytes = 8 << 10
-	// EventTimeout bounds the time without any sign of life on a stream.
-	// Engines send one every 500 ms.
+	// EventTimeout bounds the time between two events of a stream, and the time
+	// to the reply after the upload. Engines send an event at least every 500 ms.
 	EventTimeout = 1500 * time.Millisecond
-	// uploadRate is the least rate, in bytes a second, at which an engine
-	// takes a prompt.
-	uploadRate = 16 << 20
+	// minUploadRate is the lowest rate, in bytes per second, at which an engine
+	// is expected to receive a prompt.
+	minUploadRate = 16 << 20
 )
 
-// Headers with which an engine confirms what it answers.
+// Headers with which an engine confirms which request it answers.
 const (
 	EngineRequestHeader = "Engine-Request-Id"
 	EngineAttemptHeader = "Engine-Attempt"
@@ -35,13 +35,13 @@
 	EnginePromptHeader  = "Engine-Prompt-Tokens"
 )
 
-// ErrMismatch marks an answer to something that was not asked.
+// ErrMismatch reports an answer to a different request than the one sent.
 var ErrMismatch = eris.New("invoker: the answer is to another request")
 
-// Event is one step of an engine's answer: Token, Finish or Idle.
+// Event is one event of an engine's answer: Token, Finish or Idle.
 type Event interface{ event() }
 
-// Token is one generated token. Attempt and RequestID tie it to its dispatch.
+// Token is one generated token. RequestID and Attempt identify its dispatch.
 type Token struct {
 	RequestID string
 	Attempt   int
@@ -53,18 +53,18 @@
 type Finish struct {
 	RequestID string
 	Attempt   int
-	// Reason is "length" at the limit of tokens or "stop" at the model's own end.
+	// Reason is "length" at the token limit or "stop" if the model ended the answer.
 	Reason           string
 	PromptTokens     int64
 	CachedTokens     int64
 	CompletionTokens int64
 }
 
-// Idle shows that the engine is alive while it has no token to send.
+// Idle shows that the engine is responsive while it has no token to send.
 type Idle struct {
-	// Prefilled counts the prompt tokens done.
+	// Prefilled counts the prompt tokens that have been prefilled.
 	Prefilled int64
-	// Ahead counts the sequences that are scheduled before this one.
+	// Ahead counts the sequences that are scheduled before this sequence.
 	Ahead int64
 }
 
@@ -72,22 +72,22 @@
 func (Finish) event() {}
 func (Idle) event()   {}
 
-// Stream is one running answer of an engine. It is used by one goroutine.
+// Stream is one running answer of an engine. It is not safe for concurrent use.
 type Stream struct {
 	peer   string
 	ctx    context.Context
 	cancel context.CancelFunc
 	body   io.ReadCloser
 	reader *bufio.Reader
-	// watch closes the connection when nothing arrives in time.
-	watch  *time.Timer
-	silent atomic.Bool
-	// ran turns Ran with the first token; before it the engine may not have
-	// begun.
-	ran  Execution
-	scan scanner
-	// again holds tokens that are read once more.
-	again []Token
+	// timer closes the connection when nothing arrives in time.
+	timer    *time.Timer
+	timedOut atomic.Bool
+	// ran is Unknown until the first token arrives, since the engine may not have
+	// started the request before, and then Ran.
+	ran     Execution
+	scanner scanner
+	// unread holds tokens that Next returns before it reads further events.
+	unread []Token
 }
 
 // Generate dispatches a request to the engine at address and returns its
@@ -99,20 +99,20 @@
 	}
 	str := &Stream{peer: address, ran: Unknown}
 	str.ctx, str.cancel = context.WithCancel(ctx)
-	str.watch = time.AfterFunc(EventTimeout+uploadTime(len(body)), str.giveUp)
+	str.timer = time.AfterFunc(EventTimeout+maxUploadTime(len(body)), str.timeOut)
 	req, err := http.NewRequestWithContext(str.ctx, http.MethodPost, "http://"+address+"/v1/generate", bytes.NewReader(body))
 	if err != nil {
 		defer str.Close()
 		return nil, &Error{Step: "Invoker.Generate: build", Peer: address, Ran: NotRun, Err: err}
 	}
-	inject(ctx, req)
+	setHeaders(ctx, req)
 	res, err := inv.client(peer{address: address}).Do(req)
 	if err != nil {
 		defer str.Close()
 		return nil, str.openError(err)
 	}
-	str.watch.Stop()
-	str.attach(res.Body)
+	str.timer.Stop()
+	str.setBody(res.Body)
 	if res.StatusCode != http.StatusOK {
 		defer str.Close()
 		defer res.Body.Close()
@@ -122,59 +122,59 @@
 		defer str.Close()
 		return nil, &Error{Step: "Invoker.Generate: check", Peer: address, Code: "mismatch", Ran: Unknown, Err: err}
 	}
-	str.scan.requestID = gen.RequestID
+	str.scanner.requestID = gen.RequestID
 	return str, nil
 }
 
-func (str *Stream) attach(body io.ReadCloser) {
+func (str *Stream) setBody(body io.ReadCloser) {
 	str.body = body
 	str.reader = bufio.NewReaderSize(body, streamBufferBytes)
 }
 
-func uploadTime(bytes int) time.Duration {
-	return time.Duration(bytes) * time.Second / uploadRate
+func maxUploadTime(bytes int) time.Duration {
+	return time.Duration(bytes) * time.Second / minUploadRate
 }
 
-// openError reports a dispatch that got no reply. The silence of a connection
-// tells nothing about what the engine did.
+// openError returns the error of a dispatch without a reply. After a timeout it
+// is unknown whether the engine ran the request.
 func (str *Stream) openError(err error) error {
-	if str.silent.Load() {
+	if str.timedOut.Load() {
 		return &Error{Step: "Invoker.Generate: silent", Peer: str.peer, Ran: Unknown, Err: ErrUnresponsive}
 	}
-	return &Error{Step: "Invoker.Generate: send", Peer: str.peer, Ran: ranAfterSend(err), Err: err}
+	return &Error{Step: "Invoker.Generate: send", Peer: str.peer, Ran: executionAfter(err), Err: err}
 }
 
-func checkReply(hea http.Header, gen GenerateRequest) error {
+func checkReply(header http.Header, gen GenerateRequest) error {
 	wants := []struct{ header, want string }{
 		{EngineRequestHeader, gen.RequestID},
 		{EngineAttemptHeader, strconv.Itoa(gen.Attempt)},
 		{EngineModelHeader, gen.Model},
 		{EnginePromptHeader, strconv.FormatInt(gen.PromptTokens, 10)},
 	}
-	for _, wan := range wants {
-		if got := hea.Get(wan.header); got != wan.want {
-			return eris.Wrapf(ErrMismatch, "%s is %.64q, want %q", wan.header, got, wan.want)
+	for _, check := range wants {
+		if got := header.Get(check.header); got != check.want {
+			return eris.Wrapf(ErrMismatch, "%s is %.64q, want %q", check.header, got, check.want)
 		}
 	}
 	return nil
 }
 
-func (str *Stream) giveUp() {
-	str.silent.Store(true)
+func (str *Stream) timeOut() {
+	str.timedOut.Store(true)
 	str.cancel()
 }
 
-// Next waits for the next event. It fails when nothing arrives within timeout;
-// the connection, and only this one, is then closed.
+// Next waits for the next event. If nothing arrives within timeout, it closes
+// this stream's connection and returns ErrUnresponsive in an Error.
 func (str *Stream) Next(timeout time.Duration) (Event, error) {
-	if len(str.again) > 0 {
-		tok := str.again[0]
-		str.again = str.again[1:]
+	if len(str.unread) > 0 {
+		tok := str.unread[0]
+		str.unread = str.unread[1:]
 		return tok, nil
 	}
-	str.watch.Reset(timeout)
-	defer str.watch.Stop()
-	eve, err := str.scan.next(str.reader)
+	str.timer.Reset(timeout)
+	defer str.timer.Stop()
+	eve, err := str.scanner.next(str.reader)
 	if err != nil {
 		return nil, str.readError(err)
 	}
@@ -188,7 +188,7 @@
 	out := &Error{Step: "Stream.Next", Peer: str.peer, Ran: str.ran, Err: err}
 	var rep *reportedError
 	switch {
-	case str.silent.Load():
+	case str.timedOut.Load():
 		out.Step = "Stream.Next: silent"
 		out.Err = ErrUnresponsive
 	case str.ctx.Err() != nil:
@@ -206,27 +206,27 @@
 	return out
 }
 
-// Unread gives tokens back that were read last, to be read again.
-func (str *Stream) Unread(toks []Token) { str.again = toks }
+// Unread makes Next return the given tokens, which were read last, once more.
+func (str *Stream) Unread(toks []Token) { str.unread = toks }
 
-// Buffered reports whether a whole event waits that Next would return without
-// reading from the connection.
+// Buffered reports whether Next can return an event without reading from the
+// connection.
 func (str *Stream) Buffered() bool {
-	if len(str.again) > 0 {
+	if len(str.unread) > 0 {
 		return true
 	}
-	cou := str.reader.Buffered()
-	if cou == 0 {
+	n := str.reader.Buffered()
+	if n == 0 {
 		return false
 	}
-	buf, _ := str.reader.Peek(cou)
+	buf, _ := str.reader.Peek(n)
 	return bytes.Contains(buf, []byte("\n\n"))
 }
 
-// Close gives the stream up. The engine stops the sequence when it notices;
-// Cancel makes it certain.
+// Close closes the connection of the stream. The engine stops the sequence when
+// it notices; Invoker.Cancel stops it reliably.
 func (str *Stream) Close() {
-	str.watch.Stop()
+	str.timer.Stop()
 	str.cancel()
 	if str.body != nil {
 		str.body.Close()
