--- a/connection/persister/list.go
+++ b/connection/persister/list.go
@@ -13,20 +13,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// encoding is the content encoding that the list may come in.
-const encoding = "gzip"
+// gzipEncoding is the content encoding of a compressed list.
+const gzipEncoding = "gzip"
 
-// listed is the last list that was read.
-type listed struct {
-	mu      sync.Mutex
-	etag    string
-	entries []Entry
-	cost    int
+// listCache holds the list that was read last.
+type listCache struct {
+	mu            sync.Mutex
+	etag          string
+	entries       []Entry
+	receivedBytes int
 }
 
-// Entries reads the lagging list of hosts and endpoints. The list comes packed,
-// and only where it has changed since the last read. The result must not be
-// changed.
+// Entries reads the list of hosts and endpoints, which lags behind their state.
+// The list is transferred compressed, and only if it has changed since the last
+// read. The caller must not modify the result.
 func (per *Persister) Entries(ctx context.Context) ([]Entry, error) {
 	per.list.mu.Lock()
 	defer per.list.mu.Unlock()
@@ -34,15 +34,15 @@
 	if per.Region != "" {
 		path += "?" + url.Values{"Region": {per.Region}}.Encode()
 	}
-	hea := http.Header{"Accept-Encoding": {encoding}}
+	header := http.Header{"Accept-Encoding": {gzipEncoding}}
 	if per.list.etag != "" {
-		hea.Set("If-None-Match", per.list.etag)
+		header.Set("If-None-Match", per.list.etag)
 	}
-	res, err := per.do(ctx, http.MethodGet, path, hea, nil)
+	res, err := per.do(ctx, http.MethodGet, path, header, nil)
 	if err != nil {
 		return nil, eris.Wrapf(err, "Persister.Entries: platform %s", per.BaseURL)
 	}
-	per.list.cost = res.received
+	per.list.receivedBytes = res.receivedBytes
 	if res.unchanged {
 		return per.list.entries, nil
 	}
@@ -55,18 +55,19 @@
 	return ents, nil
 }
 
-// ListBytes returns the bytes that the last read of the list took.
+// ListBytes returns the length of the last answer's body as received, in bytes;
+// 0 if the list had not changed.
 func (per *Persister) ListBytes() int {
 	per.list.mu.Lock()
 	defer per.list.mu.Unlock()
-	return per.list.cost
+	return per.list.receivedBytes
 }
 
-func unpack(buf []byte) ([]byte, error) {
-	rea, err := gzip.NewReader(bytes.NewReader(buf))
+func decompress(buf []byte) ([]byte, error) {
+	reader, err := gzip.NewReader(bytes.NewReader(buf))
 	if err != nil {
 		return nil, eris.Wrap(err, "unpack answer")
 	}
-	out, err := io.ReadAll(io.LimitReader(rea, maxListBytes))
+	out, err := io.ReadAll(io.LimitReader(reader, maxListBytes))
 	return out, eris.Wrap(err, "unpack answer")
 }
--- a/connection/persister/list_test.go
+++ b/connection/persister/list_test.go
@@ -13,7 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The list of the aimed size comes packed, once, for the own region only.
+// TestListOfFullSize reads a list of the intended size: it is compressed, limited
+// to the endpoints of the local region, and not transferred again unchanged.
 func TestListOfFullSize(t *testing.T) {
 	kee := keeper.New(keeper.Settings{ReadRate: 1000, WriteRate: 1000})
 	ser := httptest.NewServer(kee.Handler())
@@ -21,10 +22,10 @@
 	put := func(ent persister.Entry) {
 		require.NoError(t, testkit.PutJSON(t.Context(), ser.URL+"/control/entries", ent))
 	}
-	for ind := range 400 {
+	for i := range 400 {
 		put(persister.Entry{
-			ID: fmt.Sprintf("engine-%d", ind), Kind: persister.KindEngine, Service: "s", Address: fmt.Sprintf("10.0.%d.%d:7100", ind/256, ind%256),
-			DataCenter: fmt.Sprintf("dc-%d", ind%14), Region: fmt.Sprintf("region-%d", ind%4), Models: []string{"m"},
+			ID: fmt.Sprintf("engine-%d", i), Kind: persister.KindEngine, Service: "s", Address: fmt.Sprintf("10.0.%d.%d:7100", i/256, i%256),
+			DataCenter: fmt.Sprintf("dc-%d", i%14), Region: fmt.Sprintf("region-%d", i%4), Models: []string{"m"},
 		})
 	}
 	put(persister.Entry{ID: "host-0", Kind: persister.KindHost, Region: "region-3"})
@@ -33,8 +34,8 @@
 	ents, err := per.Entries(t.Context())
 	require.NoError(t, err)
 	require.Len(t, ents, 101)
-	whole := per.ListBytes()
-	require.Less(t, whole, 40*len(ents))
+	receivedBytes := per.ListBytes()
+	require.Less(t, receivedBytes, 40*len(ents))
 	again, err := per.Entries(t.Context())
 	require.NoError(t, err)
 	require.Equal(t, ents, again)
--- a/connection/persister/persister.go
+++ b/connection/persister/persister.go
@@ -1,8 +1,8 @@
-// Package persister is the client of the platform: its object API, its list of
-// hosts and endpoints, and its weight store. All knowledge of the platform's
-// wire format stands here.
+// Package persister is the HTTP client of the platform: its object API, its list
+// of hosts and endpoints, and its weight store. It is the only package that knows
+// their wire format.
 //
-// Objects: GET, PUT and DELETE /v1/objects/{path}; the version travels as ETag
+// Objects: GET, PUT and DELETE /v1/objects/{path}; the version is sent as ETag
 // and If-Match. Watch: GET /v1/watch. List: GET /v1/hosts.
 package persister
 
@@ -25,7 +25,7 @@
 )
 
 const (
-	// MaxValueBytes bounds the value of one object.
+	// MaxValueBytes bounds the size of an object's value.
 	MaxValueBytes = 1 << 20
 
 	maxListBytes = 64 << 20
@@ -35,8 +35,8 @@
 	maxIdleConns    = 64
 )
 
-// Errors of the object API. Any other error of a Put or Delete leaves the
-// result of the write unknown.
+// Errors of calls to the platform. Put documents after which errors it is unknown
+// whether a write or a deletion took effect.
 var (
 	ErrNotFound    = eris.New("persister: object not found")
 	ErrConflict    = eris.New("persister: object has another version")
@@ -45,24 +45,24 @@
 	ErrUnavailable = eris.New("persister: platform unavailable")
 )
 
-// Object is one versioned value. Version 0 stands for an absent object.
+// Object is a versioned value. Version 0 means that the object does not exist.
 type Object struct {
 	Path    string
 	Version uint64
 	Value   []byte
 }
 
-// EntryKind is the kind of a listed process.
+// EntryKind is the kind of a process in the list.
 type EntryKind string
 
-// Kinds of listed processes.
+// Kinds of processes in the list. The platform calls a host an entry.
 const (
 	KindHost    EntryKind = "Entry"
 	KindEngine  EntryKind = "Engine"
 	KindService EntryKind = "Service"
 )
 
-// Entry is one line of the platform's list of hosts and endpoints.
+// Entry is one process in the platform's list of hosts and endpoints.
 type Entry struct {
 	ID         string
 	Kind       EntryKind
@@ -77,15 +77,15 @@
 // Persister calls the platform at BaseURL.
 type Persister struct {
 	BaseURL string
-	// Client places the calls. A zero client gets a transport of its own.
+	// Client sends the calls. If it has no transport, one is created.
 	Client http.Client
 	// Region limits the list to the hosts of all regions and the endpoints of
-	// this one, where the platform can; empty for all.
+	// this region, if the platform supports that; empty for all endpoints.
 	Region string
 
 	once  sync.Once
 	calls atomic.Int64
-	list  listed
+	list  listCache
 }
 
 func (per *Persister) client() *http.Client {
@@ -93,9 +93,9 @@
 		if per.Client.Transport != nil {
 			return
 		}
-		dia := &net.Dialer{Timeout: dialTimeout}
+		dialer := &net.Dialer{Timeout: dialTimeout}
 		per.Client.Transport = &http.Transport{
-			DialContext: dia.DialContext, MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: idleConnTimeout, DisableCompression: true,
+			DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: idleConnTimeout, DisableCompression: true,
 		}
 	})
 	return &per.Client
@@ -113,34 +113,34 @@
 	return Object{Path: path, Version: parseVersion(res.etag), Value: res.body}, nil
 }
 
-// Put writes obj on the condition that the stored version is obj.Version.
-// It returns the new version. Errors other than ErrConflict, ErrTooLarge and
-// ErrRateLimited leave the result unknown.
+// Put writes obj if the stored version is obj.Version, and returns the new
+// version. After an error other than ErrConflict, ErrTooLarge and ErrRateLimited
+// it is unknown whether the write took effect.
 func (per *Persister) Put(ctx context.Context, obj Object) (uint64, error) {
 	if len(obj.Value) > MaxValueBytes {
 		return 0, eris.Wrapf(ErrTooLarge, "Persister.Put: %s has %d bytes", obj.Path, len(obj.Value))
 	}
-	res, err := per.do(ctx, http.MethodPut, "/v1/objects/"+obj.Path, condition(obj.Version), obj.Value)
+	res, err := per.do(ctx, http.MethodPut, "/v1/objects/"+obj.Path, precondition(obj.Version), obj.Value)
 	if err != nil {
 		return 0, eris.Wrapf(err, "Persister.Put: %s to platform %s", obj.Path, per.BaseURL)
 	}
 	return parseVersion(res.etag), nil
 }
 
-// Delete removes an object on the condition that its version is as given.
+// Delete removes an object if its stored version is the given version.
 func (per *Persister) Delete(ctx context.Context, path string, version uint64) error {
-	_, err := per.do(ctx, http.MethodDelete, "/v1/objects/"+path, condition(version), nil)
+	_, err := per.do(ctx, http.MethodDelete, "/v1/objects/"+path, precondition(version), nil)
 	return eris.Wrapf(err, "Persister.Delete: %s at platform %s", path, per.BaseURL)
 }
 
-// Watch waits until an object under prefix has a version above after, or until
-// wait has passed, and returns the changed objects.
+// Watch waits until an object whose path has the prefix gets a version above
+// after, or until wait has passed, and returns the changed objects.
 func (per *Persister) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Object, error) {
-	qry := url.Values{}
-	qry.Set("Prefix", prefix)
-	qry.Set("After", strconv.FormatUint(after, 10))
-	qry.Set("WaitMs", strconv.FormatInt(wait.Milliseconds(), 10))
-	res, err := per.do(ctx, http.MethodGet, "/v1/watch?"+qry.Encode(), nil, nil)
+	query := url.Values{}
+	query.Set("Prefix", prefix)
+	query.Set("After", strconv.FormatUint(after, 10))
+	query.Set("WaitMs", strconv.FormatInt(wait.Milliseconds(), 10))
+	res, err := per.do(ctx, http.MethodGet, "/v1/watch?"+query.Encode(), nil, nil)
 	if err != nil {
 		return nil, eris.Wrapf(err, "Persister.Watch: %s at platform %s", prefix, per.BaseURL)
 	}
@@ -152,48 +152,50 @@
 type response struct {
 	etag string
 	body []byte
-	// received is the length of the body on the wire.
-	received int
-	// unchanged is set where the platform holds what the request named.
+	// receivedBytes is the length of the body as received, before decompression.
+	receivedBytes int
+	// unchanged is set if the platform answered that the list is still the version
+	// named in the request.
 	unchanged bool
 }
 
-func (per *Persister) do(ctx context.Context, method, path string, head http.Header, body []byte) (response, error) {
+func (per *Persister) do(ctx context.Context, method, path string, header http.Header, body []byte) (response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, per.BaseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return response{}, eris.Wrap(err, "build request")
 	}
-	for nam, val := range head {
-		req.Header[nam] = val
+	for name, val := range header {
+		req.Header[name] = val
 	}
 	per.calls.Add(1)
 	res, err := per.client().Do(req)
 	if err != nil {
-		per.condemn(err)
+		per.closeIdleAfterTimeout(err)
 		return response{}, eris.Wrap(err, "send")
 	}
 	defer res.Body.Close()
 	buf, err := io.ReadAll(io.LimitReader(res.Body, maxListBytes))
 	if err != nil {
-		per.condemn(err)
+		per.closeIdleAfterTimeout(err)
 		return response{}, eris.Wrap(err, "read answer")
 	}
-	out := response{etag: res.Header.Get("ETag"), body: buf, received: len(buf), unchanged: res.StatusCode == http.StatusNotModified}
+	out := response{etag: res.Header.Get("ETag"), body: buf, receivedBytes: len(buf), unchanged: res.StatusCode == http.StatusNotModified}
 	if out.unchanged {
 		return out, nil
 	}
 	if err := statusError(res.StatusCode); err != nil {
 		return response{}, err
 	}
-	if res.Header.Get("Content-Encoding") == encoding {
-		out.body, err = unpack(buf)
+	if res.Header.Get("Content-Encoding") == gzipEncoding {
+		out.body, err = decompress(buf)
 	}
 	return out, err
 }
 
-// condemn closes the idle connections after a call timed out: what silenced one
-// may have silenced all that were open, while new ones work.
-func (per *Persister) condemn(err error) {
+// closeIdleAfterTimeout closes the idle connections if err is a timeout: a
+// network fault that blocks one established connection may block all of them,
+// while new connections work.
+func (per *Persister) closeIdleAfterTimeout(err error) {
 	if errors.Is(err, context.DeadlineExceeded) {
 		per.client().CloseIdleConnections()
 	}
@@ -218,7 +220,7 @@
 	}
 }
 
-func condition(version uint64) http.Header {
+func precondition(version uint64) http.Header {
 	if version == 0 {
 		return http.Header{"If-None-Match": {"*"}}
 	}
@@ -226,6 +228,6 @@
 }
 
 func parseVersion(etag string) uint64 {
-	ver, _ := strconv.ParseUint(strings.Trim(etag, `"`), 10, 64)
-	return ver
+	version, _ := strconv.ParseUint(strings.Trim(etag, `"`), 10, 64)
+	return version
 }
--- a/connection/persister/weights.go
+++ b/connection/persister/weights.go
@@ -9,19 +9,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// Weights describes the weights of one version of a model.
+// Weights describes the stored weights of one version of a model.
 type Weights struct {
 	Model   string
 	Version string
 	Bytes   int64
 }
 
-// currentVersion names the version that the store gives when none is asked for.
+// currentVersion is the name under which the store serves the current version.
 const currentVersion = "current"
 
-// Weights asks the weight store for one read of a model's weights; an empty
-// version stands for the current one. The store grants reads at a rate and
-// refuses the rest with ErrRateLimited.
+// Weights requests one read of a model's weights from the weight store; an empty
+// version selects the current version. The store limits the rate of reads and
+// refuses those above it with ErrRateLimited.
 func (per *Persister) Weights(ctx context.Context, model, version string) (Weights, error) {
 	var wei Weights
 	if version == "" {
