--- a/connection/multiplexer/guard.go
+++ b/connection/multiplexer/guard.go
@@ -10,101 +10,104 @@
 
 const (
 	heartbeatInterval = 500 * time.Millisecond
-	// heartbeatTimeout bounds the reply of a heartbeat; a session that misses
-	// one is closed.
+	// heartbeatTimeout bounds the wait for the reply to a heartbeat; a session
+	// whose heartbeat gets no reply is closed.
 	heartbeatTimeout = time.Second
-	// idleTimeout is how long a session is kept without calls. Probes of random
-	// peers open sessions that are not used again for minutes.
+	// idleTimeout is how long a session is kept without calls. Membership probes
+	// of random peers open sessions that are not used again for minutes.
 	idleTimeout = 5 * time.Second
 )
 
-// guard sends heartbeats on a session as long as it is busy with calls, and closes
-// it when one is not answered. A session without calls wakes nobody until it has been
-// idle for idleTimeout.
-type guard struct {
+// monitor sends heartbeats on a session while calls are in progress, and closes the
+// session when a heartbeat is not answered. A session without calls causes no work
+// until it has been idle for idleTimeout.
+type monitor struct {
 	link link
-	// idle reports whether the session may be closed after idleTimeout, and then takes
-	// it out of use; nil if the peer closes it.
-	idle func() bool
+	// retireIdle takes the idle session out of use and returns true, unless a call
+	// has started. It is nil on the accepting side, where the peer closes the session.
+	retireIdle func() bool
 
 	mu    sync.Mutex
 	calls int
-	// beating says that a heartbeat is due, and used when the last call ended.
-	beating bool
-	used    time.Time
+	// scheduled reports whether the timer of the next heartbeat runs; lastUsed is
+	// the time at which the last call ended.
+	scheduled bool
+	lastUsed  time.Time
 }
 
-// begin counts a call; end takes it back.
-func (gua *guard) begin() {
-	gua.mu.Lock()
-	defer gua.mu.Unlock()
-	gua.calls++
-	if !gua.beating {
-		gua.beating = true
-		time.AfterFunc(heartbeatInterval, gua.beat)
+// beginCall records that a call has started and starts the heartbeats if none are
+// scheduled.
+func (mon *monitor) beginCall() {
+	mon.mu.Lock()
+	defer mon.mu.Unlock()
+	mon.calls++
+	if !mon.scheduled {
+		mon.scheduled = true
+		time.AfterFunc(heartbeatInterval, mon.heartbeat)
 	}
 }
 
-func (gua *guard) end() {
-	gua.mu.Lock()
-	defer gua.mu.Unlock()
-	gua.calls--
-	gua.used = time.Now()
+func (mon *monitor) endCall() {
+	mon.mu.Lock()
+	defer mon.mu.Unlock()
+	mon.calls--
+	mon.lastUsed = time.Now()
 }
 
-func (gua *guard) busy() bool {
-	gua.mu.Lock()
-	defer gua.mu.Unlock()
-	return gua.calls > 0
+func (mon *monitor) busy() bool {
+	mon.mu.Lock()
+	defer mon.mu.Unlock()
+	return mon.calls > 0
 }
 
-// beat sends a heartbeat if calls are in progress, and goes on while they are.
-func (gua *guard) beat() {
-	if gua.link.IsClosed() {
+// heartbeat sends a heartbeat if calls are in progress, and schedules the next one
+// while they are.
+func (mon *monitor) heartbeat() {
+	if mon.link.IsClosed() {
 		return
 	}
-	if gua.busy() {
-		if _, err := gua.link.Ping(); err != nil {
-			gua.link.Close()
+	if mon.busy() {
+		if _, err := mon.link.Ping(); err != nil {
+			mon.link.Close()
 			return
 		}
 	}
-	gua.mu.Lock()
-	defer gua.mu.Unlock()
-	if gua.beating = gua.calls > 0; gua.beating {
-		time.AfterFunc(heartbeatInterval, gua.beat)
+	mon.mu.Lock()
+	defer mon.mu.Unlock()
+	if mon.scheduled = mon.calls > 0; mon.scheduled {
+		time.AfterFunc(heartbeatInterval, mon.heartbeat)
 	}
 }
 
 // watchIdle closes the session once it has been idle for idleTimeout.
-func (gua *guard) watchIdle() {
-	gua.mu.Lock()
-	gua.used = time.Now()
-	gua.mu.Unlock()
-	time.AfterFunc(idleTimeout, gua.checkIdle)
+func (mon *monitor) watchIdle() {
+	mon.mu.Lock()
+	mon.lastUsed = time.Now()
+	mon.mu.Unlock()
+	time.AfterFunc(idleTimeout, mon.checkIdle)
 }
 
-func (gua *guard) checkIdle() {
-	gua.mu.Lock()
-	lef := idleTimeout - time.Since(gua.used)
-	if gua.calls > 0 {
-		lef = idleTimeout
+func (mon *monitor) checkIdle() {
+	mon.mu.Lock()
+	left := idleTimeout - time.Since(mon.lastUsed)
+	if mon.calls > 0 {
+		left = idleTimeout
 	}
-	gua.mu.Unlock()
+	mon.mu.Unlock()
 	switch {
-	case gua.link.IsClosed():
-	case lef <= 0 && gua.idle():
-		gua.link.Close()
+	case mon.link.IsClosed():
+	case left <= 0 && mon.retireIdle():
+		mon.link.Close()
 	default:
-		time.AfterFunc(max(lef, heartbeatInterval), gua.checkIdle)
+		time.AfterFunc(max(left, heartbeatInterval), mon.checkIdle)
 	}
 }
 
-// handler wraps a handler so that its calls are counted.
-func (gua *guard) handler(han Handler) Handler {
+// handler wraps a handler so that the monitor counts its calls.
+func (mon *monitor) handler(han Handler) Handler {
 	return func(ctx context.Context, env *messenger.Envelope) *messenger.Envelope {
-		gua.begin()
-		defer gua.end()
+		mon.beginCall()
+		defer mon.endCall()
 		return han(ctx, env)
 	}
 }
--- a/connection/multiplexer/link.go
+++ b/connection/multiplexer/link.go
@@ -7,42 +7,42 @@
 	"github.com/rotisserie/eris"
 )
 
-// link is a yamux session and the connection under it.
+// link is a yamux session and its underlying connection.
 type link struct {
 	*yamux.Session
 	con net.Conn
 }
 
-// dialed opens the session of a connection that this host has dialed.
-func dialed(con net.Conn) (link, error) {
-	con = failing{con}
+// newDialedLink opens the session on a connection that this host has dialed.
+func newDialedLink(con net.Conn) (link, error) {
+	con = closingConn{con}
 	ses, err := yamux.Client(con, sessionConfig())
 	return link{ses, con}, eris.Wrap(err, "multiplexer: open session")
 }
 
-// accepted opens the session of a connection that a peer has dialed.
-func accepted(con net.Conn) (link, error) {
-	con = failing{con}
+// newAcceptedLink opens the session on a connection that a peer has dialed.
+func newAcceptedLink(con net.Conn) (link, error) {
+	con = closingConn{con}
 	ses, err := yamux.Server(con, sessionConfig())
 	return link{ses, con}, eris.Wrap(err, "multiplexer: accept session")
 }
 
-// Close ends the session through its connection. When a yamux session is closed
-// first, the readers of its streams poll without a pause until the connection is
-// closed, which takes a whole time slice of a host with one core.
+// Close closes the connection, which ends the session. If the yamux session were
+// closed first, the readers of its streams would poll in a busy loop until the
+// connection is closed, which takes a whole time slice on a host with one core.
 func (lin link) Close() error {
 	return eris.Wrapf(lin.con.Close(), "link.Close: peer %s", lin.con.RemoteAddr())
 }
 
-// failing is a connection that closes itself when it can't be written to, for the
-// same reason.
-type failing struct{ net.Conn }
+// closingConn is a connection that closes itself after a failed write, for the same
+// reason as link.Close: yamux closes the session after such a failure.
+type closingConn struct{ net.Conn }
 
-// Write writes to the connection.
-func (fai failing) Write(buf []byte) (int, error) {
-	num, err := fai.Conn.Write(buf)
+// Write writes to the connection and closes it if the write fails.
+func (clo closingConn) Write(buf []byte) (int, error) {
+	n, err := clo.Conn.Write(buf)
 	if err != nil {
-		_ = fai.Close()
+		_ = clo.Close()
 	}
-	return num, err
+	return n, err
 }
--- a/connection/multiplexer/link_test.go
+++ b/connection/multiplexer/link_test.go
@@ -11,23 +11,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowClose is a connection whose first Close waits to be let go.
+// slowClose is a connection whose first Close blocks until release is closed.
 type slowClose struct {
 	net.Conn
-	once   sync.Once
-	closes chan struct{}
-	hold   chan struct{}
+	once        sync.Once
+	closeCalled chan struct{}
+	release     chan struct{}
 }
 
 func (slo *slowClose) Close() error {
 	slo.once.Do(func() {
-		close(slo.closes)
-		<-slo.hold
+		close(slo.closeCalled)
+		<-slo.release
 	})
 	return slo.Conn.Close()
 }
 
-// brokenWrite is a connection that can't be written to any more once it is broken.
+// brokenWrite is a connection whose writes fail once broken is closed.
 type brokenWrite struct {
 	*slowClose
 	broken chan struct{}
@@ -42,21 +42,22 @@
 	}
 }
 
-// readers returns the states of the goroutines that read streams.
+// readers returns the states of the goroutines that read yamux streams.
 func readers() []string {
 	buf := make([]byte, 1<<20)
 	var out []string
-	for gor := range strings.SplitSeq(string(buf[:runtime.Stack(buf, true)]), "\n\n") {
-		if strings.Contains(gor, "yamux.(*Stream).Read") {
-			sta := gor[strings.Index(gor, "[")+1:]
-			out = append(out, sta[:strings.IndexAny(sta, ",]")])
+	for goroutine := range strings.SplitSeq(string(buf[:runtime.Stack(buf, true)]), "\n\n") {
+		if strings.Contains(goroutine, "yamux.(*Stream).Read") {
+			state := goroutine[strings.Index(goroutine, "[")+1:]
+			out = append(out, state[:strings.IndexAny(state, ",]")])
 		}
 	}
 	return out
 }
 
-// TestCloseWakesNoReaders closes a session whose connection takes long to close: the
-// readers of its streams wait meanwhile instead of polling.
+// TestCloseWakesNoReaders closes a session whose connection closes slowly. Until then
+// the readers of its streams must block: readers that poll in a busy loop occupied a
+// host with one core for a whole time slice.
 func TestCloseWakesNoReaders(t *testing.T) {
 	tts := []struct {
 		name  string
@@ -70,30 +71,30 @@
 	}
 	for _, tt := range tts {
 		t.Run(tt.name, func(t *testing.T) {
-			own, peer := net.Pipe()
-			srv, err := accepted(peer)
+			local, peer := net.Pipe()
+			srv, err := newAcceptedLink(peer)
 			require.NoError(t, err)
 			defer srv.Close()
-			slo := &slowClose{Conn: own, closes: make(chan struct{}), hold: make(chan struct{})}
+			slo := &slowClose{Conn: local, closeCalled: make(chan struct{}), release: make(chan struct{})}
 			bro := brokenWrite{slo, make(chan struct{})}
-			lin, err := dialed(bro)
+			lin, err := newDialedLink(bro)
 			require.NoError(t, err)
 			ses := &session{link: lin}
 			_, err = ses.pipeline()
 			require.NoError(t, err)
 			require.Eventually(t, func() bool { return len(readers()) == 1 }, 5*time.Second, time.Millisecond)
-			don := make(chan struct{})
+			stopped := make(chan struct{})
 			go func() {
-				defer close(don)
+				defer close(stopped)
 				tt.close(ses, bro)
 			}()
-			<-slo.closes
+			<-slo.closeCalled
 			for range 20 {
 				require.Equal(t, []string{"select"}, readers(), "a reader that polls is runnable")
 				time.Sleep(time.Millisecond)
 			}
-			close(slo.hold)
-			<-don
+			close(slo.release)
+			<-stopped
 			<-lin.CloseChan()
 			require.Eventually(t, func() bool { return len(readers()) == 0 }, 5*time.Second, time.Millisecond)
 		})
--- a/connection/multiplexer/multiplexer.go
+++ b/connection/multiplexer/multiplexer.go
@@ -1,7 +1,7 @@
-// Package multiplexer carries calls between entry hosts over yamux sessions.
+// Package multiplexer sends calls between entry hosts over yamux sessions.
 //
-// The calls of a session share one stream, on which envelopes and their replies
-// are told apart by numbers; a large envelope gets a stream of its own.
+// The calls of a session share one stream, on which call numbers match replies to
+// calls; a call with a large envelope uses a separate stream.
 package multiplexer
 
 import (
@@ -26,18 +26,19 @@
 	streamCloseDelay  = 2 * time.Second
 )
 
-// Handler answers one call of a peer. The context ends when the peer gives the
-// call up.
+// Handler answers one call of a peer. The context ends when the peer cancels the
+// call.
 type Handler func(ctx context.Context, env *messenger.Envelope) *messenger.Envelope
 
-// Multiplexer holds the sessions of one host. Its zero value can place calls;
+// Multiplexer holds the sessions of one host. Its zero value can send calls;
 // Serve needs a Handler.
 type Multiplexer struct {
 	Handler Handler
 	// Traffic counts the bytes of all sessions.
 	Traffic counter.Traffic
-	// OnPanic is told of a call that the handler could not answer because it
-	// panicked; nil for nobody. The peer gets a failure, and the host goes on.
+	// OnPanic is called with the envelope, the recovered value and the stack when
+	// the handler panics; it may be nil. The peer gets a failure and the host
+	// continues.
 	OnPanic func(env *messenger.Envelope, cause any, stack []byte)
 
 	mu       sync.Mutex
@@ -46,13 +47,13 @@
 	closed   bool
 }
 
-// session is a dialed session.
+// session is a session that this host has dialed.
 type session struct {
 	link
-	guard guard
+	monitor monitor
 
-	mu     sync.Mutex
-	shared *pipeline
+	mu   sync.Mutex
+	pipe *pipeline
 }
 
 func sessionConfig() *yamux.Config {
@@ -65,19 +66,19 @@
 	return cfg
 }
 
-// Call sends env to the host at address and waits for its reply. After a
-// timeout the next call dials anew, while calls in progress keep the session
+// Call sends env to the host at address and waits for its reply. After a failure
+// or timeout the next call dials again, while calls in progress keep the session
 // for as long as it answers heartbeats.
 func (mul *Multiplexer) Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error) {
 	ses, err := mul.acquire(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	defer ses.guard.end()
+	defer ses.monitor.endCall()
 	rep, err := ses.call(ctx, env)
 	if err != nil {
 		if ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			mul.retire(address, ses)
+			mul.retireSession(address, ses)
 		}
 		return nil, eris.Wrapf(err, "Multiplexer.Call: peer %s", address)
 	}
@@ -98,22 +99,22 @@
 	return pip.call(ctx, env)
 }
 
-// pipeline opens the shared stream at the first call.
+// pipeline returns the shared stream, which it opens at the first call.
 func (ses *session) pipeline() (*pipeline, error) {
 	ses.mu.Lock()
 	defer ses.mu.Unlock()
-	if ses.shared != nil {
-		return ses.shared, nil
+	if ses.pipe != nil {
+		return ses.pipe, nil
 	}
 	str, err := ses.OpenStream()
 	if err != nil {
 		return nil, eris.Wrap(err, "session.pipeline: open stream")
 	}
-	ses.shared = newPipeline(str)
-	return ses.shared, nil
+	ses.pipe = newPipeline(str)
+	return ses.pipe, nil
 }
 
-// single places a call on a stream of its own.
+// single sends a call on a stream of its own.
 func (ses *session) single(ctx context.Context, env *messenger.Envelope) (*messenger.Envelope, error) {
 	str, err := ses.OpenStream()
 	if err != nil {
@@ -132,17 +133,18 @@
 	return rep, eris.Wrap(err, "session.single: reply")
 }
 
-// acquire returns a session that stays open until it is released.
+// acquire returns a session with a call begun on it, so that it is not closed as
+// idle before the caller ends the call.
 func (mul *Multiplexer) acquire(ctx context.Context, address string) (*session, error) {
 	if ses := mul.reuse(address); ses != nil {
 		return ses, nil
 	}
-	dia := net.Dialer{Timeout: dialTimeout}
-	con, err := dia.DialContext(ctx, "tcp", address)
+	dialer := net.Dialer{Timeout: dialTimeout}
+	con, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, eris.Wrapf(err, "Multiplexer.acquire: dial peer %s", address)
 	}
-	lin, err := dialed(mul.Traffic.Wrap(con))
+	lin, err := newDialedLink(mul.Traffic.Wrap(con))
 	if err != nil {
 		con.Close()
 		return nil, eris.Wrapf(err, "Multiplexer.acquire: peer %s", address)
@@ -157,11 +159,11 @@
 	if ses == nil || ses.IsClosed() {
 		return nil
 	}
-	ses.guard.begin()
+	ses.monitor.beginCall()
 	return ses
 }
 
-// keep stores ses unless another call stored a live session first.
+// keep stores ses, unless another call has stored an open session first.
 func (mul *Multiplexer) keep(address string, ses *session) (*session, error) {
 	mul.mu.Lock()
 	defer mul.mu.Unlock()
@@ -171,49 +173,50 @@
 	}
 	if old := mul.sessions[address]; old != nil && !old.IsClosed() {
 		ses.Close()
-		old.guard.begin()
+		old.monitor.beginCall()
 		return old, nil
 	}
 	if mul.sessions == nil {
 		mul.sessions = map[string]*session{}
 	}
-	ses.guard.link = ses.link
-	ses.guard.idle = func() bool { return mul.expire(address, ses) }
-	ses.guard.begin()
-	ses.guard.watchIdle()
+	ses.monitor.link = ses.link
+	ses.monitor.retireIdle = func() bool { return mul.retireIfIdle(address, ses) }
+	ses.monitor.beginCall()
+	ses.monitor.watchIdle()
 	mul.sessions[address] = ses
 	go func() {
 		<-ses.CloseChan()
-		mul.retire(address, ses)
+		mul.retireSession(address, ses)
 	}()
 	return ses, nil
 }
 
-// expire takes a session out of use unless a call holds it.
-func (mul *Multiplexer) expire(address string, ses *session) bool {
+// retireIfIdle takes a session out of use unless a call is in progress on it.
+func (mul *Multiplexer) retireIfIdle(address string, ses *session) bool {
 	mul.mu.Lock()
 	defer mul.mu.Unlock()
-	if ses.guard.busy() {
+	if ses.monitor.busy() {
 		return false
 	}
-	mul.forget(address, ses)
+	mul.removeSession(address, ses)
 	return true
 }
 
-// retire keeps later calls off a session. Its own calls end by heartbeat.
-func (mul *Multiplexer) retire(address string, ses *session) {
+// retireSession removes a session, so that later calls dial again. The calls in
+// progress go on; if the session does not answer heartbeats, they end with it.
+func (mul *Multiplexer) retireSession(address string, ses *session) {
 	mul.mu.Lock()
 	defer mul.mu.Unlock()
-	mul.forget(address, ses)
+	mul.removeSession(address, ses)
 }
 
-func (mul *Multiplexer) forget(address string, ses *session) {
+func (mul *Multiplexer) removeSession(address string, ses *session) {
 	if mul.sessions[address] == ses {
 		delete(mul.sessions, address)
 	}
 }
 
-// Bytes returns the bytes sent and received over all sessions so far.
+// Bytes returns the total number of bytes sent and received over all sessions.
 func (mul *Multiplexer) Bytes() int64 {
 	tot := mul.Traffic.Totals()
 	return tot.Sent + tot.Received
@@ -238,38 +241,39 @@
 }
 
 func (mul *Multiplexer) serveConn(con net.Conn) {
-	lin, err := accepted(mul.Traffic.Wrap(con))
+	lin, err := newAcceptedLink(mul.Traffic.Wrap(con))
 	if err != nil {
 		con.Close()
 		return
 	}
-	mul.track(lin, true)
-	defer mul.track(lin, false)
+	mul.trackAccepted(lin, true)
+	defer mul.trackAccepted(lin, false)
 	defer lin.Close()
-	gua := &guard{link: lin}
+	mon := &monitor{link: lin}
 	for {
 		str, err := lin.AcceptStream()
 		if err != nil {
 			return
 		}
-		go mul.serveStream(str, gua)
+		go mul.serveStream(str, mon)
 	}
 }
 
-func (mul *Multiplexer) track(lin link, on bool) {
+func (mul *Multiplexer) trackAccepted(lin link, open bool) {
 	mul.mu.Lock()
 	defer mul.mu.Unlock()
 	if mul.accepted == nil {
 		mul.accepted = map[link]struct{}{}
 	}
-	if on {
+	if open {
 		mul.accepted[lin] = struct{}{}
 		return
 	}
 	delete(mul.accepted, lin)
 }
 
-// Handle answers one call with the handler. One message must not end the process.
+// Handle answers one call with the handler. It turns a panic of the handler into a
+// failure reply, since a single message must not end the process.
 func (mul *Multiplexer) Handle(ctx context.Context, env *messenger.Envelope) (rep *messenger.Envelope) {
 	defer func() {
 		if val := recover(); val != nil {
@@ -282,7 +286,7 @@
 	return mul.Handler(ctx, env)
 }
 
-func (mul *Multiplexer) serveStream(str *yamux.Stream, gua *guard) {
+func (mul *Multiplexer) serveStream(str *yamux.Stream, mon *monitor) {
 	defer str.Close()
 	env, err := messenger.Read(str)
 	if err != nil {
@@ -292,23 +296,24 @@
 		return
 	}
 	if env.GetCall() > 0 {
-		servePipeline(str, gua.handler(mul.Handle), env)
+		servePipeline(str, mon.handler(mul.Handle), env)
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
-		// The caller sends nothing more, so a finished read means it is gone.
-		var one [1]byte
-		_, _ = str.Read(one[:])
+		// The peer sends nothing more on this stream, so the end of the read means
+		// that it has closed the stream.
+		var buf [1]byte
+		_, _ = str.Read(buf[:])
 		cancel()
 	}()
-	if rep := gua.handler(mul.Handle)(ctx, env); rep != nil {
+	if rep := mon.handler(mul.Handle)(ctx, env); rep != nil {
 		_ = messenger.Write(str, rep)
 	}
 }
 
-// Close ends all sessions.
+// Close closes all sessions. Calls that are still dialing fail.
 func (mul *Multiplexer) Close() {
 	mul.mu.Lock()
 	defer mul.mu.Unlock()
--- a/connection/multiplexer/multiplexer_test.go
+++ b/connection/multiplexer/multiplexer_test.go
@@ -15,13 +15,13 @@
 	"go.uber.org/goleak"
 )
 
-const silenceBound = 3 * time.Second
+const detectionLimit = 3 * time.Second
 
 func done() *messenger.Envelope {
 	return &messenger.Envelope{Body: &messenger.Envelope_Done{Done: &messenger.Done{}}}
 }
 
-// serve answers pings at once and holds every other call until it is given up.
+// serve answers pings at once and holds every other call open until it is cancelled.
 func serve(t *testing.T, held *atomic.Int64) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,15 +35,15 @@
 		<-ctx.Done()
 		return nil
 	}}
-	don := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(don)
+		defer close(stopped)
 		_ = mul.Serve(lis)
 	}()
 	t.Cleanup(func() {
 		lis.Close()
 		mul.Close()
-		<-don
+		<-stopped
 	})
 	return lis.Addr().String()
 }
@@ -60,11 +60,14 @@
 	return func(lin *testkit.Link) error { return lin.Unblock(dir) }
 }
 
-func TestSilentSession(t *testing.T) {
+// TestUnresponsiveSession injects a network fault while a call is in progress: the
+// heartbeat must end the call at both hosts within detectionLimit, and the next call
+// after the repair must succeed.
+func TestUnresponsiveSession(t *testing.T) {
 	tts := []struct {
-		name  string
-		fault func(*testkit.Link) error
-		mend  func(*testkit.Link) error
+		name   string
+		fault  func(*testkit.Link) error
+		repair func(*testkit.Link) error
 	}{
 		{"established connections silent", func(lin *testkit.Link) error { lin.SilenceEstablished(); return nil }, func(*testkit.Link) error { return nil }},
 		{"requests of established connections lost", func(lin *testkit.Link) error { lin.SilenceEstablished(testkit.Requests); return nil }, func(*testkit.Link) error { return nil }},
@@ -87,43 +90,43 @@
 				_, err := mul.Call(ctx, lin.Address(), done())
 				res <- err
 			}()
-			require.Eventually(t, func() bool { return held.Load() == 1 }, silenceBound, time.Millisecond)
+			require.Eventually(t, func() bool { return held.Load() == 1 }, detectionLimit, time.Millisecond)
 			require.NoError(t, tt.fault(lin))
-			// A call without an answer ends because its session does.
+			// The call ends because the failed heartbeat closes its session.
 			select {
 			case err := <-res:
 				require.Error(t, err)
-			case <-time.After(silenceBound):
-				require.Fail(t, "the silent session was not found")
+			case <-time.After(detectionLimit):
+				require.Fail(t, "the unresponsive session was not detected")
 			}
-			require.NoError(t, tt.mend(lin))
+			require.NoError(t, tt.repair(lin))
 			_, err = mul.Call(ctx, lin.Address(), ping())
 			require.NoError(t, err)
-			// The host at the other end gives the call up as well.
-			require.Eventually(t, func() bool { return held.Load() == 0 }, silenceBound, 10*time.Millisecond)
+			// The call ends at the serving host as well.
+			require.Eventually(t, func() bool { return held.Load() == 0 }, detectionLimit, 10*time.Millisecond)
 		})
 	}
 }
 
-// A slow call on a session that answers heartbeats is not disturbed by the
-// timeout of another.
+// TestTimeoutLeavesOtherCalls lets a call time out. A slow call on the same session,
+// which still answers heartbeats, must go on.
 func TestTimeoutLeavesOtherCalls(t *testing.T) {
 	var held atomic.Int64
-	add := serve(t, &held)
+	address := serve(t, &held)
 	mul := &multiplexer.Multiplexer{}
 	defer mul.Close()
 	long, stop := context.WithCancel(t.Context())
 	res := make(chan error, 1)
 	go func() {
-		_, err := mul.Call(long, add, done())
+		_, err := mul.Call(long, address, done())
 		res <- err
 	}()
-	require.Eventually(t, func() bool { return held.Load() == 1 }, silenceBound, time.Millisecond)
+	require.Eventually(t, func() bool { return held.Load() == 1 }, detectionLimit, time.Millisecond)
 	short, end := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer end()
-	_, err := mul.Call(short, add, done())
+	_, err := mul.Call(short, address, done())
 	require.Error(t, err)
-	_, err = mul.Call(t.Context(), add, ping())
+	_, err = mul.Call(t.Context(), address, ping())
 	require.NoError(t, err)
 	select {
 	case err := <-res:
@@ -136,20 +139,21 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestHandlerPanics has a handler panic on one message, on a shared stream and on one of
-// its own: the caller is told, the panic is noted, and the next call is answered.
+// TestHandlerPanics has a handler panic, on the shared stream and on a separate stream.
+// The caller must get a failure, OnPanic must be called, and the next call must be
+// answered.
 func TestHandlerPanics(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	var noted atomic.Int64
+	var panics atomic.Int64
 	srv := &multiplexer.Multiplexer{
 		Handler: func(_ context.Context, env *messenger.Envelope) *messenger.Envelope {
 			if env.GetPing() == nil {
-				panic("a message that nobody thought of")
+				panic("unexpected message")
 			}
 			return done()
 		},
-		OnPanic: func(*messenger.Envelope, any, []byte) { noted.Add(1) },
+		OnPanic: func(*messenger.Envelope, any, []byte) { panics.Add(1) },
 	}
 	go func() { _ = srv.Serve(lis) }()
 	defer srv.Close()
@@ -157,10 +161,10 @@
 	mul := &multiplexer.Multiplexer{}
 	defer mul.Close()
 	large := &messenger.Envelope{Body: &messenger.Envelope_TablesPush{TablesPush: &messenger.TablesPush{Document: make([]byte, 64<<10)}}}
-	for ind, env := range []*messenger.Envelope{done(), large} {
+	for i, env := range []*messenger.Envelope{done(), large} {
 		_, err = mul.Call(t.Context(), lis.Addr().String(), env)
 		require.ErrorContains(t, err, "internal")
-		require.EqualValues(t, ind+1, noted.Load())
+		require.EqualValues(t, i+1, panics.Load())
 		_, err = mul.Call(t.Context(), lis.Addr().String(), ping())
 		require.NoError(t, err)
 	}
--- a/connection/multiplexer/pipeline.go
+++ b/connection/multiplexer/pipeline.go
@@ -14,43 +14,44 @@
 )
 
 const (
-	// maxPipelinedBytes bounds the messages that share a stream; a larger one
-	// would hold the others up and gets a stream of its own.
+	// maxPipelinedBytes bounds the size of an envelope on the shared stream; a
+	// larger one would delay the others and gets a stream of its own.
 	maxPipelinedBytes = 16 << 10
-	// pipelineQueue is the number of frames that wait to be written.
+	// pipelineQueue is the maximum number of envelopes that wait to be written.
 	pipelineQueue = 256
-	// maxWriteBytes bounds the frames that are written at once.
+	// maxWriteBytes is the size from which a batch of frames gets no further frame.
 	maxWriteBytes = 64 << 10
-	// maxPipelinedCalls bounds the calls that a host serves on one stream at a
-	// time; more wait in the stream.
+	// maxPipelinedCalls bounds the calls that a host serves concurrently on one
+	// stream; further calls stay unread in the stream.
 	maxPipelinedCalls = 4096
 )
 
 var errPipelineClosed = eris.New("multiplexer: the session of the call was closed")
 
-// frames writes envelopes to a stream. Those that wait travel in one write.
-type frames struct {
+// frameWriter writes envelopes to a stream. Envelopes that wait in the queue are
+// combined into one write.
+type frameWriter struct {
 	stream io.WriteCloser
 	queue  chan *messenger.Envelope
 	closed chan struct{}
 	once   sync.Once
 }
 
-func newFrames(str io.WriteCloser) *frames {
-	fra := &frames{stream: str, queue: make(chan *messenger.Envelope, pipelineQueue), closed: make(chan struct{})}
+func newFrameWriter(str io.WriteCloser) *frameWriter {
+	fra := &frameWriter{stream: str, queue: make(chan *messenger.Envelope, pipelineQueue), closed: make(chan struct{})}
 	go fra.run()
 	return fra
 }
 
-func (fra *frames) close() {
+func (fra *frameWriter) close() {
 	fra.once.Do(func() {
 		close(fra.closed)
 		fra.stream.Close()
 	})
 }
 
-// send queues an envelope. It ends with ctx.
-func (fra *frames) send(ctx context.Context, env *messenger.Envelope) error {
+// send queues an envelope. It waits for room in the queue until ctx ends.
+func (fra *frameWriter) send(ctx context.Context, env *messenger.Envelope) error {
 	select {
 	case fra.queue <- env:
 		return nil
@@ -61,14 +62,14 @@
 	}
 }
 
-func (fra *frames) run() {
+func (fra *frameWriter) run() {
 	defer fra.close()
 	var buf bytes.Buffer
 	for {
 		select {
 		case env := <-fra.queue:
 			buf.Reset()
-			if fra.gather(&buf, env) != nil {
+			if fra.batch(&buf, env) != nil {
 				return
 			}
 			if _, err := fra.stream.Write(buf.Bytes()); err != nil {
@@ -80,8 +81,8 @@
 	}
 }
 
-// gather puts an envelope and those that wait behind it into one buffer.
-func (fra *frames) gather(buf *bytes.Buffer, env *messenger.Envelope) error {
+// batch encodes an envelope and those queued behind it into one buffer.
+func (fra *frameWriter) batch(buf *bytes.Buffer, env *messenger.Envelope) error {
 	for {
 		if err := messenger.Write(buf, env); err != nil {
 			return err
@@ -97,53 +98,54 @@
 	}
 }
 
-// pipeline carries the calls of one session on one stream, told apart by their
-// numbers.
+// pipeline sends the calls of one session on one stream. Call numbers match replies
+// to calls.
 type pipeline struct {
-	frames *frames
+	writer *frameWriter
 
-	mu      sync.Mutex
-	last    uint64
-	waiting map[uint64]chan *messenger.Envelope
-	closed  bool
-	// refusal is what the peer said when it refused the stream.
+	mu       sync.Mutex
+	lastCall uint64
+	waiting  map[uint64]chan *messenger.Envelope
+	closed   bool
+	// refusal is the failure with which the peer refused the stream; nil for none.
 	refusal error
 }
 
 func newPipeline(str net.Conn) *pipeline {
-	pip := &pipeline{frames: newFrames(str), waiting: map[uint64]chan *messenger.Envelope{}}
+	pip := &pipeline{writer: newFrameWriter(str), waiting: map[uint64]chan *messenger.Envelope{}}
 	go pip.read(str)
 	return pip
 }
 
 // call sends an envelope and waits for its reply.
 func (pip *pipeline) call(ctx context.Context, env *messenger.Envelope) (*messenger.Envelope, error) {
-	num, rep, ok := pip.enter()
+	number, replies, ok := pip.register()
 	if !ok {
-		return nil, pip.reason()
+		return nil, pip.closeError()
 	}
-	defer pip.leave(num)
-	if err := pip.frames.send(ctx, numbered(env, num)); err != nil {
+	defer pip.unregister(number)
+	if err := pip.writer.send(ctx, withCall(env, number)); err != nil {
 		return nil, err
 	}
 	select {
-	case env, ok = <-rep:
+	case env, ok = <-replies:
 		if !ok {
-			return nil, pip.reason()
+			return nil, pip.closeError()
 		}
 		return env, nil
 	case <-ctx.Done():
-		pip.cancel(num)
+		pip.cancel(number)
 		return nil, ctx.Err()
 	}
 }
 
-// numbered leaves the envelope itself alone, as it may go to several peers.
-func numbered(env *messenger.Envelope, num uint64) *messenger.Envelope {
-	return &messenger.Envelope{TraceParent: env.GetTraceParent(), Body: env.GetBody(), Call: num}
+// withCall returns a copy of an envelope with a call number. The envelope itself is
+// not changed, since it may be sent to several peers.
+func withCall(env *messenger.Envelope, number uint64) *messenger.Envelope {
+	return &messenger.Envelope{TraceParent: env.GetTraceParent(), Body: env.GetBody(), Call: number}
 }
 
-func (pip *pipeline) reason() error {
+func (pip *pipeline) closeError() error {
 	pip.mu.Lock()
 	defer pip.mu.Unlock()
 	if pip.refusal != nil {
@@ -152,34 +154,34 @@
 	return errPipelineClosed
 }
 
-func (pip *pipeline) enter() (num uint64, rep chan *messenger.Envelope, ok bool) {
+func (pip *pipeline) register() (number uint64, replies chan *messenger.Envelope, ok bool) {
 	pip.mu.Lock()
 	defer pip.mu.Unlock()
 	if pip.closed {
 		return 0, nil, false
 	}
-	pip.last++
-	rep = make(chan *messenger.Envelope, 1)
-	pip.waiting[pip.last] = rep
-	return pip.last, rep, true
+	pip.lastCall++
+	replies = make(chan *messenger.Envelope, 1)
+	pip.waiting[pip.lastCall] = replies
+	return pip.lastCall, replies, true
 }
 
-func (pip *pipeline) leave(num uint64) {
+func (pip *pipeline) unregister(number uint64) {
 	pip.mu.Lock()
 	defer pip.mu.Unlock()
-	delete(pip.waiting, num)
+	delete(pip.waiting, number)
 }
 
-// cancel tells the peer that nobody waits for a reply any more. A stream that is
-// full is left alone; the peer's call then ends by its own limits.
-func (pip *pipeline) cancel(num uint64) {
+// cancel notifies the peer that the call is cancelled. If the queue is full, no
+// notification is sent, and the call at the peer ends by its own timeouts.
+func (pip *pipeline) cancel(number uint64) {
 	select {
-	case pip.frames.queue <- &messenger.Envelope{Call: num, Body: &messenger.Envelope_CallEnd{CallEnd: &messenger.CallEnd{}}}:
+	case pip.writer.queue <- &messenger.Envelope{Call: number, Body: &messenger.Envelope_CallEnd{CallEnd: &messenger.CallEnd{}}}:
 	default:
 	}
 }
 
-// read hands replies to their calls until the stream ends.
+// read delivers replies to their calls until the stream ends.
 func (pip *pipeline) read(str io.Reader) {
 	defer pip.close()
 	for {
@@ -191,35 +193,36 @@
 	}
 }
 
-// deliver drops replies that nobody waits for.
+// deliver passes a reply to its call and drops it if the call has ended. A failure
+// without a call number refuses the whole stream.
 func (pip *pipeline) deliver(env *messenger.Envelope) {
 	pip.mu.Lock()
 	defer pip.mu.Unlock()
 	if fai := env.GetFailure(); fai != nil && env.GetCall() == 0 {
 		pip.refusal = eris.Errorf("multiplexer: the stream was refused: %s: %s", fai.GetCode(), fai.GetMessage())
 	}
-	if rep := pip.waiting[env.GetCall()]; rep != nil {
+	if replies := pip.waiting[env.GetCall()]; replies != nil {
 		delete(pip.waiting, env.GetCall())
-		rep <- env
+		replies <- env
 	}
 }
 
 func (pip *pipeline) close() {
-	pip.frames.close()
+	pip.writer.close()
 	pip.mu.Lock()
 	defer pip.mu.Unlock()
 	pip.closed = true
-	for num, rep := range pip.waiting {
-		close(rep)
-		delete(pip.waiting, num)
+	for number, replies := range pip.waiting {
+		close(replies)
+		delete(pip.waiting, number)
 	}
 }
 
 func fitsPipeline(env *messenger.Envelope) bool { return proto.Size(env) <= maxPipelinedBytes }
 
-// served is the serving side of a pipeline.
-type served struct {
-	frames  *frames
+// pipelineServer is the serving side of a pipeline.
+type pipelineServer struct {
+	writer  *frameWriter
 	handler Handler
 	slots   chan struct{}
 
@@ -227,17 +230,18 @@
 	cancels map[uint64]context.CancelFunc
 }
 
-// servePipeline answers the calls of a stream, the first of which has been read.
+// servePipeline answers the calls of a stream. env is the first envelope, which has
+// already been read.
 func servePipeline(str net.Conn, han Handler, env *messenger.Envelope) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	ser := &served{frames: newFrames(str), handler: han, slots: make(chan struct{}, maxPipelinedCalls), cancels: map[uint64]context.CancelFunc{}}
-	defer ser.frames.close()
+	ser := &pipelineServer{writer: newFrameWriter(str), handler: han, slots: make(chan struct{}, maxPipelinedCalls), cancels: map[uint64]context.CancelFunc{}}
+	defer ser.writer.close()
 	for {
 		if env.GetCallEnd() != nil {
-			ser.end(env.GetCall())
+			ser.endCall(env.GetCall())
 		} else {
-			ser.begin(ctx, env)
+			ser.beginCall(ctx, env)
 		}
 		var err error
 		if env, err = messenger.Read(str); err != nil {
@@ -246,7 +250,7 @@
 	}
 }
 
-func (ser *served) begin(ctx context.Context, env *messenger.Envelope) {
+func (ser *pipelineServer) beginCall(ctx context.Context, env *messenger.Envelope) {
 	ser.slots <- struct{}{}
 	ctx, cancel := context.WithCancel(ctx)
 	ser.mu.Lock()
@@ -254,18 +258,18 @@
 	ser.mu.Unlock()
 	go func() {
 		defer func() { <-ser.slots }()
-		defer ser.end(env.GetCall())
+		defer ser.endCall(env.GetCall())
 		if rep := ser.handler(ctx, env); rep != nil {
-			_ = ser.frames.send(ctx, numbered(rep, env.GetCall()))
+			_ = ser.writer.send(ctx, withCall(rep, env.GetCall()))
 		}
 	}()
 }
 
-// end gives a call up, or forgets one that was answered.
-func (ser *served) end(num uint64) {
+// endCall cancels a call in progress, or removes the entry of an answered one.
+func (ser *pipelineServer) endCall(number uint64) {
 	ser.mu.Lock()
-	cancel := ser.cancels[num]
-	delete(ser.cancels, num)
+	cancel := ser.cancels[number]
+	delete(ser.cancels, number)
 	ser.mu.Unlock()
 	if cancel != nil {
 		cancel()
--- a/connection/multiplexer/pipeline_test.go
+++ b/connection/multiplexer/pipeline_test.go
@@ -21,83 +21,87 @@
 	return &messenger.Envelope{Body: &messenger.Envelope_ClaimCommit{ClaimCommit: &messenger.ClaimCommit{Key: key}}}
 }
 
-// echo answers a query with its key, odd ones late.
+// echo serves calls that return the key of the query; odd keys are answered 5 ms
+// late.
 func echo(tb testing.TB) string {
 	tb.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(tb, err)
 	mul := &multiplexer.Multiplexer{Handler: func(_ context.Context, env *messenger.Envelope) *messenger.Envelope {
 		key := env.GetClaimCommit().GetKey()
-		if num, err := strconv.Atoi(key); err == nil && num%2 == 1 {
+		if n, err := strconv.Atoi(key); err == nil && n%2 == 1 {
 			time.Sleep(5 * time.Millisecond)
 		}
 		return &messenger.Envelope{Body: &messenger.Envelope_ClaimResult{ClaimResult: &messenger.ClaimResult{Message: key}}}
 	}}
-	don := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(don)
+		defer close(stopped)
 		_ = mul.Serve(lis)
 	}()
 	tb.Cleanup(func() {
 		lis.Close()
 		mul.Close()
-		<-don
+		<-stopped
 	})
 	return lis.Addr().String()
 }
 
-// Calls of one session get their own replies, in whatever order they come.
+// TestCallsShareAStream sends concurrent calls on one session, some too large for the
+// shared stream. Each must get its own reply, whatever the order of the replies.
 func TestCallsShareAStream(t *testing.T) {
-	add := echo(t)
+	address := echo(t)
 	var mul multiplexer.Multiplexer
 	defer mul.Close()
-	ctx, stop := context.WithTimeout(t.Context(), 5*silenceBound)
+	ctx, stop := context.WithTimeout(t.Context(), 5*detectionLimit)
 	defer stop()
-	var gro sync.WaitGroup
-	for num := range 500 {
-		gro.Go(func() {
-			key := strconv.Itoa(num)
-			if num%50 == 0 {
+	var group sync.WaitGroup
+	for n := range 500 {
+		group.Go(func() {
+			key := strconv.Itoa(n)
+			if n%50 == 0 {
 				key = strings.Repeat("x", 100_000) + key
 			}
-			rep, err := mul.Call(ctx, add, query(key))
+			rep, err := mul.Call(ctx, address, query(key))
 			if err != nil || rep.GetClaimResult().GetMessage() != key {
-				t.Errorf("call %d: %v", num, err)
+				t.Errorf("call %d: %v", n, err)
 			}
 		})
 	}
-	gro.Wait()
+	group.Wait()
 	require.Equal(t, 1, mul.Sessions())
 }
 
-// A call that is given up ends at the peer, and the others go on.
-func TestCallGivenUp(t *testing.T) {
+// TestCancelledCall cancels a call: it must end at the peer as well, and the session
+// must stay usable.
+func TestCancelledCall(t *testing.T) {
 	var held atomic.Int64
-	add := serve(t, &held)
+	address := serve(t, &held)
 	var mul multiplexer.Multiplexer
 	defer mul.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	err := make(chan error, 1)
 	go func() {
-		_, one := mul.Call(ctx, add, query("held"))
-		err <- one
+		_, callErr := mul.Call(ctx, address, query("held"))
+		err <- callErr
 	}()
-	require.Eventually(t, func() bool { return held.Load() == 1 }, silenceBound, time.Millisecond)
+	require.Eventually(t, func() bool { return held.Load() == 1 }, detectionLimit, time.Millisecond)
 	cancel()
 	require.ErrorIs(t, <-err, context.Canceled)
-	require.Eventually(t, func() bool { return held.Load() == 0 }, silenceBound, time.Millisecond)
-	_, one := mul.Call(t.Context(), add, ping())
-	require.NoError(t, one)
+	require.Eventually(t, func() bool { return held.Load() == 0 }, detectionLimit, time.Millisecond)
+	_, callErr := mul.Call(t.Context(), address, ping())
+	require.NoError(t, callErr)
 }
 
-// A peer of another version is named in the error of the call.
+// TestCallOfAnotherVersion calls a peer that refuses the stream because of its
+// protocol version. The error of the call must contain the refusal.
 func TestCallOfAnotherVersion(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer lis.Close()
-	don := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(don)
+		defer close(stopped)
 		con, err := lis.Accept()
 		if err != nil {
 			return
@@ -117,22 +121,22 @@
 	defer mul.Close()
 	_, err = mul.Call(t.Context(), lis.Addr().String(), ping())
 	require.ErrorContains(t, err, "speaks version 7")
-	<-don
+	<-stopped
 }
 
-// BenchmarkCall reports the time and the bytes of a call, one after the other
-// and many at a time.
+// BenchmarkCall reports the time and the bytes of a call, for sequential and for
+// concurrent calls.
 func BenchmarkCall(b *testing.B) {
-	add := echo(b)
-	for _, par := range []int{1, 100} {
-		b.Run(strconv.Itoa(par), func(b *testing.B) {
+	address := echo(b)
+	for _, parallelism := range []int{1, 100} {
+		b.Run(strconv.Itoa(parallelism), func(b *testing.B) {
 			var mul multiplexer.Multiplexer
 			defer mul.Close()
 			b.ReportAllocs()
-			b.SetParallelism(par)
+			b.SetParallelism(parallelism)
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					if _, err := mul.Call(context.Background(), add, query("key")); err != nil {
+					if _, err := mul.Call(context.Background(), address, query("key")); err != nil {
 						b.Error(err)
 					}
 				}
