--- a/process/orderer/giver.go
+++ b/process/orderer/giver.go
@@ -27,7 +27,7 @@
 // EngineClient reads the configuration of an engine and sends orders to it.
 type EngineClient interface {
 	Config(ctx context.Context, address string) (invoker.EngineConfig, error)
-	GiveOrder(ctx context.Context, address string, ord invoker.Order) error
+	SendOrder(ctx context.Context, address string, ord invoker.Order) error
 }
 
 // Issuer issues orders to engines.
@@ -123,7 +123,7 @@
 func (iss *Issuer) send(ctx context.Context, address string, act Send) Event {
 	ctx, stop := context.WithTimeout(ctx, OrderTimeout)
 	defer stop()
-	err := iss.Engine.GiveOrder(ctx, address, act.Order)
+	err := iss.Engine.SendOrder(ctx, address, act.Order)
 	var invErr *invoker.Error
 	switch {
 	case err == nil:
