--- a/connection/acceptor/acceptor.go
+++ b/connection/acceptor/acceptor.go
@@ -1,5 +1,5 @@
-// Package acceptor accepts callers' connections up to a limit, and closes them
-// when a host drains.
+// Package acceptor accepts callers' connections up to a limit, and waits until they
+// are closed when a host drains.
 package acceptor
 
 import (
@@ -14,11 +14,11 @@
 )
 
 const (
-	// closePause is how often a closing host looks at its connections.
-	closePause     = 20 * time.Millisecond
-	refusalTimeout = time.Second
-	// maxRefusals bounds the surplus connections that are told why; those
-	// beyond are closed at once.
+	// drainPollInterval is how often a draining host checks for open connections.
+	drainPollInterval = 20 * time.Millisecond
+	refusalTimeout    = time.Second
+	// maxRefusals bounds the surplus connections that concurrently get a 503
+	// answer; any beyond it are closed without an answer.
 	maxRefusals      = 64
 	refusalReadBytes = 64 << 10
 )
@@ -29,16 +29,17 @@
 		"Retry-After: 1\r\nHemlockpin-Run: NotRun\r\nContent-Length: %d\r\n\r\n%s"
 )
 
-// Listener bounds the open connections. A surplus one is told so and closed, so
-// that the accept queue does not hold callers until their time-outs.
+// Listener bounds the number of open connections. It answers a surplus connection
+// with 503 and closes it, so that callers do not wait in the accept queue until
+// they time out.
 type Listener struct {
 	net.Listener
-	// Max is the bound, Refused counts the surplus connections.
+	// Max is the limit, Refused counts the surplus connections.
 	Max     int64
 	Refused tally.Counter
 
 	open     atomic.Int64
-	refusing atomic.Int64
+	refusals atomic.Int64
 }
 
 // Accept returns the next connection within the limit.
@@ -57,12 +58,12 @@
 	}
 }
 
-// refuse answers and then reads what the caller still sends, because closing
-// with unread data would discard the answer.
+// refuse answers with 503 and then reads what the caller still sends, because
+// closing a connection with unread data would discard the answer.
 func (lis *Listener) refuse(con net.Conn) {
 	defer con.Close()
-	defer lis.refusing.Add(-1)
-	if lis.refusing.Add(1) > maxRefusals {
+	defer lis.refusals.Add(-1)
+	if lis.refusals.Add(1) > maxRefusals {
 		return
 	}
 	_ = con.SetDeadline(time.Now().Add(refusalTimeout))
@@ -78,30 +79,31 @@
 // Open returns the number of open connections.
 func (lis *Listener) Open() int64 { return lis.open.Load() }
 
-// Drain takes no more connections and waits until the open ones have ended.
-// Server.Shutdown would close a connection without an answer whose request is
-// read after the shutdown began.
-func (lis *Listener) Drain(ser *http.Server) {
+// Drain accepts no further connections and waits until all open connections are
+// closed. http.Server.Shutdown is not used: it closes a connection without an
+// answer if its request is read after the shutdown began.
+func (lis *Listener) Drain(server *http.Server) {
 	for {
-		// This also closes the idle connections. It comes before the end of the
-		// listener, so that each later answer tells its caller to leave.
-		ser.SetKeepAlivesEnabled(false)
+		// SetKeepAlivesEnabled also closes idle connections. It comes before the
+		// listener is closed, so that each later answer has Connection: close.
+		server.SetKeepAlivesEnabled(false)
 		_ = lis.Close()
 		if lis.open.Load() == 0 {
 			return
 		}
-		time.Sleep(closePause)
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// conn leaves its place when it is closed.
+// conn is a connection that reduces the count of open connections when it is
+// closed.
 type conn struct {
 	net.Conn
 	open   *atomic.Int64
 	closed atomic.Bool
 }
 
-// Close closes the connection.
+// Close closes the connection. Only the first call reduces the count.
 func (con *conn) Close() error {
 	if !con.closed.Swap(true) {
 		con.open.Add(-1)
--- a/connection/acceptor/acceptor_test.go
+++ b/connection/acceptor/acceptor_test.go
@@ -11,27 +11,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCloseAnswersAccepted has a connection that was accepted before the host
-// closes and sends its request after that.
+// TestCloseAnswersAccepted sends a request on a connection that was accepted before
+// the host began to drain. The request must get an answer, with Connection: close.
 func TestCloseAnswersAccepted(t *testing.T) {
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	lis := &Listener{Listener: raw, Max: 8}
-	cal := &http.Server{Handler: http.HandlerFunc(func(wri http.ResponseWriter, _ *http.Request) { wri.WriteHeader(http.StatusAccepted) })}
-	go func() { _ = cal.Serve(lis) }()
+	server := &http.Server{Handler: http.HandlerFunc(func(wri http.ResponseWriter, _ *http.Request) { wri.WriteHeader(http.StatusAccepted) })}
+	go func() { _ = server.Serve(lis) }()
 	con, err := net.Dial("tcp", raw.Addr().String())
 	require.NoError(t, err)
 	defer con.Close()
 	require.Eventually(t, func() bool { return lis.Open() == 1 }, 5*time.Second, time.Millisecond)
-	don := make(chan struct{})
+	drained := make(chan struct{})
 	go func() {
-		lis.Drain(cal)
-		close(don)
+		lis.Drain(server)
+		close(drained)
 	}()
 	require.Eventually(t, func() bool {
-		one, err := net.Dial("tcp", raw.Addr().String())
+		probe, err := net.Dial("tcp", raw.Addr().String())
 		if err == nil {
-			one.Close()
+			probe.Close()
 		}
 		return err != nil
 	}, 5*time.Second, time.Millisecond)
@@ -42,5 +42,5 @@
 	defer res.Body.Close()
 	require.Equal(t, http.StatusAccepted, res.StatusCode)
 	require.True(t, res.Close)
-	<-don
+	<-drained
 }
