--- a/connection/counter/counter.go
+++ b/connection/counter/counter.go
@@ -1,4 +1,4 @@
-// Package counter counts the bytes that connections carry.
+// Package counter counts the bytes sent and received on connections.
 package counter
 
 import (
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// Traffic counts the bytes of a set of connections. Its zero value is ready.
-// A nil Traffic counts nothing.
+// Traffic counts the bytes of a set of connections. Its zero value is ready to
+// use, and a nil Traffic counts nothing. It is safe for concurrent use.
 type Traffic struct {
 	sent     atomic.Int64
 	received atomic.Int64
 	opened   atomic.Int64
 }
 
-// Totals are the counts since the start.
+// Totals are the counts of a Traffic since it was created.
 type Totals struct {
-	// Sent and Received are payload bytes of TCP, without its headers.
+	// Sent and Received are TCP payload bytes, without headers.
 	Sent     int64
 	Received int64
-	// Opened counts connections.
+	// Opened is the number of connections that were opened.
 	Opened int64
 }
 
-// Bytes sums both directions.
+// Bytes returns the number of bytes sent and received.
 func (tot Totals) Bytes() int64 { return tot.Sent + tot.Received }
 
-// Totals returns the counts.
+// Totals returns the current counts; zero for a nil Traffic.
 func (tra *Traffic) Totals() Totals {
 	if tra == nil {
 		return Totals{}
@@ -36,7 +36,7 @@
 	return Totals{Sent: tra.sent.Load(), Received: tra.received.Load(), Opened: tra.opened.Load()}
 }
 
-// Wrap counts a connection from now on.
+// Wrap returns a connection whose bytes are counted.
 func (tra *Traffic) Wrap(con net.Conn) net.Conn {
 	if tra == nil {
 		return con
@@ -45,11 +45,12 @@
 	return &conn{Conn: con, traffic: tra}
 }
 
-// Dialer returns a dial function that counts its connections.
+// Dialer returns a dial function whose connections are counted. The timeout
+// bounds each dial.
 func (tra *Traffic) Dialer(timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
-	dia := net.Dialer{Timeout: timeout}
+	dialer := net.Dialer{Timeout: timeout}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		con, err := dia.DialContext(ctx, network, address)
+		con, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
@@ -63,13 +64,13 @@
 }
 
 func (con *conn) Read(buf []byte) (int, error) {
-	num, err := con.Conn.Read(buf)
-	con.traffic.received.Add(int64(num))
-	return num, err
+	n, err := con.Conn.Read(buf)
+	con.traffic.received.Add(int64(n))
+	return n, err
 }
 
 func (con *conn) Write(buf []byte) (int, error) {
-	num, err := con.Conn.Write(buf)
-	con.traffic.sent.Add(int64(num))
-	return num, err
+	n, err := con.Conn.Write(buf)
+	con.traffic.sent.Add(int64(n))
+	return n, err
 }
--- a/connection/counter/counter_test.go
+++ b/connection/counter/counter_test.go
@@ -12,18 +12,18 @@
 
 func TestTraffic(t *testing.T) {
 	var tra counter.Traffic
-	one, two := net.Pipe()
-	con := tra.Wrap(one)
+	raw, peer := net.Pipe()
+	con := tra.Wrap(raw)
 	go func() {
-		_, _ = io.ReadFull(two, make([]byte, 5))
-		_, _ = two.Write([]byte("abc"))
-		two.Close()
+		_, _ = io.ReadFull(peer, make([]byte, 5))
+		_, _ = peer.Write([]byte("abc"))
+		peer.Close()
 	}()
 	_, err := con.Write([]byte("hello"))
 	require.NoError(t, err)
 	_, err = io.ReadAll(con)
 	require.NoError(t, err)
 	require.Equal(t, counter.Totals{Sent: 5, Received: 3, Opened: 1}, tra.Totals())
-	require.Equal(t, one, (*counter.Traffic)(nil).Wrap(one))
+	require.Equal(t, raw, (*counter.Traffic)(nil).Wrap(raw))
 	require.Zero(t, (*counter.Traffic)(nil).Totals())
 }
