--- a/connection/messenger/messenger.go
+++ b/connection/messenger/messenger.go
@@ -1,4 +1,5 @@
-// Package messenger frames the protobuf messages that entry hosts exchange.
+// Package messenger defines the protobuf messages between entry hosts and their
+// framing.
 //
 // A frame is a four-byte big-endian length followed by one encoded Envelope.
 package messenger
@@ -12,23 +13,24 @@
 )
 
 const (
-	// ProtocolVersion is the version of the peer protocol that this build speaks.
+	// ProtocolVersion is the version of the peer protocol that this build uses.
 	ProtocolVersion = 1
 
-	// MaxFrameBytes bounds one frame. It admits tables of one megabyte.
+	// MaxFrameBytes bounds the encoded Envelope of a frame. It leaves room for
+	// tables of one megabyte.
 	MaxFrameBytes = 4 << 20
 
 	lengthBytes = 4
 )
 
-// Errors of the framing.
+// Errors of Read and Write.
 var (
 	ErrFrameTooLarge = eris.New("messenger: frame exceeds the maximum size")
 	ErrProtocol      = eris.New("messenger: peer speaks another protocol version")
 )
 
-// Write sends one envelope as a frame and stamps the protocol version on it.
-func Write(wri io.Writer, env *Envelope) error {
+// Write sets the protocol version of an envelope and sends it as one frame.
+func Write(writer io.Writer, env *Envelope) error {
 	env.Protocol = ProtocolVersion
 	size := proto.Size(env)
 	if size > MaxFrameBytes {
@@ -40,15 +42,15 @@
 	if err != nil {
 		return eris.Wrap(err, "messenger.Write: encode")
 	}
-	_, err = wri.Write(buf)
+	_, err = writer.Write(buf)
 	return eris.Wrap(err, "messenger.Write: send")
 }
 
-// Read receives one frame. It returns io.EOF unwrapped when the stream ends
-// before a frame starts.
-func Read(rea io.Reader) (*Envelope, error) {
+// Read receives one frame. It returns io.EOF unwrapped if the stream ends before
+// a frame starts, and ErrProtocol for an envelope of another protocol version.
+func Read(reader io.Reader) (*Envelope, error) {
 	var head [lengthBytes]byte
-	if _, err := io.ReadFull(rea, head[:]); err != nil {
+	if _, err := io.ReadFull(reader, head[:]); err != nil {
 		if err == io.EOF {
 			return nil, err
 		}
@@ -59,7 +61,7 @@
 		return nil, ErrFrameTooLarge
 	}
 	buf := make([]byte, size)
-	if _, err := io.ReadFull(rea, buf); err != nil {
+	if _, err := io.ReadFull(reader, buf); err != nil {
 		return nil, eris.Wrap(err, "messenger.Read: body")
 	}
 	env := &Envelope{}
@@ -72,7 +74,7 @@
 	return env, nil
 }
 
-// NewFailure builds the envelope that refuses a call.
+// NewFailure returns an envelope that refuses a call.
 func NewFailure(code, message string) *Envelope {
 	return &Envelope{Body: &Envelope_Failure{Failure: &Failure{Code: code, Message: message}}}
 }
--- a/connection/messenger/messenger_test.go
+++ b/connection/messenger/messenger_test.go
@@ -13,8 +13,8 @@
 
 func ping(updates int) *messenger.Envelope {
 	pin := &messenger.Ping{From: &messenger.Member{Id: "host-1", Address: "10.0.0.1:8081", DataCenter: "colombo", Region: "western", Incarnation: 1 << 60}, Target: "host-2", TablesRevision: 23000, TablesAgeMs: 1500}
-	for ind := range updates {
-		pin.Updates = append(pin.Updates, &messenger.Member{Id: fmt.Sprintf("host-%d", ind), Address: "10.0.0.3:8081", DataCenter: "gampaha", Region: "western", Incarnation: 1 << 60, State: messenger.Member_STATE_SUSPECT})
+	for i := range updates {
+		pin.Updates = append(pin.Updates, &messenger.Member{Id: fmt.Sprintf("host-%d", i), Address: "10.0.0.3:8081", DataCenter: "gampaha", Region: "western", Incarnation: 1 << 60, State: messenger.Member_STATE_SUSPECT})
 	}
 	return &messenger.Envelope{Body: &messenger.Envelope_Ping{Ping: pin}}
 }
@@ -27,24 +27,24 @@
 }
 
 func TestReadRefuses(t *testing.T) {
-	whole := frame(t, ping(1))
-	other := proto.CloneOf(ping(1))
-	other.Protocol = messenger.ProtocolVersion + 1
-	body, err := proto.Marshal(other)
+	complete := frame(t, ping(1))
+	otherVersion := proto.CloneOf(ping(1))
+	otherVersion.Protocol = messenger.ProtocolVersion + 1
+	body, err := proto.Marshal(otherVersion)
 	require.NoError(t, err)
-	tts := []struct {
+	tests := []struct {
 		name string
 		in   []byte
 		err  string
 	}{
 		{"nothing", nil, "EOF"},
-		{"part of a length", whole[:2], "messenger.Read: length"},
-		{"part of a body", whole[:len(whole)-1], "messenger.Read: body"},
+		{"part of a length", complete[:2], "messenger.Read: length"},
+		{"part of a body", complete[:len(complete)-1], "messenger.Read: body"},
 		{"no protobuf", []byte{0, 0, 0, 2, 0xff, 0xff}, "messenger.Read: decode"},
 		{"too long", []byte{0xff, 0, 0, 0}, messenger.ErrFrameTooLarge.Error()},
 		{"another protocol", append([]byte{0, 0, 0, byte(len(body))}, body...), messenger.ErrProtocol.Error()},
 	}
-	for _, tt := range tts {
+	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := messenger.Read(bytes.NewReader(tt.in))
 			require.ErrorContains(t, err, tt.err)
@@ -52,7 +52,8 @@
 	}
 }
 
-// FuzzRead requires that whatever is read can be written and read again.
+// FuzzRead checks that each envelope that can be read is unchanged after it is
+// written and read again.
 func FuzzRead(f *testing.F) {
 	f.Add(frame(f, ping(2)))
 	f.Add(frame(f, messenger.NewFailure("code", "message")))
@@ -70,9 +71,9 @@
 }
 
 func BenchmarkPing(b *testing.B) {
-	for _, num := range []int{0, 8} {
-		b.Run(fmt.Sprintf("%d updates", num), func(b *testing.B) {
-			env := ping(num)
+	for _, updates := range []int{0, 8} {
+		b.Run(fmt.Sprintf("%d updates", updates), func(b *testing.B) {
+			env := ping(updates)
 			b.ReportAllocs()
 			for b.Loop() {
 				_, err := messenger.Read(bytes.NewReader(frame(b, env)))
