--- a/request/receiver/body.go
+++ b/request/receiver/body.go
@@ -14,49 +14,51 @@
 )
 
 const (
-	// BodyCopies is how often a body stands in memory at a time: as received,
-	// as decoded, and as sent to the endpoint.
+	// BodyCopies is the number of copies of a body that are in memory at the same
+	// time: as received, as decoded, and as sent to the endpoint.
 	BodyCopies = 3
-	// reserveStep is the least reservation for a body of unknown length.
+	// reserveStep is the smallest reservation, in bytes of body, for a body of
+	// unknown length.
 	reserveStep      = 64 << 10
 	memoryRetryAfter = time.Second
 )
 
-// MemoryBudget bounds the memory that bodies of requests in progress take. It is safe
-// for concurrent use.
+// MemoryBudget bounds the memory for the bodies of requests in progress. It is
+// safe for concurrent use.
 type MemoryBudget struct {
-	// MaxBytes is the bound; 0 stands for none.
+	// MaxBytes is the limit; 0 means no limit.
 	MaxBytes int64
 
 	mu   sync.Mutex
 	used int64
 }
 
-// Used returns the bytes reserved now.
+// Used returns the number of bytes that are reserved.
 func (bud *MemoryBudget) Used() int64 {
 	bud.mu.Lock()
 	defer bud.mu.Unlock()
 	return bud.used
 }
 
-func (bud *MemoryBudget) take(num int64) bool {
+func (bud *MemoryBudget) reserve(n int64) bool {
 	bud.mu.Lock()
 	defer bud.mu.Unlock()
-	if bud.MaxBytes > 0 && bud.used+num > bud.MaxBytes {
+	if bud.MaxBytes > 0 && bud.used+n > bud.MaxBytes {
 		return false
 	}
-	bud.used += num
+	bud.used += n
 	return true
 }
 
-func (bud *MemoryBudget) give(num int64) {
+func (bud *MemoryBudget) release(n int64) {
 	bud.mu.Lock()
 	defer bud.mu.Unlock()
-	bud.used -= num
+	bud.used -= n
 }
 
-// Body reserves memory for a request's body as it is read, so that nothing is
-// held for a caller that is refused before. Release gives it back.
+// Body is a request's body that reserves memory when it is read, so that no memory
+// is reserved for a request that is refused earlier. Release must be called when
+// the request has ended.
 type Body struct {
 	io.ReadCloser
 	budget   *MemoryBudget
@@ -65,21 +67,23 @@
 	reserved int64
 }
 
-// NewBody wraps a body whose announced length is -1 if unknown. Bodies over
-// maxBytes reserve no more than that; ReadBody refuses them.
+// NewBody wraps a body of an announced length in bytes; -1 if it is unknown. A
+// longer announced length than maxBytes reserves only for maxBytes, since ReadBody
+// refuses such a body.
 func NewBody(bod io.ReadCloser, bud *MemoryBudget, length, maxBytes int64) *Body {
 	return &Body{ReadCloser: bod, budget: bud, length: min(length, maxBytes)}
 }
 
-// Read reserves what the next bytes need, all of the announced length at the
-// first call. It fails with a BadRequestError if the budget is spent.
+// Read reserves memory and reads. The first call reserves for the whole announced
+// length; if the length is unknown, the reservation doubles as needed. It fails
+// with a BadRequestError if the budget is exhausted.
 func (bod *Body) Read(buf []byte) (int, error) {
 	if err := bod.reserve(); err != nil {
 		return 0, err
 	}
-	num, err := bod.ReadCloser.Read(buf[:min(int64(len(buf)), max(bod.reserved/BodyCopies-bod.read, 1))])
-	bod.read += int64(num)
-	return num, err
+	n, err := bod.ReadCloser.Read(buf[:min(int64(len(buf)), max(bod.reserved/BodyCopies-bod.read, 1))])
+	bod.read += int64(n)
+	return n, err
 }
 
 func (bod *Body) reserve() error {
@@ -90,7 +94,7 @@
 	case bod.length < 0 && bod.read >= bod.reserved/BodyCopies:
 		want = max(2*bod.reserved, reserveStep*BodyCopies)
 	}
-	if !bod.budget.take(want - bod.reserved) {
+	if !bod.budget.reserve(want - bod.reserved) {
 		return &BadRequestError{
 			Status: http.StatusServiceUnavailable, Code: "host_memory_full",
 			Message: "the host holds too many large requests", RetryAfter: memoryRetryAfter,
@@ -100,16 +104,17 @@
 	return nil
 }
 
-// Release gives the memory back when the request has ended.
+// Release releases the reserved memory. It is idempotent.
 func (bod *Body) Release() {
-	bod.budget.give(bod.reserved)
+	bod.budget.release(bod.reserved)
 	bod.reserved = 0
 }
 
-// ReadBody reads a body of at most maxBytes.
+// ReadBody reads a complete body. It fails with a BadRequestError if the body is
+// over maxBytes, incomplete or too slow, or if its memory budget is exhausted.
 func ReadBody(bod io.Reader, maxBytes int64) ([]byte, error) {
 	var buf bytes.Buffer
-	if err := prepare(&buf, bod); err != nil {
+	if err := growBuffer(&buf, bod); err != nil {
 		return nil, err
 	}
 	_, err := buf.ReadFrom(io.LimitReader(bod, maxBytes+1))
@@ -118,7 +123,7 @@
 		return nil, err
 	}
 	if err != nil {
-		return nil, incomplete(err)
+		return nil, readError(err)
 	}
 	if int64(buf.Len()) > maxBytes {
 		return nil, &BadRequestError{Status: http.StatusRequestEntityTooLarge, Code: "body_too_large", Message: fmt.Sprintf("the body is over %d bytes", maxBytes)}
@@ -126,9 +131,10 @@
 	return buf.Bytes(), nil
 }
 
-// prepare makes room for a body of announced length once its memory is reserved.
-func prepare(buf *bytes.Buffer, rea io.Reader) error {
-	bod, ok := rea.(*Body)
+// growBuffer reserves memory for a body of known length and allocates the buffer in
+// one step.
+func growBuffer(buf *bytes.Buffer, reader io.Reader) error {
+	bod, ok := reader.(*Body)
 	if !ok || bod.length < 0 {
 		return nil
 	}
@@ -139,10 +145,10 @@
 	return nil
 }
 
-func incomplete(err error) error {
-	var nee net.Error
-	if errors.As(err, &nee) && nee.Timeout() {
+func readError(err error) error {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		return &BadRequestError{Status: http.StatusRequestTimeout, Code: "body_too_slow", Message: "the body did not arrive in time"}
 	}
-	return bad("body_incomplete", "", "the body could not be read: "+err.Error())
+	return badRequest("body_incomplete", "", "the body could not be read: "+err.Error())
 }
--- a/request/receiver/prompt.go
+++ b/request/receiver/prompt.go
@@ -17,13 +17,13 @@
 
 const (
 	defaultMaxTokens = 256
-	// MaxAnswerTokens bounds the tokens that a caller may ask for.
+	// MaxAnswerTokens bounds the answer tokens that a caller may request.
 	MaxAnswerTokens = 32_768
 
 	maxModelBytes = 256
 )
 
-// Prompt is a parsed request for an answer of a model.
+// Prompt is a parsed completion request.
 type Prompt struct {
 	Chat         bool
 	Stream       bool
@@ -33,16 +33,16 @@
 	Tokens       int64
 	MaxTokens    int64
 	Seed         int64
-	// Ignored names the fields that are valid but have no effect, because
-	// engines take no sampling settings.
+	// Ignored names the fields that are valid but have no effect, because engines
+	// do not support sampling settings.
 	Ignored []string
 }
 
-// wirePrompt is the body of both kinds of completions.
+// wirePrompt is the body of chat completions and of text completions.
 type wirePrompt struct {
 	Model string `json:"model"`
-	// Prompt and contents are decoded in the same pass as the rest, since each
-	// pass over a long prompt counts.
+	// Prompt and message contents are decoded in the same pass as the other
+	// fields, since another pass over a long prompt takes noticeable time.
 	Prompt              any            `json:"prompt"`
 	Messages            []wireMessage  `json:"messages"`
 	Stream              bool           `json:"stream"`
@@ -66,7 +66,7 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// wireSampling holds the settings that are checked and have no effect.
+// wireSampling holds the settings that are validated but have no effect.
 type wireSampling struct {
 	Temperature      *float64 `json:"temperature"`
 	TopP             *float64 `json:"top_p"`
@@ -75,7 +75,7 @@
 }
 
 // wireUnsupported holds the fields that would change the answer in a way that
-// hemlockpin does not offer. They are refused unless empty.
+// hemlockpin does not support. They are refused unless their value has no effect.
 type wireUnsupported struct {
 	Stop           json.RawMessage `json:"stop"`
 	Tools          json.RawMessage `json:"tools"`
@@ -93,7 +93,8 @@
 	Modalities     json.RawMessage `json:"modalities"`
 }
 
-// ParsePrompt reads the body of /v1/chat/completions or /v1/completions.
+// ParsePrompt reads and validates the body of /v1/chat/completions, if chat is
+// set, or of /v1/completions. Faults of the request are a BadRequestError.
 func ParsePrompt(bod io.Reader, maxBytes int64, chat bool) (Prompt, error) {
 	buf, err := ReadBody(bod, maxBytes)
 	if err != nil {
@@ -104,16 +105,16 @@
 
 func parsePrompt(buf []byte, chat bool) (Prompt, error) {
 	if !utf8.Valid(buf) {
-		return Prompt{}, bad("invalid_utf8", "", "the body is not valid UTF-8")
+		return Prompt{}, badRequest("invalid_utf8", "", "the body is not valid UTF-8")
 	}
 	var req wirePrompt
 	if err := json.Unmarshal(buf, &req); err != nil {
-		return Prompt{}, jsonFault(err)
+		return Prompt{}, jsonError(err)
 	}
 	if err := req.validate(); err != nil {
 		return Prompt{}, err
 	}
-	txt, err := promptText(chat, req.Prompt, req.Messages)
+	text, err := promptText(chat, req.Prompt, req.Messages)
 	if err != nil {
 		return Prompt{}, err
 	}
@@ -123,29 +124,30 @@
 	}
 	return Prompt{
 		Chat: chat, Stream: req.Stream, IncludeUsage: req.StreamOptions != nil && req.StreamOptions.IncludeUsage, Model: req.Model,
-		Text: txt, Tokens: hasher.Tokens(txt), MaxTokens: max, Seed: req.Seed, Ignored: req.ignored(),
+		Text: text, Tokens: hasher.Tokens(text), MaxTokens: max, Seed: req.Seed, Ignored: req.ignored(),
 	}, nil
 }
 
-// jsonFault names the field of a wrong type in the caller's terms.
-func jsonFault(err error) error {
-	var typ *json.UnmarshalTypeError
-	if errors.As(err, &typ) {
-		return bad("invalid_type", typ.Field, fmt.Sprintf("byte %d: %s cannot stand here", typ.Offset, typ.Value))
+// jsonError describes a decoding error by JSON field and offset, without names of Go
+// types.
+func jsonError(err error) error {
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return badRequest("invalid_type", typeErr.Field, fmt.Sprintf("byte %d: %s cannot stand here", typeErr.Offset, typeErr.Value))
 	}
-	return bad("invalid_json", "", "the body is not valid JSON: "+err.Error())
+	return badRequest("invalid_json", "", "the body is not valid JSON: "+err.Error())
 }
 
 func (req wirePrompt) validate() error {
 	switch {
 	case req.Model == "":
-		return bad("missing_model", "model", "model is missing")
+		return badRequest("missing_model", "model", "model is missing")
 	case len(req.Model) > maxModelBytes:
-		return bad("invalid_model", "model", fmt.Sprintf("model is over %d bytes", maxModelBytes))
+		return badRequest("invalid_model", "model", fmt.Sprintf("model is over %d bytes", maxModelBytes))
 	case req.N != nil && *req.N != 1:
-		return bad("unsupported_n", "n", "n must be 1")
+		return badRequest("unsupported_n", "n", "n must be 1")
 	case req.StreamOptions != nil && !req.Stream:
-		return bad("invalid_stream_options", "stream_options", "stream_options is for stream: true")
+		return badRequest("invalid_stream_options", "stream_options", "stream_options is for stream: true")
 	}
 	if err := req.wireSampling.validate(); err != nil {
 		return err
@@ -153,14 +155,14 @@
 	return req.wireUnsupported.validate()
 }
 
-type bounded struct {
+type boundedSetting struct {
 	name     string
 	val      *float64
-	low, top float64
+	min, max float64
 }
 
-func (sam wireSampling) fields() []bounded {
-	return []bounded{
+func (sam wireSampling) fields() []boundedSetting {
+	return []boundedSetting{
 		{"temperature", sam.Temperature, 0, 2},
 		{"top_p", sam.TopP, 0, 1},
 		{"presence_penalty", sam.PresencePenalty, -2, 2},
@@ -169,9 +171,9 @@
 }
 
 func (sam wireSampling) validate() error {
-	for _, fie := range sam.fields() {
-		if fie.val != nil && (*fie.val < fie.low || *fie.val > fie.top) {
-			return bad("invalid_"+fie.name, fie.name, fmt.Sprintf("%s must be %g to %g", fie.name, fie.low, fie.top))
+	for _, field := range sam.fields() {
+		if field.val != nil && (*field.val < field.min || *field.val > field.max) {
+			return badRequest("invalid_"+field.name, field.name, fmt.Sprintf("%s must be %g to %g", field.name, field.min, field.max))
 		}
 	}
 	return nil
@@ -179,20 +181,20 @@
 
 func (sam wireSampling) ignored() []string {
 	var out []string
-	for _, fie := range sam.fields() {
-		if fie.val != nil {
-			out = append(out, fie.name)
+	for _, field := range sam.fields() {
+		if field.val != nil {
+			out = append(out, field.name)
 		}
 	}
 	return out
 }
 
 func (uns wireUnsupported) validate() error {
-	fies := []struct {
+	fields := []struct {
 		name string
 		raw  json.RawMessage
-		// also lists values that ask for nothing, beside the empty ones.
-		also []string
+		// neutralValues are non-empty values that have no effect.
+		neutralValues []string
 	}{
 		{"stop", uns.Stop, nil},
 		{"tools", uns.Tools, nil},
@@ -209,50 +211,50 @@
 		{"audio", uns.Audio, nil},
 		{"modalities", uns.Modalities, []string{`["text"]`}},
 	}
-	for _, fie := range fies {
-		if !neutral(fie.raw, fie.also...) {
-			return bad("unsupported_"+fie.name, fie.name, fie.name+" is not supported")
+	for _, field := range fields {
+		if !hasNoEffect(field.raw, field.neutralValues...) {
+			return badRequest("unsupported_"+field.name, field.name, field.name+" is not supported")
 		}
 	}
 	return nil
 }
 
-// neutral reports whether a value is empty or one of also.
-func neutral(raw json.RawMessage, also ...string) bool {
+// hasNoEffect reports whether a value is missing, empty or one of neutralValues.
+func hasNoEffect(raw json.RawMessage, neutralValues ...string) bool {
 	var buf bytes.Buffer
 	if len(raw) == 0 || json.Compact(&buf, raw) != nil {
 		return true
 	}
-	return slices.Contains([]string{"null", "[]", "{}", `""`, "false"}, buf.String()) || slices.Contains(also, buf.String())
+	return slices.Contains([]string{"null", "[]", "{}", `""`, "false"}, buf.String()) || slices.Contains(neutralValues, buf.String())
 }
 
-func promptText(chat bool, pro any, mess []wireMessage) (string, error) {
+func promptText(chat bool, prompt any, messages []wireMessage) (string, error) {
 	if !chat {
-		txt, _ := pro.(string)
-		if txt == "" {
-			return "", bad("invalid_prompt", "prompt", "prompt must be a non-empty string")
+		text, _ := prompt.(string)
+		if text == "" {
+			return "", badRequest("invalid_prompt", "prompt", "prompt must be a non-empty string")
 		}
-		return txt, nil
+		return text, nil
 	}
-	if len(mess) == 0 {
-		return "", bad("missing_messages", "messages", "messages is empty")
+	if len(messages) == 0 {
+		return "", badRequest("missing_messages", "messages", "messages is empty")
 	}
-	var bui strings.Builder
-	for ind, mes := range mess {
-		con, err := mes.text()
+	var builder strings.Builder
+	for i, mes := range messages {
+		content, err := mes.text()
 		if err != nil {
-			return "", bad("invalid_message", fmt.Sprintf("messages[%d]", ind), err.Error())
+			return "", badRequest("invalid_message", fmt.Sprintf("messages[%d]", i), err.Error())
 		}
-		bui.Grow(len(mes.Role) + len(con) + len(": \n"))
-		bui.WriteString(mes.Role)
-		bui.WriteString(": ")
-		bui.WriteString(con)
-		bui.WriteByte('\n')
+		builder.Grow(len(mes.Role) + len(content) + len(": \n"))
+		builder.WriteString(mes.Role)
+		builder.WriteString(": ")
+		builder.WriteString(content)
+		builder.WriteByte('\n')
 	}
-	return bui.String(), nil
+	return builder.String(), nil
 }
 
-// text checks the message and returns its content.
+// text validates the message and returns its content.
 func (mes wireMessage) text() (string, error) {
 	switch mes.Role {
 	case "system", "developer", "user", "assistant":
@@ -261,47 +263,47 @@
 	default:
 		return "", eris.Errorf("role %q is not supported", mes.Role)
 	}
-	if !neutral(mes.ToolCalls) {
+	if !hasNoEffect(mes.ToolCalls) {
 		return "", eris.New("tool_calls is not supported")
 	}
-	switch con := mes.Content.(type) {
+	switch content := mes.Content.(type) {
 	case string:
-		return con, nil
+		return content, nil
 	case []any:
-		return partsText(con)
+		return partsText(content)
 	default:
 		return "", eris.New("content must be a string or a list of parts")
 	}
 }
 
-// partsText joins the text parts of a content.
-func partsText(pars []any) (string, error) {
-	var bui strings.Builder
-	for _, one := range pars {
-		par, obj := one.(map[string]any)
-		txt, ok := par["text"].(string)
+// partsText concatenates the text parts of a message's content.
+func partsText(parts []any) (string, error) {
+	var builder strings.Builder
+	for _, element := range parts {
+		part, isObject := element.(map[string]any)
+		text, ok := part["text"].(string)
 		switch {
-		case !obj:
+		case !isObject:
 			return "", eris.New("a part must be an object with type and text")
-		case par["type"] != "text":
-			return "", eris.Errorf("content parts of type %q are not supported", fmt.Sprint(par["type"]))
+		case part["type"] != "text":
+			return "", eris.Errorf("content parts of type %q are not supported", fmt.Sprint(part["type"]))
 		case !ok:
 			return "", eris.New("a text part must have a text")
 		}
-		bui.WriteString(txt)
+		builder.WriteString(text)
 	}
-	return bui.String(), nil
+	return builder.String(), nil
 }
 
-func answerLimit(lims ...*int64) (int64, error) {
-	for _, lim := range lims {
-		if lim == nil {
+func answerLimit(limits ...*int64) (int64, error) {
+	for _, limit := range limits {
+		if limit == nil {
 			continue
 		}
-		if *lim < 1 || *lim > MaxAnswerTokens {
-			return 0, bad("invalid_max_tokens", "max_tokens", fmt.Sprintf("max_tokens must be 1 to %d", MaxAnswerTokens))
+		if *limit < 1 || *limit > MaxAnswerTokens {
+			return 0, badRequest("invalid_max_tokens", "max_tokens", fmt.Sprintf("max_tokens must be 1 to %d", MaxAnswerTokens))
 		}
-		return *lim, nil
+		return *limit, nil
 	}
 	return defaultMaxTokens, nil
 }
--- a/request/receiver/receiver.go
+++ b/request/receiver/receiver.go
@@ -1,5 +1,5 @@
-// Package receiver reads callers' requests: OpenAI-compatible prompts and calls
-// to plain services.
+// Package receiver reads and validates callers' requests: OpenAI-compatible
+// prompts, and the headers and bodies of calls to plain services.
 package receiver
 
 import (
@@ -17,34 +17,35 @@
 	TimeLimitHeader = "Hemlockpin-Time-Limit"
 	// KeyHeader carries the caller's idempotency key.
 	KeyHeader = "Idempotency-Key"
-	// KeyTimeHeader says when the key was issued, as RFC 3339, where the key
-	// itself does not carry the time.
+	// KeyTimeHeader is the time at which the key was issued, as RFC 3339, if the
+	// key itself does not contain the time.
 	KeyTimeHeader = "Idempotency-Key-Time"
 )
 
 const (
-	// MaxBearerBytes bounds a bearer key.
+	// MaxBearerBytes bounds the length of a bearer key.
 	MaxBearerBytes = 1024
-	// MinTimeLimit is the shortest time limit that a caller may ask for.
+	// MinTimeLimit is the shortest time limit that a caller may request.
 	MinTimeLimit = time.Millisecond
 )
 
-// BadRequestError is a fault of the caller's request.
+// BadRequestError is a refusal of the caller's request, with its HTTP status.
 type BadRequestError struct {
 	Status  int
 	Code    string
 	Param   string
 	Message string
-	// RetryAfter says when the same request may succeed; 0 for never.
+	// RetryAfter is the time after which the same request may succeed; 0 means
+	// that it cannot succeed.
 	RetryAfter time.Duration
 }
 
-// Error formats the fault.
+// Error returns the code and the message.
 func (err *BadRequestError) Error() string {
 	return fmt.Sprintf("bad request: %s: %s", err.Code, err.Message)
 }
 
-// BearerKey returns the key of the Authorization header.
+// BearerKey returns the bearer key of the Authorization header.
 func BearerKey(hea http.Header) (string, error) {
 	key, ok := strings.CutPrefix(hea.Get("Authorization"), "Bearer ")
 	if !ok || key == "" || len(key) > MaxBearerBytes {
@@ -53,12 +54,12 @@
 	return key, nil
 }
 
-// ValidateHeaders checks the headers of hemlockpin's own before anything of the
-// body is read. now is the present time.
+// ValidateHeaders validates the headers that hemlockpin defines, before the body is
+// read. The time limit is checked relative to now.
 func ValidateHeaders(hea http.Header, now time.Time) error {
-	for _, nam := range []string{TimeLimitHeader, KeyHeader, KeyTimeHeader, "Authorization"} {
-		if len(hea.Values(nam)) > 1 {
-			return bad("repeated_header", nam, "the header "+nam+" stands twice")
+	for _, name := range []string{TimeLimitHeader, KeyHeader, KeyTimeHeader, "Authorization"} {
+		if len(hea.Values(name)) > 1 {
+			return badRequest("repeated_header", name, "the header "+name+" stands twice")
 		}
 	}
 	if err := validateKey(hea); err != nil {
@@ -70,24 +71,25 @@
 
 func validateKey(hea http.Header) error {
 	if len(hea.Values(KeyHeader)) > 0 && !claimer.ValidKey(hea.Get(KeyHeader)) {
-		return bad("idempotency_key_invalid", KeyHeader, fmt.Sprintf("the key must be 1 to %d printable ASCII characters without spaces", claimer.MaxKeyBytes))
+		return badRequest("idempotency_key_invalid", KeyHeader, fmt.Sprintf("the key must be 1 to %d printable ASCII characters without spaces", claimer.MaxKeyBytes))
 	}
 	return nil
 }
 
-// Deadline applies the route's time limit, which the caller may shorten.
-func Deadline(hea http.Header, lim time.Duration, now time.Time) (time.Time, error) {
-	txt := hea.Get(TimeLimitHeader)
-	if txt == "" {
-		return now.Add(lim), nil
+// Deadline returns the deadline of a request that arrives now. The route's time
+// limit applies, unless the caller's header shortens it.
+func Deadline(hea http.Header, limit time.Duration, now time.Time) (time.Time, error) {
+	text := hea.Get(TimeLimitHeader)
+	if text == "" {
+		return now.Add(limit), nil
 	}
-	own, err := time.ParseDuration(txt)
-	if err != nil || own < MinTimeLimit {
-		return time.Time{}, bad("invalid_time_limit", TimeLimitHeader, fmt.Sprintf("the time limit must be a duration of at least %s, such as 2s", MinTimeLimit))
+	requested, err := time.ParseDuration(text)
+	if err != nil || requested < MinTimeLimit {
+		return time.Time{}, badRequest("invalid_time_limit", TimeLimitHeader, fmt.Sprintf("the time limit must be a duration of at least %s, such as 2s", MinTimeLimit))
 	}
-	return now.Add(min(own, lim)), nil
+	return now.Add(min(requested, limit)), nil
 }
 
-func bad(code, param, message string) error {
+func badRequest(code, param, message string) error {
 	return &BadRequestError{Status: http.StatusBadRequest, Code: code, Param: param, Message: message}
 }
--- a/request/receiver/receiver_test.go
+++ b/request/receiver/receiver_test.go
@@ -14,15 +14,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPrompts reads bodies from testdata/prompts. In the input, Go escapes such
-// as \xff stand for bytes, and REPEAT(n,text) repeats a text.
+// TestPrompts parses bodies from testdata/prompts. In the input, \xff stands for
+// that byte, and REPEAT(n,text) for n copies of a text.
 func TestPrompts(t *testing.T) {
 	datadriven.RunTest(t, "testdata/prompts", func(t *testing.T, dat *datadriven.TestData) string {
-		pro, err := parsePrompt([]byte(expand(t, dat.Input)), dat.Cmd == "chat")
+		prompt, err := parsePrompt([]byte(expand(t, dat.Input)), dat.Cmd == "chat")
 		if err != nil {
 			return faultText(t, err)
 		}
-		return fmt.Sprintf("%q tokens=%d max=%d stream=%t usage=%t seed=%d ignored=%v\n", pro.Text, pro.Tokens, pro.MaxTokens, pro.Stream, pro.IncludeUsage, pro.Seed, pro.Ignored)
+		return fmt.Sprintf("%q tokens=%d max=%d stream=%t usage=%t seed=%d ignored=%v\n", prompt.Text, prompt.Tokens, prompt.MaxTokens, prompt.Stream, prompt.IncludeUsage, prompt.Seed, prompt.Ignored)
 	})
 }
 
@@ -33,36 +33,36 @@
 	return fmt.Sprintf("%d %s %s: %s\n", bad.Status, bad.Code, bad.Param, bad.Message)
 }
 
-func expand(t *testing.T, txt string) string {
+func expand(t *testing.T, text string) string {
 	t.Helper()
 	for {
-		bef, aft, ok := strings.Cut(txt, "REPEAT(")
+		before, after, ok := strings.Cut(text, "REPEAT(")
 		if !ok {
 			break
 		}
-		arg, aft, _ := strings.Cut(aft, ")")
-		num, wha, _ := strings.Cut(arg, ",")
-		cnt, err := strconv.Atoi(num)
+		arg, after, _ := strings.Cut(after, ")")
+		count, repeated, _ := strings.Cut(arg, ",")
+		times, err := strconv.Atoi(count)
 		require.NoError(t, err)
-		txt = bef + strings.Repeat(wha, cnt) + aft
+		text = before + strings.Repeat(repeated, times) + after
 	}
-	return strings.ReplaceAll(txt, `\xff`, "\xff")
+	return strings.ReplaceAll(text, `\xff`, "\xff")
 }
 
-// TestHeaders reads headers from testdata/headers.
+// TestHeaders validates headers from testdata/headers.
 func TestHeaders(t *testing.T) {
 	datadriven.RunTest(t, "testdata/headers", func(t *testing.T, dat *datadriven.TestData) string {
 		hea := http.Header{}
-		for _, lin := range strings.Split(expand(t, dat.Input), "\n") {
-			nam, val, _ := strings.Cut(lin, ":")
-			hea.Add(nam, strings.TrimSpace(val))
+		for _, line := range strings.Split(expand(t, dat.Input), "\n") {
+			name, val, _ := strings.Cut(line, ":")
+			hea.Add(name, strings.TrimSpace(val))
 		}
 		if err := ValidateHeaders(hea, time.Unix(0, 0)); err != nil {
 			return faultText(t, err)
 		}
-		ded, err := Deadline(hea, time.Minute, time.Unix(0, 0))
+		deadline, err := Deadline(hea, time.Minute, time.Unix(0, 0))
 		require.NoError(t, err)
-		return fmt.Sprintf("good, limit %s\n", ded.Sub(time.Unix(0, 0)))
+		return fmt.Sprintf("good, limit %s\n", deadline.Sub(time.Unix(0, 0)))
 	})
 }
 
@@ -101,15 +101,17 @@
 	}
 }
 
-// TestBodyUnknownLength reads whole bodies around the steps of the reservation.
+// TestBodyUnknownLength reads bodies of unknown length whose sizes are at the
+// boundaries of the reservation steps: each must be read completely, with memory
+// reserved for all its copies.
 func TestBodyUnknownLength(t *testing.T) {
-	for _, siz := range []int{0, 1, reserveStep - 1, reserveStep, reserveStep + 1, 5*reserveStep + 7} {
+	for _, size := range []int{0, 1, reserveStep - 1, reserveStep, reserveStep + 1, 5*reserveStep + 7} {
 		bud := &MemoryBudget{MaxBytes: 64 * reserveStep}
-		bod := NewBody(io.NopCloser(strings.NewReader(strings.Repeat("x", siz))), bud, -1, 1<<20)
+		bod := NewBody(io.NopCloser(strings.NewReader(strings.Repeat("x", size))), bud, -1, 1<<20)
 		buf, err := ReadBody(bod, 1<<20)
 		require.NoError(t, err)
-		require.Len(t, buf, siz)
-		require.GreaterOrEqual(t, bud.Used(), int64(siz*BodyCopies))
+		require.Len(t, buf, size)
+		require.GreaterOrEqual(t, bud.Used(), int64(size*BodyCopies))
 	}
 }
 
@@ -121,16 +123,16 @@
 	f.Add([]byte("{\"model\":\"\xff\"}"), false)
 	f.Add([]byte(strings.Repeat("[", 20_000)), true)
 	f.Fuzz(func(t *testing.T, buf []byte, chat bool) {
-		pro, err := parsePrompt(buf, chat)
+		prompt, err := parsePrompt(buf, chat)
 		if err != nil {
 			var bad *BadRequestError
 			require.True(t, errors.As(err, &bad))
 			require.Equal(t, http.StatusBadRequest, bad.Status)
 			return
 		}
-		require.NotEmpty(t, pro.Model)
-		require.Positive(t, pro.MaxTokens)
-		require.LessOrEqual(t, pro.MaxTokens, int64(MaxAnswerTokens))
-		require.NotEmpty(t, pro.Text)
+		require.NotEmpty(t, prompt.Model)
+		require.Positive(t, prompt.MaxTokens)
+		require.LessOrEqual(t, prompt.MaxTokens, int64(MaxAnswerTokens))
+		require.NotEmpty(t, prompt.Text)
 	})
 }
