--- a/request/responder/answer.go
+++ b/request/responder/answer.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// slowCallerTimeout bounds one write to a caller. The buffers of the
-	// connection are all that a caller which does not read can hold.
+	// slowCallerTimeout bounds one write to a caller, so that a caller that does not
+	// read occupies no more than the connection's buffers.
 	slowCallerTimeout = 5 * time.Second
-	// rearmInterval is how often the bound of the writes is moved on.
-	rearmInterval = 250 * time.Millisecond
+	// deadlineInterval is the least time between two updates of the write deadline.
+	deadlineInterval = 250 * time.Millisecond
 )
 
-// ErrSlowCaller marks an answer that the caller does not read.
+// ErrSlowCaller reports that the caller does not read its answer.
 var ErrSlowCaller = eris.New("responder: the caller does not read the answer")
 
-// Answer writes the tokens of one request, streamed or whole.
+// Answer writes the answer to one prompt, streamed by token or as one JSON document.
 type Answer struct {
 	Writer       http.ResponseWriter
 	ID           string
@@ -37,15 +37,15 @@
 	Created      time.Time
 
 	started bool
-	// text keeps the answer so far: whole answers need it, and a resume on
-	// another engine continues from it.
+	// text is the answer so far. It is needed for an answer that is not streamed,
+	// and to resume a streamed answer on another engine.
 	text strings.Builder
-	// pending holds the chunks that were not sent yet.
+	// pending holds the chunks that are not sent yet.
 	pending []byte
-	// head and tail are the constant parts of a chunk around its text.
-	head  []byte
-	tail  []byte
-	armed time.Time
+	// chunkPrefix and chunkSuffix are the constant parts of a chunk around its text.
+	chunkPrefix   []byte
+	chunkSuffix   []byte
+	deadlineSetAt time.Time
 }
 
 type delta struct {
@@ -62,70 +62,71 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// Text returns the text so far.
+// Text returns the text of the answer so far.
 func (ans *Answer) Text() string { return ans.text.String() }
 
-// Started reports whether a part of the answer has reached the caller.
+// Started reports whether a part of the answer has been sent to the caller.
 func (ans *Answer) Started() bool { return ans.started }
 
-// Token adds one token. A streamed token reaches the caller with the next Flush.
-func (ans *Answer) Token(txt string) error {
-	ans.text.WriteString(txt)
+// Token appends one token. In a streamed answer it is sent by the next Flush.
+func (ans *Answer) Token(text string) error {
+	ans.text.WriteString(text)
 	if !ans.Stream {
 		return nil
 	}
-	if ans.head == nil {
-		ans.renderFrame()
-		return ans.chunk(delta{Content: txt}, nil, nil)
+	if ans.chunkPrefix == nil {
+		ans.renderChunkParts()
+		return ans.appendChunk(delta{Content: text}, nil, nil)
 	}
-	ans.pending = append(ans.pending, ans.head...)
-	ans.pending = appendString(ans.pending, txt)
-	ans.pending = append(ans.pending, ans.tail...)
+	ans.pending = append(ans.pending, ans.chunkPrefix...)
+	ans.pending = appendString(ans.pending, text)
+	ans.pending = append(ans.pending, ans.chunkSuffix...)
 	return nil
 }
 
-// renderFrame prepares what all chunks after the first have in common.
-func (ans *Answer) renderFrame() {
-	fra := []byte(`data: {"id":`)
-	fra = appendString(fra, ans.ID)
-	fra = append(fra, `,"object":`...)
-	fra = appendString(fra, ans.object(true))
-	fra = append(fra, `,"created":`...)
-	fra = strconv.AppendInt(fra, ans.Created.Unix(), 10)
-	fra = append(fra, `,"model":`...)
-	fra = appendString(fra, ans.Model)
-	fra = append(fra, `,"choices":[{"index":0,`...)
+// renderChunkParts prepares the parts that all chunks after the first have in common.
+func (ans *Answer) renderChunkParts() {
+	common := []byte(`data: {"id":`)
+	common = appendString(common, ans.ID)
+	common = append(common, `,"object":`...)
+	common = appendString(common, ans.object(true))
+	common = append(common, `,"created":`...)
+	common = strconv.AppendInt(common, ans.Created.Unix(), 10)
+	common = append(common, `,"model":`...)
+	common = appendString(common, ans.Model)
+	common = append(common, `,"choices":[{"index":0,`...)
 	if ans.Chat {
-		ans.head = slices.Concat(fra, []byte(`"delta":{"content":`))
-		ans.tail = []byte("},\"finish_reason\":null}]}\n\n")
+		ans.chunkPrefix = slices.Concat(common, []byte(`"delta":{"content":`))
+		ans.chunkSuffix = []byte("},\"finish_reason\":null}]}\n\n")
 		return
 	}
-	ans.head = slices.Concat(fra, []byte(`"text":`))
-	ans.tail = []byte(",\"finish_reason\":null}]}\n\n")
+	ans.chunkPrefix = slices.Concat(common, []byte(`"text":`))
+	ans.chunkSuffix = []byte(",\"finish_reason\":null}]}\n\n")
 }
 
-// appendString appends a JSON string. Plain ASCII is copied.
-func appendString(dst []byte, txt string) []byte {
-	for ind := range len(txt) {
-		if byt := txt[ind]; byt < ' ' || byt > '~' || byt == '"' || byt == '\\' {
-			buf, _ := json.Marshal(txt)
+// appendString appends a text as a JSON string. Printable ASCII that needs no escapes
+// is copied, which avoids encoding/json.
+func appendString(dst []byte, text string) []byte {
+	for i := range len(text) {
+		if char := text[i]; char < ' ' || char > '~' || char == '"' || char == '\\' {
+			buf, _ := json.Marshal(text)
 			return append(dst, buf...)
 		}
 	}
 	dst = append(dst, '"')
-	dst = append(dst, txt...)
+	dst = append(dst, text...)
 	return append(dst, '"')
 }
 
-// Flush sends the tokens added since the last Flush. It fails with
-// ErrSlowCaller when the caller takes nothing within the bound.
+// Flush sends the tokens added since the last Flush. It fails with ErrSlowCaller if
+// the caller does not read within 5 s.
 func (ans *Answer) Flush(now time.Time) error {
 	if len(ans.pending) == 0 {
 		return nil
 	}
-	ans.begin()
+	ans.writeHead()
 	con := http.NewResponseController(ans.Writer)
-	ans.arm(con, now)
+	ans.extendDeadline(con, now)
 	_, err := ans.Writer.Write(ans.pending)
 	ans.pending = ans.pending[:0]
 	if err == nil {
@@ -137,56 +138,57 @@
 	return err
 }
 
-// arm bounds the next writes. Writers without deadlines are left as they are.
-func (ans *Answer) arm(con *http.ResponseController, now time.Time) {
-	if now.Sub(ans.armed) < rearmInterval {
+// extendDeadline sets the deadline of the next writes. Writers that do not support
+// deadlines have none.
+func (ans *Answer) extendDeadline(con *http.ResponseController, now time.Time) {
+	if now.Sub(ans.deadlineSetAt) < deadlineInterval {
 		return
 	}
-	ans.armed = now
+	ans.deadlineSetAt = now
 	_ = con.SetWriteDeadline(now.Add(slowCallerTimeout))
 }
 
-// Close lifts the bound of the writes, so that the caller's connection can
-// serve further requests.
+// Close removes the write deadline, so that the caller's connection can serve further
+// requests.
 func (ans *Answer) Close() {
-	if !ans.armed.IsZero() {
+	if !ans.deadlineSetAt.IsZero() {
 		_ = http.NewResponseController(ans.Writer).SetWriteDeadline(time.Time{})
 	}
 }
 
-// Finish ends the answer.
+// Finish completes the answer.
 func (ans *Answer) Finish(fin invoker.Finish, now time.Time) error {
 	if !ans.Stream {
-		ans.arm(http.NewResponseController(ans.Writer), now)
-		ans.whole(fin)
+		ans.extendDeadline(http.NewResponseController(ans.Writer), now)
+		ans.writeComplete(fin)
 		return nil
 	}
-	if err := ans.chunk(delta{}, &fin.Reason, nil); err != nil {
+	if err := ans.appendChunk(delta{}, &fin.Reason, nil); err != nil {
 		return err
 	}
 	if ans.IncludeUsage {
-		if err := ans.chunk(delta{}, nil, &fin); err != nil {
+		if err := ans.appendChunk(delta{}, nil, &fin); err != nil {
 			return err
 		}
 	}
-	ans.event([]byte("[DONE]"))
+	ans.appendEvent([]byte("[DONE]"))
 	return ans.Flush(now)
 }
 
-// Fail ends the answer with a problem. A stream that has begun gets an error
-// event and no end mark, so that it can't be taken for whole.
+// Fail ends the answer with a problem. A stream that has started gets an error event
+// and no [DONE] event, so that callers cannot take the answer for complete.
 func (ans *Answer) Fail(pro Problem, now time.Time) {
 	if !ans.started {
 		WriteProblem(ans.Writer, pro)
 		return
 	}
-	note(ans.Writer, pro)
+	setCode(ans.Writer, pro)
 	buf, _ := json.Marshal(pro.body())
-	ans.event(buf)
+	ans.appendEvent(buf)
 	_ = ans.Flush(now)
 }
 
-func (ans *Answer) begin() {
+func (ans *Answer) writeHead() {
 	if ans.started {
 		return
 	}
@@ -198,14 +200,15 @@
 	ans.Writer.WriteHeader(http.StatusOK)
 }
 
-func (ans *Answer) event(buf []byte) {
+func (ans *Answer) appendEvent(buf []byte) {
 	ans.pending = append(ans.pending, "data: "...)
 	ans.pending = append(ans.pending, buf...)
 	ans.pending = append(ans.pending, "\n\n"...)
 }
 
-// chunk adds a chunk that differs from the plain ones.
-func (ans *Answer) chunk(del delta, reason *string, fin *invoker.Finish) error {
+// appendChunk appends a chunk that is not a plain token chunk: the first one, the one
+// with the finish reason, or the one with the usage.
+func (ans *Answer) appendChunk(del delta, reason *string, fin *invoker.Finish) error {
 	type choice struct {
 		Index        int     `json:"index"`
 		Text         *string `json:"text,omitempty"`
@@ -236,7 +239,7 @@
 	if err != nil {
 		return err
 	}
-	ans.event(buf)
+	ans.appendEvent(buf)
 	return nil
 }
 
@@ -260,7 +263,7 @@
 	return usa
 }
 
-func (ans *Answer) whole(fin invoker.Finish) {
+func (ans *Answer) writeComplete(fin invoker.Finish) {
 	ans.started = true
 	ans.Writer.Header().Set(RunHeader, string(invoker.Ran))
 	type message struct {
@@ -273,12 +276,12 @@
 		Message      *message `json:"message,omitempty"`
 		FinishReason string   `json:"finish_reason"`
 	}
-	txt := ans.text.String()
+	text := ans.text.String()
 	cho := choice{FinishReason: fin.Reason}
 	if ans.Chat {
-		cho.Message = &message{"assistant", txt}
+		cho.Message = &message{"assistant", text}
 	} else {
-		cho.Text = &txt
+		cho.Text = &text
 	}
 	WriteJSON(ans.Writer, http.StatusOK, struct {
 		ID      string   `json:"id"`
--- a/request/responder/recorder.go
+++ b/request/responder/recorder.go
@@ -7,7 +7,7 @@
 
 const deadlineRefresh = time.Second
 
-// Labels say what a request was.
+// Labels describe a request for metrics.
 type Labels struct {
 	Route        string
 	Pool         string
@@ -15,47 +15,48 @@
 	PromptTokens int64
 }
 
-// Recorder is a writer that notes the outcome of a request for metrics and
-// bounds the time that a slow reader may hold it.
+// Recorder is a response writer that records the outcome of a request for metrics
+// and sets write deadlines, so that a slow caller cannot block the request.
 type Recorder struct {
 	http.ResponseWriter
-	// Clock returns the present time.
+	// Clock returns the current time.
 	Clock func() time.Time
-	// WriteTimeout bounds each write; 0 stands for no bound.
+	// WriteTimeout bounds each write; 0 means no limit.
 	WriteTimeout time.Duration
-	// OnInterval is told the time between two writes of a stream; nil for none.
+	// OnInterval is called with the time between two consecutive writes; it may
+	// be nil.
 	OnInterval func(time.Duration)
 
-	// Labels are set once the route is known.
+	// Labels are set when the route is known.
 	Labels Labels
 	// Status is 0 until the header is written.
 	Status int
-	// Code is the code of the problem told to the caller; empty for none.
+	// Code is the code of the problem sent to the caller; empty for none.
 	Code string
 	// First and Last are the times of the first and the last write.
 	First time.Time
 	Last  time.Time
-	// Bytes counts the body.
+	// Bytes is the number of bytes of the body written so far.
 	Bytes int64
-	// Err is the first failure to write to the caller.
+	// Err is the first error of a write to the caller.
 	Err error
 
-	extended time.Time
+	deadlineSetAt time.Time
 }
 
-// Unwrap returns the writer below for http.ResponseController.
+// Unwrap returns the wrapped writer for http.ResponseController.
 func (rec *Recorder) Unwrap() http.ResponseWriter { return rec.ResponseWriter }
 
-// WriteHeader notes the status.
+// WriteHeader records the status.
 func (rec *Recorder) WriteHeader(status int) {
 	if rec.Status == 0 {
 		rec.Status = status
 	}
-	rec.extend(rec.Clock())
+	rec.extendDeadline(rec.Clock())
 	rec.ResponseWriter.WriteHeader(status)
 }
 
-// Write notes the time of the write.
+// Write records the time, size and error of the write.
 func (rec *Recorder) Write(buf []byte) (int, error) {
 	now := rec.Clock()
 	if rec.Status == 0 {
@@ -67,25 +68,26 @@
 		rec.OnInterval(now.Sub(rec.Last))
 	}
 	rec.Last = now
-	rec.extend(now)
-	num, err := rec.ResponseWriter.Write(buf)
-	rec.Bytes += int64(num)
+	rec.extendDeadline(now)
+	n, err := rec.ResponseWriter.Write(buf)
+	rec.Bytes += int64(n)
 	if err != nil && rec.Err == nil {
 		rec.Err = err
 	}
-	return num, err
+	return n, err
 }
 
-// extend moves the write deadline ahead, at most once a second.
-func (rec *Recorder) extend(now time.Time) {
-	if rec.WriteTimeout <= 0 || now.Sub(rec.extended) < min(deadlineRefresh, rec.WriteTimeout/2) {
+// extendDeadline moves the write deadline forward, at most once a second, or once in
+// half of a WriteTimeout shorter than two seconds.
+func (rec *Recorder) extendDeadline(now time.Time) {
+	if rec.WriteTimeout <= 0 || now.Sub(rec.deadlineSetAt) < min(deadlineRefresh, rec.WriteTimeout/2) {
 		return
 	}
-	rec.extended = now
+	rec.deadlineSetAt = now
 	_ = http.NewResponseController(rec.ResponseWriter).SetWriteDeadline(now.Add(rec.WriteTimeout))
 }
 
-// recorderOf finds the recorder under a writer; nil if there is none.
+// recorderOf returns the Recorder that a writer is or wraps; nil if there is none.
 func recorderOf(wri http.ResponseWriter) *Recorder {
 	for {
 		switch out := wri.(type) {
@@ -99,15 +101,15 @@
 	}
 }
 
-// SetLabels notes what the request is.
+// SetLabels sets the labels of the Recorder that wri is or wraps.
 func SetLabels(wri http.ResponseWriter, lab Labels) {
 	if rec := recorderOf(wri); rec != nil {
 		rec.Labels = lab
 	}
 }
 
-// note keeps the code of a problem.
-func note(wri http.ResponseWriter, pro Problem) {
+// setCode records the code of a problem.
+func setCode(wri http.ResponseWriter, pro Problem) {
 	if rec := recorderOf(wri); rec != nil {
 		rec.Code = pro.Code
 	}
--- a/request/responder/responder.go
+++ b/request/responder/responder.go
@@ -1,4 +1,4 @@
-// Package responder writes answers and errors in the form of the OpenAI API.
+// Package responder writes answers and errors in the format of the OpenAI API.
 package responder
 
 import (
@@ -10,24 +10,24 @@
 	"hemlockpin/connection/invoker"
 )
 
-// Headers of answers.
+// Response headers.
 const (
-	// RunHeader says whether the request ran: NotRun, Ran or Unknown.
+	// RunHeader states whether the request ran: NotRun, Ran or Unknown.
 	RunHeader = "Hemlockpin-Run"
-	// RequestIDHeader names the request in logs and traces.
+	// RequestIDHeader is the request's identifier in logs and traces.
 	RequestIDHeader = "Hemlockpin-Request-Id"
-	// RevisionHeader names the revision of the tables that applied.
+	// RevisionHeader is the revision of the tables that applied to the request.
 	RevisionHeader = "Hemlockpin-Tables-Revision"
-	// IgnoredHeader names the fields of a prompt that had no effect.
+	// IgnoredHeader lists the fields of a prompt that had no effect.
 	IgnoredHeader = "Hemlockpin-Ignored"
-	// AgeHeader gives the age of the tables in seconds, when a host has been cut
-	// off from the store and from peers that see it.
+	// AgeHeader is the age of the tables in seconds. It is set while a host can
+	// reach neither the store nor peers that reach it.
 	AgeHeader = "Hemlockpin-Tables-Age"
-	// InForceHeader counts the hosts known to have an accepted edit in force.
+	// InForceHeader is the number of hosts known to have an accepted edit in force.
 	InForceHeader = "Hemlockpin-Tables-In-Force"
 )
 
-// Problem is a refusal or failure to tell the caller.
+// Problem is a refusal or failure that is sent to the caller.
 type Problem struct {
 	Status     int
 	Code       string
@@ -37,7 +37,7 @@
 	RetryAfter time.Duration
 }
 
-// errorType maps a status to the error types of the OpenAI API.
+// errorType returns the error type of the OpenAI API for a status.
 func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized:
@@ -54,7 +54,7 @@
 }
 
 func (pro Problem) body() any {
-	var bod struct {
+	var body struct {
 		Error struct {
 			Message string  `json:"message"`
 			Type    string  `json:"type"`
@@ -62,21 +62,22 @@
 			Code    string  `json:"code"`
 		} `json:"error"`
 	}
-	bod.Error.Message = pro.Message
-	bod.Error.Type = errorType(pro.Status)
-	bod.Error.Code = pro.Code
+	body.Error.Message = pro.Message
+	body.Error.Type = errorType(pro.Status)
+	body.Error.Code = pro.Code
 	if pro.Param != "" {
-		bod.Error.Param = &pro.Param
+		body.Error.Param = &pro.Param
 	}
-	return bod
+	return body
 }
 
-// WriteProblem writes a refusal before any other part of the answer.
+// WriteProblem writes a problem as the whole answer. Nothing may have been written
+// before.
 func WriteProblem(wri http.ResponseWriter, pro Problem) {
-	note(wri, pro)
+	setCode(wri, pro)
 	if pro.RetryAfter > 0 {
-		sec := int64((pro.RetryAfter + time.Second - 1) / time.Second)
-		wri.Header().Set("Retry-After", strconv.FormatInt(sec, 10))
+		seconds := int64((pro.RetryAfter + time.Second - 1) / time.Second)
+		wri.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
 	if pro.Ran != "" {
 		wri.Header().Set(RunHeader, string(pro.Ran))
@@ -84,9 +85,9 @@
 	WriteJSON(wri, pro.Status, pro.body())
 }
 
-// WriteJSON writes a JSON answer.
-func WriteJSON(wri http.ResponseWriter, status int, bod any) {
+// WriteJSON writes an answer with a JSON body.
+func WriteJSON(wri http.ResponseWriter, status int, body any) {
 	wri.Header().Set("Content-Type", "application/json")
 	wri.WriteHeader(status)
-	_ = json.NewEncoder(wri).Encode(bod)
+	_ = json.NewEncoder(wri).Encode(body)
 }
