--- a/process/journaler/batch.go
+++ b/process/journaler/batch.go
@@ -6,62 +6,63 @@
 	"hemlockpin/connection/messenger"
 )
 
-// Batch decides how the changes that wait for one shard get into the store with
-// one conditional write. It is an immutable value beside the shard that it reads,
-// and does no input or output.
+// Batch decides how the waiting changes of one shard are written with one conditional
+// write. It is an immutable value, apart from the shard that it reads, and does no input
+// or output.
 //
-// A result is answered only when a conditional write of the batch succeeded or
-// a read that began after the batch shows it. A write without an answer is
-// followed by a read, which shows by the nonces whether it took effect.
+// A result is returned only after a conditional write of the batch succeeded or a read
+// that began after the start of the batch confirmed it. After a write without an answer
+// the log is read again; the nonces show whether the write took effect.
 type Batch struct {
 	Changes []*messenger.ClaimCommit
 
 	shard   *Shard
 	version uint64
-	// loaded says that shard is what the log held at version.
+	// loaded reports that shard is the content of the log at version.
 	loaded bool
-	// fresh says that shard was read after the batch began.
-	fresh bool
-	// lost says that a write of the batch may have taken effect or may yet do so.
-	lost    bool
-	results []*messenger.ClaimResult
-	message string
+	// readInBatch reports that shard was read after the start of the batch.
+	readInBatch bool
+	// mayHaveEffect reports that a write of the batch may have taken effect or may still
+	// take effect.
+	mayHaveEffect bool
+	results       []*messenger.ClaimResult
+	lastError     string
 }
 
-// NewBatch begins a batch with what the writer remembers of the shard. The
-// version counts the entries of its log.
+// NewBatch returns a batch with the writer's cached content of the shard. version is the
+// number of entries in its log; known reports whether the cached content is valid.
 func NewBatch(changes []*messenger.ClaimCommit, sha *Shard, version uint64, known bool) Batch {
 	return Batch{Changes: changes, shard: sha, version: version, loaded: known}
 }
 
-// Event is a step of a batch.
+// Event is an event of a batch.
 type Event interface{ event() }
 
-// Begun starts the batch.
+// Started starts the batch.
 type Started struct{}
 
-// Loaded reports what a read returned.
+// Loaded reports the content that was read.
 type Loaded struct {
 	Shard   *Shard
 	Version uint64
 }
 
-// LoadFailed reports a read without result.
+// LoadFailed reports a read that failed.
 type LoadFailed struct{ Message string }
 
 // Stored reports a write that took effect.
 type Stored struct{ Version uint64 }
 
-// Conflicted reports that another writer wrote first.
+// Conflicted reports that another writer wrote first, so that the write had no effect.
 type Conflicted struct{}
 
 // Refused reports a write that certainly had no effect.
 type Refused struct{ Message string }
 
-// Lost reports a write of which it is unknown whether it took effect.
+// WriteUnknown reports a write of which it is not known whether it took effect.
 type WriteUnknown struct{ Message string }
 
-// Expired reports that the time of the batch has passed.
+// Expired reports that the time for the batch has passed.
 type Expired struct{}
 
 func (Started) event()      {}
@@ -79,8 +80,7 @@
 // Load reads the log, after a pause if Pause is set.
 type Load struct{ Pause bool }
 
-// Store writes the change on the condition that the log of the shard ends at the
-// version.
+// Store writes the change on condition that the log of the shard ends at the version.
 type Store struct {
 	Delta   Delta
 	Version uint64
@@ -93,18 +93,18 @@
 func (Store) action()  {}
 func (Answer) action() {}
 
-// Next decides on an event.
+// Next returns the state of the batch after an event and the next action.
 func (bat Batch) Next(eve Event, now time.Time) (Batch, Action) {
 	switch eve := eve.(type) {
 	case Started:
 		if !bat.loaded {
 			return bat, Load{}
 		}
-		return bat.attempt(now)
+		return bat.evaluate(now)
 	case Loaded:
 		bat.shard, bat.version = eve.Shard, eve.Version
-		bat.loaded, bat.fresh = true, true
-		return bat.attempt(now)
+		bat.loaded, bat.readInBatch = true, true
+		return bat.evaluate(now)
 	case Stored:
 		bat.version = eve.Version
 		return bat, Answer{bat.results}
@@ -115,45 +115,46 @@
 	case Refused:
 		return bat.reload(eve.Message, true)
 	case WriteUnknown:
-		bat.lost = true
+		bat.mayHaveEffect = true
 		return bat.reload(eve.Message, true)
 	default:
 		return bat, Answer{bat.expired()}
 	}
 }
 
-func (bat Batch) attempt(now time.Time) (Batch, Action) {
-	del, ress, cha := bat.shard.Evaluate(bat.Changes, now)
+func (bat Batch) evaluate(now time.Time) (Batch, Action) {
+	del, results, changed := bat.shard.Evaluate(bat.Changes, now)
 	switch {
-	case cha:
-		bat.results = ress
+	case changed:
+		bat.results = results
 		bat.loaded = false
 		return bat, Store{Delta: del, Version: bat.version}
-	case bat.fresh:
-		return bat, Answer{ress}
+	case bat.readInBatch:
+		return bat, Answer{results}
 	default:
-		// What the writer remembers may be old, so it can't refuse by itself.
+		// The cached content may be out of date, so it does not suffice to refuse.
 		return bat, Load{}
 	}
 }
 
 func (bat Batch) reload(message string, pause bool) (Batch, Action) {
-	bat.loaded, bat.fresh = false, false
+	bat.loaded, bat.readInBatch = false, false
 	if message != "" {
-		bat.message = message
+		bat.lastError = message
 	}
 	return bat, Load{Pause: pause}
 }
 
-// expired is not committed only if no write can have taken effect.
+// expired returns the results if the time for the batch has passed: NOT_COMMITTED if no
+// write can have taken effect, and UNKNOWN otherwise.
 func (bat Batch) expired() []*messenger.ClaimResult {
 	sta := messenger.ClaimResult_STATE_NOT_COMMITTED
-	if bat.lost {
+	if bat.mayHaveEffect {
 		sta = messenger.ClaimResult_STATE_UNKNOWN
 	}
-	ress := make([]*messenger.ClaimResult, 0, len(bat.Changes))
+	results := make([]*messenger.ClaimResult, 0, len(bat.Changes))
 	for range bat.Changes {
-		ress = append(ress, &messenger.ClaimResult{State: sta, Message: bat.message})
+		results = append(results, &messenger.ClaimResult{State: sta, Message: bat.lastError})
 	}
-	return ress
+	return results
 }
--- a/process/journaler/bench_test.go
+++ b/process/journaler/bench_test.go
@@ -25,43 +25,43 @@
 	return &persister.Persister{BaseURL: ser.URL}
 }
 
-// countingStore counts what is read and written. The most is that of one value.
+// countingStore counts reads, writes and written bytes, and records the largest value.
 type countingStore struct {
 	ObjectStore
-	reads, writes, bytes, most atomic.Int64
+	reads, writes, bytes, maxValueBytes atomic.Int64
 }
 
-func (cou *countingStore) Get(ctx context.Context, path string) (persister.Object, error) {
-	cou.reads.Add(1)
-	return cou.ObjectStore.Get(ctx, path)
+func (cst *countingStore) Get(ctx context.Context, path string) (persister.Object, error) {
+	cst.reads.Add(1)
+	return cst.ObjectStore.Get(ctx, path)
 }
 
-func (cou *countingStore) Put(ctx context.Context, obj persister.Object) (uint64, error) {
-	cou.writes.Add(1)
-	cou.bytes.Add(int64(len(obj.Value)))
-	cou.most.Store(max(cou.most.Load(), int64(len(obj.Value))))
-	return cou.ObjectStore.Put(ctx, obj)
+func (cst *countingStore) Put(ctx context.Context, obj persister.Object) (uint64, error) {
+	cst.writes.Add(1)
+	cst.bytes.Add(int64(len(obj.Value)))
+	cst.maxValueBytes.Store(max(cst.maxValueBytes.Load(), int64(len(obj.Value))))
+	return cst.ObjectStore.Put(ctx, obj)
 }
 
-// BenchmarkCommit compares one write for each claim with one write for all
-// claims that wait.
+// BenchmarkCommit compares one write for each claim with one write for all waiting
+// claims.
 func BenchmarkCommit(b *testing.B) {
-	for _, bat := range []int{1, maxBatch} {
-		b.Run(fmt.Sprintf("batch=%d", bat), func(b *testing.B) {
+	for _, batch := range []int{1, maxBatch} {
+		b.Run(fmt.Sprintf("batch=%d", batch), func(b *testing.B) {
 			sto := &countingStore{ObjectStore: benchStore(b)}
-			jou := &Journal{Store: sto, batch: bat}
-			if bat == 1 {
+			jou := &Journal{Store: sto, batchLimit: batch}
+			if batch == 1 {
 				// Without batches the store's rate is the only limit.
-				for ind := range jou.writers {
-					jou.writers[ind] = newWriter(jou, uint32(ind))
-					jou.writers[ind].limiter = rate.NewLimiter(rate.Inf, 1)
+				for i := range jou.writers {
+					jou.writers[i] = newWriter(jou, uint32(i))
+					jou.writers[i].limiter = rate.NewLimiter(rate.Inf, 1)
 				}
 			}
-			var num, done atomic.Int64
+			var n, done atomic.Int64
 			b.SetParallelism(200)
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					key := strconv.FormatInt(num.Add(1), 10)
+					key := strconv.FormatInt(n.Add(1), 10)
 					com := &messenger.ClaimCommit{Key: "team/" + key, BodyDigest: make([]byte, 16), Host: "host-000", Nonce: key, KeyTimeMs: time.Now().UnixMilli()}
 					ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 					if jou.Commit(ctx, com).GetState() == messenger.ClaimResult_STATE_COMMITTED {
@@ -78,49 +78,49 @@
 	}
 }
 
-// BenchmarkShard gives the cost of one commit of a writer at sizes of the shard,
-// and the memory that a claim takes.
+// BenchmarkShard measures a writer's operations on shards of several sizes, and the
+// memory of a claim.
 func BenchmarkShard(b *testing.B) {
-	for _, cou := range []int{1000, 10_000, 70_000} {
-		var bef, aft runtime.MemStats
+	for _, count := range []int{1000, 10_000, 70_000} {
+		var before, after runtime.MemStats
 		runtime.GC()
-		runtime.ReadMemStats(&bef)
-		sha := clone(b, filled(b, cou))
+		runtime.ReadMemStats(&before)
+		sha := clone(b, filled(b, count))
 		runtime.GC()
-		runtime.ReadMemStats(&aft)
-		val, err := segment{delta: Delta{claims: sha.claims}}.encode()
+		runtime.ReadMemStats(&after)
+		value, err := segment{delta: Delta{claims: sha.claims}}.encode()
 		require.NoError(b, err)
-		one := &messenger.ClaimCommit{Key: "team/new", BodyDigest: make([]byte, 16), Nonce: "n", KeyTimeMs: epoch.UnixMilli()}
-		del, _, _ := sha.Evaluate([]*messenger.ClaimCommit{one}, epoch)
-		works := []struct {
+		com := &messenger.ClaimCommit{Key: "team/new", BodyDigest: make([]byte, 16), Nonce: "n", KeyTimeMs: epoch.UnixMilli()}
+		del, _, _ := sha.Evaluate([]*messenger.ClaimCommit{com}, epoch)
+		cases := []struct {
 			name string
-			fun  func()
+			run  func()
 		}{
-			{"apply", func() { sha.Evaluate([]*messenger.ClaimCommit{one}, epoch) }},
+			{"apply", func() { sha.Evaluate([]*messenger.ClaimCommit{com}, epoch) }},
 			{"entry", func() { _, _ = entry{1, del}.encode() }},
-			{"take", func() { sha.take(del) }},
+			{"take", func() { sha.apply(del) }},
 			{"load", func() { clone(b, sha) }},
 		}
-		for _, wor := range works {
-			b.Run(fmt.Sprintf("claims=%d/%s", cou, wor.name), func(b *testing.B) {
+		for _, tc := range cases {
+			b.Run(fmt.Sprintf("claims=%d/%s", count, tc.name), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					wor.fun()
+					tc.run()
 				}
-				b.ReportMetric(float64(len(val))/float64(cou), "stored-B/claim")
-				b.ReportMetric(float64(aft.HeapAlloc-bef.HeapAlloc)/float64(cou), "held-B/claim")
+				b.ReportMetric(float64(len(value))/float64(count), "stored-B/claim")
+				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(count), "held-B/claim")
 			})
 		}
 	}
 }
 
 func BenchmarkWriters(b *testing.B) {
-	var liv []Member
-	for num := range 920 {
-		liv = append(liv, Member{ID: fmt.Sprintf("host-%03d", num)})
+	var live []Member
+	for n := range 920 {
+		live = append(live, Member{ID: fmt.Sprintf("host-%03d", n)})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		Writers(7, liv, liv[40])
+		Writers(7, live, live[40])
 	}
 }
--- a/process/journaler/claim.go
+++ b/process/journaler/claim.go
@@ -3,27 +3,28 @@
 import "hemlockpin/connection/messenger"
 
 const (
-	// finishBytes is the room that each claim keeps for its outcome without a body.
-	finishBytes = 16
+	// finishReserveBytes is the space that each claim reserves for its outcome without a
+	// body.
+	finishReserveBytes = 16
 	// maxContentTypeBytes bounds the recorded content type.
 	maxContentTypeBytes = 128
 	claimOverheadBytes  = 32
 )
 
-// ClaimState says how far the call of a claim has come.
+// ClaimState is the state of a claim.
 type ClaimState uint8
 
-// States of a claim. A released claim is kept beside the claims that follow it,
-// so that a delayed commit of its nonce can't bring it back.
+// States of a claim. A released claim is kept in addition to later claims of its key, so
+// that a delayed commit with its nonce cannot claim the key again.
 const (
 	ClaimHeld ClaimState = iota
 	ClaimFinished
 	ClaimReleased
 )
 
-// Claim is one key in a shard. It is an immutable value but for its place in
-// the store. A finished claim needs neither host nor nonce: nobody can claim,
-// finish or release its key any more.
+// Claim is the claim of a key. It is an immutable value apart from its segment. A
+// finished claim has neither host nor nonce, since its key cannot be claimed, finished or
+// released any more.
 type Claim struct {
 	Key        string
 	BodyDigest string
@@ -33,8 +34,8 @@
 	Outcome    *messenger.Outcome
 	State      ClaimState
 
-	// segment is the newest segment that holds the claim as it is; 0 stands for
-	// the entries after the segments.
+	// segment is the newest segment that contains the claim in its present state; 0 means
+	// that only entries after the segments contain it.
 	segment uint64
 }
 
@@ -45,21 +46,22 @@
 	}
 }
 
-// size is an upper bound of the encoded claim, with the room for its outcome.
+// size returns an upper bound of the encoded size, including the space for the outcome.
 func (cla *Claim) size() int {
-	return claimOverheadBytes + finishBytes + len(cla.Key) + len(cla.BodyDigest) + len(cla.Host) + len(packNonce(cla.Nonce)) +
+	return claimOverheadBytes + finishReserveBytes + len(cla.Key) + len(cla.BodyDigest) + len(cla.Host) + len(packNonce(cla.Nonce)) +
 		len(cla.Outcome.GetContentType()) + len(cla.Outcome.GetBody())
 }
 
-// answerSize is the part of the size that goes with the body of the outcome.
-func (cla *Claim) answerSize() int {
+// bodySize returns the part of the size that is freed if the body of the outcome is
+// dropped.
+func (cla *Claim) bodySize() int {
 	if len(cla.Outcome.GetBody()) == 0 {
 		return 0
 	}
 	return len(cla.Outcome.GetContentType()) + len(cla.Outcome.GetBody())
 }
 
-// slot is the place of the claim in the shard.
+// slot returns the key under which a shard stores the claim.
 func (cla *Claim) slot() string {
 	if cla.State == ClaimReleased {
 		return releasedSlot(cla.Key, cla.Nonce)
@@ -67,19 +69,19 @@
 	return cla.Key
 }
 
-// releasedSlot joins key and nonce by a character that no key contains.
+// releasedSlot joins key and nonce with a character that no key contains.
 func releasedSlot(key, nonce string) string { return key + "\n" + nonce }
 
-// finished returns the claim with its outcome.
+// finished returns the claim as finished with an outcome.
 func (cla *Claim) finished(out *messenger.Outcome) *Claim {
-	fin := &Claim{Key: cla.Key, BodyDigest: cla.BodyDigest, KeyTimeMs: cla.KeyTimeMs, State: ClaimFinished, Outcome: out}
+	updated := &Claim{Key: cla.Key, BodyDigest: cla.BodyDigest, KeyTimeMs: cla.KeyTimeMs, State: ClaimFinished, Outcome: out}
 	if len(out.GetContentType()) > maxContentTypeBytes {
-		fin.Outcome = truncated(out)
+		updated.Outcome = truncated(out)
 	}
-	return fin
+	return updated
 }
 
-// withoutBody returns the claim without the body of its outcome.
+// withoutBody returns the claim with its outcome truncated if that has a body.
 func (cla *Claim) withoutBody() *Claim {
 	if len(cla.Outcome.GetBody()) == 0 {
 		return cla
--- a/process/journaler/draft.go
+++ b/process/journaler/draft.go
@@ -7,98 +7,98 @@
 	"hemlockpin/connection/messenger"
 )
 
-// draft is a change of a shard while a batch is decided on. It lies over the
-// shard, which it does not touch.
-type draft struct {
+// overlay collects the changes of a batch on top of a shard, which it leaves unchanged.
+type overlay struct {
 	shard *Shard
 	delta Delta
 	bytes int
-	// answers is the part of bytes that goes with the bodies.
-	answers int
+	// bodyBytes is the part of bytes that is freed if all bodies are dropped.
+	bodyBytes int
 }
 
-func newDraft(sha *Shard, cou int) *draft {
-	return &draft{
-		shard: sha, bytes: sha.bytes, answers: sha.answers,
-		delta: Delta{forgottenMs: sha.forgottenMs, bodilessMs: sha.bodilessMs, claims: make(map[string]*Claim, cou)},
+func newOverlay(sha *Shard, n int) *overlay {
+	return &overlay{
+		shard: sha, bytes: sha.bytes, bodyBytes: sha.bodyBytes,
+		delta: Delta{forgottenMs: sha.forgottenMs, bodilessMs: sha.bodilessMs, claims: make(map[string]*Claim, n)},
 	}
 }
 
-// at returns the claim of a slot, or nil.
-func (dra *draft) at(slo string) *Claim {
-	cla, ok := dra.delta.claims[slo]
+// claimAt returns the claim in a slot, or nil.
+func (ovl *overlay) claimAt(slot string) *Claim {
+	cla, ok := ovl.delta.claims[slot]
 	if !ok {
-		cla = dra.shard.claims[slo]
+		cla = ovl.shard.claims[slot]
 	}
 	switch {
-	case cla == nil || cla.KeyTimeMs <= dra.delta.forgottenMs:
+	case cla == nil || cla.KeyTimeMs <= ovl.delta.forgottenMs:
 		return nil
-	case cla.KeyTimeMs <= dra.delta.bodilessMs:
+	case cla.KeyTimeMs <= ovl.delta.bodilessMs:
 		return cla.withoutBody()
 	default:
 		return cla
 	}
 }
 
-func (dra *draft) put(cla *Claim) {
-	dra.remove(cla.slot())
-	if cla.KeyTimeMs <= dra.delta.bodilessMs {
+func (ovl *overlay) put(cla *Claim) {
+	ovl.remove(cla.slot())
+	if cla.KeyTimeMs <= ovl.delta.bodilessMs {
 		cla = cla.withoutBody()
 	}
-	dra.delta.claims[cla.slot()] = cla
-	dra.bytes += cla.size()
-	dra.answers += cla.answerSize()
+	ovl.delta.claims[cla.slot()] = cla
+	ovl.bytes += cla.size()
+	ovl.bodyBytes += cla.bodySize()
 }
 
-func (dra *draft) remove(slo string) {
-	cla := dra.at(slo)
+func (ovl *overlay) remove(slot string) {
+	cla := ovl.claimAt(slot)
 	if cla == nil {
 		return
 	}
-	dra.delta.claims[slo] = nil
-	dra.bytes -= cla.size()
-	dra.answers -= cla.answerSize()
+	ovl.delta.claims[slot] = nil
+	ovl.bytes -= cla.size()
+	ovl.bodyBytes -= cla.bodySize()
 }
 
-func (dra *draft) isReleased(com *messenger.ClaimCommit) bool {
-	return dra.at(releasedSlot(com.GetKey(), com.GetNonce())) != nil
+func (ovl *overlay) isReleased(com *messenger.ClaimCommit) bool {
+	return ovl.claimAt(releasedSlot(com.GetKey(), com.GetNonce())) != nil
 }
 
-// forget drops the claims past the retention, whole seconds at a time.
-func (dra *draft) forget(now time.Time) {
-	lim := now.Add(-Retention - MaxClockSkew).UnixMilli()
-	for _, sec := range dra.shard.agesUntil(lim - millisPerAge) {
-		old := dra.shard.ages[sec]
-		dra.delta.forgottenMs = max(dra.delta.forgottenMs, old.newestMs)
-		dra.bytes -= old.bytes
-		dra.answers -= old.answers
+// dropExpired drops the claims older than Retention and MaxClockSkew, whole seconds at a
+// time.
+func (ovl *overlay) dropExpired(now time.Time) {
+	limit := now.Add(-Retention - MaxClockSkew).UnixMilli()
+	for _, unixSecond := range ovl.shard.secondsUntil(limit - millisPerSecond) {
+		second := ovl.shard.seconds[unixSecond]
+		ovl.delta.forgottenMs = max(ovl.delta.forgottenMs, second.newestMs)
+		ovl.bytes -= second.bytes
+		ovl.bodyBytes -= second.bodyBytes
 	}
 }
 
-func (dra *draft) apply(com *messenger.ClaimCommit, now time.Time) (*messenger.ClaimResult, bool) {
+func (ovl *overlay) apply(com *messenger.ClaimCommit, now time.Time) (*messenger.ClaimResult, bool) {
 	switch com.GetStep() {
 	case messenger.ClaimCommit_STEP_FINISH:
-		return dra.finish(com)
+		return ovl.finish(com)
 	case messenger.ClaimCommit_STEP_RELEASE:
-		return dra.release(com)
+		return ovl.release(com)
 	default:
-		return dra.claim(com, now)
+		return ovl.claim(com, now)
 	}
 }
 
-func (dra *draft) claim(com *messenger.ClaimCommit, now time.Time) (*messenger.ClaimResult, bool) {
-	if dra.isReleased(com) {
+func (ovl *overlay) claim(com *messenger.ClaimCommit, now time.Time) (*messenger.ClaimResult, bool) {
+	if ovl.isReleased(com) {
 		return result(messenger.ClaimResult_STATE_RELEASED), false
 	}
-	old := dra.at(com.GetKey())
+	old := ovl.claimAt(com.GetKey())
 	switch {
 	case old == nil:
-		return dra.claimFree(com, now)
+		return ovl.claimFree(com, now)
 	case old.BodyDigest != string(com.GetBodyDigest()):
 		return result(messenger.ClaimResult_STATE_CONFLICT), false
 	case old.KeyTimeMs != com.GetKeyTimeMs():
-		// A repeat whose time moves could outlive the claim, so it is refused
-		// even where the outcome is known.
+		// A repeat with another time could arrive after its claim was dropped and run
+		// the call again, so it is refused even if the outcome is known.
 		return &messenger.ClaimResult{State: messenger.ClaimResult_STATE_HELD, Message: "the key was used with another time"}, false
 	case old.State == ClaimFinished:
 		return &messenger.ClaimResult{State: messenger.ClaimResult_STATE_FINISHED, Outcome: old.Outcome}, false
@@ -109,21 +109,21 @@
 	}
 }
 
-// claimFree commits a claim on a key that nobody holds.
-func (dra *draft) claimFree(com *messenger.ClaimCommit, now time.Time) (*messenger.ClaimResult, bool) {
-	if com.GetKeyTimeMs() <= dra.delta.forgottenMs || com.GetKeyTimeMs() < now.Add(-Retention).UnixMilli() {
+// claimFree commits a claim of a key that is not claimed.
+func (ovl *overlay) claimFree(com *messenger.ClaimCommit, now time.Time) (*messenger.ClaimResult, bool) {
+	if com.GetKeyTimeMs() <= ovl.delta.forgottenMs || com.GetKeyTimeMs() < now.Add(-Retention).UnixMilli() {
 		return result(messenger.ClaimResult_STATE_EXPIRED), false
 	}
 	cla := newClaim(com, ClaimHeld)
-	if !dra.makeRoom(cla.size()) {
+	if !ovl.makeRoom(cla.size()) {
 		return &messenger.ClaimResult{State: messenger.ClaimResult_STATE_FULL, Message: "the shard of the key is full"}, false
 	}
-	dra.put(cla)
+	ovl.put(cla)
 	return result(messenger.ClaimResult_STATE_COMMITTED), true
 }
 
-func (dra *draft) finish(com *messenger.ClaimCommit) (*messenger.ClaimResult, bool) {
-	old := dra.at(com.GetKey())
+func (ovl *overlay) finish(com *messenger.ClaimCommit) (*messenger.ClaimResult, bool) {
+	old := ovl.claimAt(com.GetKey())
 	switch {
 	case old == nil:
 		return result(messenger.ClaimResult_STATE_EXPIRED), false
@@ -133,70 +133,70 @@
 		return result(messenger.ClaimResult_STATE_CONFLICT), false
 	}
 	cla := old.finished(com.GetOutcome())
-	if dra.bytes+cla.answerSize() > maxBodyShareBytes {
-		dra.dropBodies()
+	if ovl.bytes+cla.bodySize() > maxBytesWithBodies {
+		ovl.dropBodies()
 	}
-	if dra.bytes+cla.answerSize() > maxBodyShareBytes {
+	if ovl.bytes+cla.bodySize() > maxBytesWithBodies {
 		cla = cla.withoutBody()
 	}
-	dra.put(cla)
+	ovl.put(cla)
 	return result(messenger.ClaimResult_STATE_FINISHED), true
 }
 
-// release gives a claim back. An absent claim is noted as released too, so that
-// a delayed commit of it has no effect.
-func (dra *draft) release(com *messenger.ClaimCommit) (*messenger.ClaimResult, bool) {
+// release releases a claim. It records an absent claim as released, too, so that a
+// delayed commit of the claim has no effect.
+func (ovl *overlay) release(com *messenger.ClaimCommit) (*messenger.ClaimResult, bool) {
 	res := result(messenger.ClaimResult_STATE_RELEASED)
-	old := dra.at(com.GetKey())
-	if dra.isReleased(com) || old != nil && old.State == ClaimFinished {
+	old := ovl.claimAt(com.GetKey())
+	if ovl.isReleased(com) || old != nil && old.State == ClaimFinished {
 		return res, false
 	}
 	own := old != nil && old.Nonce == com.GetNonce()
 	if own {
-		dra.remove(com.GetKey())
+		ovl.remove(com.GetKey())
 	}
 	cla := newClaim(com, ClaimReleased)
-	if com.GetKeyTimeMs() <= dra.delta.forgottenMs || !dra.makeRoom(cla.size()) {
+	if com.GetKeyTimeMs() <= ovl.delta.forgottenMs || !ovl.makeRoom(cla.size()) {
 		return res, own
 	}
-	dra.put(cla)
+	ovl.put(cla)
 	return res, true
 }
 
-// makeRoom drops recorded bodies if that is needed to fit more bytes in, and
-// reports whether they fit.
-func (dra *draft) makeRoom(more int) bool {
-	if dra.bytes+more > MaxShardBytes {
-		dra.dropBodies()
+// makeRoom drops recorded bodies if necessary to add a number of bytes, and reports
+// whether they fit.
+func (ovl *overlay) makeRoom(more int) bool {
+	if ovl.bytes+more > MaxShardBytes {
+		ovl.dropBodies()
 	}
-	return dra.bytes+more <= MaxShardBytes
+	return ovl.bytes+more <= MaxShardBytes
 }
 
-// dropBodies drops the bodies of the oldest recorded outcomes, whole seconds at
-// a time.
-func (dra *draft) dropBodies() {
-	if dra.answers == 0 {
+// dropBodies drops the bodies of the oldest recorded outcomes, whole seconds at a time,
+// until the size is at most keptBytesWithBodies.
+func (ovl *overlay) dropBodies() {
+	if ovl.bodyBytes == 0 {
 		return
 	}
-	for _, sec := range dra.shard.agesUntil(math.MaxInt64) {
-		old := dra.shard.ages[sec]
-		if dra.bytes <= keptBodyShareBytes {
+	for _, unixSecond := range ovl.shard.secondsUntil(math.MaxInt64) {
+		second := ovl.shard.seconds[unixSecond]
+		if ovl.bytes <= keptBytesWithBodies {
 			break
 		}
-		if old.answers == 0 || old.newestMs <= dra.delta.bodilessMs || old.newestMs <= dra.delta.forgottenMs {
+		if second.bodyBytes == 0 || second.newestMs <= ovl.delta.bodilessMs || second.newestMs <= ovl.delta.forgottenMs {
 			continue
 		}
-		dra.delta.bodilessMs = old.newestMs
-		dra.bytes -= old.answers
-		dra.answers -= old.answers
+		ovl.delta.bodilessMs = second.newestMs
+		ovl.bytes -= second.bodyBytes
+		ovl.bodyBytes -= second.bodyBytes
 	}
-	for slo, cla := range dra.delta.claims {
-		if cla == nil || cla.KeyTimeMs > dra.delta.bodilessMs || len(cla.Outcome.GetBody()) == 0 {
+	for slot, cla := range ovl.delta.claims {
+		if cla == nil || cla.KeyTimeMs > ovl.delta.bodilessMs || len(cla.Outcome.GetBody()) == 0 {
 			continue
 		}
-		dra.bytes -= cla.answerSize()
-		dra.answers -= cla.answerSize()
-		dra.delta.claims[slo] = cla.withoutBody()
+		ovl.bytes -= cla.bodySize()
+		ovl.bodyBytes -= cla.bodySize()
+		ovl.delta.claims[slot] = cla.withoutBody()
 	}
 }
 
--- a/process/journaler/encode.go
+++ b/process/journaler/encode.go
@@ -8,32 +8,32 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// format is that of the head. Format 1 was one base object with all claims.
+// format is the format number in the head. Format 1 was one base object with all claims.
 const format = 2
 
 var errFormat = eris.New("journaler: the store holds claims in another format; end the hosts that write it and wait until its claims are past the retention, then remove its objects")
 
-// entry is the change of a shard by one commit.
+// entry is an entry of the log: the change by one commit.
 type entry struct {
 	seq   uint64
 	delta Delta
 }
 
 func (ent entry) encode() ([]byte, error) {
-	cha, rem := ent.delta.record()
-	val, err := proto.Marshal(&EntryRecord{Seq: ent.seq, Change: cha, Removed: rem})
-	return val, eris.Wrap(err, "entry.encode")
+	change, removed := ent.delta.record()
+	value, err := proto.Marshal(&EntryRecord{Seq: ent.seq, Change: change, Removed: removed})
+	return value, eris.Wrap(err, "entry.encode")
 }
 
-func decodeEntry(val []byte) (entry, error) {
+func decodeEntry(value []byte) (entry, error) {
 	var rec EntryRecord
-	if err := proto.Unmarshal(val, &rec); err != nil {
+	if err := proto.Unmarshal(value, &rec); err != nil {
 		return entry{}, eris.Wrap(err, "decodeEntry")
 	}
 	return entry{seq: rec.GetSeq(), delta: newDelta(rec.GetChange(), rec.GetRemoved())}, nil
 }
 
-// segment joins the changes of entries.
+// segment combines the changes of several entries.
 type segment struct {
 	number  uint64
 	through uint64
@@ -41,34 +41,34 @@
 }
 
 func (seg segment) encode() ([]byte, error) {
-	cha, rem := seg.delta.record()
-	val, err := proto.Marshal(&SegmentRecord{Number: seg.number, Through: seg.through, Change: cha, Removed: rem})
-	return val, eris.Wrap(err, "segment.encode")
+	change, removed := seg.delta.record()
+	value, err := proto.Marshal(&SegmentRecord{Number: seg.number, Through: seg.through, Change: change, Removed: removed})
+	return value, eris.Wrap(err, "segment.encode")
 }
 
-func decodeSegment(val []byte) (segment, error) {
+func decodeSegment(value []byte) (segment, error) {
 	var rec SegmentRecord
-	if err := proto.Unmarshal(val, &rec); err != nil {
+	if err := proto.Unmarshal(value, &rec); err != nil {
 		return segment{}, eris.Wrap(err, "decodeSegment")
 	}
 	return segment{number: rec.GetNumber(), through: rec.GetThrough(), delta: newDelta(rec.GetChange(), rec.GetRemoved())}, nil
 }
 
-// head names the segments that a reader needs: those from first on. There may
-// be more than last.
+// head lists the segments that a reader needs: those from first on. Segments after last
+// can exist.
 type head struct {
 	first uint64
 	last  uint64
 }
 
 func (hea head) encode() ([]byte, error) {
-	val, err := proto.Marshal(&HeadRecord{Format: format, First: hea.first, Last: hea.last})
-	return val, eris.Wrap(err, "head.encode")
+	value, err := proto.Marshal(&HeadRecord{Format: format, First: hea.first, Last: hea.last})
+	return value, eris.Wrap(err, "head.encode")
 }
 
-func decodeHead(val []byte) (head, error) {
+func decodeHead(value []byte) (head, error) {
 	var rec HeadRecord
-	if err := proto.Unmarshal(val, &rec); err != nil {
+	if err := proto.Unmarshal(value, &rec); err != nil {
 		return head{}, eris.Wrap(err, "decodeHead")
 	}
 	if rec.GetFormat() != format {
@@ -77,27 +77,27 @@
 	return head{first: rec.GetFirst(), last: rec.GetLast()}, nil
 }
 
-// record returns the claims that are put, and the slots that are removed.
+// record returns the claims to store and the slots that are removed.
 func (del Delta) record() (*ShardRecord, []string) {
 	rec := &ShardRecord{ForgottenMs: del.forgottenMs, BodilessMs: del.bodilessMs, Claims: make([]*ClaimRecord, 0, len(del.claims))}
-	var rem []string
-	for slo, cla := range del.claims {
+	var removed []string
+	for slot, cla := range del.claims {
 		if cla == nil {
-			rem = append(rem, slo)
+			removed = append(removed, slot)
 		} else {
 			rec.Claims = append(rec.Claims, cla.record())
 		}
 	}
-	return rec, rem
+	return rec, removed
 }
 
-func newDelta(rec *ShardRecord, rem []string) Delta {
-	del := Delta{forgottenMs: rec.GetForgottenMs(), bodilessMs: rec.GetBodilessMs(), claims: make(map[string]*Claim, len(rec.GetClaims())+len(rem))}
-	for _, slo := range rem {
-		del.claims[slo] = nil
+func newDelta(rec *ShardRecord, removed []string) Delta {
+	del := Delta{forgottenMs: rec.GetForgottenMs(), bodilessMs: rec.GetBodilessMs(), claims: make(map[string]*Claim, len(rec.GetClaims())+len(removed))}
+	for _, slot := range removed {
+		del.claims[slot] = nil
 	}
-	for _, one := range rec.GetClaims() {
-		cla := one.claim()
+	for _, claimRec := range rec.GetClaims() {
+		cla := claimRec.claim()
 		del.claims[cla.slot()] = cla
 	}
 	return del
@@ -122,12 +122,12 @@
 	return cla
 }
 
-// packNonce keeps a UUID in its binary form.
-func packNonce(non string) []byte {
-	if uid, err := uuid.Parse(non); err == nil && uid.String() == non {
-		return uid[:]
+// packNonce returns a UUID in its binary form and any other nonce as it is.
+func packNonce(nonce string) []byte {
+	if id, err := uuid.Parse(nonce); err == nil && id.String() == nonce {
+		return id[:]
 	}
-	return []byte(non)
+	return []byte(nonce)
 }
 
 func unpackNonce(raw []byte) string {
--- a/process/journaler/history_test.go
+++ b/process/journaler/history_test.go
@@ -26,100 +26,101 @@
 	historyHosts  = 3
 	historyCalls  = 6
 	historyKeys   = 2
-	// A small ring is overwritten many times in a history.
+	// A small ring is overwritten many times during one history.
 	historyRing  = 3
 	commitBudget = 300 * time.Millisecond
 )
 
-// shakyStore keeps objects in memory and fails at random.
-type shakyStore struct {
+// faultyStore keeps objects in memory and fails at random.
+type faultyStore struct {
 	mu      sync.Mutex
 	rnd     *rand.Rand
 	objects map[string]persister.Object
 	version uint64
-	late    sync.WaitGroup
+	delayed sync.WaitGroup
 }
 
-func (sho *shakyStore) Get(_ context.Context, path string) (persister.Object, error) {
-	sho.mu.Lock()
-	defer sho.mu.Unlock()
-	if sho.rnd.IntN(8) == 0 {
+func (sto *faultyStore) Get(_ context.Context, path string) (persister.Object, error) {
+	sto.mu.Lock()
+	defer sto.mu.Unlock()
+	if sto.rnd.IntN(8) == 0 {
 		return persister.Object{}, persister.ErrUnavailable
 	}
-	obj, ok := sho.objects[path]
+	obj, ok := sto.objects[path]
 	if !ok {
 		return persister.Object{}, persister.ErrNotFound
 	}
 	return obj, nil
 }
 
-func (sho *shakyStore) Put(_ context.Context, obj persister.Object) (uint64, error) {
-	sho.mu.Lock()
-	defer sho.mu.Unlock()
-	switch sho.rnd.IntN(8) {
+func (sto *faultyStore) Put(_ context.Context, obj persister.Object) (uint64, error) {
+	sto.mu.Lock()
+	defer sto.mu.Unlock()
+	switch sto.rnd.IntN(8) {
 	case 0:
 		return 0, persister.ErrUnavailable
 	case 1:
-		_, _ = sho.put(obj)
+		_, _ = sto.put(obj)
 		return 0, context.DeadlineExceeded
 	case 2:
-		pau := time.Duration(sho.rnd.IntN(60)) * time.Millisecond
-		sho.late.Go(func() {
-			time.Sleep(pau)
-			sho.mu.Lock()
-			defer sho.mu.Unlock()
-			_, _ = sho.put(obj)
+		pause := time.Duration(sto.rnd.IntN(60)) * time.Millisecond
+		sto.delayed.Go(func() {
+			time.Sleep(pause)
+			sto.mu.Lock()
+			defer sto.mu.Unlock()
+			_, _ = sto.put(obj)
 		})
 		return 0, context.DeadlineExceeded
 	case 3:
 		return 0, persister.ErrRateLimited
 	}
-	return sho.put(obj)
+	return sto.put(obj)
 }
 
-func (sho *shakyStore) put(obj persister.Object) (uint64, error) {
-	if sho.objects[obj.Path].Version != obj.Version {
+func (sto *faultyStore) put(obj persister.Object) (uint64, error) {
+	if sto.objects[obj.Path].Version != obj.Version {
 		return 0, persister.ErrConflict
 	}
-	sho.version++
-	obj.Version = sho.version
-	sho.objects[obj.Path] = obj
+	sto.version++
+	obj.Version = sto.version
+	sto.objects[obj.Path] = obj
 	return obj.Version, nil
 }
 
-// shakyPeers calls other journals directly and loses calls and answers.
-type shakyPeers struct {
+// faultyPeers calls the journals of other hosts directly, and loses some calls and some
+// answers.
+type faultyPeers struct {
 	mu       sync.Mutex
 	rnd      *rand.Rand
 	journals map[string]*Journal
 }
 
-func (sho *shakyPeers) Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error) {
-	sho.mu.Lock()
-	num := sho.rnd.IntN(6)
-	sho.mu.Unlock()
-	if num == 0 {
+func (pee *faultyPeers) Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error) {
+	pee.mu.Lock()
+	n := pee.rnd.IntN(6)
+	pee.mu.Unlock()
+	if n == 0 {
 		return nil, context.DeadlineExceeded
 	}
-	res := sho.journals[address].Write(ctx, env.GetClaimCommit())
-	if num == 1 {
+	res := pee.journals[address].Write(ctx, env.GetClaimCommit())
+	if n == 1 {
 		return nil, context.DeadlineExceeded
 	}
 	return &messenger.Envelope{Body: &messenger.Envelope_ClaimResult{ClaimResult: res}}, nil
 }
 
-// Live lists every journal.
-func (sho *shakyPeers) Live() []Member {
+// Live returns all hosts.
+func (pee *faultyPeers) Live() []Member {
 	var out []Member
-	for id := range sho.journals {
+	for id := range pee.journals {
 		out = append(out, Member{ID: id, Address: id})
 	}
 	return out
 }
 
-// settle waits until no writer begins another write of its own.
-func (sho *shakyPeers) settle() {
-	for _, jou := range sho.journals {
+// waitForWriters waits until no writer runs.
+func (pee *faultyPeers) waitForWriters() {
+	for _, jou := range pee.journals {
 		for _, wri := range jou.writers {
 			for wri.isRunning() {
 				time.Sleep(time.Millisecond)
@@ -140,7 +141,7 @@
 	nonce string
 }
 
-// claimModel is the register of one key: free, held by a nonce or finished.
+// claimModel models one key as a register: free, held by a nonce, or finished.
 var claimModel = porcupine.NondeterministicModel{
 	Partition: func(his []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -149,8 +150,8 @@
 			byKey[key] = append(byKey[key], ope)
 		}
 		var out [][]porcupine.Operation
-		for _, opes := range byKey {
-			out = append(out, opes)
+		for _, operations := range byKey {
+			out = append(out, operations)
 		}
 		return out
 	},
@@ -160,99 +161,99 @@
 	},
 }
 
-func stepClaim(sta string, inp claimInput, out messenger.ClaimResult_State) []any {
-	held, finished := "held "+inp.nonce, "finished "+inp.nonce
-	nex := sta
+func stepClaim(state string, input claimInput, output messenger.ClaimResult_State) []any {
+	held, finished := "held "+input.nonce, "finished "+input.nonce
+	next := state
 	switch {
-	case inp.step == messenger.ClaimCommit_STEP_CLAIM && sta == "", inp.step == messenger.ClaimCommit_STEP_CLAIM && sta == held:
-		nex = held
-	case inp.step == messenger.ClaimCommit_STEP_FINISH && sta == held:
-		nex = finished
-	case inp.step == messenger.ClaimCommit_STEP_RELEASE && sta == held:
-		nex = ""
+	case input.step == messenger.ClaimCommit_STEP_CLAIM && state == "", input.step == messenger.ClaimCommit_STEP_CLAIM && state == held:
+		next = held
+	case input.step == messenger.ClaimCommit_STEP_FINISH && state == held:
+		next = finished
+	case input.step == messenger.ClaimCommit_STEP_RELEASE && state == held:
+		next = ""
 	}
 	legal := false
-	switch out {
+	switch output {
 	case messenger.ClaimResult_STATE_UNKNOWN:
-		return []any{sta, nex}
+		return []any{state, next}
 	case messenger.ClaimResult_STATE_NOT_COMMITTED:
-		return []any{sta}
+		return []any{state}
 	case messenger.ClaimResult_STATE_COMMITTED:
-		legal = nex == held
+		legal = next == held
 	case messenger.ClaimResult_STATE_HELD:
-		legal = strings.HasPrefix(sta, "held") && sta != held
+		legal = strings.HasPrefix(state, "held") && state != held
 	case messenger.ClaimResult_STATE_FINISHED:
-		legal = strings.HasPrefix(nex, "finished")
+		legal = strings.HasPrefix(next, "finished")
 	case messenger.ClaimResult_STATE_RELEASED:
-		legal = nex != held
+		legal = next != held
 	}
 	if !legal {
 		return nil
 	}
-	return []any{nex}
+	return []any{next}
 }
 
 type history struct {
-	mu   sync.Mutex
-	beg  time.Time
-	opes []porcupine.Operation
+	mu         sync.Mutex
+	start      time.Time
+	operations []porcupine.Operation
 }
 
-func (his *history) commit(jou *Journal, client int, inp claimInput) messenger.ClaimResult_State {
-	beg := time.Since(his.beg).Nanoseconds()
+func (his *history) commit(jou *Journal, client int, input claimInput) messenger.ClaimResult_State {
+	start := time.Since(his.start).Nanoseconds()
 	ctx, stop := context.WithTimeout(context.Background(), commitBudget)
 	defer stop()
-	out := jou.Commit(ctx, &messenger.ClaimCommit{Step: inp.step, Key: inp.key, Nonce: inp.nonce, Host: jou.Self.ID, BodyDigest: []byte("x"), KeyTimeMs: epoch.UnixMilli()}).GetState()
-	end := time.Since(his.beg).Nanoseconds()
-	if out == messenger.ClaimResult_STATE_UNKNOWN {
-		// It may take effect at any later time.
+	output := jou.Commit(ctx, &messenger.ClaimCommit{Step: input.step, Key: input.key, Nonce: input.nonce, Host: jou.Self.ID, BodyDigest: []byte("x"), KeyTimeMs: epoch.UnixMilli()}).GetState()
+	end := time.Since(his.start).Nanoseconds()
+	if output == messenger.ClaimResult_STATE_UNKNOWN {
+		// The change may take effect at any later time.
 		end = math.MaxInt64
 	}
 	his.mu.Lock()
 	defer his.mu.Unlock()
-	his.opes = append(his.opes, porcupine.Operation{ClientId: client, Input: inp, Output: out, Call: beg, Return: end})
-	return out
+	his.operations = append(his.operations, porcupine.Operation{ClientId: client, Input: input, Output: output, Call: start, Return: end})
+	return output
 }
 
-// client makes calls that finish or give back what they claim.
-func (his *history) client(jou *Journal, num int, rnd *rand.Rand) {
-	for cal := range historyCalls {
-		inp := claimInput{key: fmt.Sprintf("key%d", rnd.IntN(historyKeys)), nonce: fmt.Sprintf("n%d-%d", num, cal)}
-		sta := his.commit(jou, num, inp)
+// client claims keys and finishes or releases its claims.
+func (his *history) client(jou *Journal, client int, rnd *rand.Rand) {
+	for call := range historyCalls {
+		input := claimInput{key: fmt.Sprintf("key%d", rnd.IntN(historyKeys)), nonce: fmt.Sprintf("n%d-%d", client, call)}
+		sta := his.commit(jou, client, input)
 		if sta != messenger.ClaimResult_STATE_COMMITTED && sta != messenger.ClaimResult_STATE_UNKNOWN {
 			continue
 		}
-		inp.step = messenger.ClaimCommit_STEP_RELEASE
+		input.step = messenger.ClaimCommit_STEP_RELEASE
 		if sta == messenger.ClaimResult_STATE_COMMITTED && rnd.IntN(6) == 0 {
-			inp.step = messenger.ClaimCommit_STEP_FINISH
+			input.step = messenger.ClaimCommit_STEP_FINISH
 		}
-		his.commit(jou, num, inp)
+		his.commit(jou, client, input)
 	}
 }
 
-// playHistory runs concurrent clients on several hosts over one shaky store.
-func playHistory(seed uint64) []porcupine.Operation {
-	sto := &shakyStore{rnd: rand.New(rand.NewPCG(seed, 1)), objects: map[string]persister.Object{}}
-	pee := &shakyPeers{rnd: rand.New(rand.NewPCG(seed, 2)), journals: map[string]*Journal{}}
-	for hos := range historyHosts {
-		id := fmt.Sprintf("host-%d", hos)
+// runHistory runs concurrent clients on several hosts that share a faulty store.
+func runHistory(seed uint64) []porcupine.Operation {
+	sto := &faultyStore{rnd: rand.New(rand.NewPCG(seed, 1)), objects: map[string]persister.Object{}}
+	pee := &faultyPeers{rnd: rand.New(rand.NewPCG(seed, 2)), journals: map[string]*Journal{}}
+	for host := range historyHosts {
+		id := fmt.Sprintf("host-%d", host)
 		jou := &Journal{Store: sto, Self: Member{ID: id}, Peers: pee, Members: pee, Clock: func() time.Time { return epoch }, ring: historyRing}
-		for ind := range jou.writers {
-			jou.writers[ind] = newWriter(jou, uint32(ind))
-			jou.writers[ind].limiter = rate.NewLimiter(rate.Inf, 1)
+		for i := range jou.writers {
+			jou.writers[i] = newWriter(jou, uint32(i))
+			jou.writers[i].limiter = rate.NewLimiter(rate.Inf, 1)
 		}
 		pee.journals[id] = jou
 	}
-	his := &history{beg: time.Now()}
+	his := &history{start: time.Now()}
 	var gro sync.WaitGroup
-	for num := range 2 * historyHosts {
-		jou := pee.journals[fmt.Sprintf("host-%d", num%historyHosts)]
-		gro.Go(func() { his.client(jou, num, rand.New(rand.NewPCG(seed, uint64(10+num)))) })
+	for client := range 2 * historyHosts {
+		jou := pee.journals[fmt.Sprintf("host-%d", client%historyHosts)]
+		gro.Go(func() { his.client(jou, client, rand.New(rand.NewPCG(seed, uint64(10+client)))) })
 	}
 	gro.Wait()
-	pee.settle()
-	sto.late.Wait()
-	return his.opes
+	pee.waitForWriters()
+	sto.delayed.Wait()
+	return his.operations
 }
 
 // TestHistories checks random concurrent histories for linearizability.
@@ -263,8 +264,8 @@
 	t.Log("seed " + historySeed)
 	mod := claimModel.ToModel()
 	rapid.Check(t, func(rt *rapid.T) {
-		opes := playHistory(rapid.Uint64().Draw(rt, "seed"))
-		res := porcupine.CheckOperationsTimeout(mod, opes, 20*time.Second)
+		operations := runHistory(rapid.Uint64().Draw(rt, "seed"))
+		res := porcupine.CheckOperationsTimeout(mod, operations, 20*time.Second)
 		require.NotEqual(rt, porcupine.Illegal, res)
 		require.NotEqual(rt, porcupine.Unknown, res, "the check took too long")
 	})
--- a/process/journaler/journaler.go
+++ b/process/journaler/journaler.go
@@ -1,10 +1,10 @@
-// Package journaler keeps the claims of calls that must run at most once in
-// the platform's store.
+// Package journaler stores the claims of calls that must run at most once. The claims are
+// kept in the platform's store.
 //
-// A key hashes to a shard. Changes of a shard go to its current writer, which
-// commits those that wait as one entry of the shard's log with one conditional
-// write. Two writers of one shard are harmless, since only the versions of the
-// objects decide.
+// A key hashes to a shard. Hosts send the changes of a shard to its writer, a host that
+// all of them choose alike. The writer commits all waiting changes with one conditional
+// write, as one entry of the shard's log. Two writers of one shard at the same time are
+// harmless, since each write is conditional on the version of its object.
 package journaler
 
 import (
@@ -20,53 +20,55 @@
 )
 
 const (
-	// forwardShare is the part of the time left that one peer gets.
-	forwardShare      = 2
+	// forwardDivisor bounds the time for one peer to 1/forwardDivisor of the remaining
+	// time.
+	forwardDivisor    = 2
 	maxForwardTimeout = 2 * time.Second
-	// shunPeriod is how long a peer that failed a forward is passed over.
-	shunPeriod = 5 * time.Second
-	// routePeriod is how long the writers of a shard are remembered.
-	routePeriod = 500 * time.Millisecond
-	// defaultBudget bounds a commit whose context has no deadline.
+	// avoidPeriod is how long a peer gets no forwards after one to it failed.
+	avoidPeriod = 5 * time.Second
+	// routeLifetime is how long the writers of a shard are cached.
+	routeLifetime = 500 * time.Millisecond
+	// defaultBudget bounds a commit whose message has no budget.
 	defaultBudget = 5 * time.Second
 )
 
-// ObjectStore is the part of the platform that the journal needs.
+// ObjectStore is the part of the platform's object API that the journal uses.
 type ObjectStore interface {
 	Get(ctx context.Context, path string) (persister.Object, error)
 	Put(ctx context.Context, obj persister.Object) (uint64, error)
 }
 
-// Caller places calls to other hosts.
+// PeerCaller sends envelopes to other hosts and returns their replies.
 type PeerCaller interface {
 	Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
 
-// Journal commits changes of claims. It needs a Store.
+// Journal commits changes of claims. Store must be set.
 type Journal struct {
 	Store ObjectStore
-	// Self, Members and Peers route changes to the writers of their shards.
-	// Without Members the host writes all shards itself.
+	// Self, Members and Peers are used to forward changes to the writers of their shards.
+	// Without Members or Peers the host writes all shards itself.
 	Self    Member
 	Members Members
 	Peers   PeerCaller
-	// Clock returns the present time; nil stands for the system's clock.
+	// Clock returns the present time; the system's clock is used if it is nil.
 	Clock func() time.Time
 	Scope tally.Scope
 
-	// batch bounds the changes of one write; 0 stands for maxBatch.
-	batch int
-	// ring is the number of entry objects of a shard; 0 stands for ringEntries.
+	// batchLimit bounds the changes of one write; 0 stands for maxBatch.
+	batchLimit int
+	// ring is the number of entry objects and of segment objects of a shard; 0 stands for
+	// ringEntries and ringSegments.
 	ring uint64
 
-	mu       sync.Mutex
-	writers  [Shards]*writer
-	routes   [Shards]route
-	shunned  map[string]time.Time
-	settling atomic.Int64
+	mu           sync.Mutex
+	writers      [Shards]*writer
+	routes       [Shards]route
+	avoidedUntil map[string]time.Time
+	retrying     atomic.Int64
 }
 
-// route is the writers of a shard as chosen at a time.
+// route holds the writers of a shard and the time at which they were chosen.
 type route struct {
 	at      time.Time
 	writers []Member
@@ -86,25 +88,24 @@
 	return jou.Scope
 }
 
-func (jou *Journal) writer(ind uint32) *writer {
+func (jou *Journal) writerOf(shard uint32) *writer {
 	jou.mu.Lock()
 	defer jou.mu.Unlock()
-	if jou.writers[ind] == nil {
-		jou.writers[ind] = newWriter(jou, ind)
+	if jou.writers[shard] == nil {
+		jou.writers[shard] = newWriter(jou, shard)
 	}
-	return jou.writers[ind]
+	return jou.writers[shard]
 }
 
-// Commit brings a change to the shard's writer and returns what the shard holds
-// afterwards. It ends with ctx. The state is NOT_COMMITTED only if the change
-// had no effect and can have none later, and UNKNOWN if that could not be
-// found out.
+// Commit commits a change through the shard's writer and returns the resulting state of
+// the claim. It ends when ctx ends. The state is NOT_COMMITTED only if the change had no
+// effect and can have none later, and UNKNOWN if that could not be determined.
 func (jou *Journal) Commit(ctx context.Context, com *messenger.ClaimCommit) *messenger.ClaimResult {
 	ctx, stop := withBudget(ctx, com)
 	defer stop()
-	lost := false
+	unknownEffect := false
 	res := unknown("no writer answered")
-	for _, mem := range jou.route(ShardOf(com.GetKey())) {
+	for _, mem := range jou.writersOf(ShardOf(com.GetKey())) {
 		if mem.ID == jou.Self.ID {
 			res = jou.Write(ctx, com)
 		} else {
@@ -112,7 +113,7 @@
 		}
 		switch res.GetState() {
 		case messenger.ClaimResult_STATE_UNKNOWN:
-			lost = true
+			unknownEffect = true
 		case messenger.ClaimResult_STATE_NOT_COMMITTED:
 		default:
 			return res
@@ -121,93 +122,94 @@
 			break
 		}
 	}
-	if lost {
+	if unknownEffect {
 		return unknown(res.GetMessage())
 	}
 	return res
 }
 
 func withBudget(ctx context.Context, com *messenger.ClaimCommit) (context.Context, context.CancelFunc) {
-	bud := time.Duration(com.GetBudgetMs()) * time.Millisecond
-	if bud <= 0 {
-		bud = defaultBudget
+	budget := time.Duration(com.GetBudgetMs()) * time.Millisecond
+	if budget <= 0 {
+		budget = defaultBudget
 	}
-	return context.WithTimeout(ctx, bud)
+	return context.WithTimeout(ctx, budget)
 }
 
-// Write commits a change on this host. It serves the forwards of peers.
+// Write commits a change on this host. It serves changes that peers forward.
 func (jou *Journal) Write(ctx context.Context, com *messenger.ClaimCommit) *messenger.ClaimResult {
 	ctx, stop := withBudget(ctx, com)
 	defer stop()
-	return jou.writer(ShardOf(com.GetKey())).commit(ctx, com)
+	return jou.writerOf(ShardOf(com.GetKey())).commit(ctx, com)
 }
 
-// route returns the writers to try, without the peers that failed of late.
-func (jou *Journal) route(ind uint32) []Member {
+// writersOf returns the writers to try for a shard, without peers to which a forward
+// failed less than avoidPeriod ago.
+func (jou *Journal) writersOf(shard uint32) []Member {
 	if jou.Members == nil || jou.Peers == nil {
 		return []Member{jou.Self}
 	}
 	now := jou.now()
 	jou.mu.Lock()
 	defer jou.mu.Unlock()
-	rou := &jou.routes[ind]
-	if rou.writers == nil || now.Sub(rou.at) > routePeriod {
-		*rou = route{at: now, writers: Writers(ind, jou.unshunned(now), jou.Self)}
+	rou := &jou.routes[shard]
+	if rou.writers == nil || now.Sub(rou.at) > routeLifetime {
+		*rou = route{at: now, writers: Writers(shard, jou.candidates(now), jou.Self)}
 	}
 	return rou.writers
 }
 
-// unshunned returns the live hosts that did not fail a forward of late. The
-// caller holds the lock.
-func (jou *Journal) unshunned(now time.Time) []Member {
-	liv := jou.Members.Live()
-	if len(jou.shunned) == 0 {
-		return liv
+// candidates returns the live hosts without those to which a forward failed less than
+// avoidPeriod ago. The caller holds the lock.
+func (jou *Journal) candidates(now time.Time) []Member {
+	live := jou.Members.Live()
+	if len(jou.avoidedUntil) == 0 {
+		return live
 	}
 	var out []Member
-	for _, mem := range liv {
-		if unt, ok := jou.shunned[mem.ID]; ok && now.Before(unt) {
+	for _, mem := range live {
+		if until, ok := jou.avoidedUntil[mem.ID]; ok && now.Before(until) {
 			continue
 		}
-		delete(jou.shunned, mem.ID)
+		delete(jou.avoidedUntil, mem.ID)
 		out = append(out, mem)
 	}
 	return out
 }
 
 func (jou *Journal) forward(ctx context.Context, mem Member, com *messenger.ClaimCommit) *messenger.ClaimResult {
-	dea, _ := ctx.Deadline()
-	bud := min(dea.Sub(jou.now())/forwardShare, maxForwardTimeout)
-	ctx, stop := context.WithTimeout(ctx, bud)
+	deadline, _ := ctx.Deadline()
+	budget := min(deadline.Sub(jou.now())/forwardDivisor, maxForwardTimeout)
+	ctx, stop := context.WithTimeout(ctx, budget)
 	defer stop()
-	one := withBudgetMs(com, bud)
-	rep, err := jou.Peers.Call(ctx, mem.Address, &messenger.Envelope{Body: &messenger.Envelope_ClaimCommit{ClaimCommit: one}})
+	forwarded := withBudgetMs(com, budget)
+	rep, err := jou.Peers.Call(ctx, mem.Address, &messenger.Envelope{Body: &messenger.Envelope_ClaimCommit{ClaimCommit: forwarded}})
 	if err != nil {
-		jou.shun(mem)
+		jou.avoid(mem)
 		return unknown("peer " + mem.ID + ": " + err.Error())
 	}
 	if rep.GetClaimResult() == nil {
-		jou.shun(mem)
+		jou.avoid(mem)
 		return unknown("peer " + mem.ID + " sent another message than the result of a claim")
 	}
 	return rep.GetClaimResult()
 }
 
-func (jou *Journal) shun(mem Member) {
+func (jou *Journal) avoid(mem Member) {
 	jou.scope().Counter("claim_forwards_failed").Inc(1)
 	jou.mu.Lock()
 	defer jou.mu.Unlock()
-	if jou.shunned == nil {
-		jou.shunned = map[string]time.Time{}
+	if jou.avoidedUntil == nil {
+		jou.avoidedUntil = map[string]time.Time{}
 	}
-	jou.shunned[mem.ID] = jou.now().Add(shunPeriod)
+	jou.avoidedUntil[mem.ID] = jou.now().Add(avoidPeriod)
 	jou.routes = [Shards]route{}
 }
 
-func withBudgetMs(com *messenger.ClaimCommit, bud time.Duration) *messenger.ClaimCommit {
+func withBudgetMs(com *messenger.ClaimCommit, budget time.Duration) *messenger.ClaimCommit {
 	return &messenger.ClaimCommit{
 		Step: com.GetStep(), Shard: ShardOf(com.GetKey()), Key: com.GetKey(), BodyDigest: com.GetBodyDigest(), Host: com.GetHost(),
 		Incarnation: com.GetIncarnation(), Nonce: com.GetNonce(), KeyTimeMs: com.GetKeyTimeMs(), Outcome: com.GetOutcome(),
-		BudgetMs: max(1, bud.Milliseconds()),
+		BudgetMs: max(1, budget.Milliseconds()),
 	}
 }
--- a/process/journaler/log.go
+++ b/process/journaler/log.go
@@ -12,61 +12,61 @@
 )
 
 const (
-	// ringEntries is the number of entry objects of a shard. Entry n stands in
-	// object n modulo ringEntries.
+	// ringEntries is the number of entry objects of a shard. Entry n is stored in object
+	// n modulo ringEntries.
 	ringEntries = 256
-	// ringSegments is the same for segments.
+	// ringSegments is the number of segment objects of a shard, used in the same way.
 	ringSegments = 64
-	// maxLoads bounds the attempts to load a log that others write.
-	maxLoads = 3
-	// maxEntryReads and maxSegmentReads bound what is read at once.
+	// maxLoadAttempts bounds the attempts to load a log while other writers write it.
+	maxLoadAttempts = 3
+	// maxEntryReads and maxSegmentReads bound the objects that are read concurrently.
 	maxEntryReads   = 16
 	maxSegmentReads = 4
 )
 
 var (
-	errLapped = eris.New("journaler: the log moved on while it was read")
-	errFull   = eris.New("journaler: the segments of the log could not be written")
+	errOverwritten = eris.New("journaler: the log moved on while it was read")
+	errFull        = eris.New("journaler: the segments of the log could not be written")
 )
 
-// shardLog is what one writer knows of the log of a shard.
+// shardLog is one writer's copy of the log of a shard.
 //
-// A commit writes one entry, which holds only what it changes, into the next
-// object of a ring. The write is conditional on the version of the entry that
-// stood there a lap ago, so that one writer only can write each entry, and a
-// writer that was paused can't write into the past.
+// A commit writes one entry, which holds only the changes of that commit, into the next
+// object of a ring. The write is conditional on the version of the object's previous
+// entry, so that each entry has only one writer, and a writer that was paused cannot
+// write an entry whose number is already taken.
 //
-// Segments are a second log of the same kind: segment n joins the entries after
-// those of segment n-1, so any writer may write it, and the first one counts. An
-// entry is overwritten only when a segment covers it, and a segment only when
-// the head says that its claims stand in later ones or were dropped. The head
-// is where a reader begins; an old one costs reads, not claims. No object is
-// ever deleted.
+// Segments are a second log of the same kind: segment n combines the entries after those
+// of segment n-1. Any writer may write it; the first write succeeds. An entry is
+// overwritten only when a segment covers it, and a segment only when the head says that
+// its claims are in later segments or were dropped. Readers start with the head; an
+// outdated head costs more reads but loses no claims. Objects are never deleted.
 type shardLog struct {
 	store ObjectStore
 	path  string
-	// ring and segments are the numbers of objects.
-	ring     uint64
-	segments uint64
+	// ring and segmentRing are the numbers of entry objects and segment objects.
+	ring        uint64
+	segmentRing uint64
 
 	shard Shard
-	// seq is the newest entry that shard contains.
+	// seq is the number of the newest entry that is applied to shard.
 	seq uint64
-	// opened says that the head was read, joined that the segments were.
-	opened bool
-	joined bool
+	// headRead and segmentsRead report whether the head and the segments were read.
+	headRead     bool
+	segmentsRead bool
 
-	// head and headVersion are those of the head object as last seen.
+	// head and headVersion are the last known content and version of the head object.
 	head        head
 	headVersion uint64
-	// last is the newest segment, through the last entry that it covers.
-	last    uint64
-	through uint64
-	// dirty are the slots that entries after the segments changed, and pending
-	// the size of those entries.
-	dirty   map[string]struct{}
-	pending int
-	// versions holds the versions of entries and segments as last seen.
+	// lastSegment is the number of the newest segment, coveredThrough that of the last
+	// entry that it covers.
+	lastSegment    uint64
+	coveredThrough uint64
+	// uncovered holds the slots that were changed by entries after the segments, and
+	// uncoveredBytes is the size of these entries.
+	uncovered      map[string]struct{}
+	uncoveredBytes int
+	// versions holds the last known versions of entry objects and segment objects.
 	versions map[string]uint64
 }
 
@@ -74,26 +74,26 @@
 	return fmt.Sprintf("%s/%03d", slo.path, seq%slo.ring)
 }
 
-func (slo *shardLog) segmentPath(num uint64) string {
-	return fmt.Sprintf("%s/segment-%02d", slo.path, num%slo.segments)
+func (slo *shardLog) segmentPath(number uint64) string {
+	return fmt.Sprintf("%s/segment-%02d", slo.path, number%slo.segmentRing)
 }
 
 func (slo *shardLog) headPath() string { return slo.path + "/base" }
 
-// known reports whether the shard is what the log held at seq.
-func (slo *shardLog) known() bool { return slo.joined }
+// loaded reports whether shard is the content of the log at seq.
+func (slo *shardLog) loaded() bool { return slo.segmentsRead }
 
-// reset forgets what was read.
+// reset discards what was read.
 func (slo *shardLog) reset() {
-	*slo = shardLog{store: slo.store, path: slo.path, ring: slo.ring, segments: slo.segments}
+	*slo = shardLog{store: slo.store, path: slo.path, ring: slo.ring, segmentRing: slo.segmentRing}
 }
 
-// load catches up with the log. What was read before a failure is kept.
+// load reads the new part of the log. After a failure it keeps what it has read so far.
 func (slo *shardLog) load(ctx context.Context) error {
 	var err error
-	for range maxLoads {
+	for range maxLoadAttempts {
 		err = slo.catchUp(ctx)
-		if !eris.Is(err, errLapped) {
+		if !eris.Is(err, errOverwritten) {
 			return err
 		}
 		slo.reset()
@@ -102,37 +102,37 @@
 }
 
 func (slo *shardLog) catchUp(ctx context.Context) error {
-	if err := slo.open(ctx); err != nil {
+	if err := slo.begin(ctx); err != nil {
 		return err
 	}
-	if err := slo.join(ctx); err != nil {
+	if err := slo.readSegments(ctx); err != nil {
 		return err
 	}
-	return slo.follow(ctx)
+	return slo.readEntries(ctx)
 }
 
-// open begins with the head.
-func (slo *shardLog) open(ctx context.Context) error {
-	if slo.opened {
+// begin reads the head, from which the segments are read.
+func (slo *shardLog) begin(ctx context.Context) error {
+	if slo.headRead {
 		return nil
 	}
 	slo.reset()
-	slo.versions, slo.dirty = map[string]uint64{}, map[string]struct{}{}
+	slo.versions, slo.uncovered = map[string]uint64{}, map[string]struct{}{}
 	if err := slo.readHead(ctx); err != nil {
 		return err
 	}
-	slo.last = slo.head.first - 1
-	slo.opened = true
+	slo.lastSegment = slo.head.first - 1
+	slo.headRead = true
 	return nil
 }
 
-// follow applies the entries after seq. The first object that holds an older
-// entry, or none, is where the next one belongs.
-func (slo *shardLog) follow(ctx context.Context) error {
-	for cou := 1; ; cou = min(2*cou, maxEntryReads) {
+// readEntries applies the entries after seq. The next entry is to be written into the
+// first object that holds an older entry or does not exist.
+func (slo *shardLog) readEntries(ctx context.Context) error {
+	for count := 1; ; count = min(2*count, maxEntryReads) {
 		var paths []string
-		for ind := range cou {
-			paths = append(paths, slo.entryPath(slo.seq+1+uint64(ind)))
+		for i := range count {
+			paths = append(paths, slo.entryPath(slo.seq+1+uint64(i)))
 		}
 		objs, err := slo.readAll(ctx, paths)
 		if err != nil {
@@ -147,67 +147,68 @@
 	}
 }
 
-// applyEntry applies an object that holds the next entry, and reports whether
-// the log ends before it.
+// applyEntry applies an object if it holds the next entry, and reports whether the log
+// ends before it.
 func (slo *shardLog) applyEntry(obj persister.Object) (bool, error) {
 	ent, err := decodeEntry(obj.Value)
 	switch {
 	case err != nil:
 		return false, eris.Wrapf(err, "shardLog.applyEntry: %s", obj.Path)
 	case ent.seq > slo.seq+1:
-		return false, errLapped
+		return false, errOverwritten
 	case ent.seq < slo.seq+1:
 		slo.versions[obj.Path] = obj.Version
 		return true, nil
 	}
 	slo.versions[obj.Path] = obj.Version
-	slo.taken(ent, len(obj.Value))
+	slo.advance(ent, len(obj.Value))
 	return false, nil
 }
 
-// taken follows an entry that is in the log.
-func (slo *shardLog) taken(ent entry, size int) {
-	slo.shard.take(ent.delta)
+// advance applies an entry that is in the log.
+func (slo *shardLog) advance(ent entry, size int) {
+	slo.shard.apply(ent.delta)
 	slo.seq = ent.seq
-	slo.pending += size
+	slo.uncoveredBytes += size
 	for key := range maps.Keys(ent.delta.claims) {
-		slo.dirty[key] = struct{}{}
+		slo.uncovered[key] = struct{}{}
 	}
 }
 
-// append writes the entry of a change. Errors of the platform tell as those of a
-// Put whether the write took effect.
+// append writes a change as the next entry. As after a Put of the platform, the error
+// shows whether the write took effect.
 func (slo *shardLog) append(ctx context.Context, del Delta) error {
 	ent := entry{seq: slo.seq + 1, delta: del}
-	val, err := ent.encode()
+	value, err := ent.encode()
 	if err != nil {
 		return err
 	}
-	if slo.seq >= slo.through+slo.ring || slo.pending+len(val) > maxSegmentBytes {
+	if slo.seq >= slo.coveredThrough+slo.ring || slo.uncoveredBytes+len(value) > maxSegmentBytes {
 		if err := slo.writeSegment(ctx); err != nil {
 			return eris.Wrapf(errFull, "shardLog.append: %s: %v", slo.path, err)
 		}
 	}
 	path := slo.entryPath(ent.seq)
-	ver, err := slo.versionOf(ctx, path, ent.seq)
+	version, err := slo.versionOf(ctx, path, ent.seq)
 	if err != nil {
 		return err
 	}
-	ver, err = slo.store.Put(ctx, persister.Object{Path: path, Version: ver, Value: val})
+	version, err = slo.store.Put(ctx, persister.Object{Path: path, Version: version, Value: value})
 	if err != nil {
 		delete(slo.versions, path)
 		return err
 	}
-	slo.versions[path] = ver
-	slo.taken(ent, len(val))
+	slo.versions[path] = version
+	slo.advance(ent, len(value))
 	return nil
 }
 
-// versionOf returns the version of the object that a number goes to, on the
-// condition that it holds an older number.
-func (slo *shardLog) versionOf(ctx context.Context, path string, num uint64) (uint64, error) {
-	if ver, ok := slo.versions[path]; ok {
-		return ver, nil
+// versionOf returns the version of the object into which the entry or segment with a
+// number is to be written. It fails with ErrConflict if the object already holds this
+// number or a later one.
+func (slo *shardLog) versionOf(ctx context.Context, path string, number uint64) (uint64, error) {
+	if version, ok := slo.versions[path]; ok {
+		return version, nil
 	}
 	obj, err := slo.read(ctx, path)
 	if err != nil {
@@ -217,7 +218,7 @@
 	if err := proto.Unmarshal(obj.Value, &rec); err != nil {
 		return 0, eris.Wrapf(err, "shardLog.versionOf: %s", path)
 	}
-	if rec.GetNumber() >= num {
+	if rec.GetNumber() >= number {
 		return 0, persister.ErrConflict
 	}
 	slo.versions[path] = obj.Version
--- a/process/journaler/log_test.go
+++ b/process/journaler/log_test.go
@@ -18,181 +18,186 @@
 
 const (
 	logRounds = 14
-	// A round is long, so that claims pass their retention within a trial.
+	// A round is long so that claims exceed their retention during a simulation.
 	logRound = 80 * time.Second
 	logRing  = 4
-	// logSkips bounds the calls of one kind that are struck.
-	logSkips = 8
-	// logOutage is the number of calls of one kind that an outage strikes.
-	logOutage = 40
-	// lapRounds of another writer overwrite all entries and segments.
+	// maxLogSkips bounds the calls of one kind at which a fault is injected, each in a
+	// simulation of its own.
+	maxLogSkips = 8
+	// outageCalls is the number of consecutive calls of one kind that fail in an outage.
+	outageCalls = 40
+	// lapRounds is the number of changes by another writer that overwrites all entries
+	// and segments.
 	lapRounds = logRing * logRing
 )
 
-// The calls of the store by a writer at which a fault can strike.
+// The calls of a writer to the store at which a fault can be injected, and the kinds of
+// faults.
 var (
-	logSteps  = []string{"read-head", "read-segment", "read-entry", "write-entry", "write-segment", "write-head"}
-	logFaults = []string{"down", "outage", "refused", "lost", "late", "raced", "lapped", "die-before", "die-after"}
+	logSteps      = []string{"read-head", "read-segment", "read-entry", "write-entry", "write-segment", "write-head"}
+	logFaultKinds = []string{"down", "outage", "refused", "lost", "late", "raced", "lapped", "die-before", "die-after"}
 )
 
-func logCells() []string {
+func logCases() []string {
 	var out []string
-	for _, ste := range logSteps {
-		for _, fau := range logFaults {
-			out = append(out, ste+"/"+fau)
+	for _, step := range logSteps {
+		for _, fault := range logFaultKinds {
+			out = append(out, step+"/"+fault)
 		}
 	}
 	return out
 }
 
-// hit is a fault at a call after some of its kind.
-type hit struct {
-	cell string
+// logFault is a fault that is injected at a call after skip calls of the same kind. Its
+// name is step/kind.
+type logFault struct {
+	name string
 	skip int
 }
 
-// logTrial has two writers of one shard over a store with faults, and compares
-// what a reader finds with what the accepted entries say.
-type logTrial struct {
-	shakyStore
-	t      *testing.T
-	hits   []*hit
-	struck int
-	// turn orders the calls that faults can strike.
-	turn    sync.Mutex
-	late    []persister.Object
-	writers [2]*writer
-	model   Shard
-	seq     uint64
-	now     time.Time
-	extra   int
-	told    [2]int
+// logSimulation simulates two writers of one shard over a store with faults. It compares
+// what a reader finds with the content of the accepted entries.
+type logSimulation struct {
+	faultyStore
+	t        *testing.T
+	faults   []*logFault
+	injected int
+	// callMu serialises the calls at which faults can be injected.
+	callMu       sync.Mutex
+	delayed      []persister.Object
+	writers      [2]*writer
+	model        Shard
+	seq          uint64
+	now          time.Time
+	otherChanges int
+	confirmed    [2]int
 }
 
-func newLogTrial(t *testing.T, hits ...*hit) *logTrial {
-	tri := &logTrial{t: t, hits: hits, now: epoch, shakyStore: shakyStore{objects: map[string]persister.Object{}}}
-	for ind := range tri.writers {
-		tri.writers[ind] = tri.newWriter(tri)
+func newLogSimulation(t *testing.T, faults ...*logFault) *logSimulation {
+	sim := &logSimulation{t: t, faults: faults, now: epoch, faultyStore: faultyStore{objects: map[string]persister.Object{}}}
+	for i := range sim.writers {
+		sim.writers[i] = sim.newWriter(sim)
 	}
-	return tri
+	return sim
 }
 
-func (tri *logTrial) newWriter(sto ObjectStore) *writer {
-	wri := newWriter(&Journal{Store: sto, Clock: func() time.Time { return tri.now }, ring: logRing}, 0)
+func (sim *logSimulation) newWriter(sto ObjectStore) *writer {
+	wri := newWriter(&Journal{Store: sto, Clock: func() time.Time { return sim.now }, ring: logRing}, 0)
 	wri.limiter = rate.NewLimiter(rate.Inf, 1)
 	return wri
 }
 
-// fault returns the fault that strikes a call, if any.
-func (tri *logTrial) fault(verb, path string) string {
-	ste := verb + "-entry"
+// nextFault returns the fault to inject at a call, if any.
+func (sim *logSimulation) nextFault(verb, path string) string {
+	step := verb + "-entry"
 	switch {
 	case strings.HasSuffix(path, "base"):
-		ste = verb + "-head"
+		step = verb + "-head"
 	case strings.Contains(path, "segment"):
-		ste = verb + "-segment"
+		step = verb + "-segment"
 	}
-	for _, one := range tri.hits {
-		on, fau, _ := strings.Cut(one.cell, "/")
-		if on != ste {
+	for _, injected := range sim.faults {
+		faultStep, fault, _ := strings.Cut(injected.name, "/")
+		if faultStep != step {
 			continue
 		}
-		one.skip--
-		if one.skip == -1 || fau == "outage" && one.skip < 0 && one.skip >= -logOutage {
-			tri.struck++
-			return fau
+		injected.skip--
+		if injected.skip == -1 || fault == "outage" && injected.skip < 0 && injected.skip >= -outageCalls {
+			sim.injected++
+			return fault
 		}
 	}
 	return ""
 }
 
-// before lets others work before a call, as if its writer were paused.
-func (tri *logTrial) before(fau string) {
-	cou := map[string]int{"raced": 1, "lapped": lapRounds}[fau]
-	if cou == 0 {
+// runOthers lets another writer commit before a call, as if the calling writer were
+// paused.
+func (sim *logSimulation) runOthers(fault string) {
+	count := map[string]int{"raced": 1, "lapped": lapRounds}[fault]
+	if count == 0 {
 		return
 	}
-	oth := tri.newWriter(calmStore{tri})
-	for range cou {
-		tri.extra++
-		tri.drive(oth, &messenger.ClaimCommit{Key: fmt.Sprintf("other%d", tri.extra), Nonce: "other", KeyTimeMs: tri.now.UnixMilli()})
+	other := sim.newWriter(faultlessStore{sim})
+	for range count {
+		sim.otherChanges++
+		sim.commit(other, &messenger.ClaimCommit{Key: fmt.Sprintf("other%d", sim.otherChanges), Nonce: "other", KeyTimeMs: sim.now.UnixMilli()})
 	}
 }
 
-// calmStore is the store of a trial without faults.
-type calmStore struct{ tri *logTrial }
+// faultlessStore is the store of a simulation without faults.
+type faultlessStore struct{ sim *logSimulation }
 
-func (cal calmStore) Get(_ context.Context, path string) (persister.Object, error) {
-	cal.tri.mu.Lock()
-	defer cal.tri.mu.Unlock()
-	obj, ok := cal.tri.objects[path]
+func (fst faultlessStore) Get(_ context.Context, path string) (persister.Object, error) {
+	fst.sim.mu.Lock()
+	defer fst.sim.mu.Unlock()
+	obj, ok := fst.sim.objects[path]
 	if !ok {
 		return persister.Object{}, persister.ErrNotFound
 	}
 	return obj, nil
 }
 
-func (cal calmStore) Put(_ context.Context, obj persister.Object) (uint64, error) {
-	cal.tri.mu.Lock()
-	defer cal.tri.mu.Unlock()
-	return cal.tri.land(obj)
+func (fst faultlessStore) Put(_ context.Context, obj persister.Object) (uint64, error) {
+	fst.sim.mu.Lock()
+	defer fst.sim.mu.Unlock()
+	return fst.sim.store(obj)
 }
 
-func (tri *logTrial) Get(ctx context.Context, path string) (persister.Object, error) {
-	tri.turn.Lock()
-	defer tri.turn.Unlock()
-	fau := tri.fault("read", path)
-	tri.before(fau)
-	if fau != "" && fau != "raced" && fau != "lapped" {
+func (sim *logSimulation) Get(ctx context.Context, path string) (persister.Object, error) {
+	sim.callMu.Lock()
+	defer sim.callMu.Unlock()
+	fault := sim.nextFault("read", path)
+	sim.runOthers(fault)
+	if fault != "" && fault != "raced" && fault != "lapped" {
 		return persister.Object{}, persister.ErrUnavailable
 	}
-	return calmStore{tri}.Get(ctx, path)
+	return faultlessStore{sim}.Get(ctx, path)
 }
 
-func (tri *logTrial) Put(ctx context.Context, obj persister.Object) (uint64, error) {
-	tri.turn.Lock()
-	defer tri.turn.Unlock()
-	fau := tri.fault("write", obj.Path)
-	tri.before(fau)
-	switch fau {
+func (sim *logSimulation) Put(ctx context.Context, obj persister.Object) (uint64, error) {
+	sim.callMu.Lock()
+	defer sim.callMu.Unlock()
+	fault := sim.nextFault("write", obj.Path)
+	sim.runOthers(fault)
+	switch fault {
 	case "down", "outage", "die-before":
 		return 0, persister.ErrUnavailable
 	case "refused":
 		return 0, persister.ErrRateLimited
 	case "late":
-		tri.late = append(tri.late, obj)
+		sim.delayed = append(sim.delayed, obj)
 		return 0, context.DeadlineExceeded
 	}
-	ver, err := calmStore{tri}.Put(ctx, obj)
-	if fau == "lost" || fau == "die-after" {
+	version, err := faultlessStore{sim}.Put(ctx, obj)
+	if fault == "lost" || fault == "die-after" {
 		return 0, context.DeadlineExceeded
 	}
-	return ver, err
+	return version, err
 }
 
-// land carries a write out and notes the entries in their order.
-func (tri *logTrial) land(obj persister.Object) (uint64, error) {
-	ver, err := tri.put(obj)
+// store carries out a write and records the entries in their order.
+func (sim *logSimulation) store(obj persister.Object) (uint64, error) {
+	version, err := sim.put(obj)
 	if err != nil || strings.Contains(obj.Path, "segment") || strings.HasSuffix(obj.Path, "base") {
-		return ver, err
+		return version, err
 	}
-	ent, dec := decodeEntry(obj.Value)
-	require.NoError(tri.t, dec)
-	require.Equal(tri.t, tri.seq+1, ent.seq, "one writer writes each entry")
-	tri.seq = ent.seq
-	tri.model.take(ent.delta)
-	return ver, nil
+	ent, decodeErr := decodeEntry(obj.Value)
+	require.NoError(sim.t, decodeErr)
+	require.Equal(sim.t, sim.seq+1, ent.seq, "one writer writes each entry")
+	sim.seq = ent.seq
+	sim.model.apply(ent.delta)
+	return version, nil
 }
 
-// drive commits one change without pauses between the tries.
-func (tri *logTrial) drive(wri *writer, com *messenger.ClaimCommit) messenger.ClaimResult_State {
-	bat := NewBatch([]*messenger.ClaimCommit{com}, &wri.log.shard, wri.log.seq, wri.log.known())
+// commit commits one change without pauses between attempts.
+func (sim *logSimulation) commit(wri *writer, com *messenger.ClaimCommit) messenger.ClaimResult_State {
+	bat := NewBatch([]*messenger.ClaimCommit{com}, &wri.log.shard, wri.log.seq, wri.log.loaded())
 	var eve Event = Started{}
 	for try := 0; ; try++ {
-		nex, act := bat.Next(eve, tri.now)
-		bat = nex
+		next, act := bat.Next(eve, sim.now)
+		bat = next
 		if ans, ok := act.(Answer); ok {
-			wri.shorten()
+			wri.compact()
 			return ans.Results[0].GetState()
 		}
 		eve = wri.carryOut(context.Background(), act)
@@ -202,77 +207,76 @@
 	}
 }
 
-// run has the writers claim and finish keys in turn. A writer that dies is
-// replaced.
-func (tri *logTrial) run() {
-	for rou := range logRounds {
-		tri.now = epoch.Add(time.Duration(rou) * logRound)
-		com := &messenger.ClaimCommit{Key: fmt.Sprintf("key%d", rou), Nonce: "n", KeyTimeMs: tri.now.UnixMilli()}
-		for ind, ste := range []messenger.ClaimCommit_Step{messenger.ClaimCommit_STEP_CLAIM, messenger.ClaimCommit_STEP_FINISH} {
-			com = &messenger.ClaimCommit{Step: ste, Key: com.Key, Nonce: com.Nonce, KeyTimeMs: com.KeyTimeMs, Outcome: &messenger.Outcome{Status: 200}}
-			was := tri.struck
-			sta := tri.drive(tri.writers[(rou/3+ind*rou/3)%2], com)
+// run lets the writers alternately claim and finish keys. A writer that dies is replaced.
+func (sim *logSimulation) run() {
+	for round := range logRounds {
+		sim.now = epoch.Add(time.Duration(round) * logRound)
+		com := &messenger.ClaimCommit{Key: fmt.Sprintf("key%d", round), Nonce: "n", KeyTimeMs: sim.now.UnixMilli()}
+		for i, step := range []messenger.ClaimCommit_Step{messenger.ClaimCommit_STEP_CLAIM, messenger.ClaimCommit_STEP_FINISH} {
+			com = &messenger.ClaimCommit{Step: step, Key: com.Key, Nonce: com.Nonce, KeyTimeMs: com.KeyTimeMs, Outcome: &messenger.Outcome{Status: 200}}
+			before := sim.injected
+			sta := sim.commit(sim.writers[(round/3+i*round/3)%2], com)
 			if sta == messenger.ClaimResult_STATE_COMMITTED || sta == messenger.ClaimResult_STATE_FINISHED {
-				tri.told[ind]++
-				require.Contains(tri.t, tri.model.claims, com.Key, "told a commit that is not in the log")
+				sim.confirmed[i]++
+				require.Contains(sim.t, sim.model.claims, com.Key, "told a commit that is not in the log")
 			}
-			if tri.struck > was && strings.Contains(tri.hits[0].cell, "die") {
-				tri.writers[(rou/3+ind*rou/3)%2] = tri.newWriter(tri)
+			if sim.injected > before && strings.Contains(sim.faults[0].name, "die") {
+				sim.writers[(round/3+i*round/3)%2] = sim.newWriter(sim)
 			}
 		}
-		for _, obj := range tri.late {
-			_, _ = calmStore{tri}.Put(context.Background(), obj)
+		for _, obj := range sim.delayed {
+			_, _ = faultlessStore{sim}.Put(context.Background(), obj)
 		}
-		tri.late = nil
-		if rou%7 == 6 {
-			tri.check()
+		sim.delayed = nil
+		if round%7 == 6 {
+			sim.checkReader()
 		}
 	}
 }
 
-// check has a new reader find what the accepted entries say.
-func (tri *logTrial) check() {
-	wri := tri.newWriter(calmStore{tri})
-	require.NoError(tri.t, wri.log.load(context.Background()))
-	require.Equal(tri.t, tri.seq, wri.log.seq)
-	require.Equal(tri.t, formatShard(&tri.model), formatShard(&wri.log.shard))
+// checkReader checks that a new reader finds the content of the accepted entries.
+func (sim *logSimulation) checkReader() {
+	wri := sim.newWriter(faultlessStore{sim})
+	require.NoError(sim.t, wri.log.load(context.Background()))
+	require.Equal(sim.t, sim.seq, wri.log.seq)
+	require.Equal(sim.t, formatShard(&sim.model), formatShard(&wri.log.shard))
 }
 
-// TestLogMatrix plays every fault at every call of a writer to the store, and
-// every two faults together.
+// TestLogMatrix injects every fault at every call of a writer to the store, and every
+// pair of faults.
 func TestLogMatrix(t *testing.T) {
-	var cels []string
+	var cases []string
 	datadriven.RunTest(t, "testdata/matrix/log", func(t *testing.T, td *datadriven.TestData) string {
-		cels = append(cels, td.Cmd)
-		cou, told := 0, [2]int{}
-		for skip := range logSkips {
-			tri := newLogTrial(t, &hit{td.Cmd, skip})
-			tri.run()
-			if tri.struck == 0 {
+		cases = append(cases, td.Cmd)
+		count, confirmed := 0, [2]int{}
+		for skip := range maxLogSkips {
+			sim := newLogSimulation(t, &logFault{td.Cmd, skip})
+			sim.run()
+			if sim.injected == 0 {
 				break
 			}
-			cou++
-			told[0] += tri.told[0]
-			told[1] += tri.told[1]
+			count++
+			confirmed[0] += sim.confirmed[0]
+			confirmed[1] += sim.confirmed[1]
 		}
 		var gro sync.WaitGroup
-		for ind, two := range logCells() {
-			gro.Go(func() { newLogTrial(t, &hit{td.Cmd, ind % 5}, &hit{two, ind % 3}).run() })
+		for i, secondFault := range logCases() {
+			gro.Go(func() { newLogSimulation(t, &logFault{td.Cmd, i % 5}, &logFault{secondFault, i % 3}).run() })
 		}
 		gro.Wait()
-		return fmt.Sprintf("struck=%d claims=%d finishes=%d of %d\n", cou, told[0], told[1], cou*logRounds)
+		return fmt.Sprintf("struck=%d claims=%d finishes=%d of %d\n", count, confirmed[0], confirmed[1], count*logRounds)
 	})
-	require.Equal(t, logCells(), cels, "no cell is missing")
+	require.Equal(t, logCases(), cases, "the data file has each case once")
 }
 
-// TestOldFormat has a store with the base of format 1: it must not be taken for
-// an empty shard.
+// TestOldFormat checks that a store with the base object of format 1 is refused and not
+// taken for an empty shard.
 func TestOldFormat(t *testing.T) {
-	tri := newLogTrial(t)
-	// A sequence number and an empty shard.
-	_, err := tri.put(persister.Object{Path: "claims/00/base", Value: []byte{1 << 3, 40, 2<<3 | 2, 0}})
+	sim := newLogSimulation(t)
+	// The value is a sequence number and an empty shard.
+	_, err := sim.put(persister.Object{Path: "claims/00/base", Value: []byte{1 << 3, 40, 2<<3 | 2, 0}})
 	require.NoError(t, err)
-	require.ErrorIs(t, tri.writers[0].log.load(t.Context()), errFormat)
-	sta := tri.drive(tri.writers[0], &messenger.ClaimCommit{Key: "key", Nonce: "n", KeyTimeMs: epoch.UnixMilli()})
+	require.ErrorIs(t, sim.writers[0].log.load(t.Context()), errFormat)
+	sta := sim.commit(sim.writers[0], &messenger.ClaimCommit{Key: "key", Nonce: "n", KeyTimeMs: epoch.UnixMilli()})
 	require.Equal(t, messenger.ClaimResult_STATE_NOT_COMMITTED, sta)
 }
--- a/process/journaler/matrix_test.go
+++ b/process/journaler/matrix_test.go
@@ -10,85 +10,85 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cells lists every fault at every step as step/fault.
-func cells() []string {
+// matrixCases returns every fault at every step as step/kind.
+func matrixCases() []string {
 	var out []string
-	for _, ste := range steps {
-		for _, fau := range faults {
-			out = append(out, ste+"/"+fau)
+	for _, step := range steps {
+		for _, fault := range faultKinds {
+			out = append(out, step+"/"+fault)
 		}
 	}
 	return out
 }
 
-func newStrike(cell string) *strike {
-	ste, fau, _ := strings.Cut(cell, "/")
-	return &strike{step: ste, fault: fau}
+func newFault(name string) *injectedFault {
+	step, fault, _ := strings.Cut(name, "/")
+	return &injectedFault{step: step, kind: fault}
 }
 
-func reason(cell string) string {
-	ste, fau, _ := strings.Cut(cell, "/")
-	return notApplicable(ste, fau)
+func inapplicable(name string) string {
+	step, fault, _ := strings.Cut(name, "/")
+	return notApplicable(step, fault)
 }
 
-// safe checks what must hold at the end of every cell.
-func safe(t *testing.T, cell, end string) {
+// requireSafe checks what must hold at the end of every case.
+func requireSafe(t *testing.T, name, result string) {
 	t.Helper()
-	require.NotContains(t, end, "FALSE", "%s: told not run after a run: %s", cell, end)
-	require.Regexp(t, "runs=[01]$", end, "%s: run twice", cell)
-	require.NotContains(t, end, "= ", "%s: a caller without an answer: %s", cell, end)
+	require.NotContains(t, result, "FALSE", "%s: told not run after a run: %s", name, result)
+	require.Regexp(t, "runs=[01]$", result, "%s: run twice", name)
+	require.NotContains(t, result, "= ", "%s: a caller without an answer: %s", name, result)
 }
 
-// TestMatrix plays every fault at every step, and every two faults together.
+// TestMatrix injects every fault at every step, and every pair of faults.
 func TestMatrix(t *testing.T) {
 	datadriven.RunTest(t, "testdata/matrix/single", func(t *testing.T, td *datadriven.TestData) string {
-		if why := reason(td.Cmd); why != "" {
-			return "not applicable: " + why + "\n"
+		if cause := inapplicable(td.Cmd); cause != "" {
+			return "not applicable: " + cause + "\n"
 		}
-		end := play(newStrike(td.Cmd))
-		safe(t, td.Cmd, end)
-		return end + "\n"
+		result := simulate(newFault(td.Cmd))
+		requireSafe(t, td.Cmd, result)
+		return result + "\n"
 	})
 	datadriven.RunTest(t, "testdata/matrix/pairs", func(t *testing.T, td *datadriven.TestData) string {
-		ends := map[string][]string{}
-		for _, two := range cells() {
-			if reason(td.Cmd) != "" || reason(two) != "" {
-				ends["not applicable"] = append(ends["not applicable"], two)
+		byResult := map[string][]string{}
+		for _, secondFault := range matrixCases() {
+			if inapplicable(td.Cmd) != "" || inapplicable(secondFault) != "" {
+				byResult["not applicable"] = append(byResult["not applicable"], secondFault)
 				continue
 			}
-			end := play(newStrike(td.Cmd), newStrike(two))
-			safe(t, td.Cmd+" and "+two, end)
-			ends[end] = append(ends[end], two)
+			result := simulate(newFault(td.Cmd), newFault(secondFault))
+			requireSafe(t, td.Cmd+" and "+secondFault, result)
+			byResult[result] = append(byResult[result], secondFault)
 		}
-		var lins []string
-		for end, twos := range ends {
-			lins = append(lins, end+"\n  "+strings.Join(twos, " ")+"\n")
+		var lines []string
+		for result, secondFaults := range byResult {
+			lines = append(lines, result+"\n  "+strings.Join(secondFaults, " ")+"\n")
 		}
-		slices.Sort(lins)
-		return strings.Join(lins, "")
+		slices.Sort(lines)
+		return strings.Join(lines, "")
 	})
 }
 
-// TestMatrixWhole proves that no cell is missing from the data files.
-func TestMatrixWhole(t *testing.T) {
-	for _, nam := range []string{"single", "pairs"} {
-		txt, err := os.ReadFile("testdata/matrix/" + nam)
+// TestMatrixDataIsComplete checks that the data files contain every case.
+func TestMatrixDataIsComplete(t *testing.T) {
+	for _, name := range []string{"single", "pairs"} {
+		text, err := os.ReadFile("testdata/matrix/" + name)
 		require.NoError(t, err)
-		var firs []string
-		for _, blo := range strings.Split(string(txt), "\n\n") {
-			lin, out, ok := strings.Cut(strings.TrimLeft(blo, "\n"), "\n----\n")
-			require.True(t, ok, "%s: %q has no end", nam, blo)
-			firs = append(firs, lin)
-			if nam == "pairs" {
-				var twos []string
-				for lin := range strings.Lines(out) {
-					if strings.HasPrefix(lin, "  ") {
-						twos = append(twos, strings.Fields(lin)...)
+		var firstFaults []string
+		for _, block := range strings.Split(string(text), "\n\n") {
+			line, out, ok := strings.Cut(strings.TrimLeft(block, "\n"), "\n----\n")
+			require.True(t, ok, "%s: %q has no end", name, block)
+			firstFaults = append(firstFaults, line)
+			if name == "pairs" {
+				var secondFaults []string
+				for line := range strings.Lines(out) {
+					if strings.HasPrefix(line, "  ") {
+						secondFaults = append(secondFaults, strings.Fields(line)...)
 					}
 				}
-				require.ElementsMatch(t, cells(), twos, lin)
+				require.ElementsMatch(t, matrixCases(), secondFaults, line)
 			}
 		}
-		require.Equal(t, cells(), firs, nam)
+		require.Equal(t, matrixCases(), firstFaults, name)
 	}
 }
--- a/process/journaler/route.go
+++ b/process/journaler/route.go
@@ -10,57 +10,58 @@
 // Member is a live entry host.
 type Member struct {
 	ID string
-	// Address takes calls of other hosts, as IP:port.
+	// Address is the IP:port at which the host accepts connections of other hosts.
 	Address string
 }
 
-// Members names the live hosts.
+// Members provides the live hosts.
 type Members interface {
-	// Live returns the hosts believed to be live, in any order.
+	// Live returns the hosts that are live in this host's view, in any order.
 	Live() []Member
 }
 
 const (
-	// Shards is the number of shard objects that keys are hashed to.
+	// Shards is the number of shards to which keys are hashed.
 	Shards = 64
-	// maxForwards bounds the peers that are asked before a host writes itself.
+	// maxForwards bounds the peers to which a host forwards a change before it writes the
+	// shard itself.
 	maxForwards = 2
 )
 
 // ShardOf returns the shard of a key.
 func ShardOf(key string) uint32 { return uint32(xxhash.Sum64String(key) % Shards) }
 
-// Writers returns the hosts that a change of a shard is offered to, best first,
-// by rendezvous hashing. It ends with self, since any host may write a shard.
+// Writers returns the hosts to try as writers of a shard, best first, by rendezvous
+// hashing. The last is self, since any host may write a shard.
 func Writers(shard uint32, live []Member, self Member) []Member {
 	out := make([]Member, 0, maxForwards+1)
-	var scos [maxForwards]uint64
-	pre := strconv.FormatUint(uint64(shard), 10) + "/"
-	own := score(pre, self)
+	var scores [maxForwards]uint64
+	prefix := strconv.FormatUint(uint64(shard), 10) + "/"
+	ownScore := score(prefix, self)
 	for _, mem := range live {
-		sco := score(pre, mem)
-		if mem.ID == self.ID || sco < own {
+		memScore := score(prefix, mem)
+		if mem.ID == self.ID || memScore < ownScore {
 			continue
 		}
-		ind := len(out)
-		for ind > 0 && sco > scos[ind-1] {
-			ind--
+		i := len(out)
+		for i > 0 && memScore > scores[i-1] {
+			i--
 		}
-		if ind == maxForwards {
+		if i == maxForwards {
 			continue
 		}
-		out = slices.Insert(out, ind, mem)
-		copy(scos[ind+1:], scos[ind:])
-		scos[ind] = sco
+		out = slices.Insert(out, i, mem)
+		copy(scores[i+1:], scores[i:])
+		scores[i] = memScore
 		out = out[:min(len(out), maxForwards)]
 	}
 	return append(out, self)
 }
 
-func score(pre string, mem Member) uint64 {
+func score(prefix string, mem Member) uint64 {
 	var dig xxhash.Digest
 	dig.Reset()
-	_, _ = dig.WriteString(pre)
+	_, _ = dig.WriteString(prefix)
 	_, _ = dig.WriteString(mem.ID)
 	return dig.Sum64()
 }
--- a/process/journaler/segment.go
+++ b/process/journaler/segment.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// maxSegmentEntries and dueSegmentBytes are when a segment is due.
+	// A segment is due after maxSegmentEntries entries or dueSegmentBytes of entries.
 	maxSegmentEntries = 64
 	dueSegmentBytes   = 512 << 10
-	// maxSegmentBytes bounds a segment. It lies below the platform's limit of a
-	// value.
+	// maxSegmentBytes bounds the size of a segment. It is below the platform's limit for
+	// a value.
 	maxSegmentBytes = 900 << 10
-	// Claims of old segments are carried over to new ones so that this part of
-	// the segments stays free, but at least minFreeSegments.
-	freeShare       = 8
+	// freeDivisor and minFreeSegments determine how many segment objects stay free:
+	// 1/freeDivisor of them, but at least minFreeSegments. Claims of old segments are
+	// copied to new ones for this.
+	freeDivisor     = 8
 	minFreeSegments = 2
 )
 
-// readAll reads objects at once. An absent one has version 0 and no value.
+// readAll reads objects concurrently. An absent object has version 0 and no value.
 func (slo *shardLog) readAll(ctx context.Context, paths []string) ([]persister.Object, error) {
 	objs := make([]persister.Object, len(paths))
 	errs := make([]error, len(paths))
 	var gro sync.WaitGroup
-	for ind, path := range paths {
+	for i, path := range paths {
 		if len(paths) == 1 {
 			objs[0], errs[0] = slo.read(ctx, path)
 			continue
 		}
-		gro.Go(func() { objs[ind], errs[ind] = slo.read(ctx, path) })
+		gro.Go(func() { objs[i], errs[i] = slo.read(ctx, path) })
 	}
 	gro.Wait()
 	for _, err := range errs {
@@ -66,16 +67,16 @@
 	return nil
 }
 
-// join applies the segments after last. Those that the head does not name yet
-// count too.
-func (slo *shardLog) join(ctx context.Context) error {
-	for !slo.joined {
+// readSegments applies the segments after lastSegment, including those that the head does
+// not yet list.
+func (slo *shardLog) readSegments(ctx context.Context) error {
+	for !slo.segmentsRead {
 		var paths []string
-		for num := slo.last + 1; num <= slo.head.last+1 && len(paths) < maxSegmentReads; num++ {
-			paths = append(paths, slo.segmentPath(num))
+		for number := slo.lastSegment + 1; number <= slo.head.last+1 && len(paths) < maxSegmentReads; number++ {
+			paths = append(paths, slo.segmentPath(number))
 		}
 		if len(paths) == 0 {
-			paths = []string{slo.segmentPath(slo.last + 1)}
+			paths = []string{slo.segmentPath(slo.lastSegment + 1)}
 		}
 		objs, err := slo.readAll(ctx, paths)
 		if err != nil {
@@ -90,67 +91,66 @@
 	return nil
 }
 
-// joinSegment applies an object that holds the next segment. An older one, or
-// none, ends the segments.
+// joinSegment applies an object if it holds the next segment. An older segment or an
+// absent object means that there are no more segments.
 func (slo *shardLog) joinSegment(obj persister.Object) error {
 	seg, err := decodeSegment(obj.Value)
 	switch {
 	case err != nil:
 		return eris.Wrapf(err, "shardLog.joinSegment: %s", obj.Path)
-	case seg.number > slo.last+1:
-		return errLapped
-	case seg.number < slo.last+1 && slo.last < slo.head.last:
-		return eris.Errorf("shardLog.joinSegment: %s holds segment %d instead of %d", obj.Path, seg.number, slo.last+1)
+	case seg.number > slo.lastSegment+1:
+		return errOverwritten
+	case seg.number < slo.lastSegment+1 && slo.lastSegment < slo.head.last:
+		return eris.Errorf("shardLog.joinSegment: %s holds segment %d instead of %d", obj.Path, seg.number, slo.lastSegment+1)
 	}
 	slo.versions[obj.Path] = obj.Version
-	if seg.number < slo.last+1 {
-		slo.joined = true
+	if seg.number < slo.lastSegment+1 {
+		slo.segmentsRead = true
 		return nil
 	}
-	slo.shard.take(seg.delta)
+	slo.shard.apply(seg.delta)
 	slo.seq = seg.through
-	slo.covered(seg)
+	slo.recordSegment(seg)
 	return nil
 }
 
-// covered follows a segment that is in the store.
-func (slo *shardLog) covered(seg segment) {
+// recordSegment records a segment that is in the store.
+func (slo *shardLog) recordSegment(seg segment) {
 	for key, cla := range seg.delta.claims {
-		if kep, ok := slo.shard.claims[key]; ok && cla != nil {
-			kep.segment = seg.number
+		if kept, ok := slo.shard.claims[key]; ok && cla != nil {
+			kept.segment = seg.number
 		}
 	}
-	slo.last, slo.through = seg.number, seg.through
-	slo.dirty, slo.pending = map[string]struct{}{}, 0
+	slo.lastSegment, slo.coveredThrough = seg.number, seg.through
+	slo.uncovered, slo.uncoveredBytes = map[string]struct{}{}, 0
 }
 
-// segmentDue reports whether a segment would save more reading than it costs
-// writing.
+// segmentDue reports whether a new segment would save more reads than it costs writes.
 func (slo *shardLog) segmentDue() bool {
-	return slo.known() && (slo.seq-slo.through >= min(maxSegmentEntries, slo.ring) || slo.pending >= dueSegmentBytes)
+	return slo.loaded() && (slo.seq-slo.coveredThrough >= min(maxSegmentEntries, slo.ring) || slo.uncoveredBytes >= dueSegmentBytes)
 }
 
-// writeSegment writes the next segment and the head. Where another writer came
-// first, the log is read anew.
+// writeSegment writes the next segment and the head. If another writer wrote this segment
+// first, the log must be read again.
 func (slo *shardLog) writeSegment(ctx context.Context) error {
-	seg := segment{number: slo.last + 1, through: slo.seq, delta: slo.unjoined()}
+	seg := segment{number: slo.lastSegment + 1, through: slo.seq, delta: slo.uncoveredDelta()}
 	path := slo.segmentPath(seg.number)
-	slo.carry(&seg)
-	if seg.number >= slo.head.first+slo.segments {
+	slo.carryOver(&seg)
+	if seg.number >= slo.head.first+slo.segmentRing {
 		if err := slo.writeHead(ctx); err != nil {
 			return err
 		}
-		if seg.number >= slo.head.first+slo.segments {
+		if seg.number >= slo.head.first+slo.segmentRing {
 			return eris.Wrap(errFull, "shardLog.writeSegment")
 		}
 	}
-	val, err := seg.encode()
+	value, err := seg.encode()
 	if err != nil {
 		return err
 	}
-	ver, err := slo.versionOf(ctx, path, seg.number)
+	version, err := slo.versionOf(ctx, path, seg.number)
 	if err == nil {
-		ver, err = slo.store.Put(ctx, persister.Object{Path: path, Version: ver, Value: val})
+		version, err = slo.store.Put(ctx, persister.Object{Path: path, Version: version, Value: value})
 	}
 	if err != nil {
 		delete(slo.versions, path)
@@ -159,68 +159,70 @@
 		}
 		return err
 	}
-	slo.versions[path] = ver
-	slo.covered(seg)
+	slo.versions[path] = version
+	slo.recordSegment(seg)
 	return slo.writeHead(ctx)
 }
 
-// unjoined returns what the entries after the segments changed.
-func (slo *shardLog) unjoined() Delta {
-	del := Delta{forgottenMs: slo.shard.forgottenMs, bodilessMs: slo.shard.bodilessMs, claims: make(map[string]*Claim, len(slo.dirty))}
-	for key := range slo.dirty {
+// uncoveredDelta returns the changes by the entries after the segments.
+func (slo *shardLog) uncoveredDelta() Delta {
+	del := Delta{forgottenMs: slo.shard.forgottenMs, bodilessMs: slo.shard.bodilessMs, claims: make(map[string]*Claim, len(slo.uncovered))}
+	for key := range slo.uncovered {
 		del.claims[key] = slo.shard.claims[key]
 	}
 	return del
 }
 
-// first returns the oldest segment that holds a claim as it is. Older ones are
-// needed no more: their claims stand in later segments or entries, or are gone.
-func (slo *shardLog) first() uint64 {
-	fir := slo.last + 1
+// oldestNeeded returns the oldest segment that contains a claim in its present state.
+// Older segments are not needed: their claims are in later segments or entries, or were
+// dropped.
+func (slo *shardLog) oldestNeeded() uint64 {
+	first := slo.lastSegment + 1
 	for _, cla := range slo.shard.claims {
 		if cla.segment != 0 {
-			fir = min(fir, cla.segment)
+			first = min(first, cla.segment)
 		}
 	}
-	return fir
+	return first
 }
 
-// carry adds claims of the oldest segments to a new one, where too few segments
+// carryOver copies claims of the oldest segments to a new one if too few segment objects
 // are free.
-func (slo *shardLog) carry(seg *segment) {
-	roo := maxSegmentBytes - slo.pending
-	lim := slo.segments - max(minFreeSegments, slo.segments/freeShare)
-	if seg.number <= slo.head.first+lim {
+func (slo *shardLog) carryOver(seg *segment) {
+	room := maxSegmentBytes - slo.uncoveredBytes
+	limit := slo.segmentRing - max(minFreeSegments, slo.segmentRing/freeDivisor)
+	if seg.number <= slo.head.first+limit {
 		return
 	}
 	for key, cla := range slo.shard.claims {
-		if cla.segment == 0 || cla.segment+lim >= seg.number {
+		if cla.segment == 0 || cla.segment+limit >= seg.number {
 			continue
 		}
-		if roo -= cla.size(); roo < 0 {
+		if room -= cla.size(); room < 0 {
 			return
 		}
 		seg.delta.claims[key] = cla
 	}
 }
 
-// writeHead writes which segments are needed, unless another writer wrote more.
+// writeHead writes which segments are needed, unless another writer has written a later
+// head.
 func (slo *shardLog) writeHead(ctx context.Context) error {
-	hea := head{first: max(slo.first(), slo.head.first), last: slo.last}
+	hea := head{first: max(slo.oldestNeeded(), slo.head.first), last: slo.lastSegment}
 	if hea.last < slo.head.last {
 		return persister.ErrConflict
 	}
-	val, err := hea.encode()
+	value, err := hea.encode()
 	if err != nil {
 		return err
 	}
-	ver, err := slo.store.Put(ctx, persister.Object{Path: slo.headPath(), Version: slo.headVersion, Value: val})
+	version, err := slo.store.Put(ctx, persister.Object{Path: slo.headPath(), Version: slo.headVersion, Value: value})
 	if err == nil {
-		slo.head, slo.headVersion = hea, ver
+		slo.head, slo.headVersion = hea, version
 		return nil
 	}
-	if rea := slo.readHead(ctx); rea != nil {
-		return rea
+	if readErr := slo.readHead(ctx); readErr != nil {
+		return readErr
 	}
 	if slo.head.last >= hea.last {
 		return nil
--- a/process/journaler/settle.go
+++ b/process/journaler/settle.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	// maxSettling bounds the changes that are retried in the background.
-	maxSettling      = 4096
+	// maxRetrying bounds the changes that are retried in the background.
+	maxRetrying      = 4096
 	settleTimeout    = 5 * time.Second
 	minSettleBackoff = 100 * time.Millisecond
 	maxSettleBackoff = 10 * time.Second
 )
 
-// Pending returns the number of changes that are still retried.
-func (jou *Journal) Pending() int { return int(jou.settling.Load()) }
+// Pending returns the number of changes that are being committed in the background.
+func (jou *Journal) Pending() int { return int(jou.retrying.Load()) }
 
-// Settle commits a FINISH or RELEASE and retries it until it is done or its
-// claim is past the retention. The channel is closed at the end. Beyond the
-// bound of changes in progress it gives up at once; the claim then stays held,
-// and repeats of its key are told that the outcome is unknown.
+// Settle commits a FINISH or RELEASE in the background and retries it until it succeeds
+// or Retention has passed. The channel is closed at the end. If maxRetrying changes are
+// in progress, Settle gives up at once; the claim then stays held, and repeats of its key
+// get the answer that the outcome is unknown.
 func (jou *Journal) Settle(com *messenger.ClaimCommit) <-chan struct{} {
-	don := make(chan struct{})
-	if jou.settling.Add(1) > maxSettling {
-		jou.settling.Add(-1)
+	done := make(chan struct{})
+	if jou.retrying.Add(1) > maxRetrying {
+		jou.retrying.Add(-1)
 		jou.scope().Counter("claims_unsettled").Inc(1)
-		close(don)
-		return don
+		close(done)
+		return done
 	}
 	go func() {
-		defer close(don)
-		defer jou.settling.Add(-1)
-		jou.settle(com)
+		defer close(done)
+		defer jou.retrying.Add(-1)
+		jou.commitWithRetries(com)
 	}()
-	return don
+	return done
 }
 
-func (jou *Journal) settle(com *messenger.ClaimCommit) {
+func (jou *Journal) commitWithRetries(com *messenger.ClaimCommit) {
 	bac := &backoff.ExponentialBackOff{InitialInterval: minSettleBackoff, MaxInterval: maxSettleBackoff, Multiplier: 2, RandomizationFactor: 0.5}
 	bac.Reset()
-	// The claim of a key is kept for the retention from its start at least.
+	// A claim is kept for at least Retention from its start.
 	end := jou.now().Add(Retention)
-	for !jou.settled(com) {
+	for !jou.tryCommit(com) {
 		if jou.now().After(end) {
 			jou.scope().Counter("claims_unsettled").Inc(1)
 			return
@@ -54,7 +54,7 @@
 	}
 }
 
-func (jou *Journal) settled(com *messenger.ClaimCommit) bool {
+func (jou *Journal) tryCommit(com *messenger.ClaimCommit) bool {
 	ctx, stop := context.WithTimeout(context.Background(), settleTimeout)
 	defer stop()
 	switch jou.Commit(ctx, com).GetState() {
--- a/process/journaler/shard.go
+++ b/process/journaler/shard.go
@@ -9,74 +9,73 @@
 )
 
 const (
-	// Retention is how long a claim answers repeats, counted from the time of
+	// Retention is how long a claim is kept to answer repeats, counted from the time of
 	// its key.
 	Retention = 10 * time.Minute
-	// MaxClockSkew is the difference of clocks up to which no key is refused
-	// wrongly. At most one run does not depend on it.
+	// MaxClockSkew is the difference between clocks up to which no key is refused
+	// wrongly. That a call runs at most once does not depend on it.
 	MaxClockSkew = time.Minute
-	// MaxShardBytes bounds the encoded claims of a shard, and so the memory of
-	// its writer.
+	// MaxShardBytes bounds the encoded claims of a shard, and thus the memory of its
+	// writer.
 	MaxShardBytes = 9_000_000
-	// maxBodyShareBytes is the size of a shard above which recorded bodies are
-	// dropped; dropping goes down to keptBodyShareBytes.
-	maxBodyShareBytes  = MaxShardBytes * 8 / 9
-	keptBodyShareBytes = MaxShardBytes * 5 / 6
-	// maxSharedOutcomes bounds the outcomes without body that claims share.
+	// Above maxBytesWithBodies, recorded bodies are dropped until the shard is no larger
+	// than keptBytesWithBodies.
+	maxBytesWithBodies  = MaxShardBytes * 8 / 9
+	keptBytesWithBodies = MaxShardBytes * 5 / 6
+	// maxSharedOutcomes bounds the outcomes without a body that several claims share.
 	maxSharedOutcomes = 256
 
-	millisPerAge = 1000
+	millisPerSecond = 1000
 )
 
-// Shard holds the claims of a shard for its writer. Its zero value is the shard
-// of an empty log. Evaluate reads it; only take changes it, by a Delta that is in
-// the log.
+// Shard is a writer's copy of the claims of a shard. Its zero value is the shard of an
+// empty log. Evaluate only reads it; apply changes it, by a Delta that is in the log.
 type Shard struct {
 	claims map[string]*Claim
-	// ages holds the claims by the second of their key time, so that dropping
-	// the old ones costs what is dropped.
-	ages map[int64]*age
-	// oldest is not above any second of ages.
-	oldest int64
-	// forgottenMs is the newest key time of a dropped claim. Keys up to it are
-	// refused, so that a dropped claim can't be claimed again, whatever the
-	// clocks of the writers show.
+	// seconds holds the claims by the second of their key time, so that the cost of
+	// dropping old claims depends on their number and not on that of all claims.
+	seconds map[int64]*keySecond
+	// oldestSecond is a lower bound of the seconds.
+	oldestSecond int64
+	// forgottenMs is the newest key time of a dropped claim. Keys up to this time are
+	// refused, so that a dropped claim cannot be claimed again, whatever the clocks of
+	// the writers show.
 	forgottenMs int64
-	// bodilessMs is the newest key time whose outcomes have lost their bodies.
-	bodilessMs int64
-	bytes      int
-	answers    int
-	outcomes   map[sharedOutcome]*messenger.Outcome
+	// bodilessMs is the newest key time at which the bodies of outcomes were dropped.
+	bodilessMs     int64
+	bytes          int
+	bodyBytes      int
+	sharedOutcomes map[sharedOutcome]*messenger.Outcome
 }
 
-// age is the claims whose key times lie in one second.
-type age struct {
-	// slots may name claims that were removed since.
+// keySecond holds the claims whose key times are in one second.
+type keySecond struct {
+	// slots may contain slots of claims that were removed.
 	slots    []string
 	newestMs int64
 	bytes    int
-	// answers is the part of bytes that goes with the bodies.
-	answers int
-	claims  int
+	// bodyBytes is the part of bytes that is freed if the bodies are dropped.
+	bodyBytes int
+	claims    int
 }
 
-// sharedOutcome is an outcome without body.
+// sharedOutcome is the content of an outcome without a body.
 type sharedOutcome struct {
 	status      int32
 	contentType string
 	truncated   bool
 }
 
-// Delta is a change of a shard, as one commit or one segment makes it. Claims
-// up to its marks are dropped, or lose their bodies; a slot without a claim is
-// removed.
+// Delta is the change of a shard by one commit or one segment. Claims with key times up
+// to forgottenMs are dropped, those up to bodilessMs lose their bodies, and slots with a
+// nil claim are removed.
 type Delta struct {
 	forgottenMs int64
 	bodilessMs  int64
 	claims      map[string]*Claim
 }
 
-// Len returns the number of claims kept.
+// Len returns the number of claims.
 func (sha *Shard) Len() int { return len(sha.claims) }
 
 // Bytes returns an upper bound of the encoded size.
@@ -91,33 +90,33 @@
 	return *cla, true
 }
 
-// Evaluate carries out changes in their order and returns how they change the
-// shard, a result for each, and whether the shard must be written. The shard
-// stays as it is. The cost follows the changes, not the shard.
+// Evaluate returns the effect of changes that are made in order: the change of the shard,
+// a result for each, and whether the shard must be written. The shard itself stays
+// unchanged. The cost depends on the changes and not on the size of the shard.
 func (sha *Shard) Evaluate(coms []*messenger.ClaimCommit, now time.Time) (Delta, []*messenger.ClaimResult, bool) {
-	dra := newDraft(sha, len(coms))
-	dra.forget(now)
-	ress := make([]*messenger.ClaimResult, 0, len(coms))
-	cha := false
+	ovl := newOverlay(sha, len(coms))
+	ovl.dropExpired(now)
+	results := make([]*messenger.ClaimResult, 0, len(coms))
+	changed := false
 	for _, com := range coms {
-		res, one := dra.apply(com, now)
-		ress = append(ress, res)
-		cha = cha || one
+		res, write := ovl.apply(com, now)
+		results = append(results, res)
+		changed = changed || write
 	}
-	return dra.delta, ress, cha
+	return ovl.delta, results, changed
 }
 
-// take carries a change out.
-func (sha *Shard) take(del Delta) {
+// apply applies a change to the shard.
+func (sha *Shard) apply(del Delta) {
 	if sha.claims == nil {
-		sha.claims, sha.ages = map[string]*Claim{}, map[int64]*age{}
-		sha.outcomes = map[sharedOutcome]*messenger.Outcome{}
+		sha.claims, sha.seconds = map[string]*Claim{}, map[int64]*keySecond{}
+		sha.sharedOutcomes = map[sharedOutcome]*messenger.Outcome{}
 	}
-	sha.forget(del.forgottenMs)
+	sha.dropUntil(del.forgottenMs)
 	sha.dropBodies(del.bodilessMs)
-	for slo, cla := range del.claims {
+	for slot, cla := range del.claims {
 		if cla == nil {
-			sha.remove(slo)
+			sha.remove(slot)
 		} else {
 			sha.put(cla)
 		}
@@ -129,128 +128,131 @@
 		cla = cla.withoutBody()
 	}
 	sha.shareOutcome(cla)
-	slo := cla.slot()
-	old := sha.ageOf(cla)
-	if was, ok := sha.claims[slo]; ok && was.KeyTimeMs == cla.KeyTimeMs {
-		sha.count(old, was, -1)
+	slot := cla.slot()
+	second := sha.secondOf(cla)
+	if previous, ok := sha.claims[slot]; ok && previous.KeyTimeMs == cla.KeyTimeMs {
+		sha.count(second, previous, -1)
 	} else {
-		sha.remove(slo)
-		old = sha.ageOf(cla)
-		old.slots = append(old.slots, slo)
+		sha.remove(slot)
+		second = sha.secondOf(cla)
+		second.slots = append(second.slots, slot)
 	}
-	sha.claims[slo] = cla
-	old.newestMs = max(old.newestMs, cla.KeyTimeMs)
-	sha.count(old, cla, 1)
+	sha.claims[slot] = cla
+	second.newestMs = max(second.newestMs, cla.KeyTimeMs)
+	sha.count(second, cla, 1)
 }
 
-func (sha *Shard) ageOf(cla *Claim) *age {
-	sec := cla.KeyTimeMs / millisPerAge
-	old, ok := sha.ages[sec]
+func (sha *Shard) secondOf(cla *Claim) *keySecond {
+	unixSecond := cla.KeyTimeMs / millisPerSecond
+	second, ok := sha.seconds[unixSecond]
 	if ok {
-		return old
+		return second
 	}
-	if len(sha.ages) == 0 {
-		sha.oldest = sec
+	if len(sha.seconds) == 0 {
+		sha.oldestSecond = unixSecond
 	}
-	sha.oldest = min(sha.oldest, sec)
-	sha.ages[sec] = &age{}
-	return sha.ages[sec]
+	sha.oldestSecond = min(sha.oldestSecond, unixSecond)
+	sha.seconds[unixSecond] = &keySecond{}
+	return sha.seconds[unixSecond]
 }
 
-// remove takes the claim of a slot away, if there is one.
-func (sha *Shard) remove(slo string) {
-	cla, ok := sha.claims[slo]
+// remove removes the claim in a slot, if there is one.
+func (sha *Shard) remove(slot string) {
+	cla, ok := sha.claims[slot]
 	if !ok {
 		return
 	}
-	delete(sha.claims, slo)
-	sec := cla.KeyTimeMs / millisPerAge
-	old := sha.ages[sec]
-	sha.count(old, cla, -1)
-	if old.claims == 0 {
-		delete(sha.ages, sec)
+	delete(sha.claims, slot)
+	unixSecond := cla.KeyTimeMs / millisPerSecond
+	second := sha.seconds[unixSecond]
+	sha.count(second, cla, -1)
+	if second.claims == 0 {
+		delete(sha.seconds, unixSecond)
 	}
 }
 
-// count adds a claim to the sums of an age and the shard, or takes it away.
-func (sha *Shard) count(old *age, cla *Claim, sign int) {
-	size, ans := sign*cla.size(), sign*cla.answerSize()
-	old.claims += sign
-	old.bytes += size
-	old.answers += ans
+// count adds a claim to the totals of a second and of the shard, or subtracts it if sign
+// is -1.
+func (sha *Shard) count(second *keySecond, cla *Claim, sign int) {
+	size, bodySize := sign*cla.size(), sign*cla.bodySize()
+	second.claims += sign
+	second.bytes += size
+	second.bodyBytes += bodySize
 	sha.bytes += size
-	sha.answers += ans
+	sha.bodyBytes += bodySize
 }
 
-// shareOutcome replaces an outcome without body by an equal one.
+// shareOutcome replaces an outcome without a body by an equal one that other claims use,
+// to save memory.
 func (sha *Shard) shareOutcome(cla *Claim) {
 	out := cla.Outcome
 	if out == nil || len(out.GetBody()) > 0 {
 		return
 	}
 	key := sharedOutcome{status: out.GetStatus(), contentType: out.GetContentType(), truncated: out.GetTruncated()}
-	if old, ok := sha.outcomes[key]; ok {
+	if old, ok := sha.sharedOutcomes[key]; ok {
 		cla.Outcome = old
 		return
 	}
-	if len(sha.outcomes) < maxSharedOutcomes {
-		sha.outcomes[key] = out
+	if len(sha.sharedOutcomes) < maxSharedOutcomes {
+		sha.sharedOutcomes[key] = out
 	}
 }
 
-// forget drops the claims up to a key time.
-func (sha *Shard) forget(untilMs int64) {
+// dropUntil drops the claims with key times up to untilMs.
+func (sha *Shard) dropUntil(untilMs int64) {
 	if untilMs <= sha.forgottenMs {
 		return
 	}
 	sha.forgottenMs = untilMs
-	for _, sec := range sha.agesUntil(untilMs) {
-		for _, slo := range sha.ages[sec].slots {
-			if cla, ok := sha.claims[slo]; ok && cla.KeyTimeMs <= untilMs {
-				sha.remove(slo)
+	for _, unixSecond := range sha.secondsUntil(untilMs) {
+		for _, slot := range sha.seconds[unixSecond].slots {
+			if cla, ok := sha.claims[slot]; ok && cla.KeyTimeMs <= untilMs {
+				sha.remove(slot)
 			}
 		}
 	}
-	sha.oldest = untilMs / millisPerAge
+	sha.oldestSecond = untilMs / millisPerSecond
 }
 
-// dropBodies drops the bodies of outcomes up to a key time.
+// dropBodies drops the bodies of outcomes with key times up to untilMs.
 func (sha *Shard) dropBodies(untilMs int64) {
 	if untilMs <= sha.bodilessMs {
 		return
 	}
 	sha.bodilessMs = untilMs
-	for _, sec := range sha.agesUntil(untilMs) {
-		old := sha.ages[sec]
-		if old.answers == 0 {
+	for _, unixSecond := range sha.secondsUntil(untilMs) {
+		second := sha.seconds[unixSecond]
+		if second.bodyBytes == 0 {
 			continue
 		}
-		for _, slo := range old.slots {
-			cla, ok := sha.claims[slo]
+		for _, slot := range second.slots {
+			cla, ok := sha.claims[slot]
 			if !ok || cla.KeyTimeMs > untilMs || len(cla.Outcome.GetBody()) == 0 {
 				continue
 			}
-			sha.count(old, cla, -1)
+			sha.count(second, cla, -1)
 			cla = cla.withoutBody()
 			sha.shareOutcome(cla)
-			sha.claims[slo] = cla
-			sha.count(old, cla, 1)
+			sha.claims[slot] = cla
+			sha.count(second, cla, 1)
 		}
 	}
 }
 
-// agesUntil returns the seconds of claims up to that of a key time, oldest first.
-func (sha *Shard) agesUntil(untilMs int64) []int64 {
-	las := untilMs / millisPerAge
-	if len(sha.ages) == 0 || sha.oldest > las {
+// secondsUntil returns the seconds that have claims, up to the second of untilMs, in
+// ascending order.
+func (sha *Shard) secondsUntil(untilMs int64) []int64 {
+	last := untilMs / millisPerSecond
+	if len(sha.seconds) == 0 || sha.oldestSecond > last {
 		return nil
 	}
-	var secs []int64
-	for sec := range maps.Keys(sha.ages) {
-		if sec <= las {
-			secs = append(secs, sec)
+	var unixSeconds []int64
+	for unixSecond := range maps.Keys(sha.seconds) {
+		if unixSecond <= last {
+			unixSeconds = append(unixSeconds, unixSecond)
 		}
 	}
-	slices.Sort(secs)
-	return secs
+	slices.Sort(unixSeconds)
+	return unixSeconds
 }
--- a/process/journaler/shard_test.go
+++ b/process/journaler/shard_test.go
@@ -16,27 +16,27 @@
 
 var epoch = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 
-// parseChange reads a line such as "claim a body=x nonce=n1 time=0".
+// parseChange parses a line such as "claim a body=x nonce=n1 time=0".
 func parseChange(t *testing.T, line string) *messenger.ClaimCommit {
 	t.Helper()
-	fis := strings.Fields(line)
-	com := &messenger.ClaimCommit{Key: fis[1], BodyDigest: []byte("x"), Host: "host-0", KeyTimeMs: epoch.UnixMilli()}
-	ste, ok := messenger.ClaimCommit_Step_value["STEP_"+strings.ToUpper(fis[0])]
+	fields := strings.Fields(line)
+	com := &messenger.ClaimCommit{Key: fields[1], BodyDigest: []byte("x"), Host: "host-0", KeyTimeMs: epoch.UnixMilli()}
+	step, ok := messenger.ClaimCommit_Step_value["STEP_"+strings.ToUpper(fields[0])]
 	require.True(t, ok, line)
-	com.Step = messenger.ClaimCommit_Step(ste)
-	for _, fie := range fis[2:] {
-		nam, val, _ := strings.Cut(fie, "=")
-		switch nam {
+	com.Step = messenger.ClaimCommit_Step(step)
+	for _, field := range fields[2:] {
+		name, value, _ := strings.Cut(field, "=")
+		switch name {
 		case "body":
-			com.BodyDigest = []byte(val)
+			com.BodyDigest = []byte(value)
 		case "nonce":
-			com.Nonce = val
+			com.Nonce = value
 		case "time":
-			dur, err := time.ParseDuration(val)
+			d, err := time.ParseDuration(value)
 			require.NoError(t, err)
-			com.KeyTimeMs = epoch.Add(dur).UnixMilli()
+			com.KeyTimeMs = epoch.Add(d).UnixMilli()
 		case "outcome":
-			com.Outcome = &messenger.Outcome{Status: 200, Body: []byte(val)}
+			com.Outcome = &messenger.Outcome{Status: 200, Body: []byte(value)}
 		default:
 			require.Fail(t, "unknown field", line)
 		}
@@ -45,16 +45,16 @@
 }
 
 func formatShard(sha *Shard) string {
-	var lins []string
+	var lines []string
 	for _, cla := range sha.claims {
-		lins = append(lins, fmt.Sprintf("%s %s nonce=%s status=%d body=%q truncated=%v\n", cla.Key, [...]string{"held", "finished", "released"}[cla.State],
+		lines = append(lines, fmt.Sprintf("%s %s nonce=%s status=%d body=%q truncated=%v\n", cla.Key, [...]string{"held", "finished", "released"}[cla.State],
 			cla.Nonce, cla.Outcome.GetStatus(), cla.Outcome.GetBody(), cla.Outcome.GetTruncated()))
 	}
-	slices.Sort(lins)
+	slices.Sort(lines)
 	if sha.forgottenMs != 0 {
-		lins = append(lins, "forgotten "+time.UnixMilli(sha.forgottenMs).Sub(epoch).String()+"\n")
+		lines = append(lines, "forgotten "+time.UnixMilli(sha.forgottenMs).Sub(epoch).String()+"\n")
 	}
-	return strings.Join(lins, "")
+	return strings.Join(lines, "")
 }
 
 func formatResult(res *messenger.ClaimResult) string {
@@ -68,31 +68,32 @@
 	return out
 }
 
-// clone returns a shard with the same claims, by way of a segment.
+// clone returns a shard with the same claims, encoded and decoded as a segment.
 func clone(t testing.TB, sha *Shard) *Shard {
 	t.Helper()
-	val, err := segment{number: 7, through: 8, delta: Delta{sha.forgottenMs, sha.bodilessMs, sha.claims}}.encode()
+	value, err := segment{number: 7, through: 8, delta: Delta{sha.forgottenMs, sha.bodilessMs, sha.claims}}.encode()
 	require.NoError(t, err)
-	seg, err := decodeSegment(val)
+	seg, err := decodeSegment(value)
 	require.NoError(t, err)
 	require.Equal(t, []uint64{7, 8}, []uint64{seg.number, seg.through})
 	out := &Shard{}
-	out.take(seg.delta)
+	out.apply(seg.delta)
 	return out
 }
 
-// requireCodec checks the segment of a shard and the entry that leads to it.
-func requireCodec(t *testing.T, old, nex *Shard, del Delta) {
+// requireRoundTrip checks that a shard is the same after it was encoded as a segment, and
+// after its last change was encoded as an entry.
+func requireRoundTrip(t *testing.T, old, next *Shard, del Delta) {
 	t.Helper()
-	val, err := entry{8, del}.encode()
+	value, err := entry{8, del}.encode()
 	require.NoError(t, err)
-	ent, err := decodeEntry(val)
+	ent, err := decodeEntry(value)
 	require.NoError(t, err)
 	require.Equal(t, uint64(8), ent.seq)
-	old.take(ent.delta)
-	for _, dec := range []*Shard{clone(t, nex), old} {
-		require.Equal(t, formatShard(nex), formatShard(dec))
-		require.Equal(t, []int{nex.bytes, nex.answers}, []int{dec.bytes, dec.answers})
+	old.apply(ent.delta)
+	for _, decoded := range []*Shard{clone(t, next), old} {
+		require.Equal(t, formatShard(next), formatShard(decoded))
+		require.Equal(t, []int{next.bytes, next.bodyBytes}, []int{decoded.bytes, decoded.bodyBytes})
 	}
 }
 
@@ -102,116 +103,116 @@
 		datadriven.RunTest(t, path, func(t *testing.T, td *datadriven.TestData) string {
 			at := 0 * time.Second
 			if td.HasArg("at") {
-				var txt string
-				td.ScanArgs(t, "at", &txt)
+				var text string
+				td.ScanArgs(t, "at", &text)
 				var err error
-				at, err = time.ParseDuration(txt)
+				at, err = time.ParseDuration(text)
 				require.NoError(t, err)
 			}
 			var coms []*messenger.ClaimCommit
 			for line := range strings.Lines(td.Input) {
 				coms = append(coms, parseChange(t, line))
 			}
-			was := formatShard(sha)
+			before := formatShard(sha)
 			old := clone(t, sha)
-			del, ress, cha := sha.Evaluate(coms, epoch.Add(at))
-			require.Equal(t, was, formatShard(sha), "the shard changes by take only")
+			del, results, changed := sha.Evaluate(coms, epoch.Add(at))
+			require.Equal(t, before, formatShard(sha), "only apply changes the shard")
 			var bui strings.Builder
-			for _, res := range ress {
+			for _, res := range results {
 				bui.WriteString(formatResult(res) + "\n")
 			}
-			if !cha {
+			if !changed {
 				return bui.String() + "no write\n"
 			}
-			sha.take(del)
-			requireCodec(t, old, sha, del)
+			sha.apply(del)
+			requireRoundTrip(t, old, sha, del)
 			return bui.String() + "write\n" + formatShard(sha)
 		})
 	})
 }
 
-// finishedClaim returns the changes that claim and finish a numbered key.
-func finishedClaim(num, body int) []*messenger.ClaimCommit {
-	non := fmt.Sprintf("0193a000-0000-7000-8000-%012d", num)
-	one := &messenger.ClaimCommit{Key: "team/" + non, BodyDigest: make([]byte, 16), Host: "host-000", Nonce: non, KeyTimeMs: epoch.UnixMilli() + int64(num)}
-	fin := &messenger.ClaimCommit{Step: messenger.ClaimCommit_STEP_FINISH, Key: one.GetKey(), Nonce: non, Outcome: &messenger.Outcome{Status: 200, ContentType: "application/json", Body: make([]byte, body)}}
-	return []*messenger.ClaimCommit{one, fin}
+// finishedClaim returns the changes that claim and finish the key with a number.
+func finishedClaim(n, body int) []*messenger.ClaimCommit {
+	nonce := fmt.Sprintf("0193a000-0000-7000-8000-%012d", n)
+	claim := &messenger.ClaimCommit{Key: "team/" + nonce, BodyDigest: make([]byte, 16), Host: "host-000", Nonce: nonce, KeyTimeMs: epoch.UnixMilli() + int64(n)}
+	finish := &messenger.ClaimCommit{Step: messenger.ClaimCommit_STEP_FINISH, Key: claim.GetKey(), Nonce: nonce, Outcome: &messenger.Outcome{Status: 200, ContentType: "application/json", Body: make([]byte, body)}}
+	return []*messenger.ClaimCommit{claim, finish}
 }
 
 // filled returns a shard with a number of finished claims.
-func filled(t testing.TB, cou int) *Shard {
+func filled(t testing.TB, count int) *Shard {
 	var coms []*messenger.ClaimCommit
-	for num := range cou {
-		coms = append(coms, finishedClaim(num, 0)...)
+	for n := range count {
+		coms = append(coms, finishedClaim(n, 0)...)
 	}
 	sha := &Shard{}
 	del, _, _ := sha.Evaluate(coms, epoch)
-	sha.take(del)
-	require.Equal(t, cou, sha.Len())
+	sha.apply(del)
+	require.Equal(t, count, sha.Len())
 	return sha
 }
 
 // fill adds finished claims until the shard refuses one, and returns their number.
 func fill(t testing.TB, sha *Shard, body int) int {
 	const step = 1000
-	for cou := 0; ; {
+	for count := 0; ; {
 		var coms []*messenger.ClaimCommit
-		for num := cou; num < cou+step; num++ {
-			coms = append(coms, finishedClaim(num, body)...)
+		for n := count; n < count+step; n++ {
+			coms = append(coms, finishedClaim(n, body)...)
 		}
-		del, ress, _ := sha.Evaluate(coms, epoch)
-		sha.take(del)
-		for ind := 0; ind < len(ress); ind += 2 {
-			if ress[ind].GetState() == messenger.ClaimResult_STATE_FULL {
-				return cou
+		del, results, _ := sha.Evaluate(coms, epoch)
+		sha.apply(del)
+		for i := 0; i < len(results); i += 2 {
+			if results[i].GetState() == messenger.ClaimResult_STATE_FULL {
+				return count
 			}
-			require.Equal(t, messenger.ClaimResult_STATE_FINISHED, ress[ind+1].GetState())
-			cou++
+			require.Equal(t, messenger.ClaimResult_STATE_FINISHED, results[i+1].GetState())
+			count++
 		}
 	}
 }
 
 func TestShardFull(t *testing.T) {
 	sha := &Shard{}
-	cou := fill(t, sha, 2000)
-	require.Greater(t, cou, 5000, "bodies give way to claims")
-	val, err := segment{delta: Delta{claims: sha.claims}}.encode()
+	count := fill(t, sha, 2000)
+	require.Greater(t, count, 5000, "bodies are dropped to make room for claims")
+	value, err := segment{delta: Delta{claims: sha.claims}}.encode()
 	require.NoError(t, err)
-	require.LessOrEqual(t, len(val), sha.Bytes())
-	require.Equal(t, cou, sha.Len(), "no claim within the retention is dropped")
-	t.Log("claims a shard: " + strconv.Itoa(cou))
-
-	one := &messenger.ClaimCommit{Key: "team/0193a000-0000-7000-8000-000000000000", BodyDigest: make([]byte, 16), Nonce: "other", KeyTimeMs: epoch.UnixMilli()}
-	_, ress, cha := sha.Evaluate([]*messenger.ClaimCommit{one}, epoch)
-	require.False(t, cha)
-	require.Equal(t, messenger.ClaimResult_STATE_FINISHED, ress[0].GetState())
-	require.True(t, ress[0].GetOutcome().GetTruncated())
+	require.LessOrEqual(t, len(value), sha.Bytes())
+	require.Equal(t, count, sha.Len(), "no claim within the retention is dropped")
+	t.Log("claims a shard: " + strconv.Itoa(count))
+
+	com := &messenger.ClaimCommit{Key: "team/0193a000-0000-7000-8000-000000000000", BodyDigest: make([]byte, 16), Nonce: "other", KeyTimeMs: epoch.UnixMilli()}
+	_, results, changed := sha.Evaluate([]*messenger.ClaimCommit{com}, epoch)
+	require.False(t, changed)
+	require.Equal(t, messenger.ClaimResult_STATE_FINISHED, results[0].GetState())
+	require.True(t, results[0].GetOutcome().GetTruncated())
 }
 
-// TestWriters checks that hosts agree on the writer of a shard, that shards are
-// spread, and that the loss of a host moves its shards only.
+// TestWriters checks that hosts agree on the writer of a shard, that shards are spread
+// over hosts, and that the removal of a host changes the writers of its shards only.
 func TestWriters(t *testing.T) {
-	var liv []Member
-	for num := range 20 {
-		liv = append(liv, Member{ID: fmt.Sprintf("host-%02d", num)})
+	var live []Member
+	for n := range 20 {
+		live = append(live, Member{ID: fmt.Sprintf("host-%02d", n)})
 	}
 	owned := map[string]int{}
 	for sha := range uint32(Shards) {
-		best := Writers(sha, liv, liv[0])[0]
+		best := Writers(sha, live, live[0])[0]
 		owned[best.ID]++
-		for _, self := range liv {
-			wris := Writers(sha, liv, self)
-			require.Equal(t, best, wris[0], "all hosts name the same writer")
-			require.Equal(t, self, wris[len(wris)-1])
-			require.LessOrEqual(t, len(wris), maxForwards+1)
+		for _, self := range live {
+			writers := Writers(sha, live, self)
+			require.Equal(t, best, writers[0], "all hosts choose the same writer")
+			require.Equal(t, self, writers[len(writers)-1])
+			require.LessOrEqual(t, len(writers), maxForwards+1)
 		}
-		for ind, mem := range liv {
+		for i, mem := range live {
 			if mem == best {
 				continue
 			}
-			rest := append(slices.Clone(liv[:ind]), liv[ind+1:]...)
+			rest := append(slices.Clone(live[:i]), live[i+1:]...)
 			require.Equal(t, best, Writers(sha, rest, rest[0])[0])
 		}
 	}
-	require.Greater(t, len(owned), 14, "shards are spread")
+	require.Greater(t, len(owned), 14, "shards are spread over hosts")
 }
--- a/process/journaler/world_test.go
+++ b/process/journaler/world_test.go
@@ -11,13 +11,13 @@
 	"hemlockpin/request/claimer"
 )
 
-// The steps of a call at which a fault can strike, and the faults.
+// The steps of a call at which a fault can be injected, and the kinds of faults.
 var (
-	steps  = []string{"forward", "read", "write", "place", "dispatch", "finish", "release"}
-	faults = []string{"down", "outage", "lost", "late", "slow", "conflict", "foreign", "die-before", "die-after", "pause-answer", "pause-run"}
+	steps      = []string{"forward", "read", "write", "place", "dispatch", "finish", "release"}
+	faultKinds = []string{"down", "outage", "lost", "late", "slow", "conflict", "foreign", "die-before", "die-after", "pause-answer", "pause-run"}
 )
 
-// notApplicable says why a fault can't strike a step, or is empty.
+// notApplicable returns why a fault cannot occur at a step, or an empty string.
 func notApplicable(step, fault string) string {
 	if step != "place" {
 		return ""
@@ -29,38 +29,38 @@
 	return ""
 }
 
-// strike is one fault at one step. It strikes the first time that its call
-// comes to the step; an outage lasts until the world is healed.
-type strike struct {
-	step, fault string
-	done        bool
+// injectedFault is a fault at a step. It is injected the first time that its call reaches
+// the step; an outage lasts until all faults are ended.
+type injectedFault struct {
+	step, kind string
+	done       bool
 }
 
-// died unwinds the work of a host that dies.
-type died struct{ host string }
+// hostDied is the panic value that ends the work of a host that dies.
+type hostDied struct{ host string }
 
-// world joins the deciding code of hosts with one store and one service, all in
+// simulation runs the decisions of several hosts with one store and one service, in
 // memory and one step at a time.
-type world struct {
-	value   *Shard
-	version uint64
-	stales  int
-	// late holds what takes effect when the world heals.
-	late     []func()
-	settling []func() bool
-	runs     int
-	endless  bool
-	forwards bool
-	healed   bool
-	outage   map[string]bool
-	nested   []*simCall
+type simulation struct {
+	shard        *Shard
+	version      uint64
+	otherChanges int
+	// delayed holds effects that take place when the faults are ended.
+	delayed     []func()
+	retries     []func() bool
+	runs        int
+	serviceDown bool
+	forwards    bool
+	faultsEnded bool
+	outage      map[string]bool
+	otherCalls  []*simCall
 }
 
-// simCall is one call of the key on one host.
+// simCall is one call with the key on one host.
 type simCall struct {
-	wor     *world
+	sim     *simulation
 	host    string
-	strikes []*strike
+	faults  []*injectedFault
 	state   claimer.State
 	expired bool
 	dead    bool
@@ -68,12 +68,12 @@
 	ran     bool
 }
 
-func (wor *world) newCall(host string, strikes ...*strike) *simCall {
-	return &simCall{wor: wor, host: host, strikes: strikes, state: claimer.State{CallerKey: true}}
+func (sim *simulation) newCall(host string, faults ...*injectedFault) *simCall {
+	return &simCall{sim: sim, host: host, faults: faults, state: claimer.State{CallerKey: true}}
 }
 
-// system names what a step depends on, and what an outage at it takes away.
-func system(step string) string {
+// dependency returns what a step depends on and what an outage at it makes unavailable.
+func dependency(step string) string {
 	switch step {
 	case "read", "write", "finish", "release":
 		return "store"
@@ -82,38 +82,38 @@
 	}
 }
 
-// fault returns the fault that strikes a step of a call now.
-func (cal *simCall) fault(step string) string {
-	if cal.wor.outage[system(step)] && !cal.wor.healed {
+// nextFault returns the fault to inject at a step of the call now.
+func (cal *simCall) nextFault(step string) string {
+	if cal.sim.outage[dependency(step)] && !cal.sim.faultsEnded {
 		return "down"
 	}
-	for _, str := range cal.strikes {
-		if str.step == step && !str.done {
-			str.done = true
-			if str.fault == "outage" {
-				cal.wor.outage[system(step)] = true
+	for _, injected := range cal.faults {
+		if injected.step == step && !injected.done {
+			injected.done = true
+			if injected.kind == "outage" {
+				cal.sim.outage[dependency(step)] = true
 				return "down"
 			}
-			return str.fault
+			return injected.kind
 		}
 	}
 	return ""
 }
 
-// before carries out the part of a fault that comes before the effect of a step.
+// before carries out the part of a fault that precedes the effect of a step.
 func (cal *simCall) before(fault string) {
 	switch fault {
 	case "conflict":
-		cal.wor.touch()
+		cal.sim.changeOtherKey()
 	case "foreign":
-		cal.wor.repeat("foreign")
+		cal.sim.repeatOn("foreign")
 	case "die-before":
-		panic(died{cal.host})
+		panic(hostDied{cal.host})
 	case "pause-answer":
-		cal.wor.repeat("meanwhile")
+		cal.sim.repeatOn("meanwhile")
 		cal.expire()
 	case "pause-run":
-		cal.wor.repeat("meanwhile")
+		cal.sim.repeatOn("meanwhile")
 		cal.expired = true
 	}
 }
@@ -121,33 +121,34 @@
 func (cal *simCall) after(fault string) {
 	switch fault {
 	case "die-after":
-		panic(died{cal.host})
+		panic(hostDied{cal.host})
 	case "slow":
 		cal.expire()
 	}
 }
 
-// touch changes another key of the shard, as a second writer would.
-func (wor *world) touch() {
-	wor.stales++
-	com := &messenger.ClaimCommit{Key: "other" + strconv.Itoa(wor.stales), Nonce: "other", KeyTimeMs: epoch.UnixMilli()}
-	del, _, _ := wor.value.Evaluate([]*messenger.ClaimCommit{com}, epoch)
-	wor.put(del)
+// changeOtherKey changes another key of the shard, as a second writer would.
+func (sim *simulation) changeOtherKey() {
+	sim.otherChanges++
+	com := &messenger.ClaimCommit{Key: "other" + strconv.Itoa(sim.otherChanges), Nonce: "other", KeyTimeMs: epoch.UnixMilli()}
+	del, _, _ := sim.shard.Evaluate([]*messenger.ClaimCommit{com}, epoch)
+	sim.write(del)
 }
 
-// put writes a change. Who has read the shard keeps what was read.
-func (wor *world) put(del Delta) {
-	nex := &Shard{}
-	nex.take(Delta{wor.value.forgottenMs, wor.value.bodilessMs, wor.value.claims})
-	nex.take(del)
-	wor.value = nex
-	wor.version++
+// write replaces the shard by a changed copy, so that earlier readers keep what they
+// read.
+func (sim *simulation) write(del Delta) {
+	next := &Shard{}
+	next.apply(Delta{sim.shard.forgottenMs, sim.shard.bodilessMs, sim.shard.claims})
+	next.apply(del)
+	sim.shard = next
+	sim.version++
 }
 
-// repeat runs the same call on another host.
-func (wor *world) repeat(host string) {
-	cal := wor.newCall(host)
-	wor.nested = append(wor.nested, cal)
+// repeatOn runs the same call on another host.
+func (sim *simulation) repeatOn(host string) {
+	cal := sim.newCall(host)
+	sim.otherCalls = append(sim.otherCalls, cal)
 	cal.run()
 }
 
@@ -158,14 +159,15 @@
 	switch act := act.(type) {
 	case claimer.Release:
 		cal.settle(messenger.ClaimCommit_STEP_RELEASE, "release")
-		cal.tell(act.Fail)
+		cal.recordAnswer(act.Fail)
 	case claimer.Fail:
-		cal.tell(act)
+		cal.recordAnswer(act)
 	}
 }
 
-// tell notes what the caller is told, with the runs of the service so far.
-func (cal *simCall) tell(act claimer.Action) {
+// recordAnswer records the caller's answer. It marks an answer as false that reports that
+// the call did not run if the service has run it.
+func (cal *simCall) recordAnswer(act claimer.Action) {
 	if cal.answer != "" {
 		return
 	}
@@ -176,35 +178,35 @@
 		cal.answer = "Replayed"
 	case claimer.Fail:
 		cal.answer = act.Code + "/" + string(act.Ran)
-		if act.Ran == invoker.NotRun && cal.wor.runs > 0 {
+		if act.Ran == invoker.NotRun && cal.sim.runs > 0 {
 			cal.answer += "/FALSE"
 		}
 	}
 }
 
-// guard runs fun until it ends or the host dies in it.
-func (cal *simCall) guard(fun func()) {
+// runUntilDeath runs fn until it returns or the host dies in it.
+func (cal *simCall) runUntilDeath(fn func()) {
 	defer func() {
-		rec := recover()
-		if rec == nil {
+		recovered := recover()
+		if recovered == nil {
 			return
 		}
-		if die, ok := rec.(died); !ok || die.host != cal.host {
-			panic(rec)
+		if death, ok := recovered.(hostDied); !ok || death.host != cal.host {
+			panic(recovered)
 		}
 		cal.dead = true
 		if cal.answer == "" {
 			cal.answer = "cut"
 		}
 	}()
-	fun()
+	fn()
 }
 
-func (cal *simCall) run() { cal.guard(cal.decide) }
+func (cal *simCall) run() { cal.runUntilDeath(cal.decide) }
 
 func (cal *simCall) decide() {
 	res := cal.commit(messenger.ClaimCommit_STEP_CLAIM, "write")
-	// There is time for one pause.
+	// The time suffices for one pause.
 	var eve claimer.Event = claimer.Claimed{State: res.GetState(), Outcome: res.GetOutcome(), Message: res.GetMessage(), Left: time.Second}
 	for {
 		sta, act := cal.state.Next(eve)
@@ -219,55 +221,55 @@
 			eve = cal.dispatch()
 		case claimer.Record:
 			cal.settle(messenger.ClaimCommit_STEP_FINISH, "finish")
-			cal.tell(act)
+			cal.recordAnswer(act)
 			return
 		case claimer.Release:
 			cal.settle(messenger.ClaimCommit_STEP_RELEASE, "release")
-			cal.tell(act.Fail)
+			cal.recordAnswer(act.Fail)
 			return
 		default:
-			cal.tell(act)
+			cal.recordAnswer(act)
 			return
 		}
 	}
 }
 
 func (cal *simCall) place() claimer.Event {
-	fau := cal.fault("place")
-	cal.before(fau)
-	cal.after(fau)
-	if fau == "down" {
+	fault := cal.nextFault("place")
+	cal.before(fault)
+	cal.after(fault)
+	if fault == "down" {
 		return claimer.NoEndpoint{Message: "none"}
 	}
 	return claimer.Placed{}
 }
 
 func (cal *simCall) dispatch() claimer.Event {
-	fau := cal.fault("dispatch")
-	cal.before(fau)
-	if fau == "down" || cal.wor.endless && !cal.wor.healed {
-		cal.after(fau)
+	fault := cal.nextFault("dispatch")
+	cal.before(fault)
+	if fault == "down" || cal.sim.serviceDown && !cal.sim.faultsEnded {
+		cal.after(fault)
 		return claimer.Failed{Endpoint: "service-0", Ran: invoker.NotRun}
 	}
-	if fau == "late" {
-		cal.wor.late = append(cal.wor.late, func() { cal.effect() })
+	if fault == "late" {
+		cal.sim.delayed = append(cal.sim.delayed, func() { cal.runService() })
 		return claimer.Failed{Endpoint: "service-0", Ran: invoker.Unknown}
 	}
-	cal.effect()
-	cal.after(fau)
-	if fau == "lost" {
+	cal.runService()
+	cal.after(fault)
+	if fault == "lost" {
 		return claimer.Failed{Endpoint: "service-0", Ran: invoker.Unknown}
 	}
 	return claimer.Replied{Reply: invoker.ServiceReply{Status: 200}}
 }
 
-// effect is the service carrying out the call.
-func (cal *simCall) effect() {
-	cal.wor.runs++
+// runService carries out the call on the service.
+func (cal *simCall) runService() {
+	cal.sim.runs++
 	cal.ran = true
 }
 
-// settle commits a change now and, if that fails, again when the world heals.
+// settle commits a change now and, if that fails, again when the faults are ended.
 func (cal *simCall) settle(ste messenger.ClaimCommit_Step, step string) {
 	try := func() bool {
 		sta := cal.commit(ste, step).GetState()
@@ -276,10 +278,10 @@
 	if try() {
 		return
 	}
-	cal.wor.settling = append(cal.wor.settling, func() bool {
-		don := false
-		cal.guard(func() { don = cal.dead || try() })
-		return don || cal.dead
+	cal.sim.retries = append(cal.sim.retries, func() bool {
+		done := false
+		cal.runUntilDeath(func() { done = cal.dead || try() })
+		return done || cal.dead
 	})
 }
 
@@ -288,7 +290,7 @@
 	if ste == messenger.ClaimCommit_STEP_FINISH {
 		com.Outcome = &messenger.Outcome{Status: 200}
 	}
-	if !cal.wor.forwards || cal.host != "first" {
+	if !cal.sim.forwards || cal.host != "first" {
 		return cal.write(com, step, cal)
 	}
 	if res := cal.forward(com, step); res != nil {
@@ -296,138 +298,138 @@
 	}
 	res := cal.write(com, step, cal)
 	if res.GetState() == messenger.ClaimResult_STATE_NOT_COMMITTED {
-		// The forward may still take effect.
+		// The forwarded change may still take effect.
 		return unknown(res.GetMessage())
 	}
 	return res
 }
 
-// forward has another host write the change. It returns nil if no answer came.
+// forward lets another host write the change. It returns nil if no answer arrives.
 func (cal *simCall) forward(com *messenger.ClaimCommit, step string) *messenger.ClaimResult {
-	wri := &simCall{wor: cal.wor, host: "writer", strikes: cal.strikes}
-	fau := cal.fault("forward")
-	cal.before(fau)
-	switch fau {
+	wri := &simCall{sim: cal.sim, host: "writer", faults: cal.faults}
+	fault := cal.nextFault("forward")
+	cal.before(fault)
+	switch fault {
 	case "down":
 		return nil
 	case "late":
-		cal.wor.late = append(cal.wor.late, func() { wri.write(com, step, wri) })
+		cal.sim.delayed = append(cal.sim.delayed, func() { wri.write(com, step, wri) })
 		return nil
 	}
 	res := wri.serve(com, step)
-	cal.after(fau)
-	if fau == "lost" || res.GetState() == messenger.ClaimResult_STATE_UNKNOWN || res.GetState() == messenger.ClaimResult_STATE_NOT_COMMITTED {
+	cal.after(fault)
+	if fault == "lost" || res.GetState() == messenger.ClaimResult_STATE_UNKNOWN || res.GetState() == messenger.ClaimResult_STATE_NOT_COMMITTED {
 		return nil
 	}
 	return res
 }
 
-// serve writes a forwarded change and survives the death of the writer.
+// serve writes a forwarded change and returns even if the writer dies.
 func (cal *simCall) serve(com *messenger.ClaimCommit, step string) *messenger.ClaimResult {
 	res := unknown("the writer died")
-	cal.guard(func() { res = cal.write(com, step, cal) })
+	cal.runUntilDeath(func() { res = cal.write(com, step, cal) })
 	return res
 }
 
-// write drives a batch of one change against the store.
-func (cal *simCall) write(com *messenger.ClaimCommit, step string, at *simCall) *messenger.ClaimResult {
-	bat := NewBatch([]*messenger.ClaimCommit{com}, &Shard{}, 0, at.host == "repeat")
+// write runs a batch of one change against the store.
+func (cal *simCall) write(com *messenger.ClaimCommit, step string, target *simCall) *messenger.ClaimResult {
+	bat := NewBatch([]*messenger.ClaimCommit{com}, &Shard{}, 0, target.host == "repeat")
 	var eve Event = Started{}
-	at.expired = at.expired && com.GetStep() == messenger.ClaimCommit_STEP_CLAIM
+	target.expired = target.expired && com.GetStep() == messenger.ClaimCommit_STEP_CLAIM
 	for try := 0; ; try++ {
-		nex, act := bat.Next(eve, epoch)
-		bat = nex
+		next, act := bat.Next(eve, epoch)
+		bat = next
 		ans, ok := act.(Answer)
 		switch {
 		case ok:
 			return ans.Results[0]
-		case try > 8 || at.expired && try > 0:
+		case try > 8 || target.expired && try > 0:
 			eve = Expired{}
 		default:
-			eve = at.carryOut(act, step)
+			eve = target.carryOut(act, step)
 		}
 	}
 }
 
 func (cal *simCall) carryOut(act Action, step string) Event {
-	wor := cal.wor
+	sim := cal.sim
 	if _, ok := act.(Load); ok {
-		fau := cal.fault("read")
-		cal.before(fau)
-		val, ver := wor.value, wor.version
-		cal.after(fau)
-		if fau == "down" || fau == "lost" || fau == "late" || fau == "slow" {
-			return LoadFailed{fau}
+		fault := cal.nextFault("read")
+		cal.before(fault)
+		shard, version := sim.shard, sim.version
+		cal.after(fault)
+		if fault == "down" || fault == "lost" || fault == "late" || fault == "slow" {
+			return LoadFailed{fault}
 		}
-		return Loaded{val, ver}
+		return Loaded{shard, version}
 	}
 	sto, _ := act.(Store)
-	fau := cal.fault(step)
-	cal.before(fau)
+	fault := cal.nextFault(step)
+	cal.before(fault)
 	put := func() bool {
-		if sto.Version != wor.version {
+		if sto.Version != sim.version {
 			return false
 		}
-		wor.put(sto.Delta)
+		sim.write(sto.Delta)
 		return true
 	}
-	switch fau {
+	switch fault {
 	case "down":
-		return Refused{fau}
+		return Refused{fault}
 	case "late":
-		wor.late = append(wor.late, func() { put() })
-		return WriteUnknown{fau}
+		sim.delayed = append(sim.delayed, func() { put() })
+		return WriteUnknown{fault}
 	}
 	ok := put()
-	cal.after(fau)
+	cal.after(fault)
 	switch {
-	case fau == "lost" || fau == "slow":
-		return WriteUnknown{fau}
+	case fault == "lost" || fault == "slow":
+		return WriteUnknown{fault}
 	case !ok:
 		return Conflicted{}
 	default:
-		return Stored{wor.version}
+		return Stored{sim.version}
 	}
 }
 
-// heal ends the outage, lets late effects land and settles what is left.
-func (wor *world) heal() {
-	wor.healed = true
-	for _, fun := range wor.late {
-		fun()
+// endFaults ends the outage, carries out delayed effects and retries changes that failed.
+func (sim *simulation) endFaults() {
+	sim.faultsEnded = true
+	for _, fn := range sim.delayed {
+		fn()
 	}
-	for _, fun := range wor.settling {
+	for _, fn := range sim.retries {
 		for range 3 {
-			if fun() {
+			if fn() {
 				break
 			}
 		}
 	}
 }
 
-// play runs the first call under its strikes, a repeat on a second host, and
-// after the world has healed a repeat on a third.
-func play(strikes ...*strike) string {
-	wor := &world{value: &Shard{}, outage: map[string]bool{}}
-	for _, str := range strikes {
-		wor.endless = wor.endless || str.step == "release"
-		wor.forwards = wor.forwards || str.step == "forward"
-	}
-	fir := wor.newCall("first", strikes...)
-	fir.run()
-	rep := wor.newCall("repeat")
-	rep.run()
-	wor.heal()
-	lat := wor.newCall("later")
-	lat.run()
-	for _, cal := range append(wor.nested, fir, rep, lat) {
+// simulate runs the first call with its faults, a repeat on a second host and, after the
+// faults have ended, a repeat on a third host.
+func simulate(faults ...*injectedFault) string {
+	sim := &simulation{shard: &Shard{}, outage: map[string]bool{}}
+	for _, fault := range faults {
+		sim.serviceDown = sim.serviceDown || fault.step == "release"
+		sim.forwards = sim.forwards || fault.step == "forward"
+	}
+	first := sim.newCall("first", faults...)
+	first.run()
+	repeat := sim.newCall("repeat")
+	repeat.run()
+	sim.endFaults()
+	later := sim.newCall("later")
+	later.run()
+	for _, cal := range append(sim.otherCalls, first, repeat, later) {
 		if cal.ran && strings.Contains(cal.answer, string(invoker.NotRun)) {
 			cal.answer += "/FALSE"
 		}
 	}
-	out := fmt.Sprintf("first=%s repeat=%s later=%s", fir.answer, rep.answer, lat.answer)
-	for _, cal := range wor.nested {
+	out := fmt.Sprintf("first=%s repeat=%s later=%s", first.answer, repeat.answer, later.answer)
+	for _, cal := range sim.otherCalls {
 		out += fmt.Sprintf(" %s=%s", cal.host, cal.answer)
 	}
-	return out + fmt.Sprintf(" runs=%d", wor.runs)
+	return out + fmt.Sprintf(" runs=%d", sim.runs)
 }
--- a/process/journaler/writer.go
+++ b/process/journaler/writer.go
@@ -17,65 +17,66 @@
 )
 
 const (
-	// WritesPerShard bounds the writes a second of one shard by one writer, so
-	// that the store's rate is kept however many changes there are.
+	// WritesPerShard bounds the writes a second of one shard by one writer. It limits the
+	// load on the store whatever the number of changes.
 	WritesPerShard = 4
 	writeBurst     = 4
 
 	// maxBatch and maxBatchBytes bound the changes of one write.
 	maxBatch      = 4096
 	maxBatchBytes = 200_000
-	// storeTimeout bounds one call of the store.
+	// storeTimeout bounds one call to the store.
 	storeTimeout = 2 * time.Second
-	// The pauses between tries of a batch.
+	// minRetryPause and maxRetryPause bound the pause between attempts of a batch.
 	minRetryPause = 25 * time.Millisecond
 	maxRetryPause = time.Second
-	// restPeriod is how long a writer without changes keeps what it has read.
-	restPeriod = time.Minute
-	// joinWrites is the number of writes of a segment, which count against the
-	// rate of the shard.
-	joinWrites = 2
+	// idlePeriod is how long a writer without changes keeps the content of the log in
+	// memory.
+	idlePeriod = time.Minute
+	// segmentWrites is the number of writes for a segment: the segment and the head. They
+	// count towards WritesPerShard.
+	segmentWrites = 2
 )
 
-// waiter is one change that waits for its result.
+// waiter is a change that waits for its result.
 type waiter struct {
 	com      *messenger.ClaimCommit
 	deadline time.Time
 	done     chan *messenger.ClaimResult
 }
 
-// writer gathers the changes of one shard and commits them in batches. It runs
-// only while changes wait.
+// writer collects the changes of one shard and commits them in batches. It runs only
+// while changes wait.
 type writer struct {
 	jou *Journal
 
 	mu      sync.Mutex
 	queue   []*waiter
 	running bool
-	// rest forgets the log once no changes have come for restPeriod.
-	rest *time.Timer
+	// idleTimer drops the cached log if no change arrives for idlePeriod.
+	idleTimer *time.Timer
 
 	// The fields below belong to the running batch.
 	limiter *rate.Limiter
 	log     shardLog
 }
 
-func newWriter(jou *Journal, ind uint32) *writer {
-	log := shardLog{store: jou.Store, path: fmt.Sprintf("claims/%02d", ind), ring: ringEntries, segments: ringSegments}
+func newWriter(jou *Journal, shard uint32) *writer {
+	log := shardLog{store: jou.Store, path: fmt.Sprintf("claims/%02d", shard), ring: ringEntries, segmentRing: ringSegments}
 	if jou.ring > 0 {
-		log.ring, log.segments = jou.ring, jou.ring
+		log.ring, log.segmentRing = jou.ring, jou.ring
 	}
 	return &writer{jou: jou, limiter: rate.NewLimiter(WritesPerShard, writeBurst), log: log}
 }
 
-// commit waits for the result of one change. A change that was not picked up in
-// time is withdrawn.
+// commit queues a change and waits for its result. A change that is not in a batch when
+// ctx ends is withdrawn.
 func (wri *writer) commit(ctx context.Context, com *messenger.ClaimCommit) *messenger.ClaimResult {
-	dea, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok {
-		dea = wri.jou.now().Add(storeTimeout)
+		deadline = wri.jou.now().Add(storeTimeout)
 	}
-	wai := &waiter{com: com, deadline: dea, done: make(chan *messenger.ClaimResult, 1)}
+	wai := &waiter{com: com, deadline: deadline, done: make(chan *messenger.ClaimResult, 1)}
 	wri.add(wai)
 	select {
 	case res := <-wai.done:
@@ -96,38 +97,38 @@
 		return
 	}
 	wri.running = true
-	if wri.rest != nil {
-		wri.rest.Stop()
+	if wri.idleTimer != nil {
+		wri.idleTimer.Stop()
 	}
 	go wri.run()
 }
 
-// withdraw takes a change out of the queue and reports whether it was there.
+// withdraw removes a change from the queue and reports whether it was there.
 func (wri *writer) withdraw(wai *waiter) bool {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
-	for ind, one := range wri.queue {
-		if one == wai {
-			wri.queue = append(wri.queue[:ind:ind], wri.queue[ind+1:]...)
+	for i, other := range wri.queue {
+		if other == wai {
+			wri.queue = append(wri.queue[:i:i], wri.queue[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// more reports whether changes wait, and ends the run when there are none.
-func (wri *writer) more() bool {
+// continueRun reports whether changes wait. If there are none it marks the run as ended.
+func (wri *writer) continueRun() bool {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
 	wri.running = len(wri.queue) > 0
 	if !wri.running {
-		wri.rest = time.AfterFunc(restPeriod, wri.forget)
+		wri.idleTimer = time.AfterFunc(idlePeriod, wri.dropLog)
 	}
 	return wri.running
 }
 
-// forget gives the memory of the log back, unless changes came.
-func (wri *writer) forget() {
+// dropLog frees the memory of the cached log, unless new changes have arrived.
+func (wri *writer) dropLog() {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
 	if !wri.running {
@@ -135,47 +136,46 @@
 	}
 }
 
-// take removes the next batch from the queue.
-func (wri *writer) take() []*waiter {
+// nextBatch removes the changes of the next batch from the queue.
+func (wri *writer) nextBatch() []*waiter {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
-	lim := wri.jou.batch
-	if lim == 0 {
-		lim = maxBatch
+	limit := wri.jou.batchLimit
+	if limit == 0 {
+		limit = maxBatch
 	}
-	cou, size := 0, 0
-	for cou < min(len(wri.queue), lim) && size < maxBatchBytes {
-		size += newClaim(wri.queue[cou].com, ClaimHeld).size() + len(wri.queue[cou].com.GetOutcome().GetBody())
-		cou++
+	n, size := 0, 0
+	for n < min(len(wri.queue), limit) && size < maxBatchBytes {
+		size += newClaim(wri.queue[n].com, ClaimHeld).size() + len(wri.queue[n].com.GetOutcome().GetBody())
+		n++
 	}
-	wais := wri.queue[:cou:cou]
-	wri.queue = wri.queue[cou:]
+	wais := wri.queue[:n:n]
+	wri.queue = wri.queue[n:]
 	return wais
 }
 
 func (wri *writer) run() {
-	for wri.more() {
-		// The wait is where a batch gathers under load.
+	for wri.continueRun() {
+		// Under load, the changes of a batch arrive during this wait.
 		_ = wri.limiter.Wait(context.Background())
-		wais := wri.take()
+		wais := wri.nextBatch()
 		if len(wais) == 0 {
 			continue
 		}
-		ress := wri.batch(wais)
-		for ind, wai := range wais {
-			wai.done <- ress[ind]
+		results := wri.commitBatch(wais)
+		for i, wai := range wais {
+			wai.done <- results[i]
 		}
-		wri.shorten()
+		wri.compact()
 	}
 }
 
-// shorten joins the entries of the log when that is due. A failure leaves the
-// log as it is.
-func (wri *writer) shorten() {
+// compact writes a segment if one is due. A failure leaves the log as it is.
+func (wri *writer) compact() {
 	if !wri.log.segmentDue() {
 		return
 	}
-	_ = wri.limiter.WaitN(context.Background(), joinWrites)
+	_ = wri.limiter.WaitN(context.Background(), segmentWrites)
 	ctx, stop := context.WithTimeout(context.Background(), storeTimeout)
 	defer stop()
 	if err := wri.log.writeSegment(ctx); err != nil {
@@ -183,32 +183,32 @@
 	}
 }
 
-// batch carries out the decisions on one batch.
-func (wri *writer) batch(wais []*waiter) []*messenger.ClaimResult {
+// commitBatch carries out the actions of one batch.
+func (wri *writer) commitBatch(wais []*waiter) []*messenger.ClaimResult {
 	coms := make([]*messenger.ClaimCommit, 0, len(wais))
-	var dea time.Time
+	var deadline time.Time
 	for _, wai := range wais {
 		coms = append(coms, wai.com)
-		if wai.deadline.After(dea) {
-			dea = wai.deadline
+		if wai.deadline.After(deadline) {
+			deadline = wai.deadline
 		}
 	}
-	ctx, stop := context.WithDeadline(context.Background(), dea)
+	ctx, stop := context.WithDeadline(context.Background(), deadline)
 	defer stop()
-	bat := NewBatch(coms, &wri.log.shard, wri.log.seq, wri.log.known())
+	bat := NewBatch(coms, &wri.log.shard, wri.log.seq, wri.log.loaded())
 	bac := &backoff.ExponentialBackOff{InitialInterval: minRetryPause, MaxInterval: maxRetryPause, Multiplier: 2, RandomizationFactor: 0.5}
 	bac.Reset()
 	var eve Event = Started{}
 	for {
-		nex, act := bat.Next(eve, wri.jou.now())
-		bat = nex
+		next, act := bat.Next(eve, wri.jou.now())
+		bat = next
 		if ans, ok := act.(Answer); ok {
 			wri.jou.scope().Counter("claim_batches").Inc(1)
 			wri.jou.scope().Counter("claim_changes").Inc(int64(len(coms)))
 			return ans.Results
 		}
 		if loa, ok := act.(Load); ok && loa.Pause {
-			pause(ctx, bac.NextBackOff())
+			sleep(ctx, bac.NextBackOff())
 		}
 		eve = wri.carryOut(ctx, act)
 	}
@@ -228,9 +228,9 @@
 	}
 }
 
-func pause(ctx context.Context, dur time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
-	case <-time.After(dur):
+	case <-time.After(d):
 	case <-ctx.Done():
 	}
 }
@@ -245,7 +245,7 @@
 }
 
 func (wri *writer) store(ctx context.Context, sto Store) Event {
-	if !wri.log.known() || sto.Version != wri.log.seq {
+	if !wri.log.loaded() || sto.Version != wri.log.seq {
 		return Conflicted{}
 	}
 	ctx, stop := context.WithTimeout(ctx, storeTimeout)
@@ -265,7 +265,7 @@
 	}
 }
 
-// neverSent reports a failure before a connection was made.
+// neverSent reports whether the error occurred before a connection was made.
 func neverSent(err error) bool {
 	var ope *net.OpError
 	return errors.As(err, &ope) && ope.Op == "dial"
