--- a/process/leaser/holder.go
+++ b/process/leaser/holder.go
@@ -100,16 +100,16 @@
 }
 
 func (hol *Holder) write(ctx context.Context, sto Store) Event {
-	val, err := json.Marshal(sto.Lease)
+	value, err := json.Marshal(sto.Lease)
 	if err != nil {
 		return WriteUnknown{err.Error()}
 	}
 	ctx, stop := context.WithTimeout(ctx, storeTimeout)
 	defer stop()
-	ver, err := hol.Store.Put(ctx, persister.Object{Path: hol.path(), Version: sto.Version, Value: val})
+	version, err := hol.Store.Put(ctx, persister.Object{Path: hol.path(), Version: sto.Version, Value: value})
 	switch {
 	case err == nil:
-		return Stored{ver}
+		return Stored{version}
 	case eris.Is(err, persister.ErrConflict):
 		return Conflicted{}
 	default:
--- a/process/limiter/limiter.go
+++ b/process/limiter/limiter.go
@@ -116,13 +116,13 @@
 }
 
 func (buc *bucket) advance(hosts int, now time.Time) {
-	gap := now.Sub(buc.advanced)
-	if gap <= 0 {
+	elapsed := now.Sub(buc.advanced)
+	if elapsed <= 0 {
 		return
 	}
 	rate := buc.localRate(hosts, now)
-	buc.level = math.Min(buc.level+rate*gap.Seconds(), rate*Burst.Seconds())
-	buc.demand *= math.Exp(-gap.Seconds() / demandPeriod.Seconds())
+	buc.level = math.Min(buc.level+rate*elapsed.Seconds(), rate*Burst.Seconds())
+	buc.demand *= math.Exp(-elapsed.Seconds() / demandPeriod.Seconds())
 	buc.advanced = now
 }
 
--- a/process/reclaimer/runner.go
+++ b/process/reclaimer/runner.go
@@ -85,10 +85,10 @@
 }
 
 // mix is the finalizer of SplitMix64.
-func mix(val uint64) uint64 {
-	val = (val ^ val>>30) * 0xbf58476d1ce4e5b9
-	val = (val ^ val>>27) * 0x94d049bb133111eb
-	return val ^ val>>31
+func mix(x uint64) uint64 {
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	x = (x ^ x>>27) * 0x94d049bb133111eb
+	return x ^ x>>31
 }
 
 func (run *Runner) checkEngines(ctx context.Context, now time.Time) {
