--- a/process/grouper/grouper.go
+++ b/process/grouper/grouper.go
@@ -111,9 +111,9 @@
 	return sta, Reserve{Part: sta.Parts[sta.Held], Wait: sta.wait(now)}
 }
 
-func (sta State) giveUp(held int, lost bool, message string) (State, Action) {
+func (sta State) giveUp(held int, noAnswer bool, message string) (State, Action) {
 	engine := sta.Parts[sta.Held].Endpoint
-	return State{Parts: sta.Parts, Deadline: sta.Deadline}, GiveUp{Release: sta.Parts[:held], Engine: engine, NoAnswer: lost, Message: message}
+	return State{Parts: sta.Parts, Deadline: sta.Deadline}, GiveUp{Release: sta.Parts[:held], Engine: engine, NoAnswer: noAnswer, Message: message}
 }
 
 func (sta State) wait(now time.Time) time.Duration {
