--- a/process/allocator/cells.go
+++ b/process/allocator/cells.go
@@ -51,8 +51,8 @@
 // errNoScheduler means that no scheduler of the cell answered.
 var errNoScheduler = eris.New("allocator: no scheduler of the cell answered")
 
-// Caller calls another host: it sends a message and returns the reply.
-type Caller interface {
+// HostClient calls another host: it sends a message and returns the reply.
+type HostClient interface {
 	Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
 
@@ -64,7 +64,7 @@
 	Region      string
 	// Entries returns the entries of the platform's list.
 	Entries   func() []persister.Entry
-	Caller    Caller
+	Client    HostClient
 	Scheduler *scheduler.Scheduler
 	// OtherRegions has the digests of cells in other regions.
 	OtherRegions overflower.Digests
@@ -290,7 +290,7 @@
 	}
 	cel.mu.Unlock()
 	var out []host
-	for _, id := range scheduler.Candidates(cell, ids) {
+	for _, id := range scheduler.RankHosts(cell, ids) {
 		out = append(out, host{id, addresses[id]})
 		if len(out) == maxSchedulers {
 			break
--- a/process/allocator/move.go
+++ b/process/allocator/move.go
@@ -60,7 +60,7 @@
 func (cel *Cells) callMove(ctx context.Context, hos host, cell, id string) (*messenger.Grant, error) {
 	ctx, stop := context.WithTimeout(ctx, moveTimeout)
 	defer stop()
-	env, err := cel.Caller.Call(ctx, hos.address, &messenger.Envelope{Body: &messenger.Envelope_GrantRequest{
+	env, err := cel.Client.Call(ctx, hos.address, &messenger.Envelope{Body: &messenger.Envelope_GrantRequest{
 		GrantRequest: &messenger.GrantRequest{Cell: cell, AskId: id, Move: true},
 	}})
 	if err != nil {
--- a/process/allocator/overflow_test.go
+++ b/process/allocator/overflow_test.go
@@ -39,7 +39,7 @@
 			}
 			cel := &Cells{
 				Self: "self", Region: "near", Entries: func() []persister.Entry { return ents },
-				Caller: grantReplies{"far": tt.answer, "near": {Endpoint: "near-engine"}}, Scope: tally.NoopScope,
+				Client: grantReplies{"far": tt.answer, "near": {Endpoint: "near-engine"}}, Scope: tally.NoopScope,
 			}
 			all := &Allocator{Cells: cel}
 			req := placer.Request{ID: "r", Deadline: now.Add(time.Minute)}
--- a/process/assigner/planners.go
+++ b/process/assigner/planners.go
@@ -114,7 +114,7 @@
 		ids = append(ids, can.ID)
 	}
 	var out []host
-	for _, id := range scheduler.Candidates(pool, ids) {
+	for _, id := range scheduler.RankHosts(pool, ids) {
 		out = append(out, host{id, addresses[id]})
 		if len(out) == maxPlanners {
 			break
--- a/process/limiter/exchanger.go
+++ b/process/limiter/exchanger.go
@@ -86,7 +86,7 @@
 		ids = append(ids, hos.ID)
 		adds[hos.ID] = hos.Address
 	}
-	return adds[scheduler.Candidates("limits/"+strconv.Itoa(num), ids)[0]]
+	return adds[scheduler.RankHosts("limits/"+strconv.Itoa(num), ids)[0]]
 }
 
 func (exc *Exchanger) report(ctx context.Context, address string, dems []Demand, now time.Time) {
--- a/process/scheduler/cell.go
+++ b/process/scheduler/cell.go
@@ -285,9 +285,9 @@
 	return nil
 }
 
-// Suspected reports whether an engine may have failed, so that its load report is
-// read sooner.
-func (cel *Cell) Suspected(endpoint string) bool {
+// MayHaveFailed reports whether an engine may have failed, so that its load report
+// is read sooner.
+func (cel *Cell) MayHaveFailed(endpoint string) bool {
 	eng := cel.byID[endpoint]
 	return eng != nil && (eng.unreachable || eng.suspected)
 }
--- a/process/scheduler/pace.go
+++ b/process/scheduler/pace.go
@@ -59,7 +59,7 @@
 func (run *runningCell) dueEngines(interval time.Duration, now time.Time) []placer.Endpoint {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	return run.summaries.due(run.engines, interval, run.cell.Suspected, now)
+	return run.summaries.due(run.engines, interval, run.cell.MayHaveFailed, now)
 }
 
 func (run *runningCell) engineCount() int {
--- a/process/scheduler/partition.go
+++ b/process/scheduler/partition.go
@@ -65,8 +65,9 @@
 	return out
 }
 
-// Candidates returns the hosts in their order of preference for scheduling a cell.
-func Candidates(cell string, hosts []string) []string {
+// RankHosts sorts hosts by their rendezvous hash for a cell, the highest first. The
+// first host schedules the cell.
+func RankHosts(cell string, hosts []string) []string {
 	out := slices.Clone(hosts)
 	slices.SortFunc(out, func(a, b string) int {
 		return cmp.Or(cmp.Compare(rendezvousWeight(cell, b), rendezvousWeight(cell, a)), cmp.Compare(a, b))
--- a/process/scheduler/scheduler.go
+++ b/process/scheduler/scheduler.go
@@ -124,9 +124,9 @@
 	}
 }
 
-// OwnerRemoved drops the requests and releases the grants of a host's
-// incarnations up to the given one, in all cells.
-func (sch *Scheduler) OwnerRemoved(own OwnerRemoved) {
+// RemoveOwner drops the requests and releases the grants of a host's incarnations up
+// to the given incarnation, in all cells.
+func (sch *Scheduler) RemoveOwner(own OwnerRemoved) {
 	for _, run := range sch.runningCells() {
 		run.apply(own, sch.Clock())
 	}
--- a/process/server/schedule.go
+++ b/process/server/schedule.go
@@ -35,7 +35,7 @@
 	}
 	ser.cells = &allocator.Cells{
 		Self: ser.Settings.HostID, Incarnation: ser.Incarnation, Region: ser.Settings.Region,
-		Entries: ser.liveEntries, Caller: tracedPeers{ser.multiplexer}, Scheduler: ser.scheduler, Scope: ser.scope,
+		Entries: ser.liveEntries, Client: tracedPeers{ser.multiplexer}, Scheduler: ser.scheduler, Scope: ser.scope,
 	}
 	if all.Policy == placer.PolicyCell {
 		ser.watcher.PollLimit = cellPollLimit
@@ -101,7 +101,7 @@
 	for {
 		for _, per := range ser.gossiper.Peers() {
 			if old, ok := last[per.ID]; ok && per.Started > old {
-				ser.scheduler.OwnerRemoved(scheduler.OwnerRemoved{Host: per.ID, Incarnation: old})
+				ser.scheduler.RemoveOwner(scheduler.OwnerRemoved{Host: per.ID, Incarnation: old})
 			}
 			last[per.ID] = per.Started
 		}
