--- a/process/scheduler/asker.go
+++ b/process/scheduler/asker.go
@@ -16,8 +16,9 @@
 	// minDemandAge is the minimum time over which demand is averaged, so that
 	// the first work after the start does not count as a high load.
 	minDemandAge = 2 * time.Second
-	// shortHeadroom is the number of engines reserved for short prompts beyond
-	// their mean work, as a multiple of the square root of that work.
+	// shortHeadroom is the number of engines reserved for short prompts beyond the
+	// mean number that their prefills occupy, as a multiple of the square root of
+	// that number.
 	shortHeadroom = 1.2
 	// minShortShare is the minimum share of the engines reserved for short
 	// prompts.
@@ -27,10 +28,11 @@
 	CodeInfeasible = "deadline_infeasible"
 )
 
-// demand is an exponential average of how much of a resource is in use: engines
-// by the prefills of short or of long prompts, sequences or tokens of memory by
-// answers. Its zero value has no work.
+// demand is an exponential average of the use of a resource, such as busy engines,
+// running sequences or tokens of memory. Work is an amount of the resource multiplied
+// by the seconds for which it is used. The zero value has no work.
 type demand struct {
+	// sum is the decayed sum at updatedAt; since is the time of the first work.
 	sum       float64
 	updatedAt time.Time
 	since     time.Time
@@ -49,22 +51,22 @@
 	return dem.sum * math.Exp(-max(0, now.Sub(dem.updatedAt).Seconds())/demandPeriod.Seconds())
 }
 
-// mean returns the average over the time since the first work, corrected for a
-// time that is short compared with demandPeriod.
+// mean returns the average over the time since the first work. It corrects the bias of
+// the exponential average while that time is short compared with demandPeriod.
 func (dem demand) mean(now time.Time) float64 {
 	age := max(minDemandAge, now.Sub(dem.since))
 	return dem.decayed(now) / (1 - math.Exp(-age.Seconds()/demandPeriod.Seconds()))
 }
 
-// submit queues a request or refuses it. For one that has been granted, it repeats
-// the grant.
+// submit queues or refuses a new request. For a granted request it repeats the grant;
+// for a waiting request it only records the repetition.
 func (cel *Cell) submit(req Request, now time.Time) {
 	if gra := cel.grants[req.ID]; gra != nil {
 		cel.emitGrant(gra)
 		return
 	}
 	if cel.pending[req.ID] != nil {
-		cel.lastSeen[req.ID] = now
+		cel.repeatedAt[req.ID] = now
 		return
 	}
 	ent := cel.newEntry(req, now)
@@ -75,7 +77,7 @@
 		return
 	}
 	cel.pending[ent.id] = ent
-	cel.lastSeen[ent.id] = now
+	cel.repeatedAt[ent.id] = now
 	cel.queue.push(ent)
 	cel.countDemand(ent, now)
 }
@@ -100,11 +102,11 @@
 	ent := &entry{id: eve.ID, host: eve.Host, incarnation: eve.Incarnation, req: req, arrived: now}
 	ent.team = cel.queue.team(req.Team, req.Share)
 	cel.prefixes.match(req.Prefix, &ent.cachedBlocks)
-	var hit uint16
+	var mostCached uint16
 	for _, blocks := range ent.cachedBlocks {
-		hit = max(hit, blocks)
+		mostCached = max(mostCached, blocks)
 	}
-	uncached := max(1, req.PromptTokens-int64(hit)*hasher.BlockTokens)
+	uncached := max(1, req.PromptTokens-int64(mostCached)*hasher.BlockTokens)
 	prefill := cel.prefillTime(uncached)
 	ent.cost = float64(uncached + answerWeight*min(req.MaxTokens, typicalAnswerTokens))
 	ent.long = prefill >= longPrefill
@@ -113,8 +115,9 @@
 	return ent
 }
 
-// admit refuses a request that the engines of the cell cannot serve, or not in
-// time. It reports whether the request may be queued.
+// admit decides whether a request needs a group, and refuses a request that the
+// engines cannot serve or cannot serve in time. It reports whether the request may be
+// queued.
 func (cel *Cell) admit(ent *entry, now time.Time) bool {
 	available := cel.capacityFor(ent, now)
 	ent.group = ent.req.Need() > available.largest
@@ -162,9 +165,10 @@
 	return available
 }
 
-// relaxLatestStart gives a request without slack the time kept for its answer, as
-// the answer may be shorter than expected. A group prefills faster than the one
-// engine that the estimate is for, so for a group only the deadline counts.
+// relaxLatestStart moves latestStart later by the time reserved for the answer if the
+// request could not start in time otherwise, as the answer may be shorter than
+// expected. The estimate is for one engine and a group prefills faster, so the
+// latestStart of a group is its deadline.
 func (cel *Cell) relaxLatestStart(ent *entry, now time.Time) {
 	if ent.group {
 		ent.latestStart = ent.req.Deadline
@@ -175,25 +179,27 @@
 	}
 }
 
-// makeRoom frees a place in a full queue for a request of a team that has less
-// than its share of it, by refusing a request of the team furthest over its share.
-// It refuses the new request and returns false if there is no such team.
+// makeRoom frees a place in a full queue by refusing the last request of the team with
+// the most waiting requests relative to its share. If the team of the new request
+// would have at least as many relative to its own share, makeRoom refuses the new
+// request instead and returns false.
 func (cel *Cell) makeRoom(ent *entry, now time.Time) bool {
-	largest := cel.queue.mostOverShare()
+	top := cel.queue.mostWaitingPerShare()
 	own := float64(ent.team.waiting()+1) / ent.team.share
-	if largest == nil || largest == ent.team || float64(largest.waiting())/largest.share <= own {
+	if top == nil || top == ent.team || float64(top.waiting())/top.share <= own {
 		cel.refuse(ent.id, CodePoolFull, "too many requests wait for the pool", cel.queueWait(ent.team, ent.long, now))
 		return false
 	}
-	victim := largest.lastEntry()
-	cel.dequeue(victim)
-	cel.refuse(victim.id, CodePoolFull, "too many requests of the team wait for the pool", cel.queueWait(victim.team, victim.long, now))
+	last := top.lastEntry()
+	cel.dequeue(last)
+	cel.refuse(last.id, CodePoolFull, "too many requests of the team wait for the pool", cel.queueWait(last.team, last.long, now))
 	return true
 }
 
-// queueWait estimates the wait of a new request of the team: the prefill time of
-// all waiting requests of its class, or that of the team's own requests at the
-// team's share of the engines, whichever is less.
+// queueWait estimates the wait of a new request of the team: the prefill time of all
+// waiting short prompts, or of all waiting long prompts and groups if long is true. It
+// is at most the prefill time of the team's own such requests at the team's share of
+// the engines.
 func (cel *Cell) queueWait(tea *team, long bool, now time.Time) time.Duration {
 	var all, otherShares float64
 	for _, other := range cel.queue.active {
@@ -226,6 +232,7 @@
 	return rate
 }
 
+// prefillTime returns the time to prefill tokens at the mean rate of the engines.
 func (cel *Cell) prefillTime(tokens int64) time.Duration {
 	if len(cel.engines) == 0 {
 		return 0
@@ -233,7 +240,7 @@
 	return time.Duration(float64(tokens) * float64(len(cel.engines)) / cel.totalPrefillRate() * float64(time.Second))
 }
 
-// answerTime returns the expected time to decode an answer.
+// answerTime returns the expected time to decode an answer on the slowest engine.
 func (cel *Cell) answerTime(maxTokens int64) time.Duration {
 	var step time.Duration
 	for _, eng := range cel.engines {
@@ -242,8 +249,9 @@
 	return time.Duration(min(maxTokens, typicalAnswerTokens)) * step
 }
 
-// longLimit returns the number of engines that may prefill long prompts at the
-// same time.
+// longLimit returns the number of engines that may prefill long prompts at the same
+// time. If the pool sets no LongShare, these are all engines except the decoders or
+// the engines reserved for short prompts, whichever are more.
 func (cel *Cell) longLimit(now time.Time) int {
 	engines := len(cel.engines)
 	if cel.limits.LongShare > 0 {
--- a/process/scheduler/cell.go
+++ b/process/scheduler/cell.go
@@ -22,28 +22,33 @@
 	// sweepInterval is the minimum time between two scans for expired requests
 	// and grants.
 	sweepInterval = 100 * time.Millisecond
-	// typicalAnswerTokens bounds the expected length of an answer, of which only
-	// the maximum is known.
+	// typicalAnswerTokens is the assumed length of an answer, in tokens, if the
+	// request allows a longer one. Only the maximum length is known.
 	typicalAnswerTokens = 128
 )
 
 // Cell is the state of one cell. Next changes it. A Cell is not safe for
 // concurrent use. Its zero value is an empty cell.
 type Cell struct {
-	limits          Limits
-	engines         []*engine
-	byID            map[string]*engine
-	pending         map[string]*entry
-	lastSeen        map[string]time.Time
-	grants          map[string]*grant
+	limits  Limits
+	engines []*engine
+	byID    map[string]*engine
+	// pending, repeatedAt and grants are keyed by the ID of the Request event.
+	// repeatedAt is when the host last sent a waiting request.
+	pending    map[string]*entry
+	repeatedAt map[string]time.Time
+	grants     map[string]*grant
+	// grantsByRequest (the number of grants) and releasedAt (the end of the last
+	// grant) are keyed by Request.ID, as engines list it.
 	grantsByRequest map[string]int
 	releasedAt      map[string]time.Time
 	queue           queue
 	prefixes        prefixes
 	promise         *promise
-	// shortDemand and longDemand average the prefill work of short and of long
-	// prompts, in engines. answerDemand and answerMemory average the answers that
-	// can move to another engine, in sequences and in tokens of memory.
+	// shortDemand and longDemand are the mean numbers of engines that the prefills
+	// of short and of long prompts occupy. answerDemand and answerMemory are the
+	// mean number of sequences, and the mean memory in tokens, of the answers that
+	// can move to another engine.
 	shortDemand  demand
 	longDemand   demand
 	answerDemand demand
@@ -71,7 +76,7 @@
 	case Release:
 		cel.cancelOrRelease(eve.ID, now)
 	case Move:
-		cel.answerMove(eve.ID, now)
+		cel.replyToMove(eve.ID, now)
 	case Moved:
 		cel.finishMove(eve.ID, now)
 	case Stayed:
@@ -83,7 +88,7 @@
 	case Listing:
 		cel.applyListing(eve, now)
 	case OwnerRemoved:
-		cel.ownerRemoved(eve, now)
+		cel.removeOwner(eve, now)
 	case Limits:
 		cel.limits = eve
 	case Tick:
@@ -99,7 +104,7 @@
 	}
 	cel.byID = map[string]*engine{}
 	cel.pending = map[string]*entry{}
-	cel.lastSeen = map[string]time.Time{}
+	cel.repeatedAt = map[string]time.Time{}
 	cel.grants = map[string]*grant{}
 	cel.grantsByRequest = map[string]int{}
 	cel.releasedAt = map[string]time.Time{}
@@ -111,10 +116,10 @@
 // Granted returns the number of grants that have not ended.
 func (cel *Cell) Granted() int { return len(cel.grants) }
 
-// ExpectedWait returns the time in which the live engines prefill what is queued
-// and started, or maxRetryAfter if no engine is live.
+// ExpectedWait returns the time that the live engines need for the waiting prompts
+// and for the unfinished prefills, or maxRetryAfter if no engine is live.
 func (cel *Cell) ExpectedWait(now time.Time) time.Duration {
-	queued := cel.queue.promptTokens
+	tokens := cel.queue.promptTokens
 	var rate float64
 	for _, eng := range cel.engines {
 		eng.advance(now)
@@ -123,17 +128,17 @@
 		}
 		rate += eng.prefillRate()
 		for _, par := range eng.prefills {
-			queued += par.prefillLeft
+			tokens += par.prefillLeft
 		}
 	}
 	if rate == 0 {
 		return maxRetryAfter
 	}
-	return time.Duration(float64(queued) / rate * float64(time.Second))
+	return time.Duration(float64(tokens) / rate * float64(time.Second))
 }
 
 func (cel *Cell) refuse(id, code, message string, retry time.Duration) {
-	delete(cel.lastSeen, id)
+	delete(cel.repeatedAt, id)
 	cel.actions = append(cel.actions, Refuse{ID: id, Refuse: placer.Refuse{Code: code, Message: message, RetryAfter: min(maxRetryAfter, max(minRetryAfter, retry))}})
 }
 
@@ -141,7 +146,7 @@
 func (cel *Cell) dequeue(ent *entry) {
 	cel.queue.remove(ent)
 	delete(cel.pending, ent.id)
-	delete(cel.lastSeen, ent.id)
+	delete(cel.repeatedAt, ent.id)
 	if cel.promise != nil && cel.promise.entry == ent {
 		cel.cancelPromise()
 	}
@@ -159,7 +164,7 @@
 
 func (cel *Cell) release(gra *grant, now time.Time) {
 	for _, par := range gra.parts {
-		par.engine.suspected = par.engine.suspected || !gra.prefilled
+		par.engine.endedEarly = par.engine.endedEarly || !gra.prefilled
 		par.release(now)
 	}
 	cel.releaseTarget(gra, now)
@@ -171,8 +176,8 @@
 	}
 }
 
-// markPrefilled records that the prefill of a grant is done and, unless a group
-// did it, that the engine caches the prompt's blocks.
+// markPrefilled records that the prefill of a grant is done and, unless the grant is
+// a group's, that the engine caches the prompt's blocks.
 func (cel *Cell) markPrefilled(id string) {
 	gra := cel.grants[id]
 	if gra == nil || gra.prefilled {
@@ -205,8 +210,9 @@
 	cel.reconcile(eng, rep.Load, now)
 }
 
-// reconcile ends grants whose requests an engine no longer lists because the
-// notice of their end was lost. Reports without all sequences are ignored.
+// reconcile releases grants and cancels moves for which the notice of the end was
+// lost: the engine no longer lists the request. It ignores reports that do not list
+// all sequences.
 func (cel *Cell) reconcile(eng *engine, loa invoker.Load, now time.Time) {
 	if loa.Partial || len(loa.Sequences) < loa.Running {
 		return
@@ -217,18 +223,18 @@
 	}
 	for _, gra := range cel.grants {
 		isListed := listed[gra.entry.req.ID]
-		if target := gra.target; target != nil && target.engine == eng && target.requestLost(isListed, now) {
+		if target := gra.target; target != nil && target.engine == eng && target.updateMissing(isListed, now) {
 			cel.cancelMove(gra.entry.id, now)
 		}
-		if source := gra.parts[0]; source.engine == eng && source.requestLost(isListed, now) {
+		if source := gra.parts[0]; source.engine == eng && source.updateMissing(isListed, now) {
 			cel.releaseLost(gra, now)
 		}
 	}
 }
 
-// releaseLost releases a grant whose first engine no longer lists the request. If
-// a move is under way, the request now runs on the target, so it completes the
-// move instead.
+// releaseLost releases a grant whose first engine no longer lists the request. While
+// a move is under way, the request is assumed to run on the target, so releaseLost
+// completes the move instead.
 func (cel *Cell) releaseLost(gra *grant, now time.Time) {
 	if gra.target != nil {
 		cel.finishMove(gra.entry.id, now)
@@ -237,8 +243,9 @@
 	cel.release(gra, now)
 }
 
-// applyListing adds and removes engines. A removed engine that still has grants
-// is kept as leaving until they have ended, as it may be listed again.
+// applyListing adds and removes engines. An engine that is no longer listed but still
+// has grants is kept as leaving, as a later listing may contain it again. Otherwise,
+// the first listing after the end of its grants removes it.
 func (cel *Cell) applyListing(lis Listing, now time.Time) {
 	keep := map[string]bool{}
 	for _, end := range lis.Engines {
@@ -269,6 +276,8 @@
 	cel.engines = slices.DeleteFunc(cel.engines, func(eng *engine) bool { return !keep[eng.id] })
 }
 
+// addEngine adds an engine in the first free slot. It returns nil if the cell already
+// has maxSlots engines.
 func (cel *Cell) addEngine(id string, now time.Time) *engine {
 	var used uint64
 	for _, eng := range cel.engines {
@@ -289,7 +298,7 @@
 // is read sooner.
 func (cel *Cell) MayHaveFailed(endpoint string) bool {
 	eng := cel.byID[endpoint]
-	return eng != nil && (eng.unreachable || eng.suspected)
+	return eng != nil && (eng.unreachable || eng.endedEarly)
 }
 
 // markUnreachable stops new grants on an engine until its next report.
@@ -300,7 +309,7 @@
 	}
 }
 
-func (cel *Cell) ownerRemoved(own OwnerRemoved, now time.Time) {
+func (cel *Cell) removeOwner(own OwnerRemoved, now time.Time) {
 	for _, ent := range cel.pending {
 		if ent.host == own.Host && ent.incarnation <= own.Incarnation {
 			cel.dequeue(ent)
@@ -313,8 +322,9 @@
 	}
 }
 
-// sweep drops expired requests and those that their hosts no longer repeat, and
-// releases expired grants.
+// sweep refuses requests that can no longer start in time, drops requests that their
+// hosts no longer repeat, releases expired grants, and forgets old releases and
+// inactive teams.
 func (cel *Cell) sweep(now time.Time) {
 	if now.Sub(cel.lastSweep) < sweepInterval {
 		return
@@ -322,7 +332,7 @@
 	cel.lastSweep = now
 	for _, id := range sortedIDs(cel.pending) {
 		ent := cel.pending[id]
-		if !cel.refuseIfExpired(ent, now) && now.Sub(cel.lastSeen[id]) > repeatTimeout {
+		if !cel.refuseIfExpired(ent, now) && now.Sub(cel.repeatedAt[id]) > repeatTimeout {
 			cel.dequeue(ent)
 		}
 	}
@@ -336,11 +346,11 @@
 			delete(cel.releasedAt, id)
 		}
 	}
-	cel.queue.dropIdleTeams()
+	cel.queue.dropInactiveTeams()
 }
 
 // refuseIfExpired refuses a waiting request that can no longer start in time. It
-// reports whether it did.
+// reports whether it refused the request.
 func (cel *Cell) refuseIfExpired(ent *entry, now time.Time) bool {
 	if now.Before(ent.latestStart) {
 		return false
@@ -350,7 +360,7 @@
 	return true
 }
 
-// sortedIDs returns the request IDs in order, so that the order of actions does
+// sortedIDs returns the keys of pending in order, so that the order of actions does
 // not depend on the map's iteration order.
 func sortedIDs(pending map[string]*entry) []string {
 	ids := make([]string, 0, len(pending))
--- a/process/scheduler/cell_test.go
+++ b/process/scheduler/cell_test.go
@@ -22,6 +22,8 @@
 	now  time.Time
 }
 
+// TestCell runs the scripts of testdata/cell: faults, groups, moves, and short prompts
+// beside long prompts.
 func TestCell(t *testing.T) {
 	datadriven.Walk(t, "testdata/cell", func(t *testing.T, path string) {
 		scr := &scriptedCell{now: epoch}
@@ -36,8 +38,8 @@
 	case "engines":
 		return scr.engines(dat)
 	case "limits":
-		limit := Limits{MaxOutstanding: intArg(dat, "outstanding", 0), MaxWaiting: intArg(dat, "waiting", 0), LongShare: float64(intArg(dat, "long-percent", 0)) / 100}
-		return scr.next(limit)
+		limits := Limits{MaxOutstanding: intArg(dat, "outstanding", 0), MaxWaiting: intArg(dat, "waiting", 0), LongShare: float64(intArg(dat, "long-percent", 0)) / 100}
+		return scr.next(limits)
 	case "ask":
 		return scr.submit(dat)
 	case "prefilled":
@@ -92,7 +94,7 @@
 	return nil
 }
 
-// engines lists a number of engines and sends a report of each.
+// engines lists a number of engines and sends a report of each, unless silent=all.
 func (scr *scriptedCell) engines(dat *datadriven.TestData) string {
 	var lis Listing
 	for i := range intArg(dat, "count", 1) {
@@ -145,7 +147,8 @@
 	return normalize(out)
 }
 
-// blocks returns the complete blocks of a prompt that shares none with others.
+// blocks returns the complete blocks of a prompt that shares no block with the prompts
+// of other IDs.
 func blocks(id string, tokens int) []uint64 {
 	return hasher.Blocks(strings.Repeat(id, tokens*hasher.BytesPerToken/len(id)))
 }
@@ -189,6 +192,7 @@
 	return out
 }
 
+// normalize removes the - of events without actions, unless no output is left.
 func normalize(out string) string {
 	if out = strings.ReplaceAll(out, "-\n", ""); out == "" {
 		return "-\n"
--- a/process/scheduler/dispatcher.go
+++ b/process/scheduler/dispatcher.go
@@ -9,18 +9,17 @@
 	"hemlockpin/request/placer"
 )
 
-// lookahead is the number of teams whose first request has to wait after which a
-// pass over a class ends.
-const lookahead = 8
+// maxSkippedTeams bounds the teams that one pass over a class skips because their
+// first request cannot be granted.
+const maxSkippedTeams = 8
 
-// promiseTimeout is the lifetime of a promise. A request whose memory has not
-// become free by then gets no other promise for the same time, so that others can
-// be granted.
+// promiseTimeout is the lifetime of a promise. A request whose promise expires gets
+// no new promise for another promiseTimeout, so that other requests can be granted.
 const promiseTimeout = 10 * time.Second
 
-// shortShareBesidePromise is the share of an engine's memory that short prompts
-// may use in spite of a promise.
-const shortShareBesidePromise = 0.2
+// shortShareDespitePromise is the share of an engine's memory that short prompts may
+// use although the memory is promised to another request.
+const shortShareDespitePromise = 0.2
 
 // outcome is the result of an attempt to grant a request.
 type outcome int
@@ -29,7 +28,8 @@
 	granted outcome = iota
 	// mustWait means that no engine can start the request now.
 	mustWait
-	// lacksMemory means that only free memory is missing.
+	// lacksMemory means that an engine, or a group, has too little free memory for
+	// the request. Memory may then be promised to the request.
 	lacksMemory
 	// noEngine means that no engine of the cell can serve the request any more.
 	noEngine
@@ -40,14 +40,15 @@
 // block each other. Other requests still use the memory that is not promised.
 type promise struct {
 	entry *entry
-	// until bounds the time for which the promise may delay other requests.
-	until  time.Time
-	shares map[*engine]int64
+	// expires bounds the time for which the promise may delay other requests.
+	expires time.Time
+	// memory is the promised memory of each engine, in tokens.
+	memory map[*engine]int64
 }
 
-// dispatch grants all requests that can be granted. Short prompts come first:
-// they do not wait for engines that are busy with long prompts, and long prompts
-// have a share of the engines of their own.
+// dispatch grants all requests that can be granted. Short prompts come first, then
+// groups, then long prompts. longLimit keeps long prompts off some of the engines, so
+// that short prompts do not wait for long prompts.
 func (cel *Cell) dispatch(now time.Time) {
 	if cel.queue.count == 0 {
 		return
@@ -58,7 +59,7 @@
 			cel.cancelPromiseOn(eng)
 		}
 	}
-	if cel.promise != nil && !now.Before(cel.promise.until) {
+	if cel.promise != nil && !now.Before(cel.promise.expires) {
 		cel.promise.entry.promiseAfter = now.Add(promiseTimeout)
 		cel.cancelPromise()
 	}
@@ -69,7 +70,7 @@
 
 func (cel *Cell) dispatchClass(cla class, now time.Time) {
 	var skipped []*team
-	for len(skipped) < lookahead {
+	for len(skipped) < maxSkippedTeams {
 		tea := cel.queue.nextTeam(cla, skipped)
 		if tea == nil {
 			return
@@ -105,7 +106,8 @@
 }
 
 // longAllowed reports whether another engine may prefill a long prompt. While
-// another request has a promise, one engine of the limit is kept for that request.
+// another request has a promise, the limit is lower by one engine, which is kept for
+// that request.
 func (cel *Cell) longAllowed(ent *entry, now time.Time) bool {
 	limit := cel.longLimit(now)
 	for _, eng := range cel.engines {
@@ -121,7 +123,7 @@
 
 func (cel *Cell) trySingle(ent *entry, now time.Time) outcome {
 	var best *engine
-	var estimate time.Duration
+	var bestEstimate time.Duration
 	result := noEngine
 	avoidDecoders := ent.long && cel.canAvoidDecoders(ent, now)
 	for _, eng := range cel.engines {
@@ -129,15 +131,15 @@
 			continue
 		}
 		if avoidDecoders && eng.decoder {
-			result = worse(result, mustWait)
+			result = combineOutcomes(result, mustWait)
 			continue
 		}
 		if fit := cel.fits(ent, eng, ent.req.Need(), now); fit != granted {
-			result = worse(result, fit)
+			result = combineOutcomes(result, fit)
 			continue
 		}
-		if candidate := eng.timeToFirstToken(ent, int(ent.cachedBlocks[eng.slot])) + cel.placementPenalty(ent, eng); best == nil || candidate < estimate {
-			best, estimate = eng, candidate
+		if estimate := eng.timeToFirstToken(ent, int(ent.cachedBlocks[eng.slot])) + cel.placementPenalty(ent, eng); best == nil || estimate < bestEstimate {
+			best, bestEstimate = eng, estimate
 		}
 	}
 	if best == nil {
@@ -148,17 +150,17 @@
 	return granted
 }
 
-// worse combines the outcomes of two engines that cannot serve a request now.
+// combineOutcomes combines the outcomes of two engines that cannot start a request now.
 // lacksMemory has precedence, because it may lead to a promise.
-func worse(first, second outcome) outcome {
+func combineOutcomes(first, second outcome) outcome {
 	if first == lacksMemory || second == lacksMemory {
 		return lacksMemory
 	}
 	return mustWait
 }
 
-// fits returns granted if an engine can start a request now that takes the memory,
-// else mustWait or lacksMemory.
+// fits returns granted if the engine can start the request now and has the given
+// memory, in tokens, free for the request, else mustWait or lacksMemory.
 func (cel *Cell) fits(ent *entry, eng *engine, memory int64, now time.Time) outcome {
 	if !eng.live(now) {
 		return mustWait
@@ -173,17 +175,17 @@
 	if eng.prefillTime(eng.tokensAhead(ent.req.Priority)) > backlogWindow {
 		return mustWait
 	}
-	if eng.freeMemory()-promised >= memory || promised > 0 && eng.fitsBesidePromise(promised, memory) {
+	if eng.freeMemory()-promised >= memory || promised > 0 && eng.fitsDespitePromise(promised, memory) {
 		return granted
 	}
 	return lacksMemory
 }
 
-// fitsBesidePromise reports whether a short prompt may use memory that is promised
-// to another request. It may if the promise leaves shortShareBesidePromise of the
-// engine's total memory, and short prompts together do not exceed that share.
-func (eng *engine) fitsBesidePromise(promised, memory int64) bool {
-	limit := int64(shortShareBesidePromise * float64(eng.memory))
+// fitsDespitePromise reports whether a short prompt may use memory that is promised
+// to another request: the promise must leave shortShareDespitePromise of the engine's
+// total memory, and short prompts together must not exceed that share.
+func (eng *engine) fitsDespitePromise(promised, memory int64) bool {
+	limit := int64(shortShareDespitePromise * float64(eng.memory))
 	return promised <= eng.memory-limit && eng.shortUsed+memory <= limit && eng.freeMemory() >= memory
 }
 
@@ -193,7 +195,7 @@
 	if cel.promise == nil || cel.promise.entry == ent {
 		return 0
 	}
-	return cel.promise.shares[eng]
+	return cel.promise.memory[eng]
 }
 
 // canServe reports whether an engine is not leaving, is not excluded by the
@@ -209,9 +211,9 @@
 // the cell accounts for the prefill, is the one with the least work ahead,
 // preferably not a decoder.
 func (cel *Cell) tryGroup(ent *entry, now time.Time) outcome {
-	shares, all := cel.groupShares(ent, now)
+	shares, totalMemory := cel.memoryShares(ent, now)
 	if shares == nil {
-		if all < ent.req.Need() {
+		if totalMemory < ent.req.Need() {
 			return noEngine
 		}
 		return mustWait
@@ -245,49 +247,51 @@
 	return granted
 }
 
-type groupShare struct {
+// memoryShare is the memory of a group's request on one engine, in tokens.
+type memoryShare struct {
 	engine *engine
 	tokens int64
 }
 
-// groupShares divides a request over the engines of its promise, or without one
-// over those with the most free memory that are not promised to another request.
-// It also returns the total memory of all live engines that can serve the request.
-func (cel *Cell) groupShares(ent *entry, now time.Time) (shares []groupShare, all int64) {
+// memoryShares divides the memory of a request over the engines of its promise, then
+// over the engines with the most free memory. It skips engines with memory promised
+// to another request. shares is nil if the engines cannot hold the request.
+// totalMemory is the memory of all live engines that can serve the request, in tokens.
+func (cel *Cell) memoryShares(ent *entry, now time.Time) (shares []memoryShare, totalMemory int64) {
 	var engines []*engine
 	for _, eng := range cel.engines {
 		if !ent.canServe(eng) || !eng.live(now) {
 			continue
 		}
-		all += eng.memory
+		totalMemory += eng.memory
 		if cel.promisedToOthers(ent, eng) == 0 {
 			engines = append(engines, eng)
 		}
 	}
 	pro := cel.promise
 	slices.SortStableFunc(engines, func(a, b *engine) int {
-		if pro != nil && pro.entry == ent && (pro.shares[a] > 0) != (pro.shares[b] > 0) {
-			return cmp.Compare(pro.shares[b], pro.shares[a])
+		if pro != nil && pro.entry == ent && (pro.memory[a] > 0) != (pro.memory[b] > 0) {
+			return cmp.Compare(pro.memory[b], pro.memory[a])
 		}
 		return cmp.Compare(b.freeMemory(), a.freeMemory())
 	})
 	if pro == nil || pro.entry != ent {
-		cel.moveLeadFirst(ent, engines, now)
+		cel.putLeadFirst(ent, engines, now)
 	}
 	memory := make([]int64, len(engines))
 	for i, eng := range engines {
 		memory[i] = max(0, eng.memory-eng.foreign)
 	}
 	for i, tokens := range placer.Split(ent.req.Need(), memory) {
-		shares = append(shares, groupShare{engines[i], tokens})
+		shares = append(shares, memoryShare{engines[i], tokens})
 	}
-	return shares, all
+	return shares, totalMemory
 }
 
-// moveLeadFirst moves to the front the first engine that can start the prefill
-// now and has enough free memory for the largest share, so that the group
-// includes it.
-func (cel *Cell) moveLeadFirst(ent *entry, engines []*engine, now time.Time) {
+// putLeadFirst puts first the first engine that is not a decoder, can start the
+// prefill now and has enough free memory for the largest share, so that the group
+// includes that engine.
+func (cel *Cell) putLeadFirst(ent *entry, engines []*engine, now time.Time) {
 	for i, eng := range engines {
 		if !eng.decoder && float64(eng.freeMemory()) >= placer.GroupFill*float64(eng.memory) && cel.fits(ent, eng, 0, now) == granted {
 			copy(engines[1:i+1], engines[:i])
@@ -303,21 +307,21 @@
 	if cel.promise != nil || now.Before(ent.promiseAfter) {
 		return
 	}
-	pro := &promise{entry: ent, until: now.Add(promiseTimeout), shares: map[*engine]int64{}}
+	pro := &promise{entry: ent, expires: now.Add(promiseTimeout), memory: map[*engine]int64{}}
 	if ent.group {
-		shares, _ := cel.groupShares(ent, now)
+		shares, _ := cel.memoryShares(ent, now)
 		for _, share := range shares {
-			pro.shares[share.engine] = share.tokens
+			pro.memory[share.engine] = share.tokens
 		}
-	} else if eng := cel.engineWithMostFree(ent, now); eng != nil {
-		pro.shares[eng] = ent.req.Need()
+	} else if eng := cel.engineWithMostFreeMemory(ent, now); eng != nil {
+		pro.memory[eng] = ent.req.Need()
 	}
-	if len(pro.shares) > 0 {
+	if len(pro.memory) > 0 {
 		cel.promise = pro
 	}
 }
 
-func (cel *Cell) engineWithMostFree(ent *entry, now time.Time) *engine {
+func (cel *Cell) engineWithMostFreeMemory(ent *entry, now time.Time) *engine {
 	var best *engine
 	for _, eng := range cel.engines {
 		if !ent.canServe(eng) || !eng.live(now) || eng.memory-eng.foreign < ent.req.Need() {
@@ -334,7 +338,7 @@
 
 // cancelPromiseOn cancels a promise that includes memory on the engine.
 func (cel *Cell) cancelPromiseOn(eng *engine) {
-	if cel.promise != nil && cel.promise.shares[eng] > 0 {
+	if cel.promise != nil && cel.promise.memory[eng] > 0 {
 		cel.cancelPromise()
 	}
 }
--- a/process/scheduler/engine.go
+++ b/process/scheduler/engine.go
@@ -9,25 +9,28 @@
 )
 
 const (
-	// chunkTime is the duration of a prefill chunk. An engine finishes the chunk
-	// of a prompt of lower priority before it starts one of higher priority.
+	// chunkTime is the duration of a prefill chunk. An engine finishes a chunk of a
+	// lower-priority prompt before it starts a prompt of higher priority.
 	chunkTime = 20 * time.Millisecond
-	// backlogWindow is the prefill work up to which an engine gets further
-	// prompts. More would wait in the engine's own queue, where the cell can't
-	// reorder it.
+	// backlogWindow is the prefill time of an engine's unfinished prompts up to
+	// which the engine gets further prompts. Prompts beyond it would wait in the
+	// engine's own queue, where the cell cannot reorder them.
 	backlogWindow = 15 * time.Millisecond
 	// The notice of a first token counts as lost after overdueFactor times the
 	// expected time to the first token, plus overdueGrace.
 	overdueFactor = 2
 	overdueGrace  = 200 * time.Millisecond
-	// reportTimeout is the age of its last load report at which an engine gets no
-	// more grants.
+	// reportTimeout is the age of an engine's last load report above which the
+	// engine gets no grants.
 	reportTimeout = 20 * time.Second
 	// releasedGrace is the time for which load reports may still list a request
-	// that has ended. Until then, its memory is not counted as foreign.
+	// that has ended; its memory is not counted as foreign until then. It is also
+	// the time for which reports must not list a granted request before the grant
+	// ends.
 	releasedGrace = time.Second
-	// missingGrace is the time after a grant before which a report need not list
-	// its request yet. Afterwards, a missing request counts as ended.
+	// missingGrace is the time after a grant during which reports need not list the
+	// request. Later, a request that reports do not list for releasedGrace counts
+	// as ended.
 	missingGrace = 5 * time.Second
 	// runningPenalty is added to an engine's estimate for each running sequence,
 	// so that engines with fewer sequences are preferred.
@@ -42,18 +45,21 @@
 type engine struct {
 	id      string
 	address string
-	slot    int
-	models  []string
+	// slot is the engine's bit in the masks of prefixes.
+	slot   int
+	models []string
 	// listedLeaving reports whether the engine is listed as leaving or no longer
 	// listed, leaving whether its own report says that it leaves.
 	listedLeaving bool
 	leaving       bool
 	incarnation   uint64
-	// unreachable reports whether the last read of a report failed, suspected
+	// unreachable reports whether the last read of a report failed, endedEarly
 	// whether a request has ended before its first token since the last report.
 	unreachable bool
-	suspected   bool
+	endedEarly  bool
 
+	// memory is the total memory, in tokens; reportedRate is the prefill rate, in
+	// tokens a second; stepTime is the duration of a decode step.
 	memory       int64
 	reportedRate float64
 	stepTime     time.Duration
@@ -63,14 +69,14 @@
 	foreign        int64
 	foreignPrefill int64
 
-	// used, running and prefills are the memory, the number and the unfinished
-	// prefills of the cell's own grants. The prefills are in the order in which
-	// the engine runs them.
+	// used is the memory of the cell's own grants on the engine, in tokens.
 	used int64
-	// shared is the part of used that holds cached blocks of prefilled prompts.
-	shared int64
+	// cachedMemory is the part of used that holds cached blocks of prefilled prompts.
+	cachedMemory int64
 	// shortUsed is the part of used that belongs to short prompts.
-	shortUsed  int64
+	shortUsed int64
+	// running is the number of the cell's own grants on the engine, prefills their
+	// unfinished prefills in the order in which the engine runs them.
 	running    int
 	prefills   []*part
 	advancedAt time.Time
@@ -80,16 +86,17 @@
 	incomingMoves int
 }
 
-// part is what a grant takes of one engine.
+// part is the memory and the prefill work of a grant on one engine.
 type part struct {
 	grant  *grant
 	engine *engine
 	memory int64
-	// shared is the part of memory that holds cached blocks, which later prompts
-	// can use.
-	shared int64
-	// prefillLeft is the number of prompt tokens still to prefill. It is estimated
-	// from the rate and stays at 1 until the first token is reported.
+	// cachedMemory is the part of memory that holds cached blocks, which later
+	// prompts can use.
+	cachedMemory int64
+	// prefillLeft is the number of prompt tokens still to prefill. The estimate
+	// decreases with the engine's prefill rate, but not below 1 until the first
+	// token is reported.
 	prefillLeft int64
 	// overdue is the time after which the notice of the first token counts as
 	// lost.
@@ -107,10 +114,10 @@
 	expires   time.Time
 	prefilled bool
 	// target is the memory on the engine that the request moves to, nil unless a
-	// move is under way. moveAnswer is the reply to the first Move, which a
-	// repeated one gets, too.
-	target     *part
-	moveAnswer Action
+	// move is under way. moveReply is the reply to Move; a repeated Move gets the
+	// same reply.
+	target    *part
+	moveReply Action
 }
 
 // release frees the memory of a part on its engine.
@@ -119,9 +126,10 @@
 	par.engine.removePart(par)
 }
 
-// requestLost records whether the engine's report lists the request of a part. It
-// reports whether the request has been missing for longer than releasedGrace.
-func (par *part) requestLost(listed bool, now time.Time) bool {
+// updateMissing records whether a load report lists the request of a part. It returns
+// true if the request counts as ended: reports have not listed it for releasedGrace,
+// not counting the first missingGrace after the grant.
+func (par *part) updateMissing(listed bool, now time.Time) bool {
 	switch {
 	case listed || now.Sub(par.grantedAt) < missingGrace:
 		par.missingSince = time.Time{}
@@ -177,19 +185,20 @@
 	return (chunkTime + eng.stepTime).Seconds() / chunkTime.Seconds()
 }
 
-// tokensAhead returns the prompt tokens that the engine prefills before a new
-// prompt of the priority: those of the same or a higher priority, and at most one
-// chunk of a lower one.
+// tokensAhead returns the prompt tokens that the engine prefills before a new prompt
+// of the given priority: all tokens of prompts of the same or a higher priority, at
+// most one chunk of prompts of lower priority, and the estimate for requests that this
+// cell has not granted.
 func (eng *engine) tokensAhead(priority int) int64 {
-	var same, lower int64
+	var sameOrHigher, lower int64
 	for _, par := range eng.prefills {
 		if par.grant.entry.req.Priority >= priority {
-			same += par.prefillLeft
+			sameOrHigher += par.prefillLeft
 		} else {
 			lower += par.prefillLeft
 		}
 	}
-	return same + min(lower, eng.chunkTokens()) + eng.foreignPrefill
+	return sameOrHigher + min(lower, eng.chunkTokens()) + eng.foreignPrefill
 }
 
 // busyWithLong reports whether the engine prefills a long prompt that it does not
@@ -239,8 +248,8 @@
 
 func (eng *engine) removePart(par *part) {
 	eng.chargeMemory(par, -par.memory)
-	eng.shared -= par.shared
-	par.shared = 0
+	eng.cachedMemory -= par.cachedMemory
+	par.cachedMemory = 0
 	eng.running--
 	eng.finishPrefill(par)
 }
@@ -258,11 +267,11 @@
 }
 
 // acceptReport updates the engine's model from its load report. known reports
-// whether a request is the cell's own or has just ended.
+// whether the cell has a grant for a Request.ID, or released one within releasedGrace.
 func (eng *engine) acceptReport(loa invoker.Load, known func(requestID string) bool, now time.Time) {
 	eng.advance(now)
 	eng.reportedAt = now
-	eng.unreachable, eng.suspected = false, false
+	eng.unreachable, eng.endedEarly = false, false
 	eng.memory = loa.MemoryTokens
 	eng.reportedRate = loa.PrefillRate
 	eng.stepTime = time.Duration(loa.StepMs * float64(time.Millisecond))
@@ -287,8 +296,8 @@
 	}
 }
 
-// timeToFirstToken returns the expected time to the first token of a request, with
-// a small penalty for the sequences that share the engine.
+// timeToFirstToken returns the expected time to the first token of a request, plus
+// runningPenalty for each running sequence.
 func (eng *engine) timeToFirstToken(ent *entry, cachedBlocks int) time.Duration {
 	uncached := max(1, ent.req.PromptTokens-int64(cachedBlocks)*hasher.BlockTokens)
 	estimate := eng.prefillTime(eng.tokensAhead(ent.req.Priority)+uncached) + time.Duration(eng.running)*runningPenalty
@@ -297,8 +306,8 @@
 		estimate = time.Duration(float64(estimate) * eng.slowdown())
 	}
 	if eng.mayPrefillLong() {
-		// The engine fills the chunk that prefills this request up with tokens of
-		// the long prompt, so that it takes the full chunk time.
+		// The engine fills the rest of this request's chunk with tokens of the long
+		// prompt, so the chunk takes the full chunkTime.
 		estimate += chunkTime
 	}
 	return estimate
--- a/process/scheduler/event.go
+++ b/process/scheduler/event.go
@@ -11,10 +11,12 @@
 // Release, Report, Unreachable, Listing, OwnerRemoved, Limits or Tick.
 type Event interface{ event() }
 
-// Request asks for an endpoint. A repetition has the same ID and is not queued
-// again.
+// Request is a request for an engine, or for memory on a group of engines. A host
+// repeats a waiting request with the same ID; the cell queues it only once.
 type Request struct {
-	// ID is the request ID; the grant has the same ID.
+	// ID identifies the request to the cell, and its grant. A request that is
+	// placed again has a new ID but the same Request.ID, which engines list in
+	// their reports.
 	ID          string
 	Host        string
 	Incarnation uint64
@@ -27,10 +29,10 @@
 // Prefilled reports that the first token of a grant has arrived.
 type Prefilled struct{ ID string }
 
-// Release ends a grant.
+// Release ends a grant, or drops the request if it still waits.
 type Release struct{ ID string }
 
-// Move asks for an engine that decodes the rest of a prefilled grant's answer. A
+// Move requests an engine that decodes the rest of a prefilled grant's answer. A
 // repeated Move gets the same reply.
 type Move struct{ ID string }
 
@@ -53,20 +55,19 @@
 // Listing lists all engines of the cell.
 type Listing struct{ Engines []placer.Endpoint }
 
-// OwnerRemoved reports that a host's incarnation has ended, which ends its waiting
-// requests and its grants.
+// OwnerRemoved reports that an incarnation of a host, and all earlier incarnations,
+// have ended. The cell drops their waiting requests and releases their grants.
 type OwnerRemoved struct {
 	Host string
-	// Incarnation is the last incarnation that has ended; earlier ones have
-	// ended, too.
+	// Incarnation is the highest incarnation that has ended.
 	Incarnation uint64
 }
 
-// Limits are the limits of the pool.
+// Limits are the limits of the pool, which each of its cells applies to itself.
 type Limits struct {
 	// MaxOutstanding bounds the grants on one engine; 0 means no limit.
 	MaxOutstanding int
-	// MaxWaiting bounds the waiting requests; 0 means no limit.
+	// MaxWaiting bounds the waiting requests of the cell; 0 means no limit.
 	MaxWaiting int
 	// LongShare is the share of the engines that may prefill long prompts at the
 	// same time; 0 means all engines except those that short prompts need for
@@ -74,7 +75,8 @@
 	LongShare float64
 }
 
-// Tick has the cell check for expiry and grant what has become possible.
+// Tick lets the cell drop expired requests and grants, and grant the requests that
+// can start now.
 type Tick struct{}
 
 func (Request) event()      {}
@@ -133,13 +135,22 @@
 
 // Codes of refusals.
 const (
-	CodeNoEndpoint  = "no_endpoint"
-	CodeOverloaded  = "overloaded"
-	CodePoolFull    = "pool_full"
-	CodeTooLarge    = "prompt_too_large"
+	// CodeNoEndpoint means that no listed engine can serve the request.
+	CodeNoEndpoint = "no_endpoint"
+	// CodeOverloaded means that the request cannot start in time.
+	CodeOverloaded = "overloaded"
+	// CodePoolFull means that too many requests wait in the cell.
+	CodePoolFull = "pool_full"
+	// CodeTooLarge means that the prompt exceeds the memory of all live engines
+	// together.
+	CodeTooLarge = "prompt_too_large"
+	// CodeUnavailable means that listed engines can serve the request but none of
+	// them is live, or that the host does not know the cell.
 	CodeUnavailable = "cell_unavailable"
 )
 
+// minRetryAfter and maxRetryAfter bound the RetryAfter of refusals. maxRetryAfter is
+// also the expected wait of a cell without a live engine.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
--- a/process/scheduler/holders.go
+++ b/process/scheduler/holders.go
@@ -26,6 +26,7 @@
 // fullReportPacer decides when full load reports are read. It is a leaky bucket
 // for the traffic of one cell. Its zero value allows a burst.
 type fullReportPacer struct {
+	// spent is the level of the bucket, in bytes.
 	spent     float64
 	updatedAt time.Time
 	reads     map[string]fullReportRead
@@ -49,7 +50,7 @@
 	switch {
 	case now.Sub(last) < fullReportInterval:
 		return false
-	case pac.spent+cost > fullReportBurst/2 && pac.anyOlderThan(last):
+	case pac.spent+cost > fullReportBurst/2 && pac.anyReadBefore(last):
 		return false
 	case pac.spent > 0 && pac.spent+cost > fullReportBurst:
 		return false
@@ -59,9 +60,10 @@
 	return true
 }
 
-// anyOlderThan reports whether any engine whose report is still wanted was last
-// read before the given time. It drops engines past fullReportExpiry.
-func (pac *fullReportPacer) anyOlderThan(at time.Time) bool {
+// anyReadBefore reports whether the full report of another engine, if it is still
+// wanted, was last read before the given time. It forgets engines whose report has not
+// been wanted for fullReportExpiry.
+func (pac *fullReportPacer) anyReadBefore(at time.Time) bool {
 	for id, other := range pac.reads {
 		if pac.updatedAt.Sub(other.wantedAt) > fullReportExpiry {
 			delete(pac.reads, id)
--- a/process/scheduler/holders_test.go
+++ b/process/scheduler/holders_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFullReportPace reads a cell of 64 busy engines as the scheduler does. It
-// checks that the traffic stays within its limit and that every engine is read.
+// TestFullReportPace wants the full report of each of 64 busy engines every 4 s for
+// 20 minutes. The traffic must stay within its limit, and every engine must be read.
 func TestFullReportPace(t *testing.T) {
 	const (
 		engines   = 64
@@ -22,6 +22,7 @@
 	for elapsed := time.Duration(0); elapsed < period; elapsed += time.Second {
 		for i := range engines {
 			id := fmt.Sprint(i)
+			// Each second, a quarter of the engines is tried.
 			if int(elapsed/time.Second)%4 == i/16 && pac.due(id, sequences, epoch.Add(elapsed)) {
 				reads[id]++
 				total++
@@ -36,8 +37,8 @@
 	}
 }
 
-// TestFullReportsOfSmallCell checks that engines of a small cell are read at once
-// and then once per interval.
+// TestFullReportsOfSmallCell checks that the full reports of a small cell's engines are
+// read at once and then once per interval.
 func TestFullReportsOfSmallCell(t *testing.T) {
 	var pac fullReportPacer
 	require.True(t, pac.due("a", 5, epoch))
--- a/process/scheduler/matrix_test.go
+++ b/process/scheduler/matrix_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	requestLimit = 20 * time.Second
-	scenarioStep = 250 * time.Millisecond
+	requestTimeout = 20 * time.Second
+	scenarioStep   = 250 * time.Millisecond
 )
 
 var (
@@ -32,23 +32,25 @@
 // that fill the memory.
 type scenario struct {
 	scriptedCell
-	engines     []string
-	request     Request
-	hostSilent  bool
+	engines []string
+	request Request
+	// hostStopped reports whether x's host no longer repeats the request.
+	hostStopped bool
+	// unreachable, unlisted and leaving are the IDs of engines, empty for none.
 	unreachable string
 	unlisted    string
 	leaving     string
 	foreign     int64
-	// held is the memory that engines use in fact, in tokens, by request and
-	// engine.
+	// held is the memory that the load reports show, in tokens, by request and
+	// engine. A grant on one engine is recorded as 1 token.
 	held    map[string]map[string]int64
-	answers []string
+	replies []string
 }
 
-// TestMatrix injects every pair of faults in every state. The data file has a line
-// for each combination, so that a missing one is a difference. At the end of each
-// combination no request, grant, promise or used memory may be left.
-func TestMatrix(t *testing.T) {
+// TestFaultMatrix injects every pair of faults in every state. The data file has a line
+// for each combination, so that a missing combination fails the test. At the end of
+// each combination no request, grant, promise or used memory may be left.
+func TestFaultMatrix(t *testing.T) {
 	datadriven.RunTest(t, "testdata/matrix", func(t *testing.T, dat *datadriven.TestData) string {
 		require.Equal(t, "state", dat.Cmd)
 		require.Contains(t, matrixStates, dat.CmdArgs[0].Key)
@@ -62,8 +64,8 @@
 	})
 }
 
-// TestMatrixStates checks that the data file contains all states.
-func TestMatrixStates(t *testing.T) {
+// TestFaultMatrixStates checks that the data file contains all states.
+func TestFaultMatrixStates(t *testing.T) {
 	var seen []string
 	datadriven.RunTest(t, "testdata/matrix", func(_ *testing.T, dat *datadriven.TestData) string {
 		seen = append(seen, dat.CmdArgs[0].Key)
@@ -74,7 +76,7 @@
 
 func runScenario(t *testing.T, state, firstFault, secondFault string) string {
 	sce := newScenario(state)
-	sce.answers = nil
+	sce.replies = nil
 	sce.inject(firstFault)
 	first := sce.takeOutput()
 	sce.inject(secondFault)
@@ -101,12 +103,12 @@
 	if tokens == 0 {
 		tokens = 15_000
 	}
-	sce.request = sce.newRequest("x", "h", tokens, requestLimit)
+	sce.request = sce.newRequest("x", "h", tokens, requestTimeout)
 	sce.sendListing()
 	sce.sendReports()
 	if moves || state == "waiting" || state == "promised" || state == "group-waiting" {
 		for _, id := range []string{"f0", "f1"} {
-			sce.send(sce.newRequest(id, "o", 390_000, 2*requestLimit))
+			sce.send(sce.newRequest(id, "o", 390_000, 2*requestTimeout))
 			sce.send(Prefilled{id})
 		}
 	}
@@ -158,7 +160,7 @@
 			text += " " + act.Code
 		}
 		if id == "x" {
-			sce.answers = append(sce.answers, text)
+			sce.replies = append(sce.replies, text)
 		}
 	}
 }
@@ -170,7 +172,8 @@
 	sce.held[id][engine] = tokens
 }
 
-// holdOnlyOn makes x use memory on the given engine only, if it runs on one.
+// holdOnlyOn moves the memory of x to the given engine, unless x runs on several
+// engines or on none.
 func (sce *scenario) holdOnlyOn(engine string) {
 	if len(sce.held["x"]) == 1 {
 		sce.held["x"] = map[string]int64{engine: 1}
@@ -179,8 +182,8 @@
 
 // takeOutput returns the replies to x since the last call, and the cell's counts.
 func (sce *scenario) takeOutput() string {
-	out := strings.Join(slices.Compact(sce.answers), ", ")
-	sce.answers = nil
+	out := strings.Join(slices.Compact(sce.replies), ", ")
+	sce.replies = nil
 	if out == "" {
 		out = "-"
 	}
@@ -226,7 +229,7 @@
 	for end := sce.now.Add(period); sce.now.Before(end); {
 		sce.now = sce.now.Add(scenarioStep)
 		sce.sendReports()
-		if sce.cell.pending["x"] != nil && !sce.hostSilent {
+		if sce.cell.pending["x"] != nil && !sce.hostStopped {
 			sce.send(sce.request)
 		}
 		sce.send(Tick{})
@@ -236,12 +239,13 @@
 func (sce *scenario) inject(name string) {
 	switch name {
 	case "grant-lost":
+		// The host repeats the request as if the reply was lost.
 		sce.send(sce.request)
 	case "cancel":
 		sce.send(Cancel{"x"})
 		delete(sce.held, "x")
 	case "host-silent":
-		sce.hostSilent = true
+		sce.hostStopped = true
 		sce.advance(4 * time.Second)
 	case "prefilled", "prefilled-twice":
 		sce.send(Prefilled{"x"})
@@ -250,6 +254,7 @@
 		sce.send(Release{"x"})
 		delete(sce.held, "x")
 	case "release-lost":
+		// The request ends without a notice.
 		delete(sce.held, "x")
 		sce.advance(8 * time.Second)
 	case "engine-silent":
@@ -264,12 +269,13 @@
 	case "owner-gone":
 		sce.send(OwnerRemoved{"h", 1})
 		delete(sce.held, "x")
-		sce.hostSilent = true
+		sce.hostStopped = true
 	case "owner-older":
 		sce.send(OwnerRemoved{"h", 0})
 	case "deadline":
-		sce.advance(requestLimit)
+		sce.advance(requestTimeout)
 	case "second-scheduler":
+		// Requests of another scheduler use memory on e0.
 		sce.foreign = 300_000
 		sce.sendReports()
 	case "fillers-end":
@@ -280,6 +286,7 @@
 	case "limits":
 		sce.send(Limits{MaxOutstanding: 1, MaxWaiting: 1, LongShare: 0.5})
 	case "late-report":
+		// A report from before all grants arrives.
 		old := sce.held
 		sce.held = map[string]map[string]int64{}
 		sce.sendReports()
@@ -307,6 +314,6 @@
 
 // expireAll advances past every deadline, so that all grants expire.
 func (sce *scenario) expireAll() {
-	sce.advance(2 * requestLimit)
+	sce.advance(2 * requestTimeout)
 	sce.advance(grantGrace + time.Second)
 }
--- a/process/scheduler/mover.go
+++ b/process/scheduler/mover.go
@@ -12,20 +12,19 @@
 	// and decoderMemoryShare the mean share of its memory planned for them.
 	answersPerDecoder  = 16
 	decoderMemoryShare = 0.35
-	// minDecoderCell is the minimum number of live engines of a cell with
+	// minEnginesForDecoders is the minimum number of live engines of a cell with
 	// decoders, and maxDecoderShare bounds the share of the engines that are
 	// decoders.
-	minDecoderCell  = 4
-	maxDecoderShare = 0.5
-	// minLongDemand is the prefill work of long prompts, in engines, from which
-	// a cell has decoders. With less, moving answers out of the way of long
-	// prompts is not worthwhile.
+	minEnginesForDecoders = 4
+	maxDecoderShare       = 0.5
+	// minLongDemand is the mean number of engines busy with long prompts from which
+	// on a cell has decoders. Below it, moving answers costs more than it saves.
 	minLongDemand = 0.5
 	// decoderTimeout is the time after the last Move event for which a cell has
 	// decoders. If hosts send no Move, all engines prefill prompts.
 	decoderTimeout = 5 * time.Second
-	// maxMoves bounds the unfinished moves to one engine.
-	maxMoves = 8
+	// maxIncomingMoves bounds the unfinished moves to one engine.
+	maxIncomingMoves = 8
 	// nonDecoderPenalty is added to a short prompt's estimate on engines that are
 	// not decoders. A short prompt may take that much longer on a decoder, since
 	// its answer needs no move from there.
@@ -33,7 +32,7 @@
 	// maxUncopiedPrefill bounds the prefill time of the prompt tokens that a move
 	// does not copy, as this prefill delays the answers on the decoder.
 	maxUncopiedPrefill = 11 * time.Millisecond
-	// minMoveTokens is the minimum length of an answer that moves, in tokens.
+	// minMoveTokens is the minimum MaxTokens of a request whose answer moves.
 	minMoveTokens = 4
 	// transferRate is the assumed rate of copying a prompt's blocks to another
 	// engine, in tokens a second. maxTransferShare bounds the time of the copy
@@ -42,9 +41,9 @@
 	maxTransferShare = 1.0 / 3
 )
 
-// chooseDecoders dedicates engines to decoding the answers of the other engines, so
-// that the others prefill at their full rate. It chooses the first live engines, so
-// that the choice is stable.
+// chooseDecoders dedicates live engines to decoding answers that move, so that the
+// other engines prefill at their full rate. It chooses the first live engines in the
+// list, so that the choice is stable.
 func (cel *Cell) chooseDecoders(now time.Time) {
 	cel.decoderCount = cel.countDecoders(now)
 	left := cel.decoderCount
@@ -70,7 +69,7 @@
 			memory = max(memory, eng.memory)
 		}
 	}
-	if live < minDecoderCell {
+	if live < minEnginesForDecoders {
 		return 0
 	}
 	needed := max(cel.answerDemand.mean(now)/answersPerDecoder, cel.answerMemory.mean(now)/(decoderMemoryShare*float64(memory)))
@@ -88,8 +87,8 @@
 	return false
 }
 
-// placementPenalty returns nonDecoderPenalty for a short prompt on an engine that
-// is better left to long prompts, else 0.
+// placementPenalty returns nonDecoderPenalty for a short prompt on an engine that is
+// not a decoder while the cell has decoders, else 0.
 func (cel *Cell) placementPenalty(ent *entry, eng *engine) time.Duration {
 	if ent.long || eng.decoder || cel.decoderCount == 0 {
 		return 0
@@ -97,9 +96,9 @@
 	return nonDecoderPenalty
 }
 
-// answerMove replies whether the answer of a grant moves to another engine. The Move
-// event may arrive before the notice of the first token.
-func (cel *Cell) answerMove(id string, now time.Time) {
+// replyToMove replies to a Move event with MoveTo or Stay. The event may arrive before
+// the notice of the first token.
+func (cel *Cell) replyToMove(id string, now time.Time) {
 	cel.lastMoveRequest = now
 	cel.markPrefilled(id)
 	gra := cel.grants[id]
@@ -107,13 +106,14 @@
 		cel.actions = append(cel.actions, Stay{ID: id})
 		return
 	}
-	if gra.moveAnswer == nil {
-		gra.moveAnswer = cel.startMove(gra, now)
+	if gra.moveReply == nil {
+		gra.moveReply = cel.startMove(gra, now)
 	}
-	cel.actions = append(cel.actions, gra.moveAnswer)
+	cel.actions = append(cel.actions, gra.moveReply)
 }
 
-// startMove allocates memory on the decoder with the fewest sequences.
+// startMove allocates memory for an answer on the decoder with the fewest sequences
+// and returns MoveTo. It returns Stay if the answer cannot move.
 func (cel *Cell) startMove(gra *grant, now time.Time) Action {
 	source := gra.parts[0]
 	if len(gra.parts) > 1 || source.engine.decoder || !cel.movable(gra.entry) {
@@ -136,8 +136,9 @@
 	return MoveTo{ID: gra.entry.id, Endpoint: best.id, Address: best.address}
 }
 
-// movable reports whether the answer of a request takes clearly longer than copying
-// its prompt's blocks to another engine.
+// movable reports whether an answer may move: the request needs no group, its answer
+// may be long enough, the tokens that a move does not copy take little time to prefill,
+// and copying the prompt's blocks takes clearly less time than the answer.
 func (cel *Cell) movable(ent *entry) bool {
 	if ent.group || ent.req.MaxTokens < minMoveTokens || cel.prefillTime(ent.uncopiedTokens()) > maxUncopiedPrefill {
 		return false
@@ -154,7 +155,7 @@
 
 // canTakeMove reports whether an engine can decode the rest of a grant's answer.
 func (cel *Cell) canTakeMove(gra *grant, eng *engine, now time.Time) bool {
-	if !eng.decoder || !eng.live(now) || !gra.entry.canServe(eng) || eng.incomingMoves >= maxMoves {
+	if !eng.decoder || !eng.live(now) || !gra.entry.canServe(eng) || eng.incomingMoves >= maxIncomingMoves {
 		return false
 	}
 	if limit := cel.limits.MaxOutstanding; limit > 0 && eng.running >= limit {
@@ -163,7 +164,8 @@
 	return eng.freeMemory()-cel.promisedToOthers(gra.entry, eng) >= gra.parts[0].memory
 }
 
-// finishMove frees the memory of a request on the engine that it has left.
+// finishMove makes the target the engine of the grant and frees the memory on the
+// engine that prefilled the prompt.
 func (cel *Cell) finishMove(id string, now time.Time) {
 	gra := cel.grants[id]
 	if gra == nil || gra.target == nil {
@@ -181,11 +183,11 @@
 // that arrives later is answered with Stay.
 func (cel *Cell) cancelMove(id string, now time.Time) {
 	gra := cel.grants[id]
-	if gra == nil || gra.target == nil && gra.moveAnswer != nil {
+	if gra == nil || gra.target == nil && gra.moveReply != nil {
 		return
 	}
 	cel.releaseTarget(gra, now)
-	gra.moveAnswer = Stay{ID: id}
+	gra.moveReply = Stay{ID: id}
 }
 
 func (cel *Cell) releaseTarget(gra *grant, now time.Time) {
--- a/process/scheduler/pace_test.go
+++ b/process/scheduler/pace_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSummaryPace reads cells of several sizes as the scheduler does. It checks the
-// traffic limit, that every engine is read once per interval, and that an engine
-// that may have failed is read more often.
+// TestSummaryPace reads the summaries of cells of several sizes. Engine 0 may have
+// failed. The test checks the traffic limit, that every engine is read once per
+// interval, and that engine 0 is read more often.
 func TestSummaryPace(t *testing.T) {
 	const (
-		least  = 250 * time.Millisecond
-		period = 2 * time.Minute
+		minInterval = 250 * time.Millisecond
+		period      = 2 * time.Minute
 	)
 	for _, engines := range []int{1, 14, 64} {
 		var ends []placer.Endpoint
@@ -24,25 +24,25 @@
 			ends = append(ends, placer.Endpoint{ID: fmt.Sprint(i)})
 		}
 		var pac summaryPacer
-		interval := summaryInterval(engines, least)
+		interval := summaryInterval(engines, minInterval)
 		reads := map[string]int{}
-		worst := map[string]time.Duration{}
+		longestGap := map[string]time.Duration{}
 		last := map[string]time.Time{}
-		for now := epoch; now.Sub(epoch) < period; now = now.Add(least) {
+		for now := epoch; now.Sub(epoch) < period; now = now.Add(minInterval) {
 			for _, end := range pac.due(ends, interval, func(id string) bool { return id == "0" }, now) {
 				reads[end.ID]++
 				if previous, ok := last[end.ID]; ok {
-					worst[end.ID] = max(worst[end.ID], now.Sub(previous))
+					longestGap[end.ID] = max(longestGap[end.ID], now.Sub(previous))
 				}
 				last[end.ID] = now
 			}
 		}
 		total := 0
 		for _, end := range ends {
-			require.LessOrEqual(t, worst[end.ID], interval+least, "%d engines", engines)
+			require.LessOrEqual(t, longestGap[end.ID], interval+minInterval, "%d engines", engines)
 			total += reads[end.ID]
 		}
-		require.LessOrEqual(t, worst["0"], suspectInterval)
+		require.LessOrEqual(t, longestGap["0"], suspectInterval)
 		require.LessOrEqual(t, float64(total*summaryBytes), (summaryRate+summaryBytes/suspectInterval.Seconds())*period.Seconds()+float64(engines*summaryBytes))
 	}
 }
--- a/process/scheduler/partition.go
+++ b/process/scheduler/partition.go
@@ -18,9 +18,10 @@
 	MaxCellEngines = maxSlots
 )
 
-// CellMembers is a cell: the part of a pool's engines that one host schedules.
+// CellMembers is the name of a cell and its engines.
 type CellMembers struct {
-	// Name consists of the pool's scope and the number of the cell.
+	// Name is the scope and the number of the cell: region/pool/number. The scope
+	// is region/pool.
 	Name    string
 	Engines []placer.Endpoint
 }
@@ -38,8 +39,8 @@
 
 // Partition divides the engines of a pool into cells. All hosts compute the same
 // cells from the same list. It uses rendezvous hashing: an engine goes to the cell
-// with the highest hash that has room, so that few engines move when their number
-// changes.
+// with the highest hash that has room, so that few engines change cells when the
+// number of engines changes.
 func Partition(scope string, engines []placer.Endpoint) []CellMembers {
 	cells := make([]CellMembers, CellCount(len(engines)))
 	for i := range cells {
@@ -84,7 +85,7 @@
 	return dig.Sum64()
 }
 
-// CellScope returns the scope in a cell's name.
+// CellScope returns the scope (region/pool) of a cell from its name.
 func CellScope(cell string) string {
 	return cell[:max(0, strings.LastIndexByte(cell, '/'))]
 }
--- a/process/scheduler/prefixes.go
+++ b/process/scheduler/prefixes.go
@@ -8,8 +8,7 @@
 )
 
 const (
-	// maxSlots is the maximum number of engines of a cell, as a mask has one bit
-	// for each.
+	// maxSlots is the number of bits in a mask of engines.
 	maxSlots = 64
 	// maxCacheBlocks bounds the blocks that are tracked for one engine.
 	maxCacheBlocks = 4096
@@ -50,12 +49,12 @@
 	}
 }
 
-// trim evicts the least recently used blocks of an engine until the given number
-// is left.
-func (pre *prefixes) trim(slot int, room int64) {
+// trim evicts the least recently used blocks of an engine until at most maxBlocks are
+// left.
+func (pre *prefixes) trim(slot int, maxBlocks int64) {
 	cac := &pre.caches[slot]
-	maxBlocks := int(min(maxCacheBlocks, max(0, room)))
-	for cac.order.Len() > maxBlocks {
+	limit := int(min(maxCacheBlocks, max(0, maxBlocks)))
+	for cac.order.Len() > limit {
 		block := cac.order.Remove(cac.order.Front()).(uint64)
 		delete(cac.elements, block)
 		pre.unmark(slot, block)
@@ -74,20 +73,22 @@
 	pre.masks[block] = mask
 }
 
-// match counts the leading blocks that each engine is estimated to cache.
+// match writes to out, by slot, the number of leading blocks that each engine is
+// estimated to cache.
 func (pre *prefixes) match(blocks []uint64, out *[maxSlots]uint16) {
-	all := ^uint64(0)
+	matching := ^uint64(0)
 	for i, block := range blocks {
-		next := all & pre.masks[block]
-		for ended := all &^ next; ended != 0 && i > 0; ended &= ended - 1 {
+		stillMatching := matching & pre.masks[block]
+		// ended has the engines that cache the first i blocks but not block i.
+		for ended := matching &^ stillMatching; ended != 0 && i > 0; ended &= ended - 1 {
 			out[bits.TrailingZeros64(ended)] = uint16(min(i, 1<<16-1))
 		}
-		if all = next; all == 0 {
+		if matching = stillMatching; matching == 0 {
 			return
 		}
 	}
-	for ; all != 0; all &= all - 1 {
-		out[bits.TrailingZeros64(all)] = uint16(min(len(blocks), 1<<16-1))
+	for ; matching != 0; matching &= matching - 1 {
+		out[bits.TrailingZeros64(matching)] = uint16(min(len(blocks), 1<<16-1))
 	}
 }
 
@@ -95,13 +96,13 @@
 // it has prefilled or received by a move.
 func (cel *Cell) recordCache(par *part) {
 	blocks := par.grant.entry.req.Prefix
-	par.shared = min(par.memory, int64(len(blocks))*hasher.BlockTokens)
-	par.engine.shared += par.shared
+	par.cachedMemory = min(par.memory, int64(len(blocks))*hasher.BlockTokens)
+	par.engine.cachedMemory += par.cachedMemory
 	cel.prefixes.store(par.engine.slot, blocks)
 	cel.trimCache(par.engine)
 }
 
 // trimCache drops the blocks that no longer fit beside the engine's prompts.
 func (cel *Cell) trimCache(eng *engine) {
-	cel.prefixes.trim(eng.slot, (eng.freeMemory()+eng.shared)/hasher.BlockTokens)
+	cel.prefixes.trim(eng.slot, (eng.freeMemory()+eng.cachedMemory)/hasher.BlockTokens)
 }
--- a/process/scheduler/prefixes_test.go
+++ b/process/scheduler/prefixes_test.go
@@ -49,14 +49,15 @@
 			eng := cel.byID["e1"]
 			cel.prefixes.store(eng.slot, blocks)
 			tt.do(cel, eng)
-			acts := cel.Next(Request{ID: "x", Request: placer.Request{ID: "x", Model: "m", PromptTokens: 12_000, Prefix: blocks, Deadline: epoch.Add(requestLimit)}}, epoch)
+			acts := cel.Next(Request{ID: "x", Request: placer.Request{ID: "x", Model: "m", PromptTokens: 12_000, Prefix: blocks, Deadline: epoch.Add(requestTimeout)}}, epoch)
 			require.Len(t, acts, 1)
 			require.Equal(t, tt.want, acts[0].(Grant).Endpoint)
 		})
 	}
 }
 
-// TestPrefixesByEngine checks that an evicted block is dropped for that engine only.
+// TestPrefixesByEngine checks that evicting a block of one engine leaves the block of
+// another engine, and that clearing all engines leaves no mask.
 func TestPrefixesByEngine(t *testing.T) {
 	var pre prefixes
 	pre.store(0, []uint64{1, 2, 3})
--- a/process/scheduler/property_test.go
+++ b/process/scheduler/property_test.go
@@ -15,14 +15,16 @@
 )
 
 const (
-	simStep         = 25 * time.Millisecond
+	simStep = 25 * time.Millisecond
+	// simEngineMemory is in tokens, simPrefillRate in tokens a second.
 	simEngineMemory = 400_000
 	simPrefillRate  = 200_000
 	reportInterval  = 250 * time.Millisecond
 	repeatInterval  = time.Second
 	arrivalPeriod   = 5 * time.Second
-	settleSteps     = 35 * 40
-	answerTime      = 200 * time.Millisecond
+	// settleSteps are 35 s of steps, longer than every deadline and grantGrace.
+	settleSteps = 35 * 40
+	decodeTime  = 200 * time.Millisecond
 )
 
 // simulation runs a cell with engines that run what is granted. Notices of first
@@ -37,10 +39,12 @@
 }
 
 type simRequest struct {
-	event        Request
-	submittedAt  time.Time
-	parts        []placer.Part
-	otherParts   []placer.Part
+	event       Request
+	submittedAt time.Time
+	parts       []placer.Part
+	// groupRest has the parts of a group after the first; the answer of a group
+	// does not move.
+	groupRest    []placer.Part
 	doneAt       time.Time
 	outcome      string
 	losesNotices bool
@@ -50,7 +54,11 @@
 	move string
 }
 
+// TestCellProperties sends random requests to a cell whose engines stop and resume
+// their reports at random. Each request must get one reply by its deadline, no engine
+// may be granted more than its memory, and no state may be left at the end.
 func TestCellProperties(t *testing.T) {
+	// A fixed seed makes the run repeatable, unless rapid.seed is set.
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
 		require.NoError(t, flag.Set("rapid.seed", "20260104"))
 	}
@@ -61,7 +69,7 @@
 			sim.reporting[i] = true
 		}
 		for sim.now.Sub(epoch) < arrivalPeriod {
-			sim.arrive()
+			sim.submitAtRandom()
 			for range 2 {
 				sim.step()
 			}
@@ -73,7 +81,8 @@
 	})
 }
 
-func (sim *simulation) arrive() {
+// submitAtRandom submits a random request with a probability of 0.6.
+func (sim *simulation) submitAtRandom() {
 	if rapid.IntRange(0, 9).Draw(sim.t, "Arrival") > 5 {
 		return
 	}
@@ -87,8 +96,9 @@
 	sim.apply(sim.cell.Next(sim.requests[id].event, sim.now))
 }
 
-// fault stops or resumes the reports of a random engine.
-func (sim *simulation) fault() {
+// toggleReports stops or resumes the reports of a random engine, with a probability of
+// 0.1.
+func (sim *simulation) toggleReports() {
 	if rapid.IntRange(0, 9).Draw(sim.t, "Fault") == 0 {
 		i := rapid.IntRange(0, len(sim.reporting)-1).Draw(sim.t, "Engine")
 		sim.reporting[i] = !sim.reporting[i]
@@ -115,7 +125,7 @@
 	}
 	if sim.now.Sub(epoch)%reportInterval == 0 {
 		if sim.now.Sub(epoch) < arrivalPeriod {
-			sim.fault()
+			sim.toggleReports()
 		}
 		sim.report()
 	}
@@ -123,7 +133,7 @@
 	for _, id := range sim.ids {
 		req := sim.requests[id]
 		if req.outcome == "" && sim.now.After(req.event.Request.Deadline.Add(sweepInterval)) {
-			sim.t.Fatalf("request %s has no answer by its deadline", id)
+			sim.t.Fatalf("request %s has no reply by its deadline", id)
 		}
 	}
 }
@@ -132,7 +142,7 @@
 // the outcome. Meanwhile the request uses memory on both engines.
 func (sim *simulation) move(req *simRequest) {
 	switch {
-	case req.move == "" && sim.now.Add(answerTime).After(req.doneAt):
+	case req.move == "" && sim.now.Add(decodeTime).After(req.doneAt):
 		req.move = rapid.SampledFrom([]string{"asked", "stayed"}).Draw(sim.t, "Move")
 		if req.move == "asked" {
 			sim.apply(sim.cell.Next(Move{req.event.ID}, sim.now))
@@ -141,7 +151,7 @@
 		req.move = rapid.SampledFrom([]string{"moved", "stayed", "lost"}).Draw(sim.t, "Outcome")
 		target := req.parts[1:]
 		switch {
-		case len(req.otherParts) > 0 || len(target) == 0:
+		case len(req.groupRest) > 0 || len(target) == 0:
 		case req.move == "moved":
 			req.parts = target
 			sim.apply(sim.cell.Next(Moved{req.event.ID}, sim.now))
@@ -187,7 +197,7 @@
 		}
 		req := sim.requests[requestIDOf(act)]
 		if req.outcome != "" {
-			sim.t.Fatalf("request %s is answered again after it was %s", req.event.ID, req.outcome)
+			sim.t.Fatalf("request %s got another reply after it was %s", req.event.ID, req.outcome)
 		}
 		switch act := act.(type) {
 		case Refuse:
@@ -214,7 +224,7 @@
 			}
 		}
 		if actual > simEngineMemory {
-			sim.t.Fatalf("engine %s has %d tokens of memory in use", eng.id, actual)
+			sim.t.Fatalf("engine %s has %d tokens of memory in use, more than its memory", eng.id, actual)
 		}
 	}
 }
@@ -229,9 +239,9 @@
 	}
 	req.outcome = "granted"
 	req.parts = parts
-	req.otherParts = parts[1:]
+	req.groupRest = parts[1:]
 	prefill := time.Duration(req.event.Request.PromptTokens) * time.Second / simPrefillRate / time.Duration(len(parts))
-	req.doneAt = sim.now.Add(prefill + answerTime)
+	req.doneAt = sim.now.Add(prefill + decodeTime)
 	if req.doneAt.After(req.event.Request.Deadline) {
 		req.doneAt = req.event.Request.Deadline
 	}
--- a/process/scheduler/queue.go
+++ b/process/scheduler/queue.go
@@ -38,10 +38,15 @@
 	// key orders the requests of a team. It is the arrival time, moved later for
 	// a longer prefill and earlier for a higher priority. It does not change
 	// while the request waits, so every request becomes the first eventually.
-	key          time.Time
-	arrived      time.Time
-	latestStart  time.Time
-	cost         float64
+	key     time.Time
+	arrived time.Time
+	// latestStart is the latest time at which the prefill may start to meet the
+	// deadline.
+	latestStart time.Time
+	// cost is the cost of the request in its team's virtual time, in tokens.
+	cost float64
+	// cachedBlocks has the number of leading blocks that each engine caches, by
+	// slot.
 	cachedBlocks [maxSlots]uint16
 	heapIndex    int
 }
@@ -50,23 +55,25 @@
 type team struct {
 	name  string
 	share float64
-	// virtualTime is the sum of the granted tokens divided by the team's share.
+	// virtualTime is the sum of the costs of the granted requests, each divided by
+	// the team's share.
 	virtualTime float64
 	// heaps and promptTokens hold the waiting requests and the sum of their
 	// prompt tokens by class, so that a request of one class does not delay
 	// requests of another.
-	heaps        [classes]entryHeap
-	promptTokens [classes]float64
+	heaps        [classCount]entryHeap
+	promptTokens [classCount]float64
 }
 
-// class is the kind of engines that a request waits for.
+// class is the kind of a request: short prompt, long prompt, or prompt for a group of
+// engines.
 type class int
 
 const (
 	classShort class = iota
 	classLong
 	classGroup
-	classes
+	classCount
 )
 
 func (ent *entry) class() class {
@@ -88,8 +95,8 @@
 	return sum
 }
 
-// waitingTokens returns the waiting prompt tokens of short prompts, or of long
-// ones including groups.
+// waitingTokens returns the prompt tokens of the team's waiting long prompts and
+// groups if long is true, else of its waiting short prompts.
 func (tea *team) waitingTokens(long bool) float64 {
 	if long {
 		return tea.promptTokens[classLong] + tea.promptTokens[classGroup]
@@ -192,6 +199,8 @@
 	ent.team.virtualTime += ent.cost / ent.team.share
 }
 
+// lowestVirtualTime returns the lowest virtual time of the given team and of all
+// active teams.
 func (que *queue) lowestVirtualTime(tea *team) float64 {
 	lowest := tea.virtualTime
 	for _, other := range que.active {
@@ -200,9 +209,9 @@
 	return lowest
 }
 
-// dropIdleTeams drops inactive teams whose virtual time would be raised to
+// dropInactiveTeams drops inactive teams whose virtual time would be raised to
 // minVirtualTime anyway when they become active again.
-func (que *queue) dropIdleTeams() {
+func (que *queue) dropInactiveTeams() {
 	for name, tea := range que.teams {
 		if tea.waiting() == 0 && tea.virtualTime <= que.minVirtualTime {
 			delete(que.teams, name)
@@ -225,9 +234,9 @@
 	return best
 }
 
-// mostOverShare returns the team with the most waiting requests relative to its
+// mostWaitingPerShare returns the team with the most waiting requests relative to its
 // share.
-func (que *queue) mostOverShare() *team {
+func (que *queue) mostWaitingPerShare() *team {
 	var best *team
 	for _, tea := range que.active {
 		if best == nil || float64(tea.waiting())/tea.share > float64(best.waiting())/best.share {
@@ -237,7 +246,7 @@
 	return best
 }
 
-// lastEntry returns the waiting request of the team with the highest key.
+// lastEntry returns the team's waiting request with the highest key.
 func (tea *team) lastEntry() *entry {
 	var latest *entry
 	for _, hea := range tea.heaps {
--- a/process/scheduler/scheduler.go
+++ b/process/scheduler/scheduler.go
@@ -40,7 +40,8 @@
 	Engines func(poo parser.Pool) []placer.Endpoint
 	// Pool looks a pool up in the tables in force.
 	Pool func(name string) (parser.Pool, bool)
-	// Interval is the minimum interval between two load reports of an engine.
+	// Interval is the minimum interval between two reads of an engine's load
+	// report.
 	Interval time.Duration
 	Clock    func() time.Time
 	Scope    tally.Scope
@@ -63,17 +64,16 @@
 	fullReports fullReportPacer
 }
 
-// Submit queues a request in a cell and waits for a Grant, GrantGroup or Refuse
-// for at most hold. The returned action is nil if the request is still queued;
-// the host then submits it again. The duration is the expected wait of a new
-// request in the cell. When ctx ends, Submit cancels the request or releases its
-// grant.
+// Submit queues a request in a cell and waits for a Grant, GrantGroup or Refuse for at
+// most hold. The returned action is nil if the request is still queued; the requesting
+// host then submits the request again. The duration is the expected wait of a new
+// request in the cell. When ctx ends, Submit cancels the request or releases its grant.
 func (sch *Scheduler) Submit(ctx context.Context, cell, pool string, req Request, hold time.Duration) (Action, time.Duration) {
 	run := sch.findOrStart(ctx, cell, pool)
 	if run == nil {
 		return Refuse{ID: req.ID, Refuse: placer.Refuse{Code: CodeUnavailable, Message: "this host does not know the cell", RetryAfter: minRetryAfter}}, 0
 	}
-	act, answer := run.submit(req, sch.Clock())
+	act, reply := run.submit(req, sch.Clock())
 	if act != nil {
 		sch.countAction(act)
 		return act, run.expectedWait(sch.Clock())
@@ -81,12 +81,12 @@
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
 	select {
-	case act = <-answer:
+	case act = <-reply:
 		sch.countAction(act)
 	case <-timer.C:
-		act = run.stopWaiting(req.ID, answer)
+		act = run.stopWaiting(req.ID, reply)
 	case <-ctx.Done():
-		_ = run.stopWaiting(req.ID, answer)
+		_ = run.stopWaiting(req.ID, reply)
 		run.apply(Cancel{req.ID}, sch.Clock())
 	}
 	return act, run.expectedWait(sch.Clock())
@@ -186,7 +186,8 @@
 	return false
 }
 
-// Run reads load reports and sends Tick events to all cells until ctx ends.
+// Run refreshes the cells, reads their load reports, removes idle cells and sends Tick
+// events, until ctx ends.
 func (sch *Scheduler) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	group.Go(func() { sch.runTicks(ctx) })
@@ -236,7 +237,7 @@
 // poll reads the load reports that are due in a cell.
 func (sch *Scheduler) poll(ctx context.Context, run *runningCell) {
 	var group sync.WaitGroup
-	for _, end := range run.dueEngines(sch.summaryInterval(), sch.Clock()) {
+	for _, end := range run.dueEngines(sch.currentSummaryInterval(), sch.Clock()) {
 		group.Go(func() {
 			ctx, stop := context.WithTimeout(ctx, pollTimeout)
 			defer stop()
@@ -252,9 +253,9 @@
 	group.Wait()
 }
 
-// summaryInterval is the interval between two reads of an engine. It grows with
-// the number of engines in all cells.
-func (sch *Scheduler) summaryInterval() time.Duration {
+// currentSummaryInterval returns the interval between two reads of an engine's
+// summary. It grows with the number of engines in all cells.
+func (sch *Scheduler) currentSummaryInterval() time.Duration {
 	engines := 0
 	for _, run := range sch.runningCells() {
 		engines += run.engineCount()
@@ -290,27 +291,27 @@
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	run.lastRequest = now
-	answer := make(chan Action, 1)
-	run.waiters[req.ID] = answer
+	reply := make(chan Action, 1)
+	run.waiters[req.ID] = reply
 	run.deliver(run.cell.Next(req, now))
 	select {
-	case act := <-answer:
+	case act := <-reply:
 		return act, nil
 	default:
-		return nil, answer
+		return nil, reply
 	}
 }
 
 // stopWaiting ends the wait for an action. It returns the action if one has
 // arrived meanwhile, else nil.
-func (run *runningCell) stopWaiting(id string, answer chan Action) Action {
+func (run *runningCell) stopWaiting(id string, reply chan Action) Action {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	if run.waiters[id] == answer {
+	if run.waiters[id] == reply {
 		delete(run.waiters, id)
 	}
 	select {
-	case act := <-answer:
+	case act := <-reply:
 		return act
 	default:
 		return nil
@@ -346,8 +347,8 @@
 	return run.cell.Waiting() > 0
 }
 
-// deliver sends actions to the callers of Submit that wait for them. If none
-// waits for a grant, the cell keeps the grant until the host repeats the request.
+// deliver sends actions to the callers of Submit that wait for them. If no caller
+// waits for a grant, the cell repeats the grant when the host repeats the request.
 // The caller holds the lock.
 func (run *runningCell) deliver(acts []Action) {
 	for _, act := range acts {
--- a/process/scheduler/starvation_test.go
+++ b/process/scheduler/starvation_test.go
@@ -11,35 +11,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-// flood submits requests from mix for the period, one every 5 ms, and releases each
-// grant after hold. It returns the number of grants by team.
-func flood(cel *Cell, now time.Time, period time.Duration, hold time.Duration, mix func(n int) placer.Request) map[string]int {
-	type end struct {
+// flood submits a request from newRequest every 5 ms for the period, and releases each
+// grant after hold. Hosts repeat their requests and engines report all the time. flood
+// returns the number of grants by team.
+func flood(cel *Cell, now time.Time, period time.Duration, hold time.Duration, newRequest func(n int) placer.Request) map[string]int {
+	type release struct {
 		at time.Time
 		id string
 	}
-	var ends []end
-	got := map[string]int{}
+	var releases []release
+	grants := map[string]int{}
 	for n := 0; period > 0; n++ {
-		req := mix(n)
+		req := newRequest(n)
 		req.Model = "m"
 		req.ID = fmt.Sprint(n)
 		req.Deadline = now.Add(time.Minute)
 		acts := slices.Clone(cel.Next(Request{ID: req.ID, Request: req}, now))
-		for len(ends) > 0 && !now.Before(ends[0].at) {
-			acts = append(acts, cel.Next(Prefilled{ends[0].id}, now)...)
-			acts = append(acts, cel.Next(Release{ends[0].id}, now)...)
-			ends = ends[1:]
+		for len(releases) > 0 && !now.Before(releases[0].at) {
+			acts = append(acts, cel.Next(Prefilled{releases[0].id}, now)...)
+			acts = append(acts, cel.Next(Release{releases[0].id}, now)...)
+			releases = releases[1:]
 		}
 		for _, act := range acts {
 			if _, ok := act.(Refuse); ok {
 				continue
 			}
-			ends = append(ends, end{now.Add(hold), requestIDOf(act)})
-			got[cel.grants[requestIDOf(act)].entry.req.Team]++
+			releases = append(releases, release{now.Add(hold), requestIDOf(act)})
+			grants[cel.grants[requestIDOf(act)].entry.req.Team]++
 		}
 		for id := range cel.pending {
-			cel.lastSeen[id] = now
+			cel.repeatedAt[id] = now
 		}
 		for _, eng := range cel.engines {
 			eng.reportedAt = now
@@ -47,7 +48,7 @@
 		now = now.Add(5 * time.Millisecond)
 		period -= 5 * time.Millisecond
 	}
-	return got
+	return grants
 }
 
 // TestNoStarvation keeps the engines' memory full with short prompts. A long prompt
