--- a/process/allocator/allocator.go
+++ b/process/allocator/allocator.go
@@ -1,4 +1,4 @@
-// Package allocator places requests on endpoints: by the scheduler of a cell, or
+// Package allocator places requests on endpoints: through the scheduler of a cell, or
 // from this host's local view. It also counts this host's outstanding requests on
 // each endpoint.
 package allocator
@@ -38,7 +38,7 @@
 	views           map[string]*view
 	mix             placer.Mix
 	// waiting is the number of requests placed from the local view that have no
-	// first token yet, by pool of engines.
+	// first token yet, by pool name. Pools of services are not counted.
 	waiting map[string]int
 
 	prefixes prefixes
@@ -58,8 +58,9 @@
 	return all.placeFromView(ctx, req, poo)
 }
 
-// placeFromView places a request from this host's local view. It applies the pool's
-// limits to the requests that the view shows.
+// placeFromView places a request from this host's local view. It applies MaxWaiting to
+// this host's own waiting requests, and MaxOutstanding to the requests that the view
+// shows.
 func (all *Allocator) placeFromView(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
 	now := time.Now()
 	all.mu.Lock()
@@ -106,28 +107,28 @@
 		all.waiting = map[string]int{}
 	}
 	all.waiting[poo.Name]++
-	first := sync.OnceFunc(func() {
+	stopCounting := sync.OnceFunc(func() {
 		all.mu.Lock()
 		defer all.mu.Unlock()
 		all.waiting[poo.Name]--
 	})
-	onPrefilled, onRelease := lea.Prefilled, lea.Release
-	lea.Prefilled = func() { onPrefilled(); first() }
-	lea.Release = func() { onRelease(); first() }
+	prefilled, release := lea.Prefilled, lea.Release
+	lea.Prefilled = func() { prefilled(); stopCounting() }
+	lea.Release = func() { release(); stopCounting() }
 	return lea
 }
 
 // lease returns a lease on an endpoint and counts the request as outstanding until
 // its release. The caller holds the lock.
 func (all *Allocator) lease(id, address string, tokens int64, now time.Time) executor.Lease {
-	all.addWork(id, 1, tokens, now)
+	all.changeUsageLocked(id, 1, tokens, now)
 	var prefilledOnce, releaseOnce sync.Once
-	prefilled := func() { prefilledOnce.Do(func() { all.changeWork(id, 0, -tokens) }) }
+	prefilled := func() { prefilledOnce.Do(func() { all.changeUsage(id, 0, -tokens) }) }
 	return executor.Lease{
 		Endpoint: id, Address: address, Prefilled: prefilled,
 		Release: func() {
 			prefilled()
-			releaseOnce.Do(func() { all.changeWork(id, -1, 0) })
+			releaseOnce.Do(func() { all.changeUsage(id, -1, 0) })
 		},
 	}
 }
@@ -143,7 +144,7 @@
 	lea := all.lease(gro.Parts[0].Endpoint, gro.Parts[0].Address, req.PromptTokens, time.Now())
 	lea.ReservationID = gro.ReservationID
 	lea.Group = gro.Parts
-	onRelease := lea.Release
-	lea.Release = sync.OnceFunc(func() { gro.Release(); onRelease() })
+	release := lea.Release
+	lea.Release = sync.OnceFunc(func() { gro.Release(); release() })
 	return lea, nil
 }
--- a/process/allocator/cells.go
+++ b/process/allocator/cells.go
@@ -23,9 +23,10 @@
 
 const (
 	// firstHold is the time for which a scheduler may hold the first call of a
-	// request. If no reply arrives within callGrace after it, the next scheduler
-	// gets the request.
+	// request. If no reply arrives within callGrace after that time, the request
+	// goes to the next scheduler.
 	firstHold = 100 * time.Millisecond
+	// laterHold is the same time for later calls of the request.
 	laterHold = time.Second
 	callGrace = 50 * time.Millisecond
 	// laterGrace replaces callGrace once the scheduler has replied that the
@@ -38,9 +39,11 @@
 	maxSchedulers = 2
 	// maxGroupAttempts bounds the attempts to place a request whose group of
 	// engines could not reserve memory. groupRetryPause is the mean pause between
-	// them.
-	maxGroupAttempts     = 5
-	groupRetryPause      = 200 * time.Millisecond
+	// attempts.
+	maxGroupAttempts = 5
+	groupRetryPause  = 200 * time.Millisecond
+	// codeGroupUnavailable refuses a request for which a group of engines could
+	// not reserve memory.
 	codeGroupUnavailable = "group_unavailable"
 	// rankingTimeout is the time for which the order of schedulers is cached.
 	rankingTimeout = 250 * time.Millisecond
@@ -48,7 +51,8 @@
 	digestTimeout = 2 * time.Second
 )
 
-// errNoScheduler means that no scheduler of the cell answered.
+// errNoScheduler means that the request has to be placed from the local view: no
+// scheduler of the cell answered, or the cell has no live engine.
 var errNoScheduler = eris.New("allocator: no scheduler of the cell answered")
 
 // HostClient calls another host: it sends a message and returns the reply.
@@ -56,13 +60,14 @@
 	Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
 
-// Cells sends requests to the schedulers of cells, on this host and on others, and
-// answers those of other hosts. All exported fields are required.
+// Cells sends requests to the schedulers of cells, on this host or on other hosts, and
+// answers the requests of other hosts to this host's cells. All exported fields are
+// required.
 type Cells struct {
 	Self        string
 	Incarnation uint64
 	Region      string
-	// Entries returns the entries of the platform's list.
+	// Entries returns the platform's list of hosts and endpoints.
 	Entries   func() []persister.Entry
 	Client    HostClient
 	Scheduler *scheduler.Scheduler
@@ -70,10 +75,13 @@
 	OtherRegions overflower.Digests
 	Scope        tally.Scope
 
+	// sequence makes the IDs of requests to cells unique.
 	sequence atomic.Uint64
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// suspects has the time until which a host gets no requests, by host ID.
 	suspects map[string]time.Time
+	// digests and rankings are by cell name, notices by host address.
 	digests  map[string]digest
 	rankings map[string]ranking
 	notices  map[string][]*messenger.GrantNotice
@@ -86,14 +94,14 @@
 	at   time.Time
 }
 
-// grantRef identifies a grant: its scheduler, cell and request ID.
+// grantRef identifies a grant: its scheduler, its cell and its ID in the cell.
 type grantRef struct {
-	host      host
-	cell      string
-	requestID string
+	host    host
+	cell    string
+	grantID string
 }
 
-// placeInOwnRegion places a request by the scheduler of a cell in this host's
+// placeInOwnRegion places a request through the scheduler of a cell in this host's
 // region. It returns errNoScheduler if no scheduler answers and errNoEngine if the
 // cell has no live engine. It tries again if a group's memory is not available.
 func (all *Allocator) placeInOwnRegion(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
@@ -120,7 +128,7 @@
 	cells := all.Cells
 	cell := cells.chooseCell(cells.Region+"/"+poo.Name, count, req, now)
 	cellReq := cells.newRequest(req)
-	act, hos, err := cells.request(ctx, cell, poo.Name, cellReq)
+	act, hos, err := cells.submit(ctx, cell, poo.Name, cellReq)
 	if err != nil {
 		return executor.Lease{}, err
 	}
@@ -134,13 +142,13 @@
 
 // leaseFromAction turns a scheduler's reply into a lease or an error.
 func (all *Allocator) leaseFromAction(ctx context.Context, req placer.Request, act scheduler.Action, gra grantRef) (executor.Lease, error) {
-	notify := func(kind messenger.GrantNotice_Kind) { all.Cells.notify(gra.host, gra.cell, gra.requestID, kind) }
+	notify := func(kind messenger.GrantNotice_Kind) { all.Cells.notify(gra.host, gra.cell, gra.grantID, kind) }
 	switch act := act.(type) {
 	case scheduler.Grant:
 		all.mu.Lock()
 		defer all.mu.Unlock()
 		lea := all.lease(act.Endpoint, act.Address, req.PromptTokens, time.Now())
-		return withNotices(all.withMove(lea, gra.host, gra.cell, gra.requestID), notify), nil
+		return withNotices(all.withMove(lea, gra.host, gra.cell, gra.grantID), notify), nil
 	case scheduler.GrantGroup:
 		lea, err := all.reserveGroup(ctx, req, placer.PlaceGroup{Parts: act.Parts})
 		if err != nil {
@@ -160,23 +168,23 @@
 
 // withNotices makes a lease notify its scheduler of the first token and of its end.
 func withNotices(lea executor.Lease, notify func(messenger.GrantNotice_Kind)) executor.Lease {
-	onPrefilled, onRelease := lea.Prefilled, lea.Release
-	prefilled := sync.OnceFunc(func() { notify(messenger.GrantNotice_KIND_PREFILLED) })
-	released := sync.OnceFunc(func() { notify(messenger.GrantNotice_KIND_RELEASED) })
+	prefilled, release := lea.Prefilled, lea.Release
+	notifyPrefilled := sync.OnceFunc(func() { notify(messenger.GrantNotice_KIND_PREFILLED) })
+	notifyReleased := sync.OnceFunc(func() { notify(messenger.GrantNotice_KIND_RELEASED) })
 	lea.Prefilled = func() {
-		onPrefilled()
 		prefilled()
+		notifyPrefilled()
 	}
 	lea.Release = func() {
-		onRelease()
-		released()
+		release()
+		notifyReleased()
 	}
 	return lea
 }
 
 // chooseCell returns the cell given by the hash of the prompt's first block, so that
-// equal prefixes go to the same engines. It returns another, random cell if that has
-// a clearly shorter wait.
+// equal prefixes go to the same engines. It returns a random cell instead if the wait
+// of that cell is clearly shorter.
 func (cel *Cells) chooseCell(scope string, count int, req placer.Request, now time.Time) string {
 	if count == 1 {
 		return scheduler.CellName(scope, 0)
@@ -195,7 +203,7 @@
 }
 
 // prefixGain is how much longer the wait of the cell given by the prefix may be than
-// that of another cell. It allows for the prefill that a cached prefix saves.
+// that of another cell. It stands for the prefill time that a cached prefix saves.
 const prefixGain = 20 * time.Millisecond
 
 // expectedWait returns the last known wait of a cell, scaled down linearly to 0 at
@@ -221,11 +229,12 @@
 	cel.digests[cell] = digest{wait, full, now}
 }
 
-// request sends a request to the cell's candidate hosts in their order, until one
-// grants or refuses it. It returns that host.
-func (cel *Cells) request(ctx context.Context, cell, pool string, req scheduler.Request) (scheduler.Action, host, error) {
+// submit sends a request to the cell's candidate hosts in their order, until a host
+// grants or refuses the request, and returns that host. Hosts that do not answer are
+// suspected.
+func (cel *Cells) submit(ctx context.Context, cell, pool string, req scheduler.Request) (scheduler.Action, host, error) {
 	for _, hos := range cel.candidates(cell, cel.Region, time.Now()) {
-		act, err := cel.requestFromHost(ctx, hos, cell, pool, req, 0)
+		act, err := cel.submitToHost(ctx, hos, cell, pool, req, 0)
 		if err == nil {
 			return act, hos, nil
 		}
@@ -299,6 +308,8 @@
 	return out
 }
 
+// suspect excludes a host that did not answer from the candidates of all cells for
+// suspectPeriod.
 func (cel *Cells) suspect(id string, now time.Time) {
 	cel.Scope.Counter("schedulers_suspected").Inc(1)
 	cel.mu.Lock()
--- a/process/allocator/cells_test.go
+++ b/process/allocator/cells_test.go
@@ -49,10 +49,12 @@
 	return ""
 }
 
+// TestRequestTriesNextScheduler checks that a request whose first scheduler does not
+// answer goes to the next, and that the first gets no requests for suspectPeriod.
 func TestRequestTriesNextScheduler(t *testing.T) {
 	cel := newCells(3, grantReplies{"h1": {Endpoint: "e1", Address: "a1"}})
 	cell := cellWithCandidates(t, cel, "h0", "h1")
-	act, hos, err := cel.request(t.Context(), cell, "pool", scheduler.Request{ID: "x"})
+	act, hos, err := cel.submit(t.Context(), cell, "pool", scheduler.Request{ID: "x"})
 	require.NoError(t, err)
 	require.Equal(t, "h1", hos.id)
 	require.Equal(t, scheduler.Grant{ID: "x", Endpoint: "e1", Address: "a1"}, act)
@@ -68,40 +70,43 @@
 	return out
 }
 
+// TestRequestWithoutScheduler checks that a request that no scheduler answers is to be
+// placed from the local view.
 func TestRequestWithoutScheduler(t *testing.T) {
 	cel := newCells(3, grantReplies{})
 	cell := cellWithCandidates(t, cel, "h0", "h1")
-	_, _, err := cel.request(t.Context(), cell, "pool", scheduler.Request{ID: "x"})
+	_, _, err := cel.submit(t.Context(), cell, "pool", scheduler.Request{ID: "x"})
 	require.True(t, eris.Is(err, errNoScheduler))
 }
 
 // TestCancelledRequest cancels a request while a scheduler holds it. The scheduler
-// must be notified and not be suspected.
+// must get a release and must not be suspected.
 func TestCancelledRequest(t *testing.T) {
 	cel := newCells(3, grantReplies{"h0": {Waiting: true}, "h1": {Waiting: true}})
 	cell := cellWithCandidates(t, cel, "h0", "h1")
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer stop()
-	_, _, err := cel.request(ctx, cell, "pool", scheduler.Request{ID: "x", Request: placer.Request{Deadline: time.Now().Add(time.Minute)}})
+	_, _, err := cel.submit(ctx, cell, "pool", scheduler.Request{ID: "x", Request: placer.Request{Deadline: time.Now().Add(time.Minute)}})
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	require.Empty(t, cel.suspects)
 	require.Equal(t, messenger.GrantNotice_KIND_RELEASED, cel.notices["h0"][0].GetKind())
 }
 
+// TestGrantEncoding checks that an action survives the encoding between hosts.
 func TestGrantEncoding(t *testing.T) {
 	for _, act := range []scheduler.Action{
 		scheduler.Grant{ID: "x", Endpoint: "e", Address: "a"},
 		scheduler.GrantGroup{ID: "x", Parts: []placer.Part{{Endpoint: "e", Address: "a", Tokens: 5}, {Endpoint: "f", Address: "b", Tokens: 6}}},
 		scheduler.Refuse{ID: "x", Refuse: placer.Refuse{Code: scheduler.CodeOverloaded, Message: "m", RetryAfter: 2 * time.Second}},
 	} {
-		require.Equal(t, act, decodeAction("x", encodeGrant(act)))
+		require.Equal(t, act, decodeAction("x", encodeAction(act)))
 	}
-	require.True(t, encodeGrant(nil).GetWaiting())
+	require.True(t, encodeAction(nil).GetWaiting())
 }
 
-// BenchmarkAskRemote measures the requesting host's part of a request to a remote
-// scheduler, without the network.
-func BenchmarkAskRemote(b *testing.B) {
+// BenchmarkRemoteRequest measures the work of the requesting host for a request to a
+// remote scheduler, without the network.
+func BenchmarkRemoteRequest(b *testing.B) {
 	for _, hosts := range []int{20, 920} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
 			rep := grantReplies{}
@@ -112,7 +117,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				cell := cel.chooseCell("region/pool", scheduler.CellCount(1000), placer.Request{}, time.Now())
-				if _, _, err := cel.request(b.Context(), cell, "pool", scheduler.Request{ID: "x"}); err != nil {
+				if _, _, err := cel.submit(b.Context(), cell, "pool", scheduler.Request{ID: "x"}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/process/allocator/explain.go
+++ b/process/allocator/explain.go
@@ -9,7 +9,9 @@
 )
 
 // SchedulerFor returns the cell that a request would be queued in and the ID of the
-// host that schedules it. Both are empty if this host places the request itself.
+// host that schedules it. Both are empty if this host has no Cells, or if the pool is
+// not a pool of engines or has no endpoint; id is empty if no host can schedule the
+// cell.
 func (all *Allocator) SchedulerFor(req placer.Request, poo parser.Pool, now time.Time) (cell, id string) {
 	if all.Cells == nil || poo.Kind != parser.PoolEngine {
 		return "", ""
--- a/process/allocator/group_test.go
+++ b/process/allocator/group_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestGroupWithoutUnresponsiveEngine checks that the next attempt excludes an engine
+// TestRetryExcludesUnresponsiveEngine checks that the next attempt excludes an engine
 // that did not answer, and only such an engine.
-func TestGroupWithoutUnresponsiveEngine(t *testing.T) {
+func TestRetryExcludesUnresponsiveEngine(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		err  error
--- a/process/allocator/health.go
+++ b/process/allocator/health.go
@@ -11,11 +11,13 @@
 	"hemlockpin/version/parser"
 )
 
-// codeNoEndpoint refuses a request if all endpoints are excluded.
+// codeNoEndpoint is the code of scheduler.CodeNoEndpoint, and of the refusal of package
+// placer if no endpoint is left.
 const codeNoEndpoint = "no_endpoint"
 
-// Acquire places a request on an endpoint that is not ejected, or on any if all the
-// others are excluded. errors.As finds an *executor.RefusedError in a refusal.
+// Acquire places a request on an endpoint that is not ejected. If there is none, it
+// places the request on an ejected endpoint. errors.As finds an *executor.RefusedError
+// in a refusal.
 func (all *Allocator) Acquire(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
 	ejected := all.ejected(req, poo, time.Now())
 	if len(ejected) == 0 {
@@ -31,7 +33,8 @@
 	return lea, err
 }
 
-// placeAndRecord places a request and records which endpoint got its prefix.
+// placeAndRecord places a request and records which endpoint has the request's prefix,
+// unless a group has it.
 func (all *Allocator) placeAndRecord(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
 	lea, err := all.place(ctx, req, poo)
 	if err == nil && len(lea.Group) == 0 {
@@ -56,12 +59,12 @@
 }
 
 // withReports makes the lease report successes and failures of its endpoint, and of
-// the endpoint that it moves to, to the ejector.
+// the endpoint that it moves to, to the ejector. It returns err unchanged.
 func (all *Allocator) withReports(lea executor.Lease, err error) (executor.Lease, error) {
 	lea.Report = all.reporter(lea.Endpoint)
-	if mov := lea.Move; mov != nil {
+	if move := lea.Move; move != nil {
 		lea.Move = func(ctx context.Context) (executor.Target, bool) {
-			tar, ok := mov(ctx)
+			tar, ok := move(ctx)
 			tar.Report = all.reporter(tar.Endpoint)
 			return tar, ok
 		}
--- a/process/allocator/overflow.go
+++ b/process/allocator/overflow.go
@@ -17,13 +17,13 @@
 // otherRegionGrace is the additional time to reply for a scheduler of another region.
 const otherRegionGrace = 250 * time.Millisecond
 
-// errNoEngine means that the scheduler in this host's region has no live engine.
+// errNoEngine means that the cell has no live engine.
 var errNoEngine = eris.New("allocator: cell has no live engine")
 
-// placeFromCell places a request by the scheduler of a cell in this host's region.
-// If that cannot serve the request in time and the pool allows it, it uses a cell
-// of another region. It returns errNoScheduler if the request has to be placed from
-// the local view.
+// placeFromCell places a request through the scheduler of a cell in this host's region.
+// If the cell cannot serve the request and the pool has Overflow regions, placeFromCell
+// tries a cell of another region. It returns errNoScheduler if the request has to be
+// placed from the local view.
 func (all *Allocator) placeFromCell(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
 	lea, err := all.placeInOwnRegion(ctx, req, poo)
 	if overflows(err) {
@@ -52,14 +52,14 @@
 	}
 }
 
-// placeInOtherRegion requests a grant once, from one cell of another region. If that
-// fails, the request keeps the refusal of this host's region.
+// placeInOtherRegion requests a grant once, from one cell of another region. It returns
+// false if there is no such cell or the cell does not grant the request.
 func (all *Allocator) placeInOtherRegion(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, bool) {
 	dig, ok := all.chooseOtherRegion(req, poo, time.Now())
 	if !ok {
 		return executor.Lease{}, false
 	}
-	lea, err := all.requestFromRegion(ctx, req, poo, dig)
+	lea, err := all.submitToRegion(ctx, req, poo, dig)
 	all.Cells.countOverflow(dig.Region, err)
 	return lea, err == nil
 }
@@ -74,7 +74,7 @@
 	return all.Cells.OtherRegions.Choose(want, now)
 }
 
-func (all *Allocator) requestFromRegion(ctx context.Context, req placer.Request, poo parser.Pool, dig overflower.Digest) (executor.Lease, error) {
+func (all *Allocator) submitToRegion(ctx context.Context, req placer.Request, poo parser.Pool, dig overflower.Digest) (executor.Lease, error) {
 	cel := all.Cells
 	cell := scheduler.CellName(dig.Region+"/"+poo.Name, dig.Number)
 	hosts := cel.candidates(cell, dig.Region, time.Now())
@@ -83,7 +83,7 @@
 	}
 	hos := hosts[0]
 	cellReq := cel.newRequest(req)
-	act, err := cel.requestFromHost(ctx, hos, cell, poo.Name, cellReq, otherRegionGrace)
+	act, err := cel.submitToHost(ctx, hos, cell, poo.Name, cellReq, otherRegionGrace)
 	if err != nil {
 		cel.notify(hos, cell, cellReq.ID, messenger.GrantNotice_KIND_RELEASED)
 		if ctx.Err() == nil {
--- a/process/allocator/overflow_test.go
+++ b/process/allocator/overflow_test.go
@@ -17,14 +17,15 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// TestOtherRegion sends a request to a scheduler of another region. If that refuses or
-// does not answer, the cell or the region must get no requests for some seconds.
+// TestOtherRegion sends a request to a scheduler of another region. If the scheduler
+// refuses, its cell must get no requests for some seconds; if it does not answer, its
+// region must get none.
 func TestOtherRegion(t *testing.T) {
 	for _, tt := range []struct {
-		name     string
-		answer   *messenger.Grant
-		endpoint string
-		again    bool
+		name        string
+		reply       *messenger.Grant
+		endpoint    string
+		chosenAgain bool
 	}{
 		{"granted", &messenger.Grant{Endpoint: "far-engine", Address: "a"}, "far-engine", true},
 		{"refused", &messenger.Grant{Refusal: scheduler.CodePoolFull}, "", false},
@@ -39,7 +40,7 @@
 			}
 			cel := &Cells{
 				Self: "self", Region: "near", Entries: func() []persister.Entry { return ents },
-				Client: grantReplies{"far": tt.answer, "near": {Endpoint: "near-engine"}}, Scope: tally.NoopScope,
+				Client: grantReplies{"far": tt.reply, "near": {Endpoint: "near-engine"}}, Scope: tally.NoopScope,
 			}
 			all := &Allocator{Cells: cel}
 			req := placer.Request{ID: "r", Deadline: now.Add(time.Minute)}
@@ -52,10 +53,10 @@
 			require.Equal(t, tt.endpoint != "", ok)
 			require.Equal(t, tt.endpoint, lea.Endpoint)
 			_, ok = all.chooseOtherRegion(req, poo, time.Now())
-			require.Equal(t, tt.again, ok, "not chosen right after a failure")
+			require.Equal(t, tt.chosenAgain, ok, "chosen right after the reply")
 			_, ok = all.chooseOtherRegion(req, poo, time.Now().Add(4*time.Second))
 			require.True(t, ok, "chosen again later")
-			if tt.answer == nil {
+			if tt.reply == nil {
 				require.Equal(t, messenger.GrantNotice_KIND_RELEASED, cel.notices["far"][0].GetKind(), "a grant of the unresponsive scheduler must be released")
 			}
 		})
--- a/process/allocator/prefixes_test.go
+++ b/process/allocator/prefixes_test.go
@@ -8,6 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestPrefixes checks that a prompt matches the endpoint of its longest recorded
+// prefix, and that old blocks are forgotten once maxPrefixBlocks are recorded.
 func TestPrefixes(t *testing.T) {
 	var pre prefixes
 	require.Empty(t, pre.match([]uint64{1}))
--- a/process/allocator/remote.go
+++ b/process/allocator/remote.go
@@ -19,16 +19,17 @@
 	// repeatPause is the pause between two calls of a request.
 	repeatPause = time.Millisecond
 	// maxNotices bounds the notices that wait to be sent to one host. Further
-	// ones are dropped; the scheduler then ends the grants by the engines' load
+	// notices are dropped; the scheduler then ends the grants by the engines' load
 	// reports or by their expiry.
 	maxNotices = 4096
 )
 
-// requestFromHost repeats a request to a host until the host grants or refuses it, or
-// does not answer in time. extra is added to the time to reply.
-func (cel *Cells) requestFromHost(ctx context.Context, hos host, cell, pool string, req scheduler.Request, extra time.Duration) (scheduler.Action, error) {
+// submitToHost repeats a request to a host until the host grants or refuses it, or
+// does not answer in time. extra lengthens the grace within which the host must answer
+// each call.
+func (cel *Cells) submitToHost(ctx context.Context, hos host, cell, pool string, req scheduler.Request, extra time.Duration) (scheduler.Action, error) {
 	if hos.id == cel.Self {
-		return cel.requestFromSelf(ctx, cell, pool, req)
+		return cel.submitToSelf(ctx, cell, pool, req)
 	}
 	hold, grace := firstHold, callGrace+extra
 	for {
@@ -42,18 +43,18 @@
 			return act, nil
 		}
 		if !pause(ctx, repeatPause) {
-			return nil, eris.Wrapf(ctx.Err(), "Cells.requestFromHost: scheduler %s", hos.id)
+			return nil, eris.Wrapf(ctx.Err(), "Cells.submitToHost: scheduler %s", hos.id)
 		}
 		hold, grace = laterHold, laterGrace+extra
 	}
 }
 
-func (cel *Cells) requestFromSelf(ctx context.Context, cell, pool string, req scheduler.Request) (scheduler.Action, error) {
+func (cel *Cells) submitToSelf(ctx context.Context, cell, pool string, req scheduler.Request) (scheduler.Action, error) {
 	for {
 		act, wait := cel.Scheduler.Submit(ctx, cell, pool, req, laterHold)
 		cel.recordDigest(cell, wait, act, time.Now())
 		if ctx.Err() != nil {
-			return nil, eris.Wrap(ctx.Err(), "Cells.requestFromSelf")
+			return nil, eris.Wrap(ctx.Err(), "Cells.submitToSelf")
 		}
 		if act != nil {
 			return act, nil
@@ -72,9 +73,10 @@
 	}
 }
 
-// callScheduler makes one call. If ctx ends, the call is cancelled; it times out only
-// if the host does not answer in time. The difference matters because a time-out
-// marks the session as unusable.
+// callScheduler makes one call. If ctx ends for any reason, its own deadline included,
+// callScheduler cancels the call. The call times out only if the host does not answer
+// within hold+grace. The difference matters because a time-out marks the session as
+// unusable.
 func (cel *Cells) callScheduler(ctx context.Context, hos host, cell, pool string, cellReq scheduler.Request, hold, grace time.Duration) (*messenger.Grant, error) {
 	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), hold+grace)
 	defer cancel()
@@ -96,7 +98,7 @@
 	return env.GetGrant(), nil
 }
 
-// HandleRequest answers another host's request as the scheduler of the cell.
+// HandleRequest answers another host's request for a grant or for a move.
 func (cel *Cells) HandleRequest(ctx context.Context, req *messenger.GrantRequest, now time.Time) *messenger.Envelope {
 	if req.GetMove() {
 		gra := encodeMove(cel.Scheduler.Move(req.GetCell(), req.GetAskId()))
@@ -109,7 +111,7 @@
 	}}
 	act, wait := cel.Scheduler.Submit(ctx, req.GetCell(), req.GetPool(), cellReq, time.Duration(req.GetHoldMs())*time.Millisecond)
 	cel.recordDigest(req.GetCell(), wait, act, now)
-	gra := encodeGrant(act)
+	gra := encodeAction(act)
 	gra.WaitMs = wait.Milliseconds()
 	return &messenger.Envelope{Body: &messenger.Envelope_Grant{Grant: gra}}
 }
@@ -145,7 +147,8 @@
 	return &messenger.Grant{}
 }
 
-func encodeGrant(act scheduler.Action) *messenger.Grant {
+// encodeAction encodes the reply to a request; nil means that the request still waits.
+func encodeAction(act scheduler.Action) *messenger.Grant {
 	switch act := act.(type) {
 	case scheduler.Grant:
 		return &messenger.Grant{Endpoint: act.Endpoint, Address: act.Address}
@@ -162,7 +165,7 @@
 	}
 }
 
-// decodeAction returns nil for a request that waits.
+// decodeAction returns nil if the request still waits.
 func decodeAction(id string, gra *messenger.Grant) scheduler.Action {
 	if gra.GetWaiting() {
 		return nil
@@ -182,10 +185,10 @@
 	return group
 }
 
-// notify reports an event of a grant to its scheduler: at once if that is on this
-// host, else with the next message to its host.
-func (cel *Cells) notify(hos host, cell, id string, kind messenger.GrantNotice_Kind) {
-	notice := &messenger.GrantNotice{Cell: cell, AskId: id, Kind: kind}
+// notify reports an event of a grant to its scheduler: at once if the scheduler is on
+// this host, else with the next message to the scheduler's host.
+func (cel *Cells) notify(hos host, cell, grantID string, kind messenger.GrantNotice_Kind) {
+	notice := &messenger.GrantNotice{Cell: cell, AskId: grantID, Kind: kind}
 	if hos.id == cel.Self {
 		cel.applyNotice(notice)
 		return
@@ -214,6 +217,8 @@
 	}
 }
 
+// flush sends the collected notices. Notices that cannot be sent are dropped, as
+// described at maxNotices.
 func (cel *Cells) flush(ctx context.Context) {
 	cel.mu.Lock()
 	pending := cel.notices
--- a/process/allocator/view.go
+++ b/process/allocator/view.go
@@ -18,7 +18,8 @@
 	maxRecentDispatches = 64
 )
 
-// usage is what this host has outstanding on one endpoint.
+// usage counts this host's outstanding requests on one endpoint, and the prompt tokens
+// of the outstanding requests without a first token.
 type usage struct {
 	requests int
 	tokens   int64
@@ -43,14 +44,14 @@
 	return min(sum, usa.tokens)
 }
 
-// view is the allocator's copy of a pool's view. Placement reads it and adds its own
-// dispatches to it.
+// view is a copy of the endpoints that the watcher shows for a pool, to which the
+// allocator adds this host's outstanding requests.
 type view struct {
 	endpoints []placer.Endpoint
 	index     map[string]int
 	version   uint64
 	pool      parser.Pool
-	copied    time.Time
+	copiedAt  time.Time
 }
 
 func (vie *view) placerView(mix placer.Mix, poo parser.Pool, cached []placer.Cached) placer.View {
@@ -64,10 +65,10 @@
 		all.views = map[string]*view{}
 	}
 	vie := all.views[poo.Name]
-	if vie != nil && samePool(vie.pool, poo) && (now.Sub(vie.copied) < viewRefresh || vie.version == all.Watcher.Version()) {
+	if vie != nil && sameEndpoints(vie.pool, poo) && (now.Sub(vie.copiedAt) < viewRefresh || vie.version == all.Watcher.Version()) {
 		return vie
 	}
-	vie = &view{version: all.Watcher.Version(), endpoints: all.Watcher.Pool(poo).Endpoints, index: map[string]int{}, pool: poo, copied: now}
+	vie = &view{version: all.Watcher.Version(), endpoints: all.Watcher.Pool(poo).Endpoints, index: map[string]int{}, pool: poo, copiedAt: now}
 	for i := range vie.endpoints {
 		end := &vie.endpoints[i]
 		vie.index[end.ID] = i
@@ -81,19 +82,22 @@
 	return vie
 }
 
-func samePool(a, b parser.Pool) bool {
+// sameEndpoints reports whether two versions of a pool select the same endpoints.
+func sameEndpoints(a, b parser.Pool) bool {
 	return a.Kind == b.Kind && a.Selector.Service == b.Selector.Service && slices.Equal(a.Selector.DataCenters, b.Selector.DataCenters)
 }
 
-func (all *Allocator) changeWork(id string, requests int, tokens int64) {
+// changeUsage is changeUsageLocked for the progress and the end of a request. It takes
+// the lock.
+func (all *Allocator) changeUsage(id string, requests int, tokens int64) {
 	all.mu.Lock()
 	defer all.mu.Unlock()
-	all.addWork(id, requests, tokens, time.Time{})
+	all.changeUsageLocked(id, requests, tokens, time.Time{})
 }
 
-// addWork adds to the usage of an endpoint, also in the views. The caller holds the
-// lock.
-func (all *Allocator) addWork(id string, requests int, tokens int64, now time.Time) {
+// changeUsageLocked adds to the usage of an endpoint, also in the views. The caller
+// holds the lock.
+func (all *Allocator) changeUsageLocked(id string, requests int, tokens int64, now time.Time) {
 	if all.usageByEndpoint == nil {
 		all.usageByEndpoint = map[string]*usage{}
 	}
