--- a/process/limiter/exchanger.go
+++ b/process/limiter/exchanger.go
@@ -88,7 +88,7 @@
 		ids = append(ids, host.ID)
 		addresses[host.ID] = host.Address
 	}
-	return addresses[scheduler.Candidates("limits/"+strconv.Itoa(group), ids)[0]]
+	return addresses[scheduler.RankHosts("limits/"+strconv.Itoa(group), ids)[0]]
 }
 
 func (exc *Exchanger) reportDemands(ctx context.Context, address string, dems []Demand, now time.Time) {
