--- a/process/allocator/health.go
+++ b/process/allocator/health.go
@@ -41,7 +41,7 @@
 }
 
 func (all *Allocator) ejected(req placer.Request, poo parser.Pool, now time.Time) []string {
-	if all.Ejector.Ejected() == 0 {
+	if all.Ejector.EjectedCount() == 0 {
 		return nil
 	}
 	all.mu.Lock()
--- a/process/drainer/drainer.go
+++ b/process/drainer/drainer.go
@@ -22,7 +22,7 @@
 // connections; and ended.
 const (
 	Serving  Phase = ""
-	Noticing Phase = "Noticing"
+	InNotice Phase = "Noticing"
 	Closing  Phase = "Closing"
 	Ended    Phase = "Ended"
 )
@@ -33,26 +33,26 @@
 	Settings  Settings
 	Phase     Phase
 	StartedAt time.Time
-	ClosedAt  time.Time
+	ClosingAt time.Time
 }
 
-// Event is an input to a drain: Signal or Progress.
+// Event is an input to a drain: Signal or Work.
 type Event interface{ event() }
 
 // Signal starts the drain. A second signal ends it at once.
 type Signal struct{}
 
-// Progress reports the work in progress.
-type Progress struct {
+// Work counts the work in progress.
+type Work struct {
 	// Requests counts callers' requests, Writes the background writes.
 	Requests int
 	Writes   int
 }
 
-func (Signal) event()   {}
-func (Progress) event() {}
+func (Signal) event() {}
+func (Work) event()   {}
 
-// Action is the next step of a drain: Announce, Close, End or Cut.
+// Action is the next step of a drain: Announce, Close, End or Abort.
 type Action interface{ action() }
 
 // Announce reports the host as not ready, and as leaving to its peers.
@@ -64,21 +64,21 @@
 // End ends the drain with no work left.
 type End struct{}
 
-// Cut ends the drain and aborts the work in progress.
-type Cut struct{ Reason string }
+// Abort ends the drain and aborts the work in progress.
+type Abort struct{ Reason string }
 
 func (Announce) action() {}
 func (Close) action()    {}
 func (End) action()      {}
-func (Cut) action()      {}
+func (Abort) action()    {}
 
 // Next returns the state after an event and the action to take; a nil action means none.
 func (sta State) Next(eve Event, now time.Time) (State, Action) {
 	switch eve := eve.(type) {
 	case Signal:
 		return sta.signal(now)
-	case Progress:
-		return sta.progress(eve, now)
+	case Work:
+		return sta.work(eve, now)
 	default:
 		return sta, nil
 	}
@@ -87,25 +87,25 @@
 func (sta State) signal(now time.Time) (State, Action) {
 	switch sta.Phase {
 	case Serving:
-		sta.Phase = Noticing
+		sta.Phase = InNotice
 		sta.StartedAt = now
 		return sta, Announce{}
-	case Noticing, Closing:
+	case InNotice, Closing:
 		sta.Phase = Ended
-		return sta, Cut{Reason: "second signal"}
+		return sta, Abort{Reason: "second signal"}
 	default:
 		return sta, nil
 	}
 }
 
-func (sta State) progress(eve Progress, now time.Time) (State, Action) {
+func (sta State) work(eve Work, now time.Time) (State, Action) {
 	switch sta.Phase {
-	case Noticing:
+	case InNotice:
 		if now.Sub(sta.StartedAt) < sta.Settings.Notice {
 			return sta, nil
 		}
 		sta.Phase = Closing
-		sta.ClosedAt = now
+		sta.ClosingAt = now
 		return sta, Close{}
 	case Closing:
 		return sta.closing(eve, now)
@@ -114,14 +114,14 @@
 	}
 }
 
-func (sta State) closing(eve Progress, now time.Time) (State, Action) {
+func (sta State) closing(eve Work, now time.Time) (State, Action) {
 	switch {
 	case eve.Requests == 0 && eve.Writes == 0:
 		sta.Phase = Ended
 		return sta, End{}
-	case now.Sub(sta.ClosedAt) >= sta.Settings.Timeout:
+	case now.Sub(sta.ClosingAt) >= sta.Settings.Timeout:
 		sta.Phase = Ended
-		return sta, Cut{Reason: "drain timeout"}
+		return sta, Abort{Reason: "drain timeout"}
 	default:
 		return sta, nil
 	}
--- a/process/drainer/drainer_test.go
+++ b/process/drainer/drainer_test.go
@@ -14,8 +14,8 @@
 var (
 	epoch     = time.Unix(1_700_000_000, 0)
 	settings  = Settings{Notice: 2 * time.Second, Timeout: 10 * time.Second}
-	phases    = []Phase{Serving, Noticing, Closing, Ended}
-	workloads = []Progress{{}, {Requests: 1}, {Writes: 1}, {Requests: 2, Writes: 3}}
+	phases    = []Phase{Serving, InNotice, Closing, Ended}
+	workloads = []Work{{}, {Requests: 1}, {Writes: 1}, {Requests: 2, Writes: 3}}
 	times     = []time.Duration{0, 2 * time.Second, 10 * time.Second, time.Hour}
 )
 
@@ -28,7 +28,7 @@
 		dat.ScanArgs(t, "phase", &name)
 		pha := Phase(strings.TrimPrefix(name, "Serving"))
 		seen[pha] = true
-		sta := State{Settings: settings, Phase: pha, StartedAt: epoch, ClosedAt: epoch}
+		sta := State{Settings: settings, Phase: pha, StartedAt: epoch, ClosingAt: epoch}
 		var bui strings.Builder
 		next, act := sta.Next(Signal{}, epoch)
 		fmt.Fprintf(&bui, "signal: %s, %T%+v\n", next.Phase, act, act)
@@ -75,7 +75,7 @@
 				},
 				Writes: func() int { return tt.left },
 			}, tt.set, again)
-			require.Equal(t, tt.cut, eris.Is(err, ErrCut))
+			require.Equal(t, tt.cut, eris.Is(err, ErrAborted))
 			require.Equal(t, "announce", steps[0])
 			require.Equal(t, tt.signals == 0, len(steps) == 2)
 		})
--- a/process/drainer/runner.go
+++ b/process/drainer/runner.go
@@ -8,8 +8,8 @@
 
 const checkInterval = 20 * time.Millisecond
 
-// ErrCut means that a drain ended with work in progress.
-var ErrCut = eris.New("drainer: work in progress aborted")
+// ErrAborted means that a drain ended with work in progress.
+var ErrAborted = eris.New("drainer: work in progress aborted")
 
 // Host holds the operations of a host that a drain uses.
 type Host struct {
@@ -25,7 +25,7 @@
 }
 
 // Run drains a host and returns when the drain has ended. Each value received from
-// signals is a further signal. It returns ErrCut if work was aborted.
+// signals is a further signal. It returns ErrAborted if work was aborted.
 func Run[T any](hos Host, set Settings, signals <-chan T) error {
 	sta, act := State{Settings: set}.Next(Signal{}, time.Now())
 	tic := time.NewTicker(checkInterval)
@@ -38,12 +38,12 @@
 			hos.Close()
 		case End:
 			return nil
-		case Cut:
-			return eris.Wrapf(ErrCut, "drainer.Run: %s with %d requests and %d writes", act.Reason, hos.Requests(), hos.Writes())
+		case Abort:
+			return eris.Wrapf(ErrAborted, "drainer.Run: %s with %d requests and %d writes", act.Reason, hos.Requests(), hos.Writes())
 		}
 		select {
 		case <-tic.C:
-			sta, act = sta.Next(Progress{Requests: hos.Requests(), Writes: hos.Writes()}, time.Now())
+			sta, act = sta.Next(Work{Requests: hos.Requests(), Writes: hos.Writes()}, time.Now())
 		case <-signals:
 			sta, act = sta.Next(Signal{}, time.Now())
 		}
--- a/process/ejector/ejector.go
+++ b/process/ejector/ejector.go
@@ -48,9 +48,9 @@
 	return hea
 }
 
-// Accepts reports whether the endpoint may get a request now, and returns the health
+// TryRequest reports whether the endpoint may get a request now, and returns the health
 // after the request was placed there.
-func (hea Health) Accepts(now time.Time) (Health, bool) {
+func (hea Health) TryRequest(now time.Time) (Health, bool) {
 	switch {
 	case hea.Failures == 0:
 		return hea, true
@@ -97,7 +97,7 @@
 		if !has(id) {
 			continue
 		}
-		next, ok := hea.Accepts(now)
+		next, ok := hea.TryRequest(now)
 		eje.failed[id] = next
 		if !ok {
 			out = append(out, id)
@@ -109,8 +109,8 @@
 	return out
 }
 
-// Ejected returns the number of endpoints that are ejected or on trial.
-func (eje *Ejector) Ejected() int {
+// EjectedCount returns the number of endpoints that are ejected or on trial.
+func (eje *Ejector) EjectedCount() int {
 	eje.mu.Lock()
 	defer eje.mu.Unlock()
 	return len(eje.failed)
--- a/process/forwarder/forwarder.go
+++ b/process/forwarder/forwarder.go
@@ -40,17 +40,17 @@
 // headerTimeout bounds the time for reading the header of a request.
 const headerTimeout = 10 * time.Second
 
-// Engines reads load reports of engines and reserves memory on them.
-type Engines interface {
+// EngineClient reads load reports of engines and reserves memory on them.
+type EngineClient interface {
 	planner.Loader
 	assigner.Reserver
 }
 
 // Platform is the part of a platform's adapter that a host uses.
 type Platform struct {
-	Source  follower.Source
-	Codec   relayer.Codec
-	Engines Engines
+	Source       follower.Source
+	Codec        relayer.Codec
+	EngineClient EngineClient
 }
 
 // Forwarder is one entry host.
@@ -111,7 +111,7 @@
 		Source: pla.Source, Wait: fwd.watchWait(), ShouldRead: fwd.shouldReadStore, OnTables: fwd.applyTables, OnEndpoints: fwd.applyEndpoints, OnUnavailable: fwd.storeLost, OnAvailable: fwd.storeBack, Log: log,
 	}
 	fwd.runner = &planner.Runner{
-		Loader: pla.Engines, Engines: fwd.engines, Pool: fwd.pool, Interval: set.LoadInterval, Clock: time.Now, Log: log, Scope: fwd.scope,
+		Loader: pla.EngineClient, Engines: fwd.engines, Pool: fwd.pool, Interval: set.LoadInterval, Clock: time.Now, Log: log, Scope: fwd.scope,
 	}
 	fwd.planners = &assigner.Planners{
 		Self: set.HostID, Incarnation: incarnation, Address: set.PeerListen, CapacityMilli: capacityMilli(set), Live: fwd.gossiper.Live, Leaving: fwd.draining.Load, Caller: fwd.multiplexer,
@@ -124,7 +124,7 @@
 	fwd.relayer = &relayer.Relayer{
 		Codec: pla.Codec, Tables: fwd.publisher.Current, Exchanger: &exchanger.Exchanger{Traffic: &fwd.endpoints}, RetryBudget: fwd.quota,
 		Placer: &assigner.Assigner{
-			Registry: &fwd.registry, Pool: fwd.pool, Planners: fwd.planners, Reserver: pla.Engines, DataCenter: set.DataCenter, Clock: time.Now, Log: log,
+			Registry: &fwd.registry, Pool: fwd.pool, Planners: fwd.planners, Reserver: pla.EngineClient, DataCenter: set.DataCenter, Clock: time.Now, Log: log,
 		},
 		Bodies: &fwd.bodies, Ready: fwd.ready, Stale: fwd.staleSinceResume, SuspendedFor: fwd.suspendedTime, Draining: fwd.draining.Load, MaxBodyBytes: set.MaxBodyBytes, Clock: time.Now, Log: log, Scope: fwd.scope,
 		Tracer: otel.Tracer("hemlockpin"),
--- a/process/incarnator/incarnator.go
+++ b/process/incarnator/incarnator.go
@@ -44,12 +44,14 @@
 // time, it is the clock's time; should an earlier process have had a higher incarnation,
 // membership raises this one as soon as a peer reports the end of the earlier process.
 func (inc *Incarnator) Choose(ctx context.Context, now time.Time) uint64 {
-	return Next(inc.highestKnown(ctx), now)
+	return NextAfter(inc.highestKnown(ctx), now)
 }
 
-// Next returns the incarnation of a process that starts now: the time in nanoseconds,
+// NextAfter returns the incarnation of a process that starts now: the time in nanoseconds,
 // or one more than the highest known incarnation of the host if that is higher.
-func Next(known uint64, now time.Time) uint64 { return max(known+1, uint64(max(0, now.UnixNano()))) }
+func NextAfter(known uint64, now time.Time) uint64 {
+	return max(known+1, uint64(max(0, now.UnixNano())))
+}
 
 // highestKnown returns the highest incarnation of the host that peers have seen, or 0.
 func (inc *Incarnator) highestKnown(ctx context.Context) uint64 {
--- a/process/server/tables.go
+++ b/process/server/tables.go
@@ -139,7 +139,7 @@
 func (loa recordingLoader) Load(ctx context.Context, address string) (invoker.Load, error) {
 	rep, err := loa.Invoker.Load(ctx, address)
 	if err == nil {
-		loa.watcher.RecordLoad(rep, time.Now())
+		loa.watcher.RecordLeaving(rep, time.Now())
 	}
 	return rep, err
 }
@@ -148,7 +148,7 @@
 func (loa recordingLoader) Summary(ctx context.Context, address string) (invoker.Load, error) {
 	rep, err := loa.Invoker.Summary(ctx, address)
 	if err == nil {
-		loa.watcher.RecordLoad(rep, time.Now())
+		loa.watcher.RecordLeaving(rep, time.Now())
 	}
 	return rep, err
 }
--- a/process/watcher/notices.go
+++ b/process/watcher/notices.go
@@ -181,9 +181,9 @@
 	}
 }
 
-// RecordLoad records whether an engine is leaving, from a load report that another part
+// RecordLeaving records whether an engine is leaving, from a load report that another part
 // of the host has read.
-func (wat *Watcher) RecordLoad(loa invoker.Load, now time.Time) {
+func (wat *Watcher) RecordLeaving(loa invoker.Load, now time.Time) {
 	wat.recordNotice(Notice{Endpoint: loa.Engine, Incarnation: loa.Incarnation, Leaving: loa.Leaving, At: now}, now)
 }
 
--- a/process/watcher/notices_test.go
+++ b/process/watcher/notices_test.go
@@ -88,9 +88,9 @@
 	first.OnNotices = func(nots []*messenger.EndpointNotice) { second.Notices.Merge(nots, time.Now()) }
 	require.False(t, second.Pool(poo).Endpoints[0].Leaving)
 	version := second.Version()
-	first.RecordLoad(invoker.Load{Engine: "engine", Incarnation: 1, Leaving: true}, time.Now())
+	first.RecordLeaving(invoker.Load{Engine: "engine", Incarnation: 1, Leaving: true}, time.Now())
 	require.Greater(t, second.Version(), version, "the view's version increases, so that copies are refreshed")
 	require.True(t, second.Pool(poo).Endpoints[0].Leaving)
-	first.RecordLoad(invoker.Load{Engine: "engine", Incarnation: 2}, time.Now())
+	first.RecordLeaving(invoker.Load{Engine: "engine", Incarnation: 2}, time.Now())
 	require.False(t, second.Pool(poo).Endpoints[0].Leaving)
 }
