--- a/process/incarnator/incarnator.go
+++ b/process/incarnator/incarnator.go
@@ -2,7 +2,7 @@
 // than all that peers have seen of its host, also if the host's clock was set back.
 //
 // Peers would ignore a process whose incarnation is lower than that of an earlier
-// process of the host, and would free the memory that its requests use.
+// process of the host, and would free the memory that its requests use on engines.
 package incarnator
 
 import (
@@ -17,7 +17,7 @@
 
 const (
 	// queryTimeout bounds each of two steps: reading the platform's list and querying
-	// peers. So a host starts also if these do not answer.
+	// peers. A host starts even if neither answers.
 	queryTimeout = time.Second
 	// furtherAnswersWait is the time to wait for further answers after the first one, so
 	// that a start is not delayed if one of few seeds is down.
@@ -41,14 +41,16 @@
 }
 
 // Choose returns the incarnation of a process that starts now. If no peer answers in
-// time, it is the clock's time; should an earlier process have had a higher incarnation,
-// membership raises this one as soon as a peer reports the end of the earlier process.
+// time, the incarnation is the clock's time. If an earlier process had a higher
+// incarnation, membership raises the incarnation of this process as soon as a peer
+// reports the end of the earlier process.
 func (inc *Incarnator) Choose(ctx context.Context, now time.Time) uint64 {
 	return NextAfter(inc.highestKnown(ctx), now)
 }
 
-// NextAfter returns the incarnation of a process that starts now: the time in nanoseconds,
-// or one more than the highest known incarnation of the host if that is higher.
+// NextAfter returns the incarnation of a process that starts now: the time in
+// nanoseconds, or one more than the highest known incarnation of the host if that is
+// higher.
 func NextAfter(known uint64, now time.Time) uint64 {
 	return max(known+1, uint64(max(0, now.UnixNano())))
 }
@@ -58,6 +60,7 @@
 	ctx, stop := context.WithTimeout(ctx, queryTimeout)
 	defer stop()
 	addrs := inc.peers(ctx)
+	// The pulls have a queryTimeout of their own.
 	ctx, stopPulls := context.WithTimeout(context.WithoutCancel(ctx), queryTimeout)
 	defer stopPulls()
 	answers := make(chan *messenger.MembersPush, len(addrs))
@@ -65,7 +68,7 @@
 		go func() { answers <- inc.pullMembers(ctx, addr) }()
 	}
 	var highest uint64
-	var late <-chan time.Time
+	var answerDeadline <-chan time.Time
 	answered := 0
 	for range addrs {
 		select {
@@ -77,10 +80,10 @@
 			if answered++; answered == enoughAnswers {
 				return highest
 			}
-			if late == nil {
-				late = time.After(furtherAnswersWait)
+			if answerDeadline == nil {
+				answerDeadline = time.After(furtherAnswersWait)
 			}
-		case <-late:
+		case <-answerDeadline:
 			return highest
 		}
 	}
--- a/process/incarnator/incarnator_test.go
+++ b/process/incarnator/incarnator_test.go
@@ -14,16 +14,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestChoose starts host-a with its clock at 100. Each argument of the input is a peer
-// with the incarnation of host-a that it has seen, or silent if it does not answer.
+// TestChoose starts host-a with its clock at 100. The incarnation has to be above each
+// one that a peer has seen, also if the clock is behind. Each argument of the input is a
+// peer with the incarnation of host-a that it has seen, or silent if it does not answer.
 func TestChoose(t *testing.T) {
 	datadriven.RunTest(t, "testdata/choose", func(t *testing.T, dat *datadriven.TestData) string {
-		inc := &Incarnator{Host: "host-a", Entries: func(context.Context) ([]persister.Entry, error) { return nil, eris.New("out") }}
-		knows := map[string]uint64{}
+		inc := &Incarnator{Host: "host-a", Entries: func(context.Context) ([]persister.Entry, error) { return nil, eris.New("list unavailable") }}
+		seen := map[string]uint64{}
 		for _, arg := range dat.CmdArgs {
 			var incarnation uint64
 			if _, err := fmt.Sscan(arg.Vals[0], &incarnation); err == nil {
-				knows[arg.Key] = incarnation
+				seen[arg.Key] = incarnation
 			}
 			inc.Seeds = append(inc.Seeds, arg.Key)
 		}
@@ -39,7 +40,7 @@
 			}
 		}
 		inc.Call = func(_ context.Context, addr string, _ *messenger.Envelope) (*messenger.Envelope, error) {
-			incarnation, ok := knows[addr]
+			incarnation, ok := seen[addr]
 			if !ok {
 				require.NotEqual(t, "self", addr)
 				require.NotEqual(t, "engine", addr)
