--- a/process/watcher/notices.go
+++ b/process/watcher/notices.go
@@ -22,7 +22,8 @@
 	maxProbeNotices = 16
 )
 
-// Notice is an observed state of an endpoint that hosts send each other.
+// Notice reports whether an endpoint is leaving, as observed by a host. Hosts send
+// notices to each other.
 type Notice struct {
 	Endpoint string
 	// Incarnation identifies the process of the endpoint; 0 if the endpoint reports none.
@@ -32,65 +33,69 @@
 	At time.Time
 }
 
-// Merge returns the notice that is valid after another one of the same endpoint. The
-// result does not depend on the order of notices: of two processes the newer one counts,
-// and of the same process the leaving state, since a leaving process never returns.
-func (not Notice) Merge(other Notice) Notice {
+// Merge returns the notice that is valid once both notices of an endpoint have been
+// received. The result does not depend on the order of notices: of two processes the
+// newer one counts, and of the same process the leaving state, since a leaving process
+// never returns.
+func (ntc Notice) Merge(other Notice) Notice {
 	switch {
-	case other.Incarnation > not.Incarnation:
+	case other.Incarnation > ntc.Incarnation:
 		return other
-	case other.Incarnation < not.Incarnation:
-		return not
-	case other.Leaving != not.Leaving && other.Leaving:
+	case other.Incarnation < ntc.Incarnation:
+		return ntc
+	case other.Leaving != ntc.Leaving && other.Leaving:
 		return other
-	case other.Leaving == not.Leaving && other.At.After(not.At):
+	case other.Leaving == ntc.Leaving && other.At.After(ntc.At):
 		return other
 	default:
-		return not
+		return ntc
 	}
 }
 
-// worthSending reports whether a host that held the notice old should send this one to
-// other hosts.
-func (not Notice) worthSending(old Notice) bool {
-	return not.Incarnation != old.Incarnation || not.Leaving != old.Leaving || not.At.Sub(old.At) >= noticeRefreshAge
+// worthSending reports whether the notice differs enough from old, which a host has held
+// so far, to be sent to other hosts.
+func (ntc Notice) worthSending(old Notice) bool {
+	return ntc.Incarnation != old.Incarnation || ntc.Leaving != old.Leaving || ntc.At.Sub(old.At) >= noticeRefreshAge
 }
 
-// Notices holds the valid notices of one host. Its zero value is ready to use.
+// Notices holds the newest notice of each endpoint that one host has received or
+// observed. Expired notices are ignored. Its zero value is ready to use.
 type Notices struct {
-	mu      sync.Mutex
-	known   map[string]Notice
-	pending map[string]int
-	version uint64
+	mu    sync.Mutex
+	known map[string]Notice
+	// transmitsLeft holds the number of probes that have yet to carry the notice of
+	// each endpoint.
+	transmitsLeft map[string]int
+	changes       uint64
 }
 
 // changeCount returns the number of merged notices that changed the view.
 func (nots *Notices) changeCount() uint64 {
 	nots.mu.Lock()
 	defer nots.mu.Unlock()
-	return nots.version
+	return nots.changes
 }
 
 // Leaving reports whether an endpoint is known to be leaving.
 func (nots *Notices) Leaving(endpoint string, now time.Time) bool {
 	nots.mu.Lock()
 	defer nots.mu.Unlock()
-	not, ok := nots.known[endpoint]
-	return ok && not.Leaving && now.Sub(not.At) < noticeLifetime
+	ntc, ok := nots.known[endpoint]
+	return ok && ntc.Leaving && now.Sub(ntc.At) < noticeLifetime
 }
 
-// Observe merges the state that an endpoint reports of itself. It returns the notice to
-// broadcast, or nil if other hosts need not receive it.
-func (nots *Notices) Observe(not Notice, now time.Time) []*messenger.EndpointNotice {
+// Observe merges the state that an endpoint reports of itself. It returns a list with
+// this notice to broadcast, or nil if other hosts need not receive it.
+func (nots *Notices) Observe(ntc Notice, now time.Time) []*messenger.EndpointNotice {
 	nots.mu.Lock()
 	defer nots.mu.Unlock()
-	if _, ok := nots.known[not.Endpoint]; !ok && !not.Leaving {
+	if _, ok := nots.known[ntc.Endpoint]; !ok && !ntc.Leaving {
 		return nil
 	}
-	if !nots.merge(not, now) {
+	if !nots.merge(ntc, now) {
 		return nil
 	}
-	return []*messenger.EndpointNotice{not.message(now)}
+	return []*messenger.EndpointNotice{ntc.message(now)}
 }
 
 // Merge merges the notices of a peer and returns those to send to other hosts.
@@ -99,42 +104,43 @@
 	defer nots.mu.Unlock()
 	var changed []*messenger.EndpointNotice
 	for _, mes := range mess {
-		not := Notice{
+		ntc := Notice{
 			Endpoint: mes.GetEndpoint(), Incarnation: mes.GetIncarnation(), Leaving: mes.GetLeaving(),
 			At: now.Add(-time.Duration(max(0, mes.GetAgeMs())) * time.Millisecond),
 		}
-		if nots.merge(not, now) {
-			changed = append(changed, not.message(now))
+		if nots.merge(ntc, now) {
+			changed = append(changed, ntc.message(now))
 		}
 	}
 	return changed
 }
 
 // merge merges one notice and reports whether it has to be sent to other hosts.
-func (nots *Notices) merge(not Notice, now time.Time) bool {
-	if not.Endpoint == "" || now.Sub(not.At) >= noticeLifetime {
+func (nots *Notices) merge(ntc Notice, now time.Time) bool {
+	if ntc.Endpoint == "" || now.Sub(ntc.At) >= noticeLifetime {
 		return false
 	}
 	if nots.known == nil {
 		nots.known = map[string]Notice{}
-		nots.pending = map[string]int{}
+		nots.transmitsLeft = map[string]int{}
 	}
-	old, ok := nots.known[not.Endpoint]
+	old, ok := nots.known[ntc.Endpoint]
 	if ok && now.Sub(old.At) < noticeLifetime {
-		not = old.Merge(not)
+		ntc = old.Merge(ntc)
 	}
-	if ok && not == old {
+	if ok && ntc == old {
 		return false
 	}
-	changed := !ok || not.worthSending(old)
+	changed := !ok || ntc.worthSending(old)
 	if !changed {
-		// A repeated observation that is not sent is not stored either: with its newer
-		// time, later ones would never reach noticeRefreshAge.
+		// A repeated observation that is not sent is not stored either. Otherwise the
+		// time of the stored notice would advance with each observation, and the
+		// difference would never reach noticeRefreshAge.
 		return false
 	}
-	nots.known[not.Endpoint] = not
-	nots.pending[not.Endpoint] = maxNoticeTransmits
-	nots.version++
+	nots.known[ntc.Endpoint] = ntc
+	nots.transmitsLeft[ntc.Endpoint] = maxNoticeTransmits
+	nots.changes++
 	return true
 }
 
@@ -143,48 +149,49 @@
 	nots.mu.Lock()
 	defer nots.mu.Unlock()
 	nots.expire(now)
-	ids := make([]string, 0, len(nots.pending))
-	for id := range nots.pending {
+	ids := make([]string, 0, len(nots.transmitsLeft))
+	for id := range nots.transmitsLeft {
 		ids = append(ids, id)
 	}
-	slices.SortFunc(ids, func(a, b string) int { return nots.pending[b] - nots.pending[a] })
+	slices.SortFunc(ids, func(a, b string) int { return nots.transmitsLeft[b] - nots.transmitsLeft[a] })
 	var out []*messenger.EndpointNotice
 	for _, id := range ids[:min(len(ids), maxProbeNotices)] {
 		out = append(out, nots.known[id].message(now))
-		if nots.pending[id]--; nots.pending[id] <= 0 {
-			delete(nots.pending, id)
+		if nots.transmitsLeft[id]--; nots.transmitsLeft[id] <= 0 {
+			delete(nots.transmitsLeft, id)
 		}
 	}
 	return out
 }
 
 func (nots *Notices) expire(now time.Time) {
-	for id, not := range nots.known {
-		if now.Sub(not.At) >= noticeLifetime {
+	for id, ntc := range nots.known {
+		if now.Sub(ntc.At) >= noticeLifetime {
 			delete(nots.known, id)
-			delete(nots.pending, id)
+			delete(nots.transmitsLeft, id)
 		}
 	}
 }
 
-func (not Notice) message(now time.Time) *messenger.EndpointNotice {
+func (ntc Notice) message(now time.Time) *messenger.EndpointNotice {
 	return &messenger.EndpointNotice{
-		Endpoint: not.Endpoint, Incarnation: not.Incarnation, Leaving: not.Leaving,
-		AgeMs: max(0, now.Sub(not.At).Milliseconds()),
+		Endpoint: ntc.Endpoint, Incarnation: ntc.Incarnation, Leaving: ntc.Leaving,
+		AgeMs: max(0, now.Sub(ntc.At).Milliseconds()),
 	}
 }
 
-// recordNotice records the state that an endpoint reported of itself.
-func (wat *Watcher) recordNotice(not Notice, now time.Time) {
-	if changed := wat.Notices.Observe(not, now); len(changed) > 0 && wat.OnNotices != nil {
+// observeNotice merges the state that an endpoint reported of itself, and passes it to
+// OnNotices if other hosts need it.
+func (wat *Watcher) observeNotice(ntc Notice, now time.Time) {
+	if changed := wat.Notices.Observe(ntc, now); len(changed) > 0 && wat.OnNotices != nil {
 		wat.OnNotices(changed)
 	}
 }
 
-// RecordLeaving records whether an engine is leaving, from a load report that another part
-// of the host has read.
+// RecordLeaving records whether an engine is leaving, from a load report that another
+// part of the host has read. The rest of the report is not recorded.
 func (wat *Watcher) RecordLeaving(loa invoker.Load, now time.Time) {
-	wat.recordNotice(Notice{Endpoint: loa.Engine, Incarnation: loa.Incarnation, Leaving: loa.Leaving, At: now}, now)
+	wat.observeNotice(Notice{Endpoint: loa.Engine, Incarnation: loa.Incarnation, Leaving: loa.Leaving, At: now}, now)
 }
 
 // RefreshList reads the platform's list at once.
--- a/process/watcher/watcher.go
+++ b/process/watcher/watcher.go
@@ -16,6 +16,7 @@
 	"hemlockpin/version/parser"
 )
 
+// readTimeout bounds one read of the list or of a load report.
 const readTimeout = time.Second
 
 // Lister reads the platform's list.
@@ -28,7 +29,7 @@
 	Load(ctx context.Context, address string) (invoker.Load, error)
 }
 
-// Watcher holds the view of one host. Lister and Loader have to be set.
+// Watcher holds this host's view of the endpoints. Lister and Loader have to be set.
 type Watcher struct {
 	Lister Lister
 	Loader Loader
@@ -44,13 +45,14 @@
 	mu       sync.Mutex
 	entries  []persister.Entry
 	listedAt time.Time
-	loads    map[string]report
+	loads    map[string]loadReport
 	version  uint64
 }
 
-type report struct {
+type loadReport struct {
 	load invoker.Load
-	at   time.Time
+	// at is the start of the round in which the report was read.
+	at time.Time
 }
 
 // PollList reads the platform's list at an interval until ctx ends.
@@ -125,17 +127,18 @@
 	if err != nil {
 		return
 	}
-	wat.recordNotice(Notice{Endpoint: ent.ID, Incarnation: loa.Incarnation, Leaving: loa.Leaving, At: now}, now)
+	wat.observeNotice(Notice{Endpoint: ent.ID, Incarnation: loa.Incarnation, Leaving: loa.Leaving, At: now}, now)
 	wat.mu.Lock()
 	defer wat.mu.Unlock()
 	if wat.loads == nil {
-		wat.loads = map[string]report{}
+		wat.loads = map[string]loadReport{}
 	}
-	wat.loads[ent.ID] = report{load: loa, at: now}
+	wat.loads[ent.ID] = loadReport{load: loa, at: now}
 	wat.version++
 }
 
-// Version returns a number that increases with each change of the view.
+// Version returns a number that increases with each list, load report and notice that is
+// stored. The expiry of a notice does not increase it.
 func (wat *Watcher) Version() uint64 {
 	wat.mu.Lock()
 	defer wat.mu.Unlock()
