--- a/process/ejector/ejector.go
+++ b/process/ejector/ejector.go
@@ -2,7 +2,8 @@
 // period an endpoint gets single trial requests until one of them succeeds.
 //
 // Each host ejects endpoints by its own requests alone. This only makes placement
-// faster: ejected endpoints are used all the same if no others are left.
+// faster: if more than half of a pool's endpoints are ejected, none of them is excluded,
+// unless requests can be served without these endpoints.
 package ejector
 
 import (
@@ -22,7 +23,9 @@
 	// a time. If more fail, the fault is more likely on this host's side, and no
 	// endpoint of the pool is ejected.
 	maxEjectedShare = 0.5
-	maxDoublings    = 8
+	// maxDoublings bounds the shift of BasePeriod, so that the period does not overflow
+	// before it is reduced to MaxPeriod.
+	maxDoublings = 8
 )
 
 // Health is the record of one endpoint's failures. It is an immutable value; the zero
@@ -48,8 +51,8 @@
 	return hea
 }
 
-// TryRequest reports whether the endpoint may get a request now, and returns the health
-// after the request was placed there.
+// TryRequest reports whether the endpoint may get a request now. If the request would be
+// a trial, the health returned records the trial as used.
 func (hea Health) TryRequest(now time.Time) (Health, bool) {
 	switch {
 	case hea.Failures == 0:
@@ -85,16 +88,17 @@
 	delete(eje.failed, id)
 }
 
-// Excluded returns the endpoints of a pool that get no requests now. size is the number
-// of the pool's endpoints and has reports whether an endpoint belongs to the pool. An
-// endpoint whose trial is due is not excluded for one call. elsewhere reports that
-// requests can be served without this pool, so that all its endpoints may be excluded.
-func (eje *Ejector) Excluded(size int, elsewhere bool, has func(id string) bool, now time.Time) []string {
+// Excluded returns the endpoints of a pool that get no requests now. poolSize is the
+// number of the pool's endpoints, and inPool reports whether an endpoint belongs to the
+// pool. An endpoint whose trial is due is left out of the result of one call, which uses
+// up the trial; the next trial is due after TrialInterval. servableElsewhere reports that
+// requests can be served without these endpoints, so that all of them may be excluded.
+func (eje *Ejector) Excluded(poolSize int, servableElsewhere bool, inPool func(id string) bool, now time.Time) []string {
 	eje.mu.Lock()
 	defer eje.mu.Unlock()
 	var out []string
 	for id, hea := range eje.failed {
-		if !has(id) {
+		if !inPool(id) {
 			continue
 		}
 		next, ok := hea.TryRequest(now)
@@ -103,13 +107,14 @@
 			out = append(out, id)
 		}
 	}
-	if !elsewhere && float64(len(out)) > maxEjectedShare*float64(size) {
+	if !servableElsewhere && float64(len(out)) > maxEjectedShare*float64(poolSize) {
 		return nil
 	}
 	return out
 }
 
-// EjectedCount returns the number of endpoints that are ejected or on trial.
+// EjectedCount returns the number of endpoints that have failed and have served no
+// request since: they are ejected or get trial requests.
 func (eje *Ejector) EjectedCount() int {
 	eje.mu.Lock()
 	defer eje.mu.Unlock()
--- a/process/ejector/ejector_test.go
+++ b/process/ejector/ejector_test.go
@@ -12,6 +12,8 @@
 
 var pool = []string{"a", "b", "c", "d"}
 
+// TestEjections plays failures and successes of a pool's endpoints a to d and prints the
+// excluded endpoints. With the word elsewhere, requests can be served without the pool.
 func TestEjections(t *testing.T) {
 	epoch := time.Unix(1_800_000_000, 0)
 	at := func(offset string) time.Time {
