--- a/process/detector/detector.go
+++ b/process/detector/detector.go
@@ -1,6 +1,6 @@
 // Package detector detects that a host was suspended. The monotonic clock, which measures
 // ages and deadlines, stands still during a suspension, although the host's state becomes
-// stale and its permissions expire.
+// stale and its leases and grants expire.
 package detector
 
 import (
@@ -15,11 +15,11 @@
 // the other, so small differences are no suspension.
 const minSuspension = 200 * time.Millisecond
 
-// Clocks returns the time since the boot of the machine, without (monotonic) and with
-// (boot) suspensions.
+// Clocks returns the time since the boot of the host, without (monotonic) and with (boot)
+// suspensions.
 type Clocks func() (monotonic, boot time.Duration, err error)
 
-// SystemClocks reads the clocks CLOCK_MONOTONIC and CLOCK_BOOTTIME of the machine.
+// SystemClocks reads the host's clocks CLOCK_MONOTONIC and CLOCK_BOOTTIME.
 func SystemClocks() (monotonic, boot time.Duration, err error) {
 	var mono, bootTime unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &mono); err != nil {
@@ -32,22 +32,23 @@
 }
 
 // Detector adds up the time for which the host was suspended since the first call of
-// Suspensions. Its zero value reads the clocks of the machine.
+// Suspensions. Its zero value reads the host's clocks.
 type Detector struct {
 	// Clocks replaces SystemClocks if it is not nil.
 	Clocks Clocks
 
 	mu sync.Mutex
-	// clockOffset is the difference of the clocks after the last suspension.
-	clockOffset time.Duration
-	started     bool
-	suspended   time.Duration
-	resumedAt   time.Time
+	// clockOffset is the boot clock minus the monotonic clock, as of the last suspension
+	// or, before any suspension, as of the first call.
+	clockOffset      time.Duration
+	clockOffsetKnown bool
+	suspended        time.Duration
+	resumedAt        time.Time
 }
 
 // Suspensions returns the total time for which the host was suspended, and the time at
-// which the last suspension was detected. If the clocks cannot be read, no further
-// suspension is detected.
+// which the last suspension was detected. While the clocks cannot be read, no suspension
+// is detected.
 func (det *Detector) Suspensions(now time.Time) (suspended time.Duration, resumedAt time.Time) {
 	readClocks := det.Clocks
 	if readClocks == nil {
@@ -61,16 +62,17 @@
 	}
 	suspension := boot - monotonic - det.clockOffset
 	switch {
-	case !det.started:
-		det.started, det.clockOffset = true, boot-monotonic
+	case !det.clockOffsetKnown:
+		det.clockOffsetKnown, det.clockOffset = true, boot-monotonic
 	case suspension >= minSuspension:
 		det.clockOffset, det.suspended, det.resumedAt = boot-monotonic, det.suspended+suspension, now
 	}
 	return det.suspended, det.resumedAt
 }
 
-// Age returns the age of data that was current at a time. If a suspension was detected
-// after that time, the total time of all suspensions is added.
+// Age returns the age at now of data that was current at the time at. If a suspension was
+// detected after at, the total time of all suspensions is added, also of those before at,
+// so the age may be too high.
 func (det *Detector) Age(at, now time.Time) time.Duration {
 	suspended, resumedAt := det.Suspensions(now)
 	age := max(0, now.Sub(at))
--- a/process/detector/detector_test.go
+++ b/process/detector/detector_test.go
@@ -8,7 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDetector(t *testing.T) {
+// TestSuspensionsAddUp checks that a suspension adds to the age of data from before it
+// and of no other data, and that clocks that cannot be read change nothing.
+func TestSuspensionsAddUp(t *testing.T) {
 	monotonic, boot := 10*time.Second, 15*time.Second
 	var clockErr error
 	det := &Detector{Clocks: func() (time.Duration, time.Duration, error) { return monotonic, boot, clockErr }}
