--- a/process/drainer/drainer.go
+++ b/process/drainer/drainer.go
@@ -11,20 +11,23 @@
 type Settings struct {
 	// Notice is how long a host that reports not ready still accepts requests.
 	Notice time.Duration
-	// Timeout bounds the time for the requests in progress after the notice.
+	// Timeout bounds the time after the notice for requests and background writes to end.
 	Timeout time.Duration
 }
 
 // Phase is the phase of a drain.
 type Phase string
 
-// Phases of a drain: no drain yet; not ready, but accepting connections; accepting no
-// connections; and ended.
+// Phases of a drain.
 const (
-	Serving  Phase = ""
+	// Serving is the phase before a drain.
+	Serving Phase = ""
+	// InNotice is the notice period: not ready, but accepting connections.
 	InNotice Phase = "Noticing"
-	Closing  Phase = "Closing"
-	Ended    Phase = "Ended"
+	// Closing accepts no connections and waits for the work in progress.
+	Closing Phase = "Closing"
+	// Ended is the phase after a drain, whether or not work was aborted.
+	Ended Phase = "Ended"
 )
 
 // State is the state of a drain. It is an immutable value; the zero value is a host that
@@ -33,6 +36,7 @@
 	Settings  Settings
 	Phase     Phase
 	StartedAt time.Time
+	// ClosingAt is when the phase Closing began.
 	ClosingAt time.Time
 }
 
@@ -44,7 +48,8 @@
 
 // Work counts the work in progress.
 type Work struct {
-	// Requests counts callers' requests, Writes the background writes.
+	// Requests counts callers' requests, Writes the background work: writes, and calls
+	// that have to be recorded.
 	Requests int
 	Writes   int
 }
@@ -55,7 +60,7 @@
 // Action is the next step of a drain: Announce, Close, End or Abort.
 type Action interface{ action() }
 
-// Announce reports the host as not ready, and as leaving to its peers.
+// Announce makes the readiness check fail and notifies peers that the host is leaving.
 type Announce struct{}
 
 // Close stops accepting connections.
@@ -64,7 +69,7 @@
 // End ends the drain with no work left.
 type End struct{}
 
-// Abort ends the drain and aborts the work in progress.
+// Abort ends the drain early and aborts the work in progress, if any.
 type Abort struct{ Reason string }
 
 func (Announce) action() {}
--- a/process/drainer/drainer_test.go
+++ b/process/drainer/drainer_test.go
@@ -41,18 +41,20 @@
 		return strings.ReplaceAll(strings.ReplaceAll(bui.String(), "<nil><nil>", "-"), "drainer.", "")
 	})
 	for _, pha := range phases {
-		require.True(t, seen[pha], "no cell for phase %q", pha)
+		require.True(t, seen[pha], "no directive for phase %q", pha)
 	}
 }
 
+// TestRun checks that a drain announces itself first, closes the listener unless a second
+// signal arrives in the notice period, and returns ErrAborted only if it was ended early.
 func TestRun(t *testing.T) {
 	tts := []struct {
 		name    string
 		set     Settings
 		signals int
 		// left is the number of requests and of writes that never end.
-		left int
-		cut  bool
+		left    int
+		aborted bool
 	}{
 		{"all work ends", Settings{Notice: 50 * time.Millisecond, Timeout: time.Minute}, 0, 0, false},
 		{"second signal", Settings{Notice: time.Minute, Timeout: time.Minute}, 1, 0, true},
@@ -62,9 +64,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var steps []string
 			requests := 3
-			again := make(chan int, 1)
+			furtherSignals := make(chan int, 1)
 			for range tt.signals {
-				again <- 1
+				furtherSignals <- 1
 			}
 			err := Run(Host{
 				Announce: func() { steps = append(steps, "announce") },
@@ -74,8 +76,8 @@
 					return requests
 				},
 				Writes: func() int { return tt.left },
-			}, tt.set, again)
-			require.Equal(t, tt.cut, eris.Is(err, ErrAborted))
+			}, tt.set, furtherSignals)
+			require.Equal(t, tt.aborted, eris.Is(err, ErrAborted))
 			require.Equal(t, "announce", steps[0])
 			require.Equal(t, tt.signals == 0, len(steps) == 2)
 		})
--- a/process/drainer/runner.go
+++ b/process/drainer/runner.go
@@ -6,15 +6,18 @@
 	"github.com/rotisserie/eris"
 )
 
+// checkInterval is the interval at which a drain checks the work in progress and its time
+// limits.
 const checkInterval = 20 * time.Millisecond
 
-// ErrAborted means that a drain ended with work in progress.
+// ErrAborted means that a second signal or the time limit ended a drain early; work may
+// have been in progress.
 var ErrAborted = eris.New("drainer: work in progress aborted")
 
 // Host holds the operations of a host that a drain uses.
 type Host struct {
-	// Announce reports the host as not ready, and as leaving to its peers. It must not
-	// block for long.
+	// Announce makes the readiness check fail and notifies peers that the host is
+	// leaving. It must not block for long.
 	Announce func()
 	// Close stops accepting connections. It must not block.
 	Close func()
@@ -25,7 +28,7 @@
 }
 
 // Run drains a host and returns when the drain has ended. Each value received from
-// signals is a further signal. It returns ErrAborted if work was aborted.
+// signals is a further signal. It returns ErrAborted if the drain was ended early.
 func Run[T any](hos Host, set Settings, signals <-chan T) error {
 	sta, act := State{Settings: set}.Next(Signal{}, time.Now())
 	tic := time.NewTicker(checkInterval)
