--- a/process/follower/follower.go
+++ b/process/follower/follower.go
@@ -23,9 +23,9 @@
 const (
 	// defaultWait is the Wait of a Follower that sets none.
 	defaultWait = 700 * time.Millisecond
-	// watchTimeoutMargin is added to the wait of a watch to get its time-out.
+	// watchTimeoutMargin is added to the wait of a watch to get its timeout.
 	watchTimeoutMargin = 300 * time.Millisecond
-	// readTimeout is the least time-out of a read. A slow store answers within 250 ms.
+	// readTimeout is the least timeout of a read. A slow store answers within 250 ms.
 	readTimeout = 900 * time.Millisecond
 	// idleCheckInterval is the interval at which a host that does not read the store
 	// checks whether it has to. Each check wakes the process.
@@ -56,7 +56,8 @@
 	// those that have changed.
 	Complete  bool
 	Endpoints []registrar.Endpoint
-	Revision  uint64
+	// Revision is the store's revision at the read.
+	Revision uint64
 }
 
 // Source reads the store. With after 0 it returns everything at once; with any other
@@ -67,7 +68,7 @@
 	Endpoints(ctx context.Context, after uint64, wait time.Duration) (Endpoints, error)
 }
 
-// Follower follows a Source. All its fields but Wait are needed.
+// Follower follows a Source. All exported fields but Wait have to be set.
 type Follower struct {
 	Source Source
 	// Wait is how long one watch waits for a change. A watch may stall on a lost
@@ -79,10 +80,11 @@
 	// OnTables and OnEndpoints receive the result of each read and the time of the
 	// reply, at which the store held nothing newer. They are called for a watch that
 	// ends without a change, too.
-	OnTables    func(reading Tables, at time.Time)
-	OnEndpoints func(reading Endpoints, at time.Time)
-	// OnUnavailable is called when reads of tables or of endpoints begin to fail,
-	// OnAvailable when both succeed again.
+	OnTables    func(result Tables, at time.Time)
+	OnEndpoints func(result Endpoints, at time.Time)
+	// OnUnavailable is called when reads of tables begin to fail, and when reads of
+	// endpoints do. OnAvailable is called once neither fails any more: each has succeeded
+	// again, or this host has stopped reading the store.
 	OnUnavailable func()
 	OnAvailable   func(now time.Time)
 	Log           zerolog.Logger
@@ -99,7 +101,8 @@
 	gro.Go(func() { fol.follow(ctx, "endpoints", fol.readEndpoints) })
 }
 
-// readFunc reads once and returns the revision after which to read next.
+// readFunc reads tables or endpoints once, passes them to the host and returns the
+// revision after which to read next.
 type readFunc func(ctx context.Context, after uint64, wait time.Duration) (uint64, error)
 
 func (fol *Follower) readTables(ctx context.Context, after uint64, wait time.Duration) (uint64, error) {
@@ -127,7 +130,8 @@
 	var rev uint64
 	for ctx.Err() == nil {
 		if !fol.ShouldRead(time.Now()) {
-			// Changes come from peers meanwhile, so the next read has to be a full one.
+			// In the meantime changes arrive from peers and rev does not follow them, so
+			// the next read has to be complete.
 			rev = 0
 			fol.waitIdle(ctx, kind)
 			continue
@@ -135,7 +139,7 @@
 		next, err := fol.readOnce(ctx, kind, rev, read)
 		switch {
 		case err == nil:
-			fol.recordSuccess(kind, rev, time.Now())
+			fol.clearFailure(kind, rev, time.Now())
 			rev = next
 			bac.Reset()
 			continue
@@ -157,14 +161,14 @@
 // waitIdle waits without reading. Whether the store answers is unknown meanwhile, so
 // earlier failures are cleared.
 func (fol *Follower) waitIdle(ctx context.Context, kind string) {
-	fol.recordSuccess(kind, 0, time.Now())
+	fol.clearFailure(kind, 0, time.Now())
 	select {
 	case <-time.After(idleCheckInterval):
 	case <-ctx.Done():
 	}
 }
 
-// readOnce reads once, within a time-out. After a failure it does not wait for changes,
+// readOnce reads once, within a timeout. After a failure it does not wait for changes,
 // so that a store that answers again is noticed at once.
 func (fol *Follower) readOnce(ctx context.Context, kind string, rev uint64, read readFunc) (uint64, error) {
 	wait := cmp.Or(fol.Wait, defaultWait)
@@ -193,11 +197,12 @@
 		return
 	}
 	fol.failedSince[kind] = now
-	fol.Log.Warn().Str("What", kind).Uint64("Revision", rev).Err(err).Msg("reading the store failed; retrying")
+	fol.Log.Warn().Str("What", kind).Uint64("Revision", rev).Err(err).Msg("reading the store failed; retrying, further failures are not logged")
 	fol.OnUnavailable()
 }
 
-func (fol *Follower) recordSuccess(kind string, rev uint64, now time.Time) {
+// clearFailure ends the failure of reads of a kind, if they have failed.
+func (fol *Follower) clearFailure(kind string, rev uint64, now time.Time) {
 	fol.mu.Lock()
 	defer fol.mu.Unlock()
 	since, ok := fol.failedSince[kind]
@@ -205,7 +210,7 @@
 		return
 	}
 	delete(fol.failedSince, kind)
-	fol.Log.Info().Str("What", kind).Uint64("Revision", rev).Dur("AwayMs", now.Sub(since)).Msg("store no longer counts as failed")
+	fol.Log.Info().Str("What", kind).Uint64("Revision", rev).Dur("AwayMs", now.Sub(since)).Msg("failure of reading the store ended: a read succeeded or this host stopped reading")
 	if len(fol.failedSince) == 0 {
 		fol.OnAvailable(now)
 	}
--- a/process/follower/follower_test.go
+++ b/process/follower/follower_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// store simulates the platform's store. A stalled store sends no changes to watches; it
+// store simulates the platform's store. While stalled, it sends no changes to watches. It
 // has dropped the changes before revision compacted.
 type store struct {
 	mu        sync.Mutex
@@ -26,14 +26,14 @@
 	calls     int
 }
 
-func (sto *store) set(fn func(sto *store)) {
+func (sto *store) withLock(fn func(sto *store)) {
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
 	fn(sto)
 }
 
 func (sto *store) read(ctx context.Context, after uint64, wait time.Duration) (rev uint64, changed bool, err error) {
-	sto.set(func(sto *store) { sto.calls++ })
+	sto.withLock(func(sto *store) { sto.calls++ })
 	end := time.Now().Add(wait)
 	for {
 		sto.mu.Lock()
@@ -85,35 +85,36 @@
 	shouldRead  bool
 }
 
-func (hos *host) get(fn func(hos *host)) {
+func (hos *host) withLock(fn func(hos *host)) {
 	hos.mu.Lock()
 	defer hos.mu.Unlock()
 	fn(hos)
 }
 
 func (hos *host) revisions() (tab, end uint64) {
-	hos.get(func(hos *host) { tab, end = hos.tables, hos.endpoints })
+	hos.withLock(func(hos *host) { tab, end = hos.tables, hos.endpoints })
 	return tab, end
 }
 
-func run(t *testing.T, test func(t *testing.T, sto *store, hos *host)) {
+// runFollower starts a Follower, waits until it has read revision 3, and runs test.
+func runFollower(t *testing.T, test func(t *testing.T, sto *store, hos *host)) {
 	synctest.Test(t, func(t *testing.T) {
 		sto, hos := &store{revision: 3}, &host{shouldRead: true}
 		fol := &Follower{
 			Source: sto, Log: zerolog.Nop(),
 			ShouldRead: func(time.Time) bool {
 				var shouldRead bool
-				hos.get(func(hos *host) { shouldRead = hos.shouldRead })
+				hos.withLock(func(hos *host) { shouldRead = hos.shouldRead })
 				return shouldRead
 			},
-			OnTables: func(reading Tables, _ time.Time) {
-				if reading.Found {
-					hos.get(func(hos *host) { hos.tables = reading.Tables.Revision })
+			OnTables: func(result Tables, _ time.Time) {
+				if result.Found {
+					hos.withLock(func(hos *host) { hos.tables = result.Tables.Revision })
 				}
 			},
-			OnEndpoints:   func(reading Endpoints, _ time.Time) { hos.get(func(hos *host) { hos.endpoints = reading.Revision }) },
-			OnUnavailable: func() { hos.get(func(hos *host) { hos.unavailable++ }) },
-			OnAvailable:   func(time.Time) { hos.get(func(hos *host) { hos.available++ }) },
+			OnEndpoints:   func(result Endpoints, _ time.Time) { hos.withLock(func(hos *host) { hos.endpoints = result.Revision }) },
+			OnUnavailable: func() { hos.withLock(func(hos *host) { hos.unavailable++ }) },
+			OnAvailable:   func(time.Time) { hos.withLock(func(hos *host) { hos.available++ }) },
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -128,9 +129,10 @@
 	})
 }
 
-func TestChange(t *testing.T) {
-	run(t, func(t *testing.T, sto *store, hos *host) {
-		sto.set(func(sto *store) { sto.revision = 9 })
+// TestWatchDeliversChange checks that a change reaches the host within 50 ms.
+func TestWatchDeliversChange(t *testing.T) {
+	runFollower(t, func(t *testing.T, sto *store, hos *host) {
+		sto.withLock(func(sto *store) { sto.revision = 9 })
 		time.Sleep(50 * time.Millisecond)
 		tab, end := hos.revisions()
 		require.EqualValues(t, 9, tab)
@@ -139,10 +141,10 @@
 }
 
 // TestHistoryDropped stalls the watches while a change is made and compacted away. The
-// change has to be in force within 2 s all the same.
+// change nevertheless has to be in force within 2 s.
 func TestHistoryDropped(t *testing.T) {
-	run(t, func(t *testing.T, sto *store, hos *host) {
-		sto.set(func(sto *store) { sto.stalled, sto.revision, sto.compacted = true, 9, 9 })
+	runFollower(t, func(t *testing.T, sto *store, hos *host) {
+		sto.withLock(func(sto *store) { sto.stalled, sto.revision, sto.compacted = true, 9, 9 })
 		time.Sleep(2 * time.Second)
 		tab, end := hos.revisions()
 		require.EqualValues(t, 9, tab)
@@ -150,32 +152,36 @@
 	})
 }
 
+// TestOutage checks that an outage of the store is reported, that failed reads are
+// repeated with pauses, and that the end of the outage is reported once.
 func TestOutage(t *testing.T) {
-	run(t, func(t *testing.T, sto *store, hos *host) {
-		sto.set(func(sto *store) { sto.down = true })
+	runFollower(t, func(t *testing.T, sto *store, hos *host) {
+		sto.withLock(func(sto *store) { sto.down = true })
 		time.Sleep(5 * time.Second)
-		hos.get(func(hos *host) { require.Positive(t, hos.unavailable); require.Zero(t, hos.available) })
+		hos.withLock(func(hos *host) { require.Positive(t, hos.unavailable); require.Zero(t, hos.available) })
 		var calls int
-		sto.set(func(sto *store) { calls = sto.calls })
+		sto.withLock(func(sto *store) { calls = sto.calls })
 		require.Less(t, calls, 60, "failed calls are repeated with pauses")
-		sto.set(func(sto *store) { sto.down, sto.revision = false, 12 })
+		sto.withLock(func(sto *store) { sto.down, sto.revision = false, 12 })
 		time.Sleep(1500 * time.Millisecond)
-		hos.get(func(hos *host) { require.Equal(t, 1, hos.available) })
+		hos.withLock(func(hos *host) { require.Equal(t, 1, hos.available) })
 		tab, _ := hos.revisions()
 		require.EqualValues(t, 12, tab)
 	})
 }
 
+// TestShouldNotRead checks that a host that should not read the store does not call it,
+// and reads everything once it should read again.
 func TestShouldNotRead(t *testing.T) {
-	run(t, func(t *testing.T, sto *store, hos *host) {
-		hos.get(func(hos *host) { hos.shouldRead = false })
+	runFollower(t, func(t *testing.T, sto *store, hos *host) {
+		hos.withLock(func(hos *host) { hos.shouldRead = false })
 		time.Sleep(time.Second)
 		var before, after int
-		sto.set(func(sto *store) { before = sto.calls })
+		sto.withLock(func(sto *store) { before = sto.calls })
 		time.Sleep(10 * time.Second)
-		sto.set(func(sto *store) { after = sto.calls; sto.revision = 20 })
+		sto.withLock(func(sto *store) { after = sto.calls; sto.revision = 20 })
 		require.Equal(t, before, after, "a host that should not read does not call the store")
-		hos.get(func(hos *host) { hos.shouldRead = true })
+		hos.withLock(func(hos *host) { hos.shouldRead = true })
 		time.Sleep(300 * time.Millisecond)
 		tab, end := hos.revisions()
 		require.EqualValues(t, 20, tab)
