--- a/process/forwarder/forwarder.go
+++ b/process/forwarder/forwarder.go
@@ -60,19 +60,21 @@
 	Log         zerolog.Logger
 	Incarnation uint64
 
-	scope            tally.Scope
-	metrics          http.Handler
-	multiplexer      *multiplexer.Multiplexer
-	publisher        *publisher.Publisher
-	gossiper         *gossiper.Gossiper
-	registry         registrar.Registry
-	follower         *follower.Follower
-	runner           *planner.Runner
+	scope       tally.Scope
+	metrics     http.Handler
+	multiplexer *multiplexer.Multiplexer
+	publisher   *publisher.Publisher
+	gossiper    *gossiper.Gossiper
+	registry    registrar.Registry
+	follower    *follower.Follower
+	// planRunner plans the pools of which this host is the planner. planners sends
+	// requests to the planner of each pool.
+	planRunner       *planner.Runner
 	planners         *assigner.Planners
 	relayer          *relayer.Relayer
-	quota            *budgeter.Quota
-	bodies           receiver.MemoryBudget
-	endpoints        counter.Traffic
+	retryBudget      *budgeter.Quota
+	bodyMemory       receiver.MemoryBudget
+	endpointTraffic  counter.Traffic
 	draining         atomic.Bool
 	inFlight         atomic.Int64
 	pullingEndpoints atomic.Bool
@@ -83,15 +85,16 @@
 	// ready is closed once the host has tables and the list of endpoints.
 	ready     chan struct{}
 	readyOnce sync.Once
-	// updates holds the changes of endpoints that are not yet broadcast to peers.
+	// updatesMu guards updates, the changes of endpoints that are not yet broadcast to
+	// peers.
 	updatesMu sync.Mutex
 	updates   []registrar.Endpoint
-	// requestDrain starts a drain, as SIGTERM does. Run sets it.
+	// requestDrain ends the context of Run, which sets requestDrain.
 	requestDrain context.CancelFunc
 }
 
 // ChooseIncarnation returns the incarnation of a host that starts now. It asks the
-// seed peers for the highest one they have seen of this host.
+// seed peers for the highest incarnation that they have seen of this host.
 func ChooseIncarnation(ctx context.Context, set configurer.Settings, now time.Time) uint64 {
 	mul := &multiplexer.Multiplexer{}
 	defer mul.Close()
@@ -103,30 +106,30 @@
 func New(set configurer.Settings, pla Platform, log zerolog.Logger, incarnation uint64) *Forwarder {
 	fwd := &Forwarder{Settings: set, Platform: pla, Log: log, Incarnation: incarnation, started: time.Now(), ready: make(chan struct{})}
 	fwd.scope, fwd.metrics = measurer.New(log)
-	fwd.bodies.MaxBytes = set.BodyBytes()
+	fwd.bodyMemory.MaxBytes = set.BodyBytes()
 	fwd.publisher = &publisher.Publisher{}
 	fwd.multiplexer = &multiplexer.Multiplexer{Handler: fwd.handlePeer, OnPanic: fwd.logPanic}
 	fwd.initGossiper()
 	fwd.follower = &follower.Follower{
-		Source: pla.Source, Wait: fwd.watchWait(), ShouldRead: fwd.shouldReadStore, OnTables: fwd.applyTables, OnEndpoints: fwd.applyEndpoints, OnUnavailable: fwd.storeLost, OnAvailable: fwd.storeBack, Log: log,
+		Source: pla.Source, Wait: fwd.watchWait(), ShouldRead: fwd.shouldReadStore, OnTables: fwd.applyTables, OnEndpoints: fwd.applyEndpoints, OnUnavailable: fwd.setStoreUnavailable, OnAvailable: fwd.setStoreAvailable, Log: log,
 	}
-	fwd.runner = &planner.Runner{
+	fwd.planRunner = &planner.Runner{
 		Loader: pla.EngineClient, Engines: fwd.engines, Pool: fwd.pool, Interval: set.LoadInterval, Clock: time.Now, Log: log, Scope: fwd.scope,
 	}
 	fwd.planners = &assigner.Planners{
 		Self: set.HostID, Incarnation: incarnation, Address: set.PeerListen, CapacityMilli: capacityMilli(set), Live: fwd.gossiper.Live, Leaving: fwd.draining.Load, Caller: fwd.multiplexer,
-		Runner: fwd.runner, Clock: time.Now, Log: log,
+		Runner: fwd.planRunner, Clock: time.Now, Log: log,
 	}
-	fwd.quota = &budgeter.Quota{
+	fwd.retryBudget = &budgeter.Quota{
 		Limits: budgeter.QuotaLimits{Ratio: set.RetryRatio, Slack: set.RetrySlack, Window: set.RetryWindow},
 		Hosts:  func() int { return len(fwd.gossiper.Live(time.Now())) + 1 },
 	}
 	fwd.relayer = &relayer.Relayer{
-		Codec: pla.Codec, Tables: fwd.publisher.Current, Exchanger: &exchanger.Exchanger{Traffic: &fwd.endpoints}, RetryBudget: fwd.quota,
+		Codec: pla.Codec, Tables: fwd.publisher.Current, Exchanger: &exchanger.Exchanger{Traffic: &fwd.endpointTraffic}, RetryBudget: fwd.retryBudget,
 		Placer: &assigner.Assigner{
 			Registry: &fwd.registry, Pool: fwd.pool, Planners: fwd.planners, Reserver: pla.EngineClient, DataCenter: set.DataCenter, Clock: time.Now, Log: log,
 		},
-		Bodies: &fwd.bodies, Ready: fwd.ready, Stale: fwd.staleSinceResume, SuspendedFor: fwd.suspendedTime, Draining: fwd.draining.Load, MaxBodyBytes: set.MaxBodyBytes, Clock: time.Now, Log: log, Scope: fwd.scope,
+		Bodies: &fwd.bodyMemory, Ready: fwd.ready, Stale: fwd.staleSinceResume, SuspendedFor: fwd.suspendedTime, Draining: fwd.draining.Load, MaxBodyBytes: set.MaxBodyBytes, Clock: time.Now, Log: log, Scope: fwd.scope,
 		Tracer: otel.Tracer("hemlockpin"),
 	}
 	return fwd
@@ -154,63 +157,64 @@
 func (fwd *Forwarder) Run(ctx context.Context) error {
 	ctx, fwd.requestDrain = context.WithCancel(ctx)
 	defer fwd.requestDrain()
-	liss, err := fwd.listen()
+	listeners, err := fwd.listen()
 	if err != nil {
 		return err
 	}
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
+	// The background work goes on while the host drains.
+	workCtx, stopWork := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopWork()
 	var gro sync.WaitGroup
-	gro.Go(func() { _ = fwd.multiplexer.Serve(liss.peer) })
-	gro.Go(func() { fwd.followStore(work) })
-	gro.Go(func() { fwd.gossiper.Run(work, fwd.Settings.Heartbeat) })
-	gro.Go(func() { fwd.runner.Run(work) })
-	gro.Go(func() { fwd.monitorHosts(work) })
-	gro.Go(func() { fwd.pollWatchers(work) })
+	gro.Go(func() { _ = fwd.multiplexer.Serve(listeners.peer) })
+	gro.Go(func() { fwd.followStore(workCtx) })
+	gro.Go(func() { fwd.gossiper.Run(workCtx, fwd.Settings.Heartbeat) })
+	gro.Go(func() { fwd.planRunner.Run(workCtx) })
+	gro.Go(func() { fwd.monitorHosts(workCtx) })
+	gro.Go(func() { fwd.pollWatchers(workCtx) })
 	callerSrv := fwd.callerServer()
-	lis := &acceptor.Listener{Listener: liss.caller, Max: fwd.Settings.CallerConns(), Refused: fwd.scope.Counter("connections_refused")}
-	sers := []*http.Server{{Handler: fwd.readyRoutes(), ReadHeaderTimeout: headerTimeout}, {Handler: fwd.operatorRoutes(), ReadHeaderTimeout: headerTimeout}}
+	lis := &acceptor.Listener{Listener: listeners.caller, Max: fwd.Settings.CallerConns(), Refused: fwd.scope.Counter("connections_refused")}
+	httpServers := []*http.Server{{Handler: fwd.readyRoutes(), ReadHeaderTimeout: headerTimeout}, {Handler: fwd.operatorRoutes(), ReadHeaderTimeout: headerTimeout}}
 	gro.Go(func() { _ = callerSrv.Serve(lis) })
-	gro.Go(func() { _ = sers[0].Serve(liss.ready) })
-	gro.Go(func() { _ = sers[1].Serve(liss.operator) })
+	gro.Go(func() { _ = httpServers[0].Serve(listeners.ready) })
+	gro.Go(func() { _ = httpServers[1].Serve(listeners.operator) })
 	fwd.Log.Info().Str("DataCenter", fwd.Settings.DataCenter).Str("Listen", fwd.Settings.Listen).
 		Uint64("Incarnation", fwd.Incarnation).Msg("host started")
 	<-ctx.Done()
 	err = fwd.drain(callerSrv, lis)
-	for _, ser := range sers {
-		_ = ser.Close()
+	for _, srv := range httpServers {
+		_ = srv.Close()
 	}
-	stop()
-	_ = liss.peer.Close()
+	stopWork()
+	_ = listeners.peer.Close()
 	fwd.multiplexer.Close()
 	gro.Wait()
 	return err
 }
 
-type listeners struct{ caller, ready, peer, operator net.Listener }
+type listenerSet struct{ caller, ready, peer, operator net.Listener }
 
-func (fwd *Forwarder) listen() (listeners, error) {
-	var liss listeners
+func (fwd *Forwarder) listen() (listenerSet, error) {
+	var listeners listenerSet
 	set := fwd.Settings
 	targets := []struct {
 		lis  *net.Listener
 		addr string
-	}{{&liss.caller, set.Listen}, {&liss.ready, set.ReadyListen}, {&liss.peer, set.PeerListen}, {&liss.operator, set.Operator}}
+	}{{&listeners.caller, set.Listen}, {&listeners.ready, set.ReadyListen}, {&listeners.peer, set.PeerListen}, {&listeners.operator, set.Operator}}
 	for _, target := range targets {
 		lis, err := net.Listen("tcp", target.addr)
 		if err != nil {
-			return liss, eris.Wrapf(err, "Forwarder.listen: %s", target.addr)
+			return listeners, eris.Wrapf(err, "Forwarder.listen: listen on %s", target.addr)
 		}
 		*target.lis = lis
 	}
-	return liss, nil
+	return listeners, nil
 }
 
 // Reload applies the settings that can change while the host runs: the seed peers and
-// the budget of retries.
+// the retry budget.
 func (fwd *Forwarder) Reload(set configurer.Settings) {
 	fwd.gossiper.SetSeeds(set.SeedPeers)
-	fwd.quota.SetLimits(budgeter.QuotaLimits{Ratio: set.RetryRatio, Slack: set.RetrySlack, Window: set.RetryWindow})
+	fwd.retryBudget.SetLimits(budgeter.QuotaLimits{Ratio: set.RetryRatio, Slack: set.RetrySlack, Window: set.RetryWindow})
 	fwd.Log.Info().Strs("SeedPeers", set.SeedPeers).Float64("RetryRatio", set.RetryRatio).Float64("RetrySlack", set.RetrySlack).
 		Dur("RetryWindowMs", set.RetryWindow).Msg("settings reloaded")
 }
@@ -240,9 +244,9 @@
 	case *messenger.Envelope_TablesPush:
 		return fwd.gossiper.HandleTablesPush(bod.TablesPush)
 	case *messenger.Envelope_EndpointsPush:
-		return fwd.receiveEndpoints(bod.EndpointsPush, now)
+		return fwd.handleEndpointsPush(bod.EndpointsPush, now)
 	case *messenger.Envelope_EndpointsPull:
-		return fwd.answerEndpointsPull(bod.EndpointsPull)
+		return fwd.handleEndpointsPull(bod.EndpointsPull)
 	default:
 		return messenger.NewFailure("unknown_message", "this host does not know the message")
 	}
--- a/process/forwarder/knowledge.go
+++ b/process/forwarder/knowledge.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// peerTimeout bounds a broadcast to peers and a pull from a peer.
-	peerTimeout = 2 * time.Second
+	// updateTimeout bounds sending updates to peers and pulling them from a peer.
+	updateTimeout = 2 * time.Second
 	// updateDelay is the time for which changes of endpoints are collected into one
 	// message. An update is relayed by up to a dozen hosts, each of which adds this
 	// delay, and has to reach all hosts within 2 s.
@@ -27,7 +27,8 @@
 )
 
 // initGossiper connects membership with the tables and the records of endpoints.
-// Membership messages carry their revisions, and hosts pull what is newer.
+// Membership messages carry the revisions of both, and a host pulls tables and records
+// that are newer than its own.
 func (fwd *Forwarder) initGossiper() {
 	set := fwd.Settings
 	fwd.gossiper = &gossiper.Gossiper{
@@ -51,17 +52,17 @@
 		},
 	}
 	fwd.publisher.OnAccept = func(fromStore bool) {
-		fwd.checkReady()
+		fwd.releaseWaitingCalls()
 		tab := fwd.publisher.Current().Tables()
 		fwd.Log.Info().Uint64("Revision", tab.Revision).Int("Routes", len(tab.Routes)).Int("Pools", len(tab.Pools)).Int("Teams", len(tab.Teams)).
 			Bool("FromStore", fromStore).Msg("tables in force")
-		fwd.runner.Refresh()
-		go fwd.withPeerTimeout(func(ctx context.Context) { fwd.gossiper.PushTables(ctx, true) })
+		fwd.planRunner.Refresh()
+		go fwd.withUpdateTimeout(func(ctx context.Context) { fwd.gossiper.PushTables(ctx, true) })
 	}
 }
 
-func (fwd *Forwarder) withPeerTimeout(fn func(context.Context)) {
-	ctx, stop := context.WithTimeout(context.Background(), peerTimeout)
+func (fwd *Forwarder) withUpdateTimeout(fn func(context.Context)) {
+	ctx, stop := context.WithTimeout(context.Background(), updateTimeout)
 	defer stop()
 	fn(ctx)
 }
@@ -73,8 +74,9 @@
 	return known && fwd.publisher.Current().Revision() > 0
 }
 
-// checkReady releases the waiting calls once the host has tables and endpoints.
-func (fwd *Forwarder) checkReady() {
+// releaseWaitingCalls releases the calls that wait for a starting host, if the host has
+// tables and endpoints.
+func (fwd *Forwarder) releaseWaitingCalls() {
 	if fwd.hasTablesAndEndpoints() {
 		fwd.readyOnce.Do(func() { close(fwd.ready) })
 	}
@@ -82,32 +84,32 @@
 
 // applyTables applies tables read from the store, which held nothing newer at the
 // given time.
-func (fwd *Forwarder) applyTables(reading follower.Tables, at time.Time) {
-	if !reading.Found {
+func (fwd *Forwarder) applyTables(result follower.Tables, at time.Time) {
+	if !result.Found {
 		fwd.publisher.ConfirmRevision(fwd.publisher.Current().Revision(), at)
 		return
 	}
-	ok, err := fwd.publisher.Accept(reading.Tables)
+	ok, err := fwd.publisher.Accept(result.Tables)
 	switch {
 	case err != nil:
-		fwd.Log.Error().Uint64("Revision", reading.Tables.Revision).Err(err).Msg("tables from the store rejected; keeping the current ones")
+		fwd.Log.Error().Uint64("Revision", result.Tables.Revision).Err(err).Msg("tables from the store rejected; keeping the current ones")
 	case ok:
 		fwd.publisher.OnAccept(true)
 	}
-	fwd.publisher.ConfirmRevision(reading.Tables.Revision, at)
+	fwd.publisher.ConfirmRevision(result.Tables.Revision, at)
 }
 
 // applyEndpoints applies endpoints read from the store, which held nothing newer at
 // the given time.
-func (fwd *Forwarder) applyEndpoints(reading follower.Endpoints, at time.Time) {
+func (fwd *Forwarder) applyEndpoints(result follower.Endpoints, at time.Time) {
 	var changed []registrar.Endpoint
-	if reading.Complete {
-		changed = fwd.registry.Replace(reading.Endpoints, reading.Revision, time.Now())
+	if result.Complete {
+		changed = fwd.registry.Replace(result.Endpoints, result.Revision, time.Now())
 	} else {
-		changed = fwd.registry.Merge(reading.Endpoints, reading.Revision, time.Now())
+		changed = fwd.registry.Merge(result.Endpoints, result.Revision, time.Now())
 	}
-	fwd.registry.Confirm(reading.Revision, at)
-	fwd.checkReady()
+	fwd.registry.Confirm(result.Revision, at)
+	fwd.releaseWaitingCalls()
 	fwd.handleChanges(changed, "store")
 }
 
@@ -118,7 +120,7 @@
 		return
 	}
 	fwd.logEndpoints(changed, from)
-	fwd.runner.Refresh()
+	fwd.planRunner.Refresh()
 	fwd.updatesMu.Lock()
 	defer fwd.updatesMu.Unlock()
 	if len(fwd.updates) == 0 {
@@ -133,7 +135,7 @@
 	changed := fwd.updates
 	fwd.updates = nil
 	fwd.updatesMu.Unlock()
-	fwd.withPeerTimeout(func(ctx context.Context) {
+	fwd.withUpdateTimeout(func(ctx context.Context) {
 		fwd.gossiper.Broadcast(ctx, func() *messenger.Envelope {
 			return &messenger.Envelope{Body: &messenger.Envelope_EndpointsPush{EndpointsPush: registrar.Message(changed, 0)}}
 		})
@@ -163,43 +165,43 @@
 	fwd.Log.Info().Int("Endpoints", len(changed)).Int("Leaving", leaving).Int("Gone", removed).Uint64("Revision", rev).Str("From", from).Msg("endpoints changed")
 }
 
-// receiveEndpoints merges records that a peer broadcasts.
-func (fwd *Forwarder) receiveEndpoints(pus *messenger.EndpointsPush, now time.Time) *messenger.Envelope {
+// handleEndpointsPush merges the records that a peer broadcasts.
+func (fwd *Forwarder) handleEndpointsPush(pus *messenger.EndpointsPush, now time.Time) *messenger.Envelope {
 	fwd.handleChanges(fwd.registry.Merge(registrar.FromMessage(pus), 0, now), "peer")
 	return &messenger.Envelope{Body: &messenger.Envelope_Done{Done: &messenger.Done{}}}
 }
 
-// answerEndpointsPull answers with the records that are newer than the peer's revision.
-func (fwd *Forwarder) answerEndpointsPull(pul *messenger.EndpointsPull) *messenger.Envelope {
+// handleEndpointsPull answers with the records that are newer than the peer's revision.
+func (fwd *Forwarder) handleEndpointsPull(pul *messenger.EndpointsPull) *messenger.Envelope {
 	ends, rev := fwd.registry.After(pul.GetHaveRevision())
 	return &messenger.Envelope{Body: &messenger.Envelope_EndpointsPush{EndpointsPush: registrar.Message(ends, rev)}}
 }
 
 // comparePeerRevision compares a peer's revision of the endpoints with this host's. At
 // an equal revision this host's records count as confirmed; a newer one is pulled.
-func (fwd *Forwarder) comparePeerRevision(address string, revision uint64, at time.Time) {
-	rev, _ := fwd.registry.Revision()
-	if revision == rev {
-		fwd.registry.Confirm(revision, at)
+func (fwd *Forwarder) comparePeerRevision(address string, peerRev uint64, at time.Time) {
+	ownRev, _ := fwd.registry.Revision()
+	if peerRev == ownRev {
+		fwd.registry.Confirm(peerRev, at)
 	}
-	if revision <= rev || !fwd.pullingEndpoints.CompareAndSwap(false, true) {
+	if peerRev <= ownRev || !fwd.pullingEndpoints.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer fwd.pullingEndpoints.Store(false)
-		fwd.withPeerTimeout(func(ctx context.Context) { fwd.pullEndpoints(ctx, address, at) })
+		fwd.withUpdateTimeout(func(ctx context.Context) { fwd.pullEndpoints(ctx, address, at) })
 	}()
 }
 
 // pullEndpoints merges the newer records of a peer. If the time at is not zero, the
 // peer's records were the store's newest then, and the merged records count as confirmed
-// at that time. Without this, a host would never be confirmed while records change all
-// the time, as each revision that peers announce is newer than its own.
+// at that time. Otherwise a host's records would never count as confirmed while they
+// change continuously, since each revision that peers announce is newer than the host's.
 func (fwd *Forwarder) pullEndpoints(ctx context.Context, address string, at time.Time) {
 	have, _ := fwd.registry.Revision()
 	rep, err := fwd.multiplexer.Call(ctx, address, &messenger.Envelope{Body: &messenger.Envelope_EndpointsPull{EndpointsPull: &messenger.EndpointsPull{HaveRevision: have}}})
 	if err != nil {
-		fwd.Log.Warn().Str("Peer", address).Err(err).Msg("pull of endpoint records from a peer failed")
+		fwd.Log.Warn().Str("Peer", address).Err(err).Msg("pull of endpoint records from a peer failed; pulling again at the next message with a newer revision")
 		return
 	}
 	pus := rep.GetEndpointsPush()
@@ -210,17 +212,17 @@
 	if !at.IsZero() {
 		fwd.registry.Confirm(pus.GetRevision(), at)
 	}
-	fwd.checkReady()
+	fwd.releaseWaitingCalls()
 	fwd.handleChanges(changed, "peer")
 }
 
-// storeLost and storeBack keep for the operators' status whether the store answers this
-// host.
-func (fwd *Forwarder) storeLost()          { fwd.storeUnavailable.Store(true) }
-func (fwd *Forwarder) storeBack(time.Time) { fwd.storeUnavailable.Store(false) }
+// setStoreUnavailable and setStoreAvailable record whether the store answers this host,
+// for the operators' status and for pollWatchers.
+func (fwd *Forwarder) setStoreUnavailable()        { fwd.storeUnavailable.Store(true) }
+func (fwd *Forwarder) setStoreAvailable(time.Time) { fwd.storeUnavailable.Store(false) }
 
-// monitorHosts reports hosts that have died or were restarted to the planner, and
-// announces this host's grants to new planners, until ctx ends.
+// monitorHosts notifies this host's planner of hosts that have died or restarted, and
+// announces this host's grants to hosts that have become planners, until ctx ends.
 func (fwd *Forwarder) monitorHosts(ctx context.Context) {
 	tic := time.NewTicker(hostCheckInterval)
 	defer tic.Stop()
@@ -240,17 +242,17 @@
 	}
 }
 
-// reportRemovedHosts reports the incarnations of hosts that have ended since last, by
-// death or restart, to the planner, and updates last.
+// reportRemovedHosts notifies the planner of each incarnation of a host that has ended,
+// by death or restart, since the peers in last were recorded, and updates last.
 func (fwd *Forwarder) reportRemovedHosts(last map[string]gossiper.Peer) {
 	for _, per := range fwd.gossiper.Peers() {
 		old, ok := last[per.ID]
 		if ok && per.Started > old.Started {
-			fwd.runner.RemoveHost(planner.HostRemoved{Host: per.ID, Incarnation: old.Started})
+			fwd.planRunner.RemoveHost(planner.HostRemoved{Host: per.ID, Incarnation: old.Started})
 		}
-		known := ok && old.State == gossiper.StateDead && old.Started == per.Started
-		if per.State == gossiper.StateDead && !known {
-			fwd.runner.RemoveHost(planner.HostRemoved{Host: per.ID, Incarnation: per.Started})
+		reported := ok && old.State == gossiper.StateDead && old.Started == per.Started
+		if per.State == gossiper.StateDead && !reported {
+			fwd.planRunner.RemoveHost(planner.HostRemoved{Host: per.ID, Incarnation: per.Started})
 		}
 		last[per.ID] = per
 	}
--- a/process/forwarder/peer_test.go
+++ b/process/forwarder/peer_test.go
@@ -32,10 +32,10 @@
 	return context.DeadlineExceeded
 }
 
-// newPlannerHost returns a host that plans a pool of two engines.
+// newPlannerHost returns a host that plans a pool of two endpoints with batching.
 func newPlannerHost(t *testing.T) *Forwarder {
 	fwd := newHost(t, 0, 1, 2*time.Second)
-	fwd.runner.Loader = unresponsiveEngines{}
+	fwd.planRunner.Loader = unresponsiveEngines{}
 	fwd.applyTables(follower.Tables{Found: true, Revision: 1, Tables: parser.Tables{
 		Revision: 1, Pools: []parser.Pool{{
 			Name: "llm", Kind: parser.PoolService, Selector: parser.Selector{Service: "llm"},
@@ -48,15 +48,17 @@
 	return fwd
 }
 
-// fillMessage sets the fields of a message to random values that no host sends, down to
-// the given depth of nested messages.
+// fillMessage sets about three quarters of a message's fields, but no maps, to random and
+// mostly invalid values, down to the given depth of nested messages.
 func fillMessage(ran *rand.Rand, msg protoreflect.Message, depth int) {
 	fies := msg.Descriptor().Fields()
 	for i := range fies.Len() {
 		fie := fies.Get(i)
 		switch {
 		case ran.IntN(4) == 0:
+			// The field stays unset.
 		case fie.IsMap():
+			// Maps stay unset.
 		case fie.IsList():
 			lis := msg.Mutable(fie).List()
 			for range ran.IntN(3) {
@@ -105,8 +107,8 @@
 }
 
 // TestUnexpectedMessages sends every kind of peer message to a host, empty and with
-// values that no host sends. Each has to be answered without a panic, and the host has
-// to plan requests afterwards.
+// mostly invalid values. Each has to be answered without a panic, and the host has to
+// plan requests afterwards.
 func TestUnexpectedMessages(t *testing.T) {
 	const seeds = 60
 	fies := (&messenger.Envelope{}).ProtoReflect().Descriptor().Oneofs().ByName("body").Fields()
--- a/process/forwarder/serve.go
+++ b/process/forwarder/serve.go
@@ -20,6 +20,7 @@
 	"github.com/gorilla/mux"
 )
 
+// leaveTimeout bounds the broadcast to peers that this host is leaving.
 const leaveTimeout = time.Second
 
 // callerServer returns the HTTP server for callers.
@@ -33,15 +34,15 @@
 
 // countCalls counts the calls in progress.
 func (fwd *Forwarder) countCalls(next http.Handler) http.Handler {
-	return http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
+	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		fwd.inFlight.Add(1)
 		defer fwd.inFlight.Add(-1)
-		next.ServeHTTP(wri, htr)
+		next.ServeHTTP(wri, req)
 	})
 }
 
-// serverLog receives the error log of net/http: it counts errors of connections and
-// logs panics of handlers.
+// serverLog receives the error log of net/http. It counts and logs panics of handlers,
+// and only counts all other lines.
 type serverLog struct{ fwd *Forwarder }
 
 // Write handles one line of the log.
@@ -96,8 +97,8 @@
 // status answers operators with the host's view of tables, peers and endpoints.
 func (fwd *Forwarder) status(wri http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
-	tab, age := fwd.publisher.Freshness(now)
-	ends, rev := fwd.registry.After(0)
+	tablesRev, age := fwd.publisher.Freshness(now)
+	ends, endpointsRev := fwd.registry.After(0)
 	out := struct {
 		Host              string
 		Incarnation       uint64
@@ -110,8 +111,8 @@
 		Peers             []gossiper.Peer
 		Endpoints         []registrar.Endpoint
 	}{
-		fwd.Settings.HostID, fwd.Incarnation, fwd.notReadyReason(), fwd.inFlight.Load(), !fwd.storeUnavailable.Load(), tab, age.Milliseconds(),
-		rev, fwd.gossiper.Peers(), ends,
+		fwd.Settings.HostID, fwd.Incarnation, fwd.notReadyReason(), fwd.inFlight.Load(), !fwd.storeUnavailable.Load(), tablesRev, age.Milliseconds(),
+		endpointsRev, fwd.gossiper.Peers(), ends,
 	}
 	wri.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(wri).Encode(out); err != nil {
@@ -120,11 +121,11 @@
 }
 
 // drain reports the host as not ready, waits for the calls in progress and stops
-// serving. A second signal or the drain timeout aborts the calls left.
+// serving. A second signal or the drain timeout aborts the remaining calls.
 func (fwd *Forwarder) drain(callerSrv *http.Server, lis *acceptor.Listener) error {
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGTERM, syscall.SIGINT)
-	defer signal.Stop(again)
+	furtherSignals := make(chan os.Signal, 1)
+	signal.Notify(furtherSignals, syscall.SIGTERM, syscall.SIGINT)
+	defer signal.Stop(furtherSignals)
 	var closed atomic.Bool
 	err := drainer.Run(drainer.Host{
 		Announce: fwd.announceDrain,
@@ -143,7 +144,7 @@
 			return 1
 		},
 		Writes: func() int { return 0 },
-	}, drainer.Settings{Notice: fwd.Settings.DrainNotice, Timeout: fwd.Settings.DrainTimeout}, again)
+	}, drainer.Settings{Notice: fwd.Settings.DrainNotice, Timeout: fwd.Settings.DrainTimeout}, furtherSignals)
 	_ = callerSrv.Close()
 	fwd.Log.Info().Err(err).Int64("Calls", fwd.inFlight.Load()).Msg("host stopped")
 	return err
--- a/process/forwarder/watch.go
+++ b/process/forwarder/watch.go
@@ -24,17 +24,19 @@
 	watchWaitShare = 0.35
 	pollShare      = 0.15
 	staleAgeShare  = 0.65
-	// staleJitterShare is the fraction of propagationLimit over which the reads of hosts
-	// are distributed whose state becomes stale at the same time. Later hosts can skip
-	// the read if a watcher answers again meanwhile.
+	// staleJitterShare is the fraction of propagationLimit over which hosts whose state
+	// becomes stale at the same time distribute their reads. If a watcher answers in the
+	// meantime, the remaining hosts skip the read.
 	staleJitterShare = 0.1
-	// maxWatchWait, maxPollInterval and maxStaleAge keep the records of endpoints younger
-	// than the age from which the registry assumes an outage of the store.
+	// maxWatchWait, maxPollInterval and maxStaleAge bound the shares above, so that the
+	// records of endpoints stay younger than the age from which the registry assumes an
+	// outage of the store.
 	maxWatchWait    = 800 * time.Millisecond
 	maxPollInterval = 600 * time.Millisecond
 	maxStaleAge     = 2600 * time.Millisecond
 	// memberRefreshPeriod is the time after its start for which a host pulls the list of
-	// members again whenever it has grown, since all hosts may be starting at once.
+	// members again whenever the number of live members has changed, since all hosts may
+	// be starting at once.
 	memberRefreshPeriod = 4 * time.Second
 	// startPeerWait is how long a starting host waits to receive tables and endpoints
 	// from a peer before it reads them from the store. Peers answer within some
@@ -53,8 +55,8 @@
 }
 
 // shareOfLimit returns a fraction of propagationLimit.
-func (fwd *Forwarder) shareOfLimit(part float64) time.Duration {
-	return time.Duration(part * float64(fwd.propagationLimit()))
+func (fwd *Forwarder) shareOfLimit(share float64) time.Duration {
+	return time.Duration(share * float64(fwd.propagationLimit()))
 }
 
 func (fwd *Forwarder) watchWait() time.Duration {
@@ -72,10 +74,11 @@
 	return min(maxStaleAge, fwd.shareOfLimit(staleAgeShare)) + fwd.shareOfLimit(staleJitterShare*fraction)
 }
 
-// watcherCache holds the hosts of the region that watch the store, as computed when the
-// membership had changed membershipChanges times.
+// watcherCache holds the results of watchers for one count of membership changes and one
+// value of draining.
 type watcherCache struct {
-	mu                sync.Mutex
+	mu sync.Mutex
+	// valid reports whether the fields below have been set.
 	valid             bool
 	membershipChanges uint64
 	draining          bool
@@ -135,14 +138,16 @@
 }
 
 // confirmedRecently reports whether the host's state was recently confirmed to be the
-// store's newest, directly or through a peer. A store without tables counts, too.
+// store's newest, directly or through a peer. The confirmation that the store holds no
+// tables counts, too.
 func (fwd *Forwarder) confirmedRecently(now time.Time) bool {
 	_, known := fwd.registry.Revision()
 	return known && fwd.sinceConfirmed(now) <= fwd.staleAge()
 }
 
-// sinceConfirmed returns the time since the host's state was last confirmed, including
-// the time for which the host was suspended.
+// sinceConfirmed returns the time since both the tables and the endpoints were last
+// confirmed, that is, the greater of both ages. It includes the time for which the host
+// was suspended.
 func (fwd *Forwarder) sinceConfirmed(now time.Time) time.Duration {
 	return max(fwd.detector.Age(fwd.publisher.Confirmed(), now), fwd.detector.Age(fwd.registry.Confirmed(), now))
 }
@@ -161,8 +166,8 @@
 }
 
 // waitsForPeers reports whether a starting host still waits for its peers' state instead
-// of reading the store. All hosts wait startPeerWait, those that are no watchers up to
-// the setting StartWait.
+// of reading the store. Watchers wait startPeerWait, all other hosts up to the setting
+// StartWait if that is longer.
 func (fwd *Forwarder) waitsForPeers(now time.Time) bool {
 	uptime := now.Sub(fwd.started)
 	switch {
@@ -199,15 +204,16 @@
 	tic := time.NewTicker(fwd.pollInterval())
 	defer tic.Stop()
 	turn := rand.IntN(watcherCount)
-	known := -1
+	lastLive := -1
 	for {
 		now := time.Now()
-		// A list of hundreds of members is large, so it is pulled only while it grows.
-		if live := len(fwd.gossiper.Live(now)); now.Sub(fwd.started) < memberRefreshPeriod && live != known {
-			known = live
+		// A list of hundreds of members is large, so it is pulled only after the number
+		// of live members has changed.
+		if live := len(fwd.gossiper.Live(now)); now.Sub(fwd.started) < memberRefreshPeriod && live != lastLive {
+			lastLive = live
 			go fwd.gossiper.Sync(ctx)
 		}
-		// A watcher that the store refuses gets its updates from the other watchers.
+		// A watcher whose reads of the store fail polls the other watchers, too.
 		if pers, self := fwd.watchers(now); len(pers) > 0 && (!self || fwd.storeUnavailable.Load()) {
 			go fwd.gossiper.ProbeNow(ctx, pers[turn%len(pers)])
 			turn++
--- a/process/forwarder/watch_test.go
+++ b/process/forwarder/watch_test.go
@@ -27,18 +27,19 @@
 	return follower.Endpoints{}, nil
 }
 
-// newHost returns host number own of a cluster whose other hosts it knows. Each twentieth
-// host has 0.8 cores, the others 0.192.
-func newHost(t *testing.T, own, hosts int, within time.Duration) *Forwarder {
+// newHost returns host number index of a cluster of the given number of hosts, with all
+// other hosts as its peers. limit is the time within which changes have to be in force.
+// Each twentieth host has 0.8 cores, the others 0.192.
+func newHost(t *testing.T, index, hosts int, limit time.Duration) *Forwarder {
 	t.Helper()
 	set := configurer.Settings{
-		Host:       configurer.Host{HostID: fmt.Sprintf("host-%d", own), CPUShare: cpuShareOf(own), Region: "western", DataCenter: "colombo"},
-		Forwarding: configurer.Forwarding{ApplyWithin: within, LeaveWithin: within},
+		Host:       configurer.Host{HostID: fmt.Sprintf("host-%d", index), CPUShare: cpuShareOf(index), Region: "western", DataCenter: "colombo"},
+		Forwarding: configurer.Forwarding{ApplyWithin: limit, LeaveWithin: limit},
 	}
 	fwd := New(set, Platform{Source: noSource{}}, zerolog.Nop(), 1)
 	t.Cleanup(fwd.multiplexer.Close)
 	for i := range hosts {
-		if i != own {
+		if i != index {
 			fwd.gossiper.MergePeer(gossiper.Peer{
 				ID: fmt.Sprintf("host-%d", i), Address: fmt.Sprintf("127.0.0.1:%d", i+1), Region: "western", Incarnation: 1,
 				State: gossiper.StateAlive, CapacityMilli: uint32(cpuShareOf(i) * 1000),
@@ -60,7 +61,7 @@
 func TestWatchersHaveProcessorTime(t *testing.T) {
 	const hosts = 295
 	selected := map[string]bool{}
-	var all []string
+	var watchers []string
 	for i := range hosts {
 		pers, self := newHost(t, i, hosts, 4*time.Second).watchers(time.Now())
 		var ids []string
@@ -73,28 +74,30 @@
 			require.Len(t, ids, watcherCount-1)
 			continue
 		}
-		if all == nil {
-			all = ids
+		if watchers == nil {
+			watchers = ids
 		}
-		require.Equal(t, all, ids)
+		require.Equal(t, watchers, ids)
 	}
-	require.Len(t, all, watcherCount)
-	for _, id := range all {
+	require.Len(t, watchers, watcherCount)
+	for _, id := range watchers {
 		require.True(t, selected[id], "%s is chosen by other hosts but not by itself", id)
 	}
 }
 
-// TestShouldReadStore checks when a host reads the store itself.
+// TestShouldReadStore checks that only watchers and hosts with stale state read the
+// store: if each host did, the store would be overloaded.
 func TestShouldReadStore(t *testing.T) {
-	const hosts, within = 60, 4 * time.Second
-	pers, _ := newHost(t, 1, hosts, within).watchers(time.Now())
+	const hosts, limit = 60, 4 * time.Second
+	pers, _ := newHost(t, 1, hosts, limit).watchers(time.Now())
 	var watcher int
 	_, err := fmt.Sscanf(pers[0].ID, "host-%d", &watcher)
 	require.NoError(t, err)
 	tts := []struct {
-		name string
-		own  int
-		// age is the age of the host's state.
+		name  string
+		index int
+		// age is the age of the host's state, which becomes stale at 2.6 to 3 s, by the
+		// host's ID.
 		age     time.Duration
 		leaving bool
 		want    bool
@@ -106,7 +109,7 @@
 	}
 	for _, tt := range tts {
 		t.Run(tt.name, func(t *testing.T) {
-			fwd := newHost(t, tt.own, hosts, within)
+			fwd := newHost(t, tt.index, hosts, limit)
 			now := time.Now()
 			require.True(t, fwd.shouldReadStore(now), "a host without state reads the store")
 			fwd.draining.Store(tt.leaving)
@@ -116,9 +119,9 @@
 	}
 }
 
-// TestNoTablesYet starts a host while the store holds no tables. Once this is confirmed,
+// TestStoreWithoutTables starts a host while the store holds no tables. Once this is confirmed,
 // the host must not read the store itself until its state becomes stale.
-func TestNoTablesYet(t *testing.T) {
+func TestStoreWithoutTables(t *testing.T) {
 	fwd := newHost(t, 1, 60, 4*time.Second)
 	now := time.Now()
 	fwd.applyTables(follower.Tables{Revision: 1}, now)
@@ -137,33 +140,33 @@
 // TestWaitsForPeers checks how long a starting host waits for its peers before it reads
 // the store.
 func TestWaitsForPeers(t *testing.T) {
-	const hosts, within = 60, 4 * time.Second
-	pers, _ := newHost(t, 1, hosts, within).watchers(time.Now())
+	const hosts, limit = 60, 4 * time.Second
+	pers, _ := newHost(t, 1, hosts, limit).watchers(time.Now())
 	var watcher int
 	_, err := fmt.Sscanf(pers[0].ID, "host-%d", &watcher)
 	require.NoError(t, err)
 	tts := []struct {
-		name  string
-		own   int
-		up    time.Duration
-		wait  time.Duration
-		knows bool
-		want  bool
+		name      string
+		index     int
+		up        time.Duration
+		wait      time.Duration
+		confirmed bool
+		want      bool
 	}{
-		{"at once", 1, 0, startPeerWait, false, true},
+		{"just started", 1, 0, startPeerWait, false, true},
 		{"peers have answered", 1, 0, startPeerWait, true, false},
 		{"no peer has answered", 1, startPeerWait, startPeerWait, false, false},
-		{"first start", 1, startPeerWait, time.Second, false, true},
-		{"a watcher at the first start", watcher, startPeerWait, time.Second, false, false},
-		{"first start, and no watcher has answered", 1, time.Second, time.Second, false, false},
+		{"StartWait is longer", 1, startPeerWait, time.Second, false, true},
+		{"a watcher, and StartWait is longer", watcher, startPeerWait, time.Second, false, false},
+		{"StartWait has passed, and no watcher has answered", 1, time.Second, time.Second, false, false},
 	}
 	for _, tt := range tts {
 		t.Run(tt.name, func(t *testing.T) {
-			fwd := newHost(t, tt.own, hosts, within)
+			fwd := newHost(t, tt.index, hosts, limit)
 			fwd.Settings.StartWait = tt.wait
 			now := time.Now()
 			fwd.started = now.Add(-tt.up)
-			if tt.knows {
+			if tt.confirmed {
 				applyState(fwd, now)
 				<-fwd.ready
 			}
@@ -172,15 +175,15 @@
 	}
 }
 
-// TestIntervals checks that a change that a watch misses is still read from the store
-// within the time in which changes have to be in force, and that a host that polls in
-// time never reads the store itself.
-func TestIntervals(t *testing.T) {
-	for _, within := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 10 * time.Second} {
+// TestIntervalsKeepPropagationLimit checks that a change that a watch misses is still
+// read from the store within the time in which changes have to be in force, and that a
+// host that polls in time never reads the store itself.
+func TestIntervalsKeepPropagationLimit(t *testing.T) {
+	for _, limit := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 10 * time.Second} {
 		for i := range 40 {
-			fwd := newHost(t, i, 5, within)
+			fwd := newHost(t, i, 5, limit)
 			const storeRead = 300 * time.Millisecond
-			require.Less(t, fwd.staleAge()+storeRead, within)
+			require.Less(t, fwd.staleAge()+storeRead, limit)
 			require.Less(t, fwd.watchWait()+fwd.pollInterval(), fwd.staleAge(), "a host that polls in time never reads the store")
 		}
 	}
@@ -215,8 +218,8 @@
 // host and a watcher, so that the host never sees an equal revision. What it pulls has to
 // count as confirmed; otherwise each host would read the store.
 func TestConfirmedWhileChanging(t *testing.T) {
-	const within = 4 * time.Second
-	fwd, wat := newHost(t, 1, 2, within), newHost(t, 0, 2, within)
+	const limit = 4 * time.Second
+	fwd, wat := newHost(t, 1, 2, limit), newHost(t, 0, 2, limit)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer lis.Close()
