--- a/process/server/caller.go
+++ b/process/server/caller.go
@@ -30,20 +30,20 @@
 	rou := mux.NewRouter().SkipClean(true)
 	rou.Use(ser.requireTables)
 	rou.HandleFunc("/healthz", func(wri http.ResponseWriter, _ *http.Request) { wri.WriteHeader(http.StatusOK) })
-	rou.HandleFunc("/readyz", ser.ready)
-	rou.HandleFunc("/v1/chat/completions", ser.prompt(true)).Methods(http.MethodPost)
-	rou.HandleFunc("/v1/completions", ser.prompt(false)).Methods(http.MethodPost)
-	rou.HandleFunc("/v1/models", ser.models).Methods(http.MethodGet)
+	rou.HandleFunc("/readyz", ser.serveReady)
+	rou.HandleFunc("/v1/chat/completions", ser.servePrompt(true)).Methods(http.MethodPost)
+	rou.HandleFunc("/v1/completions", ser.servePrompt(false)).Methods(http.MethodPost)
+	rou.HandleFunc("/v1/models", ser.serveModels).Methods(http.MethodGet)
 	rou.HandleFunc("/v1/chat/completions", wrongMethod(http.MethodPost))
 	rou.HandleFunc("/v1/completions", wrongMethod(http.MethodPost))
 	rou.HandleFunc("/v1/models", wrongMethod(http.MethodGet))
-	rou.PathPrefix("/").HandlerFunc(ser.call)
+	rou.PathPrefix("/").HandlerFunc(ser.serveCall)
 	return rou
 }
 
-// ready answers the load balancer with 200 if the host accepts requests, otherwise with
+// serveReady answers the load balancer with 200 if the host accepts requests, otherwise with
 // 503 and the reason.
-func (ser *Server) ready(wri http.ResponseWriter, _ *http.Request) {
+func (ser *Server) serveReady(wri http.ResponseWriter, _ *http.Request) {
 	reason := ser.notReadyReason()
 	if reason == "" {
 		wri.WriteHeader(http.StatusOK)
@@ -75,7 +75,7 @@
 	return mat
 }
 
-func (ser *Server) prompt(chat bool) http.HandlerFunc {
+func (ser *Server) servePrompt(chat bool) http.HandlerFunc {
 	return func(wri http.ResponseWriter, req *http.Request) {
 		ctx, spa := ser.startSpan(req, "prompt")
 		defer endRequest(spa, wri)
@@ -83,13 +83,13 @@
 	}
 }
 
-func (ser *Server) call(wri http.ResponseWriter, req *http.Request) {
+func (ser *Server) serveCall(wri http.ResponseWriter, req *http.Request) {
 	ctx, spa := ser.startSpan(req, "call")
 	defer endRequest(spa, wri)
 	ser.executor.Call(ctx, wri, req, ser.pinTables(wri))
 }
 
-func (ser *Server) models(wri http.ResponseWriter, req *http.Request) {
+func (ser *Server) serveModels(wri http.ResponseWriter, req *http.Request) {
 	mat := ser.pinTables(wri)
 	key, err := receiver.BearerKey(req.Header)
 	tea, ok := mat.Team(key)
--- a/process/server/claims.go
+++ b/process/server/claims.go
@@ -7,13 +7,13 @@
 	"hemlockpin/process/journaler"
 )
 
-// liveMembers lists the live hosts that are not leaving, for the journal.
-type liveMembers struct{ gossiper *gossiper.Gossiper }
+// journalMembers lists the live hosts that are not leaving, for the journal.
+type journalMembers struct{ gossiper *gossiper.Gossiper }
 
 // Live returns the hosts that are live in this host's view.
-func (liv liveMembers) Live() []journaler.Member {
+func (mem journalMembers) Live() []journaler.Member {
 	var out []journaler.Member
-	for _, per := range liv.gossiper.Live(time.Now()) {
+	for _, per := range mem.gossiper.Live(time.Now()) {
 		out = append(out, journaler.Member{ID: per.ID, Address: per.Address})
 	}
 	return out
@@ -22,6 +22,6 @@
 func (ser *Server) newJournal() *journaler.Journal {
 	return &journaler.Journal{
 		Store: ser.persister, Self: journaler.Member{ID: ser.Settings.HostID, Address: ser.Settings.PeerListen},
-		Members: liveMembers{ser.gossiper}, Peers: tracedPeers{ser.multiplexer}, Scope: ser.scope,
+		Members: journalMembers{ser.gossiper}, Peers: tracedPeers{ser.multiplexer}, Scope: ser.scope,
 	}
 }
--- a/process/server/counters.go
+++ b/process/server/counters.go
@@ -9,13 +9,15 @@
 
 const (
 	// maxSeries bounds the counters of one name, and so their memory. Further series
-	// share a counter with the tag overflowTag.
-	maxSeries   = 4000
-	overflowTag = "rest"
+	// share the counters whose unbounded tag has the value overflowValue; there is one of
+	// these for each combination of the other tags.
+	maxSeries     = 4000
+	overflowValue = "rest"
 )
 
-// series is the set of tags of one counter. overflow replaces the tag with an unbounded
-// number of values, such as the name of a route or team, by overflowTag.
+// series is the set of tags of one counter. overflow returns the series with
+// overflowValue as the value of the one tag whose values are unbounded, the name of a
+// route or team.
 type series[T any] interface {
 	comparable
 	tags() map[string]string
@@ -44,32 +46,34 @@
 }
 
 // totals returns the total of each series since the start.
-func (cou *seriesCounters[T]) totals() map[T]int64 {
-	cou.mu.Lock()
-	defer cou.mu.Unlock()
-	out := make(map[T]int64, len(cou.bySeries))
-	for ser, entry := range cou.bySeries {
-		out[ser] = entry.total.Load()
+func (cous *seriesCounters[T]) totals() map[T]int64 {
+	cous.mu.Lock()
+	defer cous.mu.Unlock()
+	out := make(map[T]int64, len(cous.bySeries))
+	for key, entry := range cous.bySeries {
+		out[key] = entry.total.Load()
 	}
 	return out
 }
 
-func (cou *seriesCounters[T]) get(ser T) *seriesCounter {
-	cou.mu.Lock()
-	defer cou.mu.Unlock()
-	if entry, ok := cou.bySeries[ser]; ok {
+// counter returns the counter of a series, which it creates if needed. Beyond maxSeries,
+// it returns the counter of the series' overflow.
+func (cous *seriesCounters[T]) counter(key T) *seriesCounter {
+	cous.mu.Lock()
+	defer cous.mu.Unlock()
+	if entry, ok := cous.bySeries[key]; ok {
 		return entry
 	}
-	if len(cou.bySeries) >= maxSeries {
-		ser = ser.overflow()
-		if entry, ok := cou.bySeries[ser]; ok {
+	if len(cous.bySeries) >= maxSeries {
+		key = key.overflow()
+		if entry, ok := cous.bySeries[key]; ok {
 			return entry
 		}
 	}
-	if cou.bySeries == nil {
-		cou.bySeries = map[T]*seriesCounter{}
+	if cous.bySeries == nil {
+		cous.bySeries = map[T]*seriesCounter{}
 	}
-	entry := &seriesCounter{counter: cou.scope.Tagged(ser.tags()).Counter(cou.name)}
-	cou.bySeries[ser] = entry
+	entry := &seriesCounter{counter: cous.scope.Tagged(key.tags()).Counter(cous.name)}
+	cous.bySeries[key] = entry
 	return entry
 }
--- a/process/server/drain.go
+++ b/process/server/drain.go
@@ -14,6 +14,7 @@
 )
 
 const (
+	// leaveTimeout bounds the broadcast to peers that this host is leaving.
 	leaveTimeout = time.Second
 )
 
@@ -31,11 +32,11 @@
 }
 
 // drain reports the host as not ready, waits for the requests in progress and stops
-// serving. A second signal or the drain timeout aborts the requests left.
+// serving. A second signal or the drain timeout aborts the remaining requests.
 func (ser *Server) drain(callerSrv *http.Server, lis *acceptor.Listener) error {
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGTERM, syscall.SIGINT)
-	defer signal.Stop(again)
+	furtherSignals := make(chan os.Signal, 1)
+	signal.Notify(furtherSignals, syscall.SIGTERM, syscall.SIGINT)
+	defer signal.Stop(furtherSignals)
 	var closed atomic.Bool
 	err := drainer.Run(drainer.Host{
 		Announce: ser.announceDrain,
@@ -53,8 +54,8 @@
 			}
 			return 1
 		},
-		Writes: ser.pendingWrites,
-	}, drainer.Settings{Notice: ser.Settings.DrainNotice, Timeout: ser.Settings.DrainTimeout}, again)
+		Writes: ser.backgroundWork,
+	}, drainer.Settings{Notice: ser.Settings.DrainNotice, Timeout: ser.Settings.DrainTimeout}, furtherSignals)
 	_ = callerSrv.Close()
 	ser.executor.WaitForCleanup()
 	ser.Log.Info().Err(err).Msg("host stopped")
@@ -71,8 +72,8 @@
 	}()
 }
 
-// pendingWrites counts the claimed calls in progress, also those whose callers have
+// backgroundWork counts the claimed calls in progress, also those whose callers have
 // disconnected, and the outcomes that are not yet recorded in the journal.
-func (ser *Server) pendingWrites() int {
+func (ser *Server) backgroundWork() int {
 	return ser.executor.CallsInProgress() + ser.journal.Pending()
 }
--- a/process/server/edge.go
+++ b/process/server/edge.go
@@ -18,25 +18,25 @@
 // the memory of request bodies and the time for writing to slow readers, and counts the
 // outcome of every request.
 func (ser *Server) edge(next http.Handler) http.Handler {
-	return http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
-		if htr.URL.Path == "/healthz" || htr.URL.Path == "/readyz" {
-			next.ServeHTTP(wri, htr)
+	return http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
+		if req.URL.Path == "/healthz" || req.URL.Path == "/readyz" {
+			next.ServeHTTP(wri, req)
 			return
 		}
 		began := time.Now()
-		rec := &responder.Recorder{ResponseWriter: wri, Clock: time.Now, WriteTimeout: ser.Settings.WriteTimeout, OnInterval: ser.meter.recordInterval}
-		bod := receiver.NewBody(htr.Body, &ser.bodies, htr.ContentLength, ser.Settings.MaxBodyBytes)
+		rec := &responder.Recorder{ResponseWriter: wri, Clock: time.Now, WriteTimeout: ser.Settings.WriteTimeout, OnInterval: ser.meter.recordTokenInterval}
+		bod := receiver.NewBody(req.Body, &ser.bodyMemory, req.ContentLength, ser.Settings.MaxBodyBytes)
 		// net/http inspects the body of its own request, so the wrapped body goes into a
 		// copy of the request.
-		htr = htr.WithContext(htr.Context())
-		htr.Body = bod
+		req = req.WithContext(req.Context())
+		req.Body = bod
 		defer bod.Release()
 		defer func() { ser.meter.observe(rec, began, time.Now()) }()
-		if err := receiver.ValidateHeaders(htr.Header, began); err != nil {
+		if err := receiver.ValidateHeaders(req.Header, began); err != nil {
 			writeBadRequest(rec, err)
 			return
 		}
-		next.ServeHTTP(rec, htr)
+		next.ServeHTTP(rec, req)
 	})
 }
 
@@ -51,17 +51,17 @@
 
 // wrongMethod refuses a request for a known path with a method that it does not allow.
 func wrongMethod(allowed string) http.HandlerFunc {
-	return func(wri http.ResponseWriter, htr *http.Request) {
+	return func(wri http.ResponseWriter, req *http.Request) {
 		wri.Header().Set("Allow", allowed)
 		responder.WriteProblem(wri, responder.Problem{
 			Status: http.StatusMethodNotAllowed, Code: "method_not_allowed",
-			Message: htr.URL.Path + " takes " + allowed + " only", Ran: invoker.NotRun,
+			Message: req.URL.Path + " takes " + allowed + " only", Ran: invoker.NotRun,
 		})
 	}
 }
 
-// callerDisconnected reports whether writing the answer to the caller failed.
-func callerDisconnected(rec *responder.Recorder) bool {
+// writeFailed reports whether writing the answer to the caller failed.
+func writeFailed(rec *responder.Recorder) bool {
 	return rec.Err != nil && !errors.Is(rec.Err, http.ErrBodyNotAllowed)
 }
 
--- a/process/server/edge_test.go
+++ b/process/server/edge_test.go
@@ -98,7 +98,8 @@
 	return strings.Join(strings.Fields(fmt.Sprintln(res.StatusCode, bod.Error.Type, bod.Error.Code, res.Header.Get(responder.RunHeader))), " ") + "\n"
 }
 
-// TestEdge sends the raw requests of testdata/edge. BODY(n) stands for a prompt of n
+// TestEdge checks the answers to malformed, oversized, unauthorised and slow raw requests;
+// none may crash or block the host. In testdata/edge BODY(n) stands for a prompt of n
 // bytes, LENGTH for the length of the body, KEY for a key of a team, LONG for 13,000
 // bytes, \r and \x00 for these control characters.
 func TestEdge(t *testing.T) {
@@ -134,7 +135,7 @@
 }
 
 // TestSlowSender sends only a part of a body, and then only a part of a header: both are
-// refused after the read time-out.
+// refused after the read timeout.
 func TestSlowSender(t *testing.T) {
 	_, addr := startEdge(t, edgeSettings(), nil)
 	con := dial(t, addr)
@@ -146,14 +147,14 @@
 }
 
 // TestSlowReader does not read a long answer: the host has to abort writing it after the
-// write time-out.
+// write timeout.
 func TestSlowReader(t *testing.T) {
-	end := make(chan error, 1)
+	writeErr := make(chan error, 1)
 	_, addr := startEdge(t, edgeSettings(), http.HandlerFunc(func(wri http.ResponseWriter, _ *http.Request) {
 		buf := bytes.Repeat([]byte("x"), 1<<20)
 		for {
 			if _, err := wri.Write(buf); err != nil {
-				end <- err
+				writeErr <- err
 				return
 			}
 		}
@@ -161,24 +162,24 @@
 	con := dial(t, addr)
 	fmt.Fprint(con, "GET /slots HTTP/1.1\r\nHost: x\r\n\r\n")
 	select {
-	case err := <-end:
+	case err := <-writeErr:
 		require.ErrorContains(t, err, "timeout")
 	case <-time.After(edgeTimeout):
 		require.Fail(t, "the host still waits for the reader")
 	}
 }
 
-// TestLongStream checks that an answer may take longer than the read time-out, which
+// TestLongStream checks that an answer may take longer than the read timeout, which
 // bounds only the reading of the request.
 func TestLongStream(t *testing.T) {
 	set := edgeSettings()
-	_, addr := startEdge(t, set, http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
+	_, addr := startEdge(t, set, http.HandlerFunc(func(wri http.ResponseWriter, req *http.Request) {
 		for range 5 {
 			fmt.Fprintln(wri, "token")
 			_ = http.NewResponseController(wri).Flush()
 			select {
 			case <-time.After(set.ReadTimeout / 2):
-			case <-htr.Context().Done():
+			case <-req.Context().Done():
 				return
 			}
 		}
@@ -191,8 +192,8 @@
 	require.Equal(t, strings.Repeat("token\n", 5), string(text))
 }
 
-// TestConnectionLimit opens more connections than allowed: the further one is refused,
-// until another one is closed.
+// TestConnectionLimit opens more connections than allowed: a further connection is
+// refused until an open connection is closed.
 func TestConnectionLimit(t *testing.T) {
 	set := edgeSettings()
 	set.MaxConns = 2
@@ -226,12 +227,13 @@
 	ser, addr := startEdge(t, set, nil)
 	hold := dial(t, addr)
 	fmt.Fprintf(hold, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 3000\r\n\r\n{", edgeKey)
-	require.Eventually(t, func() bool { return ser.bodies.Used() == 9000 }, edgeTimeout, time.Millisecond)
+	// Three times the announced length is reserved for a body.
+	require.Eventually(t, func() bool { return ser.bodyMemory.Used() == 9000 }, edgeTimeout, time.Millisecond)
 	con := dial(t, addr)
 	con.Write(rawRequest("POST /v1/completions HTTP/1.1\nHost: x\nAuthorization: KEY\nContent-Length: LENGTH\n\nBODY(1000)"))
 	require.Equal(t, "503 server_error host_memory_full NotRun\n", answer(t, bufio.NewReader(con)))
 	hold.Close()
-	require.Eventually(t, func() bool { return ser.bodies.Used() == 0 }, edgeTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return ser.bodyMemory.Used() == 0 }, edgeTimeout, time.Millisecond)
 }
 
 // TestUnauthorizedBody announces a large body without a key: the request is refused
@@ -242,7 +244,7 @@
 	fmt.Fprint(con, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 3000\r\nExpect: 100-continue\r\n\r\n")
 	rea := bufio.NewReader(con)
 	require.Equal(t, "401 authentication_error invalid_api_key NotRun\n", answer(t, rea))
-	require.Zero(t, ser.bodies.Used())
+	require.Zero(t, ser.bodyMemory.Used())
 }
 
 // TestKeptConnection sends requests on a kept connection after the write deadline of an
@@ -266,7 +268,7 @@
 // TestReady checks the reasons that a host gives for not being ready.
 func TestReady(t *testing.T) {
 	ser, addr := startEdge(t, edgeSettings(), nil)
-	tt := []struct {
+	tts := []struct {
 		name   string
 		change func()
 		want   string
@@ -274,16 +276,16 @@
 		{"alone", func() {}, "joined"},
 		{"draining", func() { ser.draining.Store(true) }, "drains"},
 	}
-	for _, tc := range tt {
-		t.Run(tc.name, func(t *testing.T) {
-			tc.change()
+	for _, tt := range tts {
+		t.Run(tt.name, func(t *testing.T) {
+			tt.change()
 			res, err := http.Get("http://" + addr + "/readyz")
 			require.NoError(t, err)
 			defer res.Body.Close()
 			text, err := io.ReadAll(res.Body)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusServiceUnavailable, res.StatusCode)
-			require.Contains(t, string(text), tc.want)
+			require.Contains(t, string(text), tt.want)
 		})
 	}
 }
--- a/process/server/explain.go
+++ b/process/server/explain.go
@@ -29,8 +29,9 @@
 type Explanation struct {
 	Host string
 	explainer.Explanation
-	// Cell is the cell in whose queue a prompt would wait, and Scheduler the host that
-	// grants its endpoints; empty if this host places requests by itself.
+	// Cell is the cell in whose queue a prompt would wait. Scheduler is the host that
+	// grants the endpoints of this cell. Both are empty if this host places requests by
+	// itself.
 	Cell      string `json:",omitempty"`
 	Scheduler string `json:",omitempty"`
 	// Decision is the placement that this host would choose by itself now. A scheduler
@@ -56,9 +57,9 @@
 	QueuedTokens int64
 }
 
-func (ser *Server) explain(wri http.ResponseWriter, htr *http.Request) {
+func (ser *Server) postExplain(wri http.ResponseWriter, htr *http.Request) {
 	var req ExplainRequest
-	dec := json.NewDecoder(http.MaxBytesReader(wri, htr.Body, maxOperatorBody))
+	dec := json.NewDecoder(http.MaxBytesReader(wri, htr.Body, maxOperatorBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&req); err != nil {
 		responder.WriteJSON(wri, http.StatusBadRequest, OperatorError{Code: "invalid_json", Message: err.Error()})
@@ -85,37 +86,37 @@
 		return exp
 	}
 	vie := ser.watcher.Pool(*exp.Pool)
-	pla := placer.Request{Team: req.Team, Model: req.Model, Pool: exp.Pool.Name, PromptTokens: req.PromptTokens, MaxTokens: req.MaxTokens,
+	placement := placer.Request{Team: req.Team, Model: req.Model, Pool: exp.Pool.Name, PromptTokens: req.PromptTokens, MaxTokens: req.MaxTokens,
 		Priority: exp.Route.Priority, Deadline: now.Add(time.Duration(exp.Route.TimeLimit))}
 	for _, end := range vie.Endpoints {
-		exp.Endpoints = append(exp.Endpoints, endpointView(end, pla, now))
+		exp.Endpoints = append(exp.Endpoints, endpointView(end, placement, now))
 	}
-	exp.Cell, exp.Scheduler = ser.allocator.SchedulerFor(pla, *exp.Pool, now)
+	exp.Cell, exp.Scheduler = ser.allocator.SchedulerFor(placement, *exp.Pool, now)
 	seed := uint64(now.UnixNano())
-	dec := placer.Decide(placer.Policy(ser.Settings.Placement), pla, vie, now, rand.New(rand.NewPCG(seed, seed)))
+	dec := placer.Decide(placer.Policy(ser.Settings.Placement), placement, vie, now, rand.New(rand.NewPCG(seed, seed)))
 	_, exp.Refused = dec.(placer.Refuse)
 	exp.Decision, exp.Endpoint = describeDecision(dec)
 	return exp
 }
 
 func endpointView(end placer.Endpoint, req placer.Request, now time.Time) EndpointView {
-	vie := EndpointView{ID: end.ID, Address: end.Address, DataCenter: end.DataCenter, ReportAgeMs: -1,
+	out := EndpointView{ID: end.ID, Address: end.Address, DataCenter: end.DataCenter, ReportAgeMs: -1,
 		MemoryTokens: end.MemoryTokens, UsedTokens: end.UsedTokens, QueuedTokens: end.QueuedTokens}
 	if !end.ReportedAt.IsZero() {
-		vie.ReportAgeMs = now.Sub(end.ReportedAt).Milliseconds()
+		out.ReportAgeMs = now.Sub(end.ReportedAt).Milliseconds()
 	}
 	if end.Leaving {
-		vie.Reasons = append(vie.Reasons, "it is leaving")
+		out.Reasons = append(out.Reasons, "it is leaving")
 	}
 	if req.Model != "" && !slices.Contains(end.Models, req.Model) {
-		vie.Reasons = append(vie.Reasons, fmt.Sprintf("model %q is not loaded", req.Model))
+		out.Reasons = append(out.Reasons, fmt.Sprintf("model %q is not loaded", req.Model))
 	}
 	need := req.PromptTokens + req.MaxTokens
 	if end.MemoryTokens > 0 && need > end.MemoryTokens {
-		vie.Reasons = append(vie.Reasons, fmt.Sprintf("its memory of %d tokens is less than the %d needed; only a group of engines can hold them", end.MemoryTokens, need))
+		out.Reasons = append(out.Reasons, fmt.Sprintf("its memory of %d tokens is less than the %d needed; only a group of engines can hold them", end.MemoryTokens, need))
 	}
-	vie.Takes = len(vie.Reasons) == 0
-	return vie
+	out.Takes = len(out.Reasons) == 0
+	return out
 }
 
 func describeDecision(dec placer.Decision) (text, endpoint string) {
--- a/process/server/hosts.go
+++ b/process/server/hosts.go
@@ -22,15 +22,17 @@
 	// statusTimeout bounds a query of all hosts; hosts that have not answered by then
 	// count as unresponsive.
 	statusTimeout = 6 * time.Second
-	// maxHostCalls is the number of hosts queried at a time. It is large enough that a
-	// thousand hosts, of which a data centre is dead, are queried within statusTimeout.
-	maxHostCalls    = 128
-	maxOperatorBody = 1 << 20
+	// maxHostCalls is the number of hosts queried at a time. With 128, a thousand hosts
+	// are queried within statusTimeout even if all hosts of one data centre are
+	// unresponsive.
+	maxHostCalls         = 128
+	maxOperatorBodyBytes = 1 << 20
 )
 
 var errUnexpectedReply = errors.New("the host answered with another message")
 
-// HostStatus is the status that one host reports of itself, or the error of querying it.
+// HostStatus is one host's entry in the status of all hosts: the host's own report, or
+// the error of querying the host.
 type HostStatus struct {
 	Host            string
 	DataCenter      string
@@ -42,9 +44,10 @@
 	Started         time.Time
 	Peers           int64
 	Endpoints       int64
-	Operator        string
-	// Error says why the host did not answer; the other fields are then empty
-	// but for Host and DataCenter.
+	// Operator is the address of the host's listener for operators.
+	Operator string
+	// Error is set if the host did not answer or sent an unexpected reply; of the other
+	// fields only Host and DataCenter are set then.
 	Error string `json:",omitempty"`
 }
 
@@ -78,16 +81,16 @@
 	}
 }
 
-// statusHosts queries every listed host. It is meant for operators, not for polling.
-func (ser *Server) statusHosts(wri http.ResponseWriter, htr *http.Request) {
+// getHostStatuses queries every listed host. It is meant for operators, not for polling.
+func (ser *Server) getHostStatuses(wri http.ResponseWriter, req *http.Request) {
 	ents := ser.otherHosts()
-	stas := make([]HostStatus, len(ents), len(ents)+1)
-	ser.callHosts(htr.Context(), ents, func(ctx context.Context, i int, ent persister.Entry) {
-		stas[i] = ser.fetchStatus(ctx, ent)
+	statuses := make([]HostStatus, len(ents), len(ents)+1)
+	ser.callHosts(req.Context(), ents, func(ctx context.Context, i int, ent persister.Entry) {
+		statuses[i] = ser.fetchStatus(ctx, ent)
 	})
-	stas = append(stas, newHostStatus(ser.statusReport()))
-	slices.SortFunc(stas, func(a, b HostStatus) int { return cmp.Compare(a.Host, b.Host) })
-	responder.WriteJSON(wri, http.StatusOK, stas)
+	statuses = append(statuses, newHostStatus(ser.statusReport()))
+	slices.SortFunc(statuses, func(a, b HostStatus) int { return cmp.Compare(a.Host, b.Host) })
+	responder.WriteJSON(wri, http.StatusOK, statuses)
 }
 
 // callHosts runs call for each host, up to maxHostCalls at a time, within statusTimeout.
@@ -131,7 +134,7 @@
 	return newHostStatus(rep.GetStatusReport())
 }
 
-func (ser *Server) statusEndpoints(wri http.ResponseWriter, _ *http.Request) {
+func (ser *Server) getEndpointStatuses(wri http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
 	statuses := []EndpointStatus{}
 	for _, ent := range ser.watcher.Entries() {
@@ -164,26 +167,26 @@
 
 func (ser *Server) postDrain(wri http.ResponseWriter, htr *http.Request) {
 	var req DrainRequest
-	if err := json.NewDecoder(http.MaxBytesReader(wri, htr.Body, maxOperatorBody)).Decode(&req); err != nil && !errors.Is(err, io.EOF) {
+	if err := json.NewDecoder(http.MaxBytesReader(wri, htr.Body, maxOperatorBodyBytes)).Decode(&req); err != nil && !errors.Is(err, io.EOF) {
 		responder.WriteJSON(wri, http.StatusBadRequest, OperatorError{Code: "invalid_json", Message: err.Error()})
 		return
 	}
 	if req.Host == "" || req.Host == ser.Settings.HostID {
 		responder.WriteJSON(wri, http.StatusAccepted, DrainRequest{Host: ser.Settings.HostID})
-		ser.beginDrain()
+		ser.startDrain()
 		return
 	}
 	ser.forwardDrain(htr.Context(), wri, req)
 }
 
 func (ser *Server) forwardDrain(ctx context.Context, wri http.ResponseWriter, req DrainRequest) {
-	hoss := ser.otherHosts()
-	i := slices.IndexFunc(hoss, func(ent persister.Entry) bool { return ent.ID == req.Host })
+	ents := ser.otherHosts()
+	i := slices.IndexFunc(ents, func(ent persister.Entry) bool { return ent.ID == req.Host })
 	if i < 0 {
 		responder.WriteJSON(wri, http.StatusNotFound, OperatorError{Code: "unknown_host", Message: fmt.Sprintf("no host %q is listed", req.Host)})
 		return
 	}
-	_, err := ser.callHost(ctx, hoss[i], &messenger.Envelope{Body: &messenger.Envelope_DrainOrder{DrainOrder: &messenger.DrainOrder{Host: req.Host}}})
+	_, err := ser.callHost(ctx, ents[i], &messenger.Envelope{Body: &messenger.Envelope_DrainOrder{DrainOrder: &messenger.DrainOrder{Host: req.Host}}})
 	if err != nil {
 		responder.WriteJSON(wri, http.StatusBadGateway, OperatorError{Code: "unknown", Message: err.Error()})
 		return
@@ -191,15 +194,16 @@
 	responder.WriteJSON(wri, http.StatusAccepted, req)
 }
 
-func (ser *Server) handleDrain(ord *messenger.DrainOrder) *messenger.Envelope {
+func (ser *Server) handleDrainOrder(ord *messenger.DrainOrder) *messenger.Envelope {
 	if ord.GetHost() != ser.Settings.HostID {
 		return messenger.NewFailure("other_host", "this is host "+ser.Settings.HostID)
 	}
-	ser.beginDrain()
+	ser.startDrain()
 	return &messenger.Envelope{Body: &messenger.Envelope_Done{Done: &messenger.Done{}}}
 }
 
-func (ser *Server) beginDrain() {
-	ser.Log.Info().Msg("operator requested a drain of this host")
+// startDrain starts a drain of this host for an operator.
+func (ser *Server) startDrain() {
+	ser.Log.Info().Msg("operator requested a drain; draining this host")
 	ser.requestDrain()
 }
--- a/process/server/meter.go
+++ b/process/server/meter.go
@@ -34,7 +34,7 @@
 	return tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 13)
 }
 
-// meter counts the outcomes of callers' requests.
+// meter records the outcomes and the latencies of callers' requests.
 type meter struct {
 	scope      tally.Scope
 	interToken tally.Histogram
@@ -48,22 +48,22 @@
 // teamSeries are the tags of one counter of a team's requests.
 type teamSeries struct{ team, outcome string }
 
-func (ser requestSeries) tags() map[string]string {
-	return map[string]string{"route": ser.route, "code": ser.code, "run": ser.run, "outcome": ser.outcome}
+func (key requestSeries) tags() map[string]string {
+	return map[string]string{"route": key.route, "code": key.code, "run": key.run, "outcome": key.outcome}
 }
 
-func (ser teamSeries) tags() map[string]string {
-	return map[string]string{"team": ser.team, "outcome": ser.outcome}
+func (key teamSeries) tags() map[string]string {
+	return map[string]string{"team": key.team, "outcome": key.outcome}
 }
 
-func (ser requestSeries) overflow() requestSeries {
-	ser.route = overflowTag
-	return ser
+func (key requestSeries) overflow() requestSeries {
+	key.route = overflowValue
+	return key
 }
 
-func (ser teamSeries) overflow() teamSeries {
-	ser.team = overflowTag
-	return ser
+func (key teamSeries) overflow() teamSeries {
+	key.team = overflowValue
+	return key
 }
 
 func newMeter(sco tally.Scope) *meter {
@@ -74,14 +74,15 @@
 	}
 }
 
-func (met *meter) recordInterval(gap time.Duration) { met.interToken.RecordDuration(gap) }
+func (met *meter) recordTokenInterval(gap time.Duration) { met.interToken.RecordDuration(gap) }
 
-// observe records the outcome and the latency of one finished request.
+// observe records the outcome of one finished request, and its latency if the answer is
+// complete.
 func (met *meter) observe(rec *responder.Recorder, began, end time.Time) {
 	out := outcomeOf(rec)
-	met.requests.get(requestSeries{orNone(rec.Labels.Route), orNone(rec.Code), orNone(rec.Header().Get(responder.RunHeader)), out}).Inc(1)
+	met.requests.counter(requestSeries{orNone(rec.Labels.Route), orNone(rec.Code), orNone(rec.Header().Get(responder.RunHeader)), out}).Inc(1)
 	if rec.Labels.Team != "" {
-		met.teams.get(teamSeries{rec.Labels.Team, out}).Inc(1)
+		met.teams.counter(teamSeries{rec.Labels.Team, out}).Inc(1)
 	}
 	if out != outcomeWhole {
 		return
@@ -97,7 +98,7 @@
 
 func outcomeOf(rec *responder.Recorder) string {
 	switch {
-	case callerDisconnected(rec):
+	case writeFailed(rec):
 		return outcomeCut
 	case rec.Code == "" && rec.Status != 0:
 		return outcomeWhole
@@ -110,6 +111,7 @@
 	}
 }
 
+// isStream reports whether the answer is an event stream with status 200.
 func isStream(rec *responder.Recorder) bool {
 	return rec.Header().Get("Content-Type") == "text/event-stream" && rec.Status == http.StatusOK
 }
--- a/process/server/meter_bench_test.go
+++ b/process/server/meter_bench_test.go
@@ -23,8 +23,8 @@
 	return mem.HeapAlloc
 }
 
-// observed records one complete streamed request of a route and a team.
-func observed(met *meter, route, team string) {
+// observeRequest records one complete streamed request of a route and a team.
+func observeRequest(met *meter, route, team string) {
 	now := time.Unix(1000, 0)
 	rec := &responder.Recorder{ResponseWriter: httptest.NewRecorder(), Status: http.StatusOK, First: now, Last: now}
 	rec.Header().Set("Content-Type", "text/event-stream")
@@ -33,8 +33,8 @@
 	met.observe(rec, now, now.Add(time.Second))
 }
 
-// BenchmarkMeterMemory reports the memory of the metrics for each route that has its own
-// team.
+// BenchmarkMeterMemory reports the bytes of metrics per route, if each route has a team of
+// its own.
 func BenchmarkMeterMemory(b *testing.B) {
 	for _, routes := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
@@ -43,7 +43,7 @@
 				met := newMeter(sco)
 				before := heapBytes()
 				for i := range routes {
-					observed(met, fmt.Sprintf("route-%d", i), fmt.Sprintf("team-%d", i))
+					observeRequest(met, fmt.Sprintf("route-%d", i), fmt.Sprintf("team-%d", i))
 				}
 				after := heapBytes()
 				b.ReportMetric(float64(after-before)/float64(routes), "B/route")
@@ -59,7 +59,7 @@
 	sco, _ := measurer.New(zerolog.Nop())
 	met := newMeter(sco)
 	for b.Loop() {
-		observed(met, "questions", "tailors")
+		observeRequest(met, "questions", "tailors")
 	}
 }
 
@@ -67,7 +67,7 @@
 func BenchmarkRecorderWrite(b *testing.B) {
 	sco, _ := measurer.New(zerolog.Nop())
 	met := newMeter(sco)
-	rec := &responder.Recorder{ResponseWriter: discard{}, Clock: time.Now, WriteTimeout: time.Second, OnInterval: met.recordInterval}
+	rec := &responder.Recorder{ResponseWriter: discard{}, Clock: time.Now, WriteTimeout: time.Second, OnInterval: met.recordTokenInterval}
 	buf := []byte("data: x\n\n")
 	for b.Loop() {
 		_, _ = rec.Write(buf)
--- a/process/server/meter_test.go
+++ b/process/server/meter_test.go
@@ -21,7 +21,7 @@
 // stream answers a prompt of the given length with three events, followed by an error if
 // the path is /fail.
 func stream(tokens int64) http.HandlerFunc {
-	return func(wri http.ResponseWriter, htr *http.Request) {
+	return func(wri http.ResponseWriter, req *http.Request) {
 		responder.SetLabels(wri, responder.Labels{Route: "questions", Pool: "pedal", Team: "tailors", PromptTokens: tokens})
 		wri.Header().Set("Content-Type", "text/event-stream")
 		wri.Header().Set(responder.RunHeader, string(invoker.Ran))
@@ -29,7 +29,7 @@
 			fmt.Fprint(wri, "data: x\n\n")
 			_ = http.NewResponseController(wri).Flush()
 		}
-		if htr.URL.Path == "/fail" {
+		if req.URL.Path == "/fail" {
 			responder.WriteProblem(wri, responder.Problem{Status: http.StatusBadGateway, Code: "endpoint_failed", Ran: invoker.Ran})
 		}
 	}
@@ -37,7 +37,7 @@
 
 // TestOutcomes checks the metrics of refused, complete and failed requests.
 func TestOutcomes(t *testing.T) {
-	tt := []struct {
+	tts := []struct {
 		name string
 		han  http.Handler
 		path string
@@ -58,14 +58,14 @@
 			`hemlockpin_team_requests{outcome="failed",team="tailors"} 1`,
 		}},
 	}
-	for _, tc := range tt {
-		t.Run(tc.name, func(t *testing.T) {
-			ser, addr := startEdge(t, edgeSettings(), tc.han)
-			res, err := http.Post("http://"+addr+tc.path, "application/json", strings.NewReader("{}"))
+	for _, tt := range tts {
+		t.Run(tt.name, func(t *testing.T) {
+			ser, addr := startEdge(t, edgeSettings(), tt.han)
+			res, err := http.Post("http://"+addr+tt.path, "application/json", strings.NewReader("{}"))
 			require.NoError(t, err)
 			_, _ = io.Copy(io.Discard, res.Body)
 			res.Body.Close()
-			for _, line := range tc.want {
+			for _, line := range tt.want {
 				require.Eventually(t, func() bool { return hasLine(ser, line) }, edgeTimeout, 50*time.Millisecond, "%s", line)
 			}
 		})
@@ -106,8 +106,8 @@
 func TestSeriesBound(t *testing.T) {
 	cou := seriesCounters[requestSeries]{scope: tally.NoopScope, name: "requests"}
 	for i := range 2 * maxSeries {
-		cou.get(requestSeries{route: fmt.Sprintf("route-%d", i), outcome: outcomeWhole}).Inc(1)
+		cou.counter(requestSeries{route: fmt.Sprintf("route-%d", i), outcome: outcomeWhole}).Inc(1)
 	}
 	require.Len(t, cou.bySeries, maxSeries+1)
-	require.Contains(t, cou.bySeries, requestSeries{route: overflowTag, outcome: outcomeWhole})
+	require.Contains(t, cou.bySeries, requestSeries{route: overflowValue, outcome: outcomeWhole})
 }
--- a/process/server/monitor.go
+++ b/process/server/monitor.go
@@ -19,7 +19,7 @@
 		select {
 		case now := <-tic.C:
 			ser.updateGauges()
-			ser.updateTablesGauges(now)
+			ser.updateControlGauges(now)
 			sta = ser.logStaleTables(sta, now)
 		case <-ctx.Done():
 			return
@@ -30,7 +30,7 @@
 func (ser *Server) updateGauges() {
 	ser.scope.Gauge("requests_in_progress").Update(float64(ser.admitter.InProgress()))
 	ser.scope.Gauge("endpoints_listed").Update(float64(len(ser.watcher.Entries())))
-	ser.scope.Gauge("body_memory_bytes").Update(float64(ser.bodies.Used()))
+	ser.scope.Gauge("body_memory_bytes").Update(float64(ser.bodyMemory.Used()))
 	ser.scope.Gauge("draining").Update(boolGauge(ser.draining.Load()))
 }
 
@@ -51,7 +51,7 @@
 	}
 	sta.stale = !sta.stale
 	if sta.stale {
-		ser.Log.Warn().Dur("AgeMs", age).Uint64("Revision", rev).Msg("tables are confirmed neither by the platform nor by peers")
+		ser.Log.Warn().Dur("AgeMs", age).Uint64("Revision", rev).Msg("tables no longer confirmed by the platform or by peers; serving with stale tables")
 	} else {
 		ser.Log.Info().Uint64("Revision", rev).Msg("tables are confirmed again")
 	}
--- a/process/server/operator.go
+++ b/process/server/operator.go
@@ -14,11 +14,15 @@
 )
 
 const (
-	operatorTimeout     = time.Minute
+	// operatorTimeout bounds reading an operator's request, and writing its answer, which
+	// may be a profile of many seconds.
+	operatorTimeout = time.Minute
+	// operatorIdleTimeout bounds how long an idle connection is kept.
 	operatorIdleTimeout = 2 * time.Minute
 )
 
-// Status is the state that a host reports of itself to operators.
+// Status is the answer to GET /v1/status: the state of this host, and its view of peers
+// and endpoints.
 type Status struct {
 	Host            string
 	DataCenter      string
@@ -48,22 +52,22 @@
 	rou := mux.NewRouter()
 	rou.Handle("/metrics", ser.metrics)
 	rou.HandleFunc("/healthz", func(wri http.ResponseWriter, _ *http.Request) { wri.WriteHeader(http.StatusOK) })
-	rou.HandleFunc("/readyz", ser.ready)
-	rou.HandleFunc("/v1/status", ser.status).Methods(http.MethodGet)
-	rou.HandleFunc("/v1/usage", ser.usage).Methods(http.MethodGet)
-	rou.HandleFunc("/v1/status/hosts", ser.statusHosts).Methods(http.MethodGet)
-	rou.HandleFunc("/v1/status/endpoints", ser.statusEndpoints).Methods(http.MethodGet)
-	rou.HandleFunc("/v1/status/teams", ser.statusTeams).Methods(http.MethodGet)
-	rou.HandleFunc("/v1/explain", ser.explain).Methods(http.MethodPost)
+	rou.HandleFunc("/readyz", ser.serveReady)
+	rou.HandleFunc("/v1/status", ser.getStatus).Methods(http.MethodGet)
+	rou.HandleFunc("/v1/usage", ser.getUsage).Methods(http.MethodGet)
+	rou.HandleFunc("/v1/status/hosts", ser.getHostStatuses).Methods(http.MethodGet)
+	rou.HandleFunc("/v1/status/endpoints", ser.getEndpointStatuses).Methods(http.MethodGet)
+	rou.HandleFunc("/v1/status/teams", ser.getTeamStatuses).Methods(http.MethodGet)
+	rou.HandleFunc("/v1/explain", ser.postExplain).Methods(http.MethodPost)
 	rou.HandleFunc("/v1/drain", ser.postDrain).Methods(http.MethodPost)
 	rou.HandleFunc("/debug/pprof/profile", pprof.Profile).Methods(http.MethodGet)
 	rou.PathPrefix("/debug/pprof/").HandlerFunc(pprof.Index).Methods(http.MethodGet)
-	ser.tablesRoutes(rou)
-	ser.orderRoutes(rou)
+	ser.addTablesRoutes(rou)
+	ser.addOrderRoutes(rou)
 	return rou
 }
 
-func (ser *Server) status(wri http.ResponseWriter, _ *http.Request) {
+func (ser *Server) getStatus(wri http.ResponseWriter, _ *http.Request) {
 	_, age := ser.publisher.Freshness(time.Now())
 	responder.WriteJSON(wri, http.StatusOK, Status{
 		Host: ser.Settings.HostID, DataCenter: ser.Settings.DataCenter, Incarnation: ser.Incarnation,
--- a/process/server/operator_tables.go
+++ b/process/server/operator_tables.go
@@ -16,7 +16,7 @@
 	"github.com/rotisserie/eris"
 )
 
-func (ser *Server) tablesRoutes(rou *mux.Router) {
+func (ser *Server) addTablesRoutes(rou *mux.Router) {
 	rou.HandleFunc("/v1/tables", ser.getTables).Methods(http.MethodGet)
 	rou.HandleFunc("/v1/tables", ser.putTables).Methods(http.MethodPut)
 	rou.HandleFunc("/v1/tables/history", ser.getHistory).Methods(http.MethodGet)
@@ -79,27 +79,27 @@
 		writeEditError(wri, tab, err)
 		return
 	}
-	fin, err := ser.publisher.Edit(req.Context(), tab, base, time.Now())
+	edit, err := ser.publisher.Edit(req.Context(), tab, base, time.Now())
 	if err != nil {
-		ser.scope.Tagged(map[string]string{"result": string(fin.Result)}).Counter("tables_edits").Inc(1)
-		writeEditError(wri, fin.Tables, err)
+		ser.scope.Tagged(map[string]string{"result": string(edit.Result)}).Counter("tables_edits").Inc(1)
+		writeEditError(wri, edit.Tables, err)
 		return
 	}
-	ser.writeAccepted(wri, fin)
+	ser.writeAccepted(wri, edit)
 }
 
-// writeAccepted answers an accepted edit. The status is 202 as long as no other host is
-// known to have the edit: it would not be available anywhere if this host and the store
-// failed now.
-func (ser *Server) writeAccepted(wri http.ResponseWriter, fin publisher.Finish) {
-	ser.scope.Tagged(map[string]string{"result": string(fin.Result)}).Counter("tables_edits").Inc(1)
-	ser.Log.Info().Uint64("Revision", fin.Tables.Revision).Int("InForce", fin.InForce).Msg("tables accepted")
-	wri.Header().Set(responder.InForceHeader, strconv.Itoa(fin.InForce))
+// writeAccepted answers an accepted edit. The status is 202 if peers were asked to apply
+// the edit and none is known to have applied it: the edit would be lost if this host and
+// the store failed now. A host that asked no peers answers 200.
+func (ser *Server) writeAccepted(wri http.ResponseWriter, edit publisher.Finish) {
+	ser.scope.Tagged(map[string]string{"result": string(edit.Result)}).Counter("tables_edits").Inc(1)
+	ser.Log.Info().Uint64("Revision", edit.Tables.Revision).Int("InForce", edit.InForce).Msg("tables accepted")
+	wri.Header().Set(responder.InForceHeader, strconv.Itoa(edit.InForce))
 	status := http.StatusOK
-	if fin.Asked > 0 && fin.InForce < 2 {
+	if edit.Asked > 0 && edit.InForce < 2 {
 		status = http.StatusAccepted
 	}
-	writeTables(wri, status, fin.Tables)
+	writeTables(wri, status, edit.Tables)
 }
 
 func writeEditError(wri http.ResponseWriter, cur parser.Tables, err error) {
--- a/process/server/orders.go
+++ b/process/server/orders.go
@@ -29,8 +29,8 @@
 	Adapter  string `json:",omitempty"`
 	Version  string `json:",omitempty"`
 	Role     string `json:",omitempty"`
-	// ID is the ID of an earlier order to repeat, whose effect is unknown; empty for a
-	// new order.
+	// ID is set to repeat an earlier order whose effect is unknown; it is empty for a new
+	// order.
 	ID string `json:",omitempty"`
 	// TimeMs is the time limit of the order in milliseconds; 0 stands for 15 seconds.
 	TimeMs int64 `json:",omitempty"`
@@ -46,7 +46,7 @@
 	ChecksFencing bool
 }
 
-func (ser *Server) orderRoutes(rou *mux.Router) {
+func (ser *Server) addOrderRoutes(rou *mux.Router) {
 	rou.HandleFunc("/v1/orders", ser.postOrder).Methods(http.MethodPost)
 }
 
@@ -94,7 +94,7 @@
 		ord.ID = uuid.NewString()
 	}
 	end := ser.issueOrder(req.Context(), ent, ord)
-	responder.WriteJSON(wri, orderStatus(end), OrderReply{ID: ord.ID, End: end, ChecksFencing: ser.checksFencing(ent)})
+	responder.WriteJSON(wri, orderStatusCode(end), OrderReply{ID: ord.ID, End: end, ChecksFencing: ser.checksFencing(ent)})
 }
 
 // issueOrder issues an order within its time limit, also if the operator disconnects.
@@ -105,16 +105,16 @@
 	}
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), timeout)
 	defer stop()
-	giv := &orderer.Issuer{Store: ser.persister, Weights: ser.persister, Engine: ser.invoker, Host: ser.Settings.HostID}
-	end := giv.Issue(ctx, ent.ID, ent.Address, invoker.Order{
+	iss := &orderer.Issuer{Store: ser.persister, Weights: ser.persister, Engine: ser.invoker, Host: ser.Settings.HostID}
+	end := iss.Issue(ctx, ent.ID, ent.Address, invoker.Order{
 		ID: ord.ID, Kind: ord.Kind, Model: ord.Model, Adapter: ord.Adapter, Version: ord.Version, Role: ord.Role,
 	})
 	ser.scope.Tagged(map[string]string{"effect": string(end.Effect)}).Counter("orders").Inc(1)
-	ser.Log.Info().Str("Endpoint", ent.ID).Str("Kind", ord.Kind).Str("Effect", string(end.Effect)).Uint64("Fence", end.Fence).Msg("order ended")
+	ser.Log.Info().Str("Endpoint", ent.ID).Str("Kind", ord.Kind).Str("Effect", string(end.Effect)).Uint64("Fence", end.Fence).Msg("order to the engine ended; its effect is returned to the operator")
 	return end
 }
 
-func orderStatus(end orderer.End) int {
+func orderStatusCode(end orderer.End) int {
 	switch end.Effect {
 	case orderer.Applied:
 		return http.StatusOK
@@ -134,8 +134,8 @@
 	return persister.Entry{}, false
 }
 
-// checksFencing reports whether at least one pool contains the engine and all pools that
-// contain it declare that their endpoints check fencing numbers.
+// checksFencing reports whether there are pools of the engine's service and all of them
+// declare that their endpoints check fencing numbers.
 func (ser *Server) checksFencing(ent persister.Entry) bool {
 	found := false
 	for _, poo := range ser.publisher.Current().Tables().Pools {
--- a/process/server/peers.go
+++ b/process/server/peers.go
@@ -36,9 +36,9 @@
 	case *messenger.Envelope_OwnerQuery:
 		return ser.reclaimer.HandleQuery(bod.OwnerQuery)
 	case *messenger.Envelope_DrainOrder:
-		return ser.handleDrain(bod.DrainOrder)
+		return ser.handleDrainOrder(bod.DrainOrder)
 	default:
-		if rep := ser.handleSchedule(ctx, env); rep != nil {
+		if rep := ser.handleGrantsAndLimits(ctx, env); rep != nil {
 			return rep
 		}
 		return messenger.NewFailure("unknown_message", "this host does not know the message")
--- a/process/server/platform.go
+++ b/process/server/platform.go
@@ -10,9 +10,9 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// lostAfterFailures is the number of failed reads in a row from which the platform
-// counts as lost.
-const lostAfterFailures = 3
+// unavailableAfterFailures is the number of consecutive failed reads of the list after
+// which the platform counts as unavailable.
+const unavailableAfterFailures = 3
 
 // platformMonitor logs when the regular reads of the platform's list begin to fail and
 // when they succeed again. It is not safe for concurrent use.
@@ -24,7 +24,8 @@
 	failures int
 }
 
-// Entries reads the list and records whether the read failed.
+// Entries reads the list and records whether the read failed. A canceled read is not
+// recorded.
 func (mon *platformMonitor) Entries(ctx context.Context) ([]persister.Entry, error) {
 	ents, err := mon.Lister.Entries(ctx)
 	if err != nil && ctx.Err() == context.Canceled {
@@ -37,13 +38,13 @@
 func (mon *platformMonitor) record(err error) {
 	if err != nil {
 		mon.scope.Counter("platform_list_failed").Inc(1)
-		if mon.failures++; mon.failures == lostAfterFailures {
+		if mon.failures++; mon.failures == unavailableAfterFailures {
 			mon.scope.Gauge("platform_lost").Update(1)
 			mon.log.Warn().Err(err).Msg("platform lost")
 		}
 		return
 	}
-	if mon.failures >= lostAfterFailures {
+	if mon.failures >= unavailableAfterFailures {
 		mon.log.Info().Msg("platform back")
 	}
 	mon.scope.Gauge("platform_lost").Update(0)
--- a/process/server/platform_test.go
+++ b/process/server/platform_test.go
@@ -13,31 +13,34 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// answers is a Lister whose reads fail where the text has a minus.
-type answers struct{ left string }
+// scriptedLister is a Lister. Each read takes the first character of remaining and fails
+// if it is a minus.
+type scriptedLister struct{ remaining string }
 
-func (ans *answers) Entries(context.Context) ([]persister.Entry, error) {
-	failed := ans.left[0] == '-'
-	ans.left = ans.left[1:]
+func (lis *scriptedLister) Entries(context.Context) ([]persister.Entry, error) {
+	failed := lis.remaining[0] == '-'
+	lis.remaining = lis.remaining[1:]
 	if failed {
 		return nil, persister.ErrUnavailable
 	}
 	return nil, nil
 }
 
+// TestPlatformLog checks that an outage of the platform is logged once at its start and
+// once at its end, and that a short failure is not logged.
 func TestPlatformLog(t *testing.T) {
-	tt := []struct{ name, answers, want string }{
+	tts := []struct{ name, reads, want string }{
 		{"well", "+++", ""},
 		{"short failure", "+--+--+", ""},
 		{"outage", "+-----+++", "platform lost,platform back"},
 		{"from the start", "---", "platform lost"},
 		{"twice", "---+---+", "platform lost,platform back,platform lost,platform back"},
 	}
-	for _, tc := range tt {
-		t.Run(tc.name, func(t *testing.T) {
+	for _, tt := range tts {
+		t.Run(tt.name, func(t *testing.T) {
 			var buf bytes.Buffer
-			mon := &platformMonitor{Lister: &answers{tc.answers}, log: zerolog.New(&buf), scope: tally.NoopScope}
-			for range tc.answers {
+			mon := &platformMonitor{Lister: &scriptedLister{tt.reads}, log: zerolog.New(&buf), scope: tally.NoopScope}
+			for range tt.reads {
 				_, _ = mon.Entries(t.Context())
 			}
 			var got []string
@@ -46,7 +49,7 @@
 					got = append(got, strings.TrimSuffix(message, `"}`))
 				}
 			}
-			require.Equal(t, tc.want, strings.Join(got, ","))
+			require.Equal(t, tt.want, strings.Join(got, ","))
 		})
 	}
 }
--- a/process/server/reclaim.go
+++ b/process/server/reclaim.go
@@ -16,6 +16,7 @@
 )
 
 const (
+	// reclaimInterval is the interval between searches for work whose owner is dead.
 	reclaimInterval = 5 * time.Second
 	// maxListAge is the age up to which the platform's list is used to decide that a
 	// host is dead.
@@ -24,14 +25,14 @@
 
 // newReclaimer returns a reclaimer that uses this host's membership and list of engines.
 func (ser *Server) newReclaimer(own invoker.Owner) *reclaimer.Runner {
-	mem := &members{gossiper: ser.gossiper, watcher: ser.watcher, region: ser.Settings.Region}
+	sta := &hostStates{gossiper: ser.gossiper, watcher: ser.watcher, region: ser.Settings.Region}
 	return &reclaimer.Runner{
-		Self: own, Invoker: ser.invoker, Members: mem, LocalRequests: ser.executor, Scope: ser.scope,
-		Engines: ser.engines, LiveHosts: mem.live,
+		Self: own, Invoker: ser.invoker, Members: sta, LocalRequests: ser.executor, Scope: ser.scope,
+		Engines: ser.engines, LiveHosts: sta.liveInRegion,
 		Call: func(ctx context.Context, host string, env *messenger.Envelope) (*messenger.Envelope, error) {
-			per, ok := mem.peer(host)
+			per, ok := sta.peer(host)
 			if !ok {
-				return nil, eris.Errorf("Server.newReclaimer: host %s is not known", host)
+				return nil, eris.Errorf("Server.newReclaimer: call host %s: not a known member", host)
 			}
 			return ser.multiplexer.Call(ctx, per.Address, env)
 		},
@@ -48,9 +49,9 @@
 	return out
 }
 
-// members gives the reclaimer the state of hosts, from membership and from the platform's
-// list.
-type members struct {
+// hostStates reports to the reclaimer which hosts are live or dead, by membership and the
+// platform's list.
+type hostStates struct {
 	gossiper *gossiper.Gossiper
 	watcher  *watcher.Watcher
 	region   string
@@ -59,8 +60,8 @@
 	deadSince map[string]time.Time
 }
 
-func (mem *members) peer(host string) (gossiper.Peer, bool) {
-	for _, per := range mem.gossiper.Peers() {
+func (sta *hostStates) peer(host string) (gossiper.Peer, bool) {
+	for _, per := range sta.gossiper.Peers() {
 		if per.ID == host {
 			return per, true
 		}
@@ -68,47 +69,49 @@
 	return gossiper.Peer{}, false
 }
 
-// Incarnation returns the incarnation with which the newest known process of a host owns
-// work, and whether one is known.
-func (mem *members) Incarnation(host string) (uint64, bool) {
-	inc := mem.gossiper.Started(host)
+// Incarnation returns the incarnation at which the newest known process of a host started,
+// which marks the work that the process owns. It reports false if no process is known.
+func (sta *hostStates) Incarnation(host string) (uint64, bool) {
+	inc := sta.gossiper.Started(host)
 	return inc, inc > 0
 }
 
-// live returns the live hosts of the region. Other hosts do not list the region's engines.
-func (mem *members) live(now time.Time) []string {
+// liveInRegion returns the live hosts of the region. Hosts of other regions do not list
+// this region's engines.
+func (sta *hostStates) liveInRegion(now time.Time) []string {
 	var out []string
-	for _, per := range mem.gossiper.Live(now) {
-		if per.Region == mem.region {
+	for _, per := range sta.gossiper.Live(now) {
+		if per.Region == sta.region {
 			out = append(out, per.ID)
 		}
 	}
 	return out
 }
 
-// DeadSince returns since when a known host is dead and not listed, and whether it is.
-// While the list is older than maxListAge, no host counts as dead.
-func (mem *members) DeadSince(host string) (time.Time, bool) {
+// DeadSince reports whether a known host is dead and not listed, and returns when
+// DeadSince first found it so. While the list is older than maxListAge, no host counts as
+// dead.
+func (sta *hostStates) DeadSince(host string) (time.Time, bool) {
 	now := time.Now()
-	inc, alive := mem.gossiper.Incarnation(host)
-	dead := inc > 0 && !alive && now.Sub(mem.watcher.ListedAt()) < maxListAge && !mem.listed(host)
-	mem.mu.Lock()
-	defer mem.mu.Unlock()
+	inc, alive := sta.gossiper.Incarnation(host)
+	dead := inc > 0 && !alive && now.Sub(sta.watcher.ListedAt()) < maxListAge && !sta.listed(host)
+	sta.mu.Lock()
+	defer sta.mu.Unlock()
 	if !dead {
-		delete(mem.deadSince, host)
+		delete(sta.deadSince, host)
 		return time.Time{}, false
 	}
-	if mem.deadSince == nil {
-		mem.deadSince = map[string]time.Time{}
+	if sta.deadSince == nil {
+		sta.deadSince = map[string]time.Time{}
 	}
-	if mem.deadSince[host].IsZero() {
-		mem.deadSince[host] = now
+	if sta.deadSince[host].IsZero() {
+		sta.deadSince[host] = now
 	}
-	return mem.deadSince[host], true
+	return sta.deadSince[host], true
 }
 
-func (mem *members) listed(host string) bool {
-	for _, ent := range mem.watcher.Entries() {
+func (sta *hostStates) listed(host string) bool {
+	for _, ent := range sta.watcher.Entries() {
 		if ent.Kind == persister.KindHost && ent.ID == host {
 			return true
 		}
--- a/process/server/schedule.go
+++ b/process/server/schedule.go
@@ -15,13 +15,13 @@
 	"hemlockpin/version/parser"
 )
 
-// cellPollLimit is the number of engines whose load a host polls at each interval when
-// the schedulers of cells place requests. The reports are used for placement when no
-// scheduler can be reached.
+// cellPollLimit is the number of engines whose load a host polls at each interval under
+// the cell policy, where schedulers place requests. The host places requests by these
+// reports only while no scheduler can be reached.
 const cellPollLimit = 2
 
-// ownerCheckInterval is the interval between checks for restarted hosts.
-const ownerCheckInterval = time.Second
+// restartCheckInterval is the interval between checks for restarted hosts.
+const restartCheckInterval = time.Second
 
 // newAllocator returns the allocator, and creates the scheduler and the cells that it
 // uses under the cell policy.
@@ -35,7 +35,7 @@
 	}
 	ser.cells = &allocator.Cells{
 		Self: ser.Settings.HostID, Incarnation: ser.Incarnation, Region: ser.Settings.Region,
-		Entries: ser.liveEntries, Caller: tracedPeers{ser.multiplexer}, Scheduler: ser.scheduler, Scope: ser.scope,
+		Entries: ser.liveHostEntries, Caller: tracedPeers{ser.multiplexer}, Scheduler: ser.scheduler, Scope: ser.scope,
 	}
 	if all.Policy == placer.PolicyCell {
 		ser.watcher.PollLimit = cellPollLimit
@@ -44,18 +44,19 @@
 	return all
 }
 
-// farCells returns the digests of cells to send to a host of a region.
-func (ser *Server) farCells(region string, now time.Time) []*messenger.CellDigest {
+// cellDigestsFor returns the digests of cells that a message to a host of the region
+// carries.
+func (ser *Server) cellDigestsFor(region string, now time.Time) []*messenger.CellDigest {
 	return ser.cells.OtherRegions.Outgoing(region, now)
 }
 
-func (ser *Server) mergeFarCells(digs []*messenger.CellDigest, now time.Time) {
+func (ser *Server) mergeCellDigests(digs []*messenger.CellDigest, now time.Time) {
 	ser.cells.OtherRegions.Merge(digs, now)
 }
 
-// announceCells announces the free capacity of this host's cells to other regions until
-// ctx ends.
-func (ser *Server) announceCells(ctx context.Context) {
+// recordOwnCells records the free capacity of this host's cells, which membership messages
+// carry to other regions, until ctx ends.
+func (ser *Server) recordOwnCells(ctx context.Context) {
 	tic := time.NewTicker(overflower.AnnounceInterval)
 	defer tic.Stop()
 	for {
@@ -73,18 +74,18 @@
 	}
 }
 
-// newExchanger returns the exchanger that divides the rate limits of teams between all
-// hosts.
-func (ser *Server) newExchanger() *limiter.Exchanger {
+// newLimitExchanger returns the exchanger that divides the rate limits of teams between
+// all hosts.
+func (ser *Server) newLimitExchanger() *limiter.Exchanger {
 	lim := &limiter.Limiter{}
 	ser.admitter.Limiter = lim
 	return &limiter.Exchanger{
 		Self: ser.Settings.HostID, Incarnation: ser.Incarnation, Limiter: lim, Coordinator: &limiter.Coordinator{},
-		Live: ser.liveHosts, Call: ser.multiplexer.Call,
+		Live: ser.liveLimiterHosts, Call: ser.multiplexer.Call,
 	}
 }
 
-func (ser *Server) liveHosts() []limiter.Host {
+func (ser *Server) liveLimiterHosts() []limiter.Host {
 	var out []limiter.Host
 	for _, per := range ser.gossiper.Live(time.Now()) {
 		out = append(out, limiter.Host{ID: per.ID, Address: per.Address})
@@ -92,18 +93,18 @@
 	return out
 }
 
-// monitorOwners reports restarted hosts to the scheduler, which then releases what the
+// monitorRestarts reports restarted hosts to the scheduler, which then releases what the
 // previous process of the host held, until ctx ends.
-func (ser *Server) monitorOwners(ctx context.Context) {
-	tic := time.NewTicker(ownerCheckInterval)
+func (ser *Server) monitorRestarts(ctx context.Context) {
+	tic := time.NewTicker(restartCheckInterval)
 	defer tic.Stop()
-	last := map[string]uint64{}
+	lastIncarnations := map[string]uint64{}
 	for {
 		for _, per := range ser.gossiper.Peers() {
-			if old, ok := last[per.ID]; ok && per.Started > old {
+			if old, ok := lastIncarnations[per.ID]; ok && per.Started > old {
 				ser.scheduler.OwnerRemoved(scheduler.OwnerRemoved{Host: per.ID, Incarnation: old})
 			}
-			last[per.ID] = per.Started
+			lastIncarnations[per.ID] = per.Started
 		}
 		select {
 		case <-tic.C:
@@ -113,25 +114,25 @@
 	}
 }
 
-// handleSchedule answers the messages of other hosts to the scheduler and the exchanger,
-// or returns nil for any other message.
-func (ser *Server) handleSchedule(ctx context.Context, env *messenger.Envelope) *messenger.Envelope {
+// handleGrantsAndLimits answers the messages of other hosts to the scheduler and to the
+// exchanger of rate limits, or returns nil for any other message.
+func (ser *Server) handleGrantsAndLimits(ctx context.Context, env *messenger.Envelope) *messenger.Envelope {
 	switch bod := env.GetBody().(type) {
 	case *messenger.Envelope_GrantRequest:
 		return ser.cells.HandleRequest(ctx, bod.GrantRequest, time.Now())
 	case *messenger.Envelope_GrantNotices:
 		return ser.cells.HandleNotices(bod.GrantNotices)
 	case *messenger.Envelope_DemandReport:
-		return ser.exchanger.HandleReport(bod.DemandReport, time.Now())
+		return ser.limitExchanger.HandleReport(bod.DemandReport, time.Now())
 	default:
 		return nil
 	}
 }
 
-// liveEntries returns the live hosts that are not leaving, from membership. The
+// liveHostEntries returns the live hosts that are not leaving, from membership. The
 // platform's list lags behind, and each request to a removed scheduler would have to
-// wait for a time-out.
-func (ser *Server) liveEntries() []persister.Entry {
+// wait for a timeout.
+func (ser *Server) liveHostEntries() []persister.Entry {
 	var out []persister.Entry
 	for _, per := range ser.gossiper.Live(time.Now()) {
 		out = append(out, persister.Entry{
--- a/process/server/server.go
+++ b/process/server/server.go
@@ -1,5 +1,6 @@
-// Package server runs an entry host: it connects the parts of the host and serves
-// callers, peers and operators.
+// Package server runs an entry host that schedules requests itself: it reads prompts and
+// calls, places them on engines and services, journals repeatable calls, and serves peers
+// and operators.
 package server
 
 import (
@@ -38,6 +39,7 @@
 	"go.opentelemetry.io/otel"
 )
 
+// headerTimeout bounds the time for reading the header of a request.
 const headerTimeout = 10 * time.Second
 
 // Server is one entry host.
@@ -46,30 +48,30 @@
 	Log         zerolog.Logger
 	Incarnation uint64
 
-	scope       tally.Scope
-	metrics     http.Handler
-	invoker     *invoker.Invoker
-	persister   *persister.Persister
-	multiplexer *multiplexer.Multiplexer
-	publisher   *publisher.Publisher
-	gossiper    *gossiper.Gossiper
-	refresher   *publisher.Refresher
-	lister      *lister.Lister
-	watcher     *watcher.Watcher
-	journal     *journaler.Journal
-	admitter    *admitter.Admitter
-	allocator   *allocator.Allocator
-	executor    *executor.Executor
-	reclaimer   *reclaimer.Runner
-	meter       *meter
-	bodies      receiver.MemoryBudget
-	scheduler   *scheduler.Scheduler
-	cells       *allocator.Cells
-	exchanger   *limiter.Exchanger
-	budgets     budgeter.Peers
-	draining    atomic.Bool
-	inFlight    atomic.Int64
-	started     time.Time
+	scope            tally.Scope
+	metrics          http.Handler
+	invoker          *invoker.Invoker
+	persister        *persister.Persister
+	multiplexer      *multiplexer.Multiplexer
+	publisher        *publisher.Publisher
+	gossiper         *gossiper.Gossiper
+	refresher        *publisher.Refresher
+	lister           *lister.Lister
+	watcher          *watcher.Watcher
+	journal          *journaler.Journal
+	admitter         *admitter.Admitter
+	allocator        *allocator.Allocator
+	executor         *executor.Executor
+	reclaimer        *reclaimer.Runner
+	meter            *meter
+	bodyMemory       receiver.MemoryBudget
+	scheduler        *scheduler.Scheduler
+	cells            *allocator.Cells
+	limitExchanger   *limiter.Exchanger
+	peerRetryBudgets budgeter.Peers
+	draining         atomic.Bool
+	inFlight         atomic.Int64
+	started          time.Time
 
 	platformTraffic counter.Traffic
 	// requestDrain starts a drain, as SIGTERM does. Run sets it.
@@ -77,7 +79,7 @@
 }
 
 // ChooseIncarnation returns the incarnation of a host that starts now. It asks peers for
-// the highest one they have seen of this host.
+// the highest incarnation that they have seen of this host.
 func ChooseIncarnation(ctx context.Context, set configurer.Settings, now time.Time) uint64 {
 	mul := &multiplexer.Multiplexer{}
 	defer mul.Close()
@@ -91,18 +93,18 @@
 	ser.scope, ser.metrics = measurer.New(log)
 	own := invoker.Owner{Host: set.HostID, Incarnation: ser.Incarnation}
 	ser.meter = newMeter(ser.scope)
-	ser.bodies.MaxBytes = set.BodyBytes()
+	ser.bodyMemory.MaxBytes = set.BodyBytes()
 	ser.invoker = &invoker.Invoker{}
 	ser.persister = ser.newPersister()
 	ser.publisher = &publisher.Publisher{Store: ser.persister}
 	ser.lister = ser.newLister()
 	ser.watcher = &watcher.Watcher{Lister: ser.lister, Loader: summaryLoader{ser.invoker}}
 	ser.admitter = &admitter.Admitter{MaxRequests: set.MaxRequests}
-	ser.multiplexer = &multiplexer.Multiplexer{Handler: ser.servePeer, OnPanic: ser.logPanic}
+	ser.multiplexer = &multiplexer.Multiplexer{Handler: ser.handlePeerTraced, OnPanic: ser.logPanic}
 	ser.initGossiper()
 	ser.journal = ser.newJournal()
 	ser.allocator = ser.newAllocator(own)
-	ser.exchanger = ser.newExchanger()
+	ser.limitExchanger = ser.newLimitExchanger()
 	ser.executor = &executor.Executor{
 		Owner: own, Invoker: ser.invoker, Admitter: ser.admitter, Claims: tracedClaims{ser.journal}, Clock: time.Now, Scope: ser.scope,
 		Tracer: otel.Tracer("hemlockpin"), MaxBodyBytes: set.MaxBodyBytes,
@@ -117,55 +119,56 @@
 func (ser *Server) Run(ctx context.Context) error {
 	ctx, ser.requestDrain = context.WithCancel(ctx)
 	defer ser.requestDrain()
-	liss, err := ser.listen()
+	listeners, err := ser.listen()
 	if err != nil {
 		return err
 	}
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
+	// The background work goes on while the host drains.
+	workCtx, stopWork := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopWork()
 	var gro sync.WaitGroup
-	gro.Go(func() { ser.watcher.PollList(work, ser.Settings.ListInterval) })
-	gro.Go(func() { ser.watcher.PollLoads(work, ser.Settings.LoadInterval) })
-	gro.Go(func() { ser.gossiper.Run(work, ser.Settings.Heartbeat) })
-	gro.Go(func() { ser.reclaimer.Run(work, reclaimInterval) })
-	gro.Go(func() { ser.scheduler.Run(work) })
-	gro.Go(func() { ser.cells.Run(work) })
-	gro.Go(func() { ser.announceCells(work) })
-	gro.Go(func() { ser.exchanger.Run(work) })
-	gro.Go(func() { ser.monitorOwners(work) })
-	gro.Go(func() { ser.refresher.Run(work) })
-	gro.Go(func() { ser.monitor(work) })
-	gro.Go(func() { _ = ser.multiplexer.Serve(liss.peer) })
+	gro.Go(func() { ser.watcher.PollList(workCtx, ser.Settings.ListInterval) })
+	gro.Go(func() { ser.watcher.PollLoads(workCtx, ser.Settings.LoadInterval) })
+	gro.Go(func() { ser.gossiper.Run(workCtx, ser.Settings.Heartbeat) })
+	gro.Go(func() { ser.reclaimer.Run(workCtx, reclaimInterval) })
+	gro.Go(func() { ser.scheduler.Run(workCtx) })
+	gro.Go(func() { ser.cells.Run(workCtx) })
+	gro.Go(func() { ser.recordOwnCells(workCtx) })
+	gro.Go(func() { ser.limitExchanger.Run(workCtx) })
+	gro.Go(func() { ser.monitorRestarts(workCtx) })
+	gro.Go(func() { ser.refresher.Run(workCtx) })
+	gro.Go(func() { ser.monitor(workCtx) })
+	gro.Go(func() { _ = ser.multiplexer.Serve(listeners.peer) })
 	callerSrv := ser.callerServer(ser.countRequests(ser.edge(ser.callerRoutes())))
 	operatorSrv := ser.operatorServer()
-	lis := &acceptor.Listener{Listener: liss.caller, Max: ser.Settings.CallerConns(), Refused: ser.scope.Counter("connections_refused")}
+	lis := &acceptor.Listener{Listener: listeners.caller, Max: ser.Settings.CallerConns(), Refused: ser.scope.Counter("connections_refused")}
 	gro.Go(func() { _ = callerSrv.Serve(lis) })
-	gro.Go(func() { _ = operatorSrv.Serve(liss.operator) })
+	gro.Go(func() { _ = operatorSrv.Serve(listeners.operator) })
 	ser.Log.Info().Str("Listen", ser.Settings.Listen).Msg("host started")
 	<-ctx.Done()
 	err = ser.drain(callerSrv, lis)
 	_ = operatorSrv.Close()
-	stop()
-	_ = liss.peer.Close()
+	stopWork()
+	_ = listeners.peer.Close()
 	ser.multiplexer.Close()
 	gro.Wait()
 	return err
 }
 
-type listeners struct{ caller, peer, operator net.Listener }
+type listenerSet struct{ caller, peer, operator net.Listener }
 
-func (ser *Server) listen() (listeners, error) {
-	var liss listeners
+func (ser *Server) listen() (listenerSet, error) {
+	var listeners listenerSet
 	targets := []struct {
 		lis  *net.Listener
 		addr string
-	}{{&liss.caller, ser.Settings.Listen}, {&liss.peer, ser.Settings.PeerListen}, {&liss.operator, ser.Settings.Operator}}
+	}{{&listeners.caller, ser.Settings.Listen}, {&listeners.peer, ser.Settings.PeerListen}, {&listeners.operator, ser.Settings.Operator}}
 	for _, target := range targets {
 		lis, err := net.Listen("tcp", target.addr)
 		if err != nil {
-			return liss, eris.Wrapf(err, "Server.listen: %s", target.addr)
+			return listeners, eris.Wrapf(err, "Server.listen: listen on %s", target.addr)
 		}
 		*target.lis = lis
 	}
-	return liss, nil
+	return listeners, nil
 }
--- a/process/server/starting.go
+++ b/process/server/starting.go
@@ -8,6 +8,7 @@
 	"hemlockpin/request/responder"
 )
 
+// startRetryAfter is the Retry-After of answers while the host has no tables.
 const startRetryAfter = time.Second
 
 // requireTables refuses requests while the host has no tables, since it cannot check
--- a/process/server/tables.go
+++ b/process/server/tables.go
@@ -18,14 +18,15 @@
 )
 
 const (
-	// staleAfter is the age of the tables from which answers carry it in a header, as
-	// the tables may be outdated.
+	// staleAfter is the age from which the tables count as stale: answers carry the age
+	// in a header, and the host logs a warning.
 	staleAfter          = 30 * time.Second
 	platformDialTimeout = time.Second
 	platformIdleTimeout = 90 * time.Second
 	platformIdleConns   = 8
-	// forwardTimeout bounds the forwarding of updates to peers.
-	forwardTimeout = 5 * time.Second
+	// updateTimeout bounds sending updates to peers and reading the list that they have
+	// updated.
+	updateTimeout = 5 * time.Second
 )
 
 // initGossiper connects membership with the tables, the platform's list, the notices of
@@ -39,48 +40,48 @@
 		Multiplexer: ser.multiplexer, Publisher: ser.publisher, Entries: ser.watcher.Entries,
 		Lister: ser.lister, ListChanged: ser.refreshList, Seeds: set.SeedPeers, Scope: ser.scope, Log: ser.Log,
 		Payload: gossiper.Payload{
-			Notices: ser.watcher.Notices.Outgoing, MergeNotices: ser.watcher.Notices.Merge, Cells: ser.farCells, MergeCells: ser.mergeFarCells,
-			Retries: ser.retryBudget, MergeRetries: ser.applyRetryBudget,
+			Notices: ser.watcher.Notices.Outgoing, MergeNotices: ser.watcher.Notices.Merge, Cells: ser.cellDigestsFor, MergeCells: ser.mergeCellDigests,
+			Retries: ser.ownRetryBudget, MergeRetries: ser.mergePeerRetryBudget,
 		},
 	}
 	ser.watcher.OnNotices = func(nots []*messenger.EndpointNotice) {
-		go ser.withForwardTimeout(func(ctx context.Context) { ser.gossiper.BroadcastNotices(ctx, nots, true) })
+		go ser.withUpdateTimeout(func(ctx context.Context) { ser.gossiper.BroadcastNotices(ctx, nots, true) })
 	}
 	ser.publisher.Broadcast = func(ctx context.Context) (int, int) { return ser.gossiper.PushTables(ctx, true) }
 	ser.publisher.OnAccept = func(fromStore bool) {
 		ser.Log.Info().Uint64("Revision", ser.publisher.Current().Revision()).Bool("FromStore", fromStore).Msg("tables in force")
-		go ser.withForwardTimeout(func(ctx context.Context) { ser.gossiper.PushTables(ctx, fromStore) })
+		go ser.withUpdateTimeout(func(ctx context.Context) { ser.gossiper.PushTables(ctx, fromStore) })
 	}
 	ser.refresher = &publisher.Refresher{
-		Publisher: ser.publisher, Self: set.HostID, Region: ser.regionHosts,
+		Publisher: ser.publisher, Self: set.HostID, Region: ser.regionPeerIDs,
 		OnError: func(error) { ser.scope.Counter("tables_refresh_failed").Inc(1) },
 	}
 }
 
-func (ser *Server) withForwardTimeout(fn func(context.Context)) {
-	ctx, stop := context.WithTimeout(context.Background(), forwardTimeout)
+func (ser *Server) withUpdateTimeout(fn func(context.Context)) {
+	ctx, stop := context.WithTimeout(context.Background(), updateTimeout)
 	defer stop()
 	fn(ctx)
 }
 
 // newLister returns the lister, which keeps the host's copy of the platform's list.
 func (ser *Server) newLister() *lister.Lister {
-	inc := func() uint64 {
+	incarnation := func() uint64 {
 		current, _ := ser.gossiper.Incarnation(ser.Settings.HostID)
 		return current
 	}
 	return &lister.Lister{
-		Platform: &platformMonitor{Lister: ser.persister, log: ser.Log, scope: ser.scope}, Self: ser.Settings.HostID, Incarnation: inc, Region: ser.regionHosts,
+		Platform: &platformMonitor{Lister: ser.persister, log: ser.Log, scope: ser.scope}, Self: ser.Settings.HostID, Incarnation: incarnation, Region: ser.regionPeerIDs,
 		MinInterval: ser.Settings.ListInterval, LastReadBytes: ser.persister.ListBytes, Clock: time.Now,
-		OnChange: func() { go ser.withForwardTimeout(ser.gossiper.PushList) },
+		OnChange: func() { go ser.withUpdateTimeout(ser.gossiper.PushList) },
 	}
 }
 
 // refreshList applies a list received from peers without waiting for the next interval.
-func (ser *Server) refreshList() { go ser.withForwardTimeout(ser.watcher.RefreshList) }
+func (ser *Server) refreshList() { go ser.withUpdateTimeout(ser.watcher.RefreshList) }
 
-// regionHosts returns the live peers of this host's region.
-func (ser *Server) regionHosts() []string {
+// regionPeerIDs returns the IDs of the live peers in this host's region.
+func (ser *Server) regionPeerIDs() []string {
 	var out []string
 	for _, per := range ser.gossiper.Live(time.Now()) {
 		if per.Region == ser.Settings.Region {
@@ -90,9 +91,9 @@
 	return out
 }
 
-// updateTablesGauges updates the gauges of the tables, of membership and of the control
+// updateControlGauges updates the gauges of the tables, of membership and of the control
 // traffic since the start.
-func (ser *Server) updateTablesGauges(now time.Time) {
+func (ser *Server) updateControlGauges(now time.Time) {
 	rev, age := ser.publisher.Freshness(now)
 	ser.scope.Gauge("tables_revision").Update(float64(rev))
 	ser.scope.Gauge("tables_age_seconds").Update(age.Seconds())
@@ -127,9 +128,8 @@
 	return &persister.Persister{BaseURL: ser.Settings.Platform, Client: http.Client{Transport: tra}, Region: ser.Settings.Region}
 }
 
-// recordingLoader records the load reports that the scheduler reads in the watcher, which
-// then notifies the other hosts of leaving engines: most hosts do not read the reports of
-// the cell.
+// recordingLoader passes the load reports that the scheduler reads to the watcher, which
+// notifies the other hosts of leaving engines, since most hosts do not read these reports.
 type recordingLoader struct {
 	*invoker.Invoker
 	watcher *watcher.Watcher
--- a/process/server/teams.go
+++ b/process/server/teams.go
@@ -12,7 +12,8 @@
 	"hemlockpin/request/responder"
 )
 
-// TeamStatus counts the requests of one team since the hosts started.
+// TeamStatus counts the requests of one team by outcome, summed over hosts since the start
+// of each. Whole counts complete answers, and Cut aborted ones.
 type TeamStatus struct {
 	Team    string
 	Whole   int64
@@ -38,11 +39,11 @@
 	return rep
 }
 
-// statusTeams sums the counts of all hosts. It is meant for operators, not for polling.
-func (ser *Server) statusTeams(wri http.ResponseWriter, htr *http.Request) {
+// getTeamStatuses sums the counts of all hosts. It is meant for operators, not for polling.
+func (ser *Server) getTeamStatuses(wri http.ResponseWriter, req *http.Request) {
 	ents := ser.otherHosts()
 	reps := make([]*messenger.TeamsReport, len(ents), len(ents)+1)
-	ser.callHosts(htr.Context(), ents, func(ctx context.Context, i int, ent persister.Entry) {
+	ser.callHosts(req.Context(), ents, func(ctx context.Context, i int, ent persister.Entry) {
 		rep, err := ser.callHost(ctx, ent, &messenger.Envelope{Body: &messenger.Envelope_TeamsQuery{TeamsQuery: &messenger.TeamsQuery{}}})
 		if err == nil {
 			reps[i] = rep.GetTeamsReport()
--- a/process/server/trace.go
+++ b/process/server/trace.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	traceScope    = "hemlockpin"
-	traceParent   = "traceparent"
-	messagePrefix = "*messenger.Envelope_"
+	tracerName         = "hemlockpin"
+	traceParent        = "traceparent"
+	envelopeTypePrefix = "*messenger.Envelope_"
 )
 
 // startSpan starts a span of this host in the caller's trace.
 func (ser *Server) startSpan(req *http.Request, name string) (context.Context, trace.Span) {
 	ctx := otel.GetTextMapPropagator().Extract(req.Context(), propagation.HeaderCarrier(req.Header))
-	return otel.Tracer(traceScope).Start(ctx, name, trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(attribute.String("Host", ser.Settings.HostID)))
+	return otel.Tracer(tracerName).Start(ctx, name, trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(attribute.String("Host", ser.Settings.HostID)))
 }
 
 // endSpan ends a span with the error, if any.
@@ -70,7 +70,7 @@
 	if !trace.SpanContextFromContext(ctx).IsValid() {
 		return per.peerCaller.Call(ctx, address, env)
 	}
-	ctx, spa := otel.Tracer(traceScope).Start(ctx, "peer call", trace.WithSpanKind(trace.SpanKindClient),
+	ctx, spa := otel.Tracer(tracerName).Start(ctx, "peer call", trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.String("Peer", address), attribute.String("Message", messageName(env))))
 	car := propagation.MapCarrier{}
 	otel.GetTextMapPropagator().Inject(ctx, car)
@@ -81,7 +81,7 @@
 }
 
 func messageName(env *messenger.Envelope) string {
-	return strings.TrimPrefix(fmt.Sprintf("%T", env.GetBody()), messagePrefix)
+	return strings.TrimPrefix(fmt.Sprintf("%T", env.GetBody()), envelopeTypePrefix)
 }
 
 // logPanic counts and logs a panic in the handler of a peer's message.
@@ -90,14 +90,14 @@
 	ser.Log.Error().Type("Message", env.GetBody()).Interface("Panic", cause).Str("Stack", string(stack)).Msg("handler of a peer's message panicked; the message is not answered")
 }
 
-// servePeer answers a message of another host, within a span if the message carries a
-// trace.
-func (ser *Server) servePeer(ctx context.Context, env *messenger.Envelope) *messenger.Envelope {
+// handlePeerTraced answers a message of another host by handlePeer, within a span if the
+// message carries a trace.
+func (ser *Server) handlePeerTraced(ctx context.Context, env *messenger.Envelope) *messenger.Envelope {
 	if env.GetTraceParent() == "" {
 		return ser.handlePeer(ctx, env)
 	}
 	ctx = otel.GetTextMapPropagator().Extract(ctx, propagation.MapCarrier{traceParent: env.GetTraceParent()})
-	ctx, spa := otel.Tracer(traceScope).Start(ctx, "peer", trace.WithSpanKind(trace.SpanKindServer),
+	ctx, spa := otel.Tracer(tracerName).Start(ctx, "peer", trace.WithSpanKind(trace.SpanKindServer),
 		trace.WithAttributes(attribute.String("Host", ser.Settings.HostID), attribute.String("Message", messageName(env))))
 	defer spa.End()
 	return ser.handlePeer(ctx, env)
@@ -108,7 +108,7 @@
 
 // Acquire places a request within a span.
 func (all tracedAllocator) Acquire(ctx context.Context, req placer.Request, poo parser.Pool) (executor.Lease, error) {
-	ctx, spa := otel.Tracer(traceScope).Start(ctx, "placement", trace.WithAttributes(
+	ctx, spa := otel.Tracer(tracerName).Start(ctx, "placement", trace.WithAttributes(
 		attribute.String("Pool", poo.Name), attribute.Int64("PromptTokens", req.PromptTokens)))
 	lea, err := all.Allocator.Acquire(ctx, req, poo)
 	spa.SetAttributes(attribute.String("Endpoint", lea.Endpoint), attribute.Int("Group", len(lea.Group)))
@@ -121,7 +121,7 @@
 
 // Commit commits a step of a claim within a span.
 func (cla tracedClaims) Commit(ctx context.Context, com *messenger.ClaimCommit) *messenger.ClaimResult {
-	ctx, spa := otel.Tracer(traceScope).Start(ctx, "claim", trace.WithAttributes(attribute.String("Step", com.GetStep().String())))
+	ctx, spa := otel.Tracer(tracerName).Start(ctx, "claim", trace.WithAttributes(attribute.String("Step", com.GetStep().String())))
 	defer spa.End()
 	res := cla.Claims.Commit(ctx, com)
 	spa.SetAttributes(attribute.String("State", res.GetState().String()))
--- a/process/server/usage.go
+++ b/process/server/usage.go
@@ -20,7 +20,8 @@
 	MemoryBytes int64
 	// PeerBytes counts bytes sent to and received from other hosts.
 	PeerBytes int64
-	// EndpointBytes counts the control bytes exchanged with endpoints, without requests.
+	// EndpointBytes counts the bytes of load reports and other control calls exchanged
+	// with endpoints; callers' requests are not counted.
 	EndpointBytes int64
 	// PlatformBytes counts bytes exchanged with the platform.
 	PlatformBytes int64
@@ -28,7 +29,7 @@
 	PlatformCalls int64
 }
 
-func (ser *Server) usage(wri http.ResponseWriter, _ *http.Request) {
+func (ser *Server) getUsage(wri http.ResponseWriter, _ *http.Request) {
 	responder.WriteJSON(wri, http.StatusOK, Usage{
 		Host: ser.Settings.HostID, Incarnation: ser.Incarnation, CPUSeconds: cpuSeconds(), MemoryBytes: residentBytes(),
 		PeerBytes: ser.multiplexer.Bytes(), EndpointBytes: ser.invoker.Control.Totals().Bytes(),
