--- a/cmd/hemlockpin/edit.go
+++ b/cmd/hemlockpin/edit.go
@@ -51,7 +51,7 @@
 		fmt.Fprintf(com.out, "against revision %d, now in force, the edit would change:\n", old.Revision)
 		com.printDiff(editor.Diff(old, cur))
 	}
-	return &requester.RacedError{Host: com.Hosts[0], Base: base, Current: old}
+	return &requester.ConflictError{Host: com.Hosts[0], Base: base, Current: old}
 }
 
 func (com *command) submit(opt editOptions, old, cur parser.Tables) error {
@@ -75,7 +75,7 @@
 
 // raced shows what the other edit changed.
 func (com *command) raced(old parser.Tables, err error) error {
-	var rac *requester.RacedError
+	var rac *requester.ConflictError
 	if errors.As(err, &rac) && !com.JSON && rac.Current.Revision != old.Revision {
 		fmt.Fprintf(com.out, "changes from revision %d to revision %d by others:\n", old.Revision, rac.Current.Revision)
 		com.printDiff(editor.Diff(old, rac.Current))
--- a/cmd/hemlockpin/history.go
+++ b/cmd/hemlockpin/history.go
@@ -65,7 +65,7 @@
 
 // historyError explains the answer of a host without the wanted history.
 func historyError(err error, what string) error {
-	var ans *requester.AnswerError
+	var ans *requester.StatusError
 	if errors.As(err, &ans) && ans.Status == http.StatusNotFound {
 		return eris.Wrapf(err, "host %s does not have %s: it is not kept any more, or the host's build keeps no history", ans.Host, what)
 	}
--- a/cmd/hemlockpin/main.go
+++ b/cmd/hemlockpin/main.go
@@ -63,9 +63,9 @@
 		return exitOK
 	case errors.As(err, new(*usageError)):
 		return exitUsage
-	case errors.As(err, new(*requester.RacedError)):
+	case errors.As(err, new(*requester.ConflictError)):
 		return exitRaced
-	case errors.As(err, new(*requester.UnknownError)):
+	case errors.As(err, new(*requester.UnknownOutcomeError)):
 		return exitUnknown
 	case errors.As(err, new(*requester.RejectedError)):
 		return exitRejected
--- a/cmd/hemlockpin/trace.go
+++ b/cmd/hemlockpin/trace.go
@@ -29,7 +29,7 @@
 
 // Execute reads the logs and prints the request.
 func (com *traceCommand) Execute([]string) error {
-	cor := &correlator.Correlator{Request: com.Args.Request}
+	cor := &correlator.Correlator{RequestID: com.Args.Request}
 	if len(com.Args.Files) == 0 {
 		if err := cor.Read(com.in, "stdin"); err != nil {
 			return err
@@ -40,7 +40,7 @@
 			return err
 		}
 	}
-	lins, bels := cor.Lines(), cor.Beliefs()
+	lins, bels := cor.Lines(), cor.StateLines()
 	if len(lins) == 0 {
 		return fmt.Errorf("no line names request %q (%d lines are no log lines)", com.Args.Request, cor.Skipped())
 	}
--- a/operator/correlator/correlator.go
+++ b/operator/correlator/correlator.go
@@ -53,7 +53,7 @@
 
 // Correlator collects lines. Its zero value needs a Request.
 type Correlator struct {
-	Request string
+	RequestID string
 
 	serving []Line
 	planned map[int][]Line
@@ -108,7 +108,7 @@
 	switch {
 	case id == "":
 		cor.beliefs = append(cor.beliefs, lin)
-	case id != cor.Request:
+	case id != cor.RequestID:
 	case send < 0:
 		cor.serving = append(cor.serving, lin)
 	default:
@@ -143,7 +143,7 @@
 
 // Beliefs returns what the hosts of the request last wrote, before it ended, about
 // the store, the tables, peers and the endpoints that the request met.
-func (cor *Correlator) Beliefs() []Line {
+func (cor *Correlator) StateLines() []Line {
 	ends := map[string]bool{}
 	last := map[string]time.Time{}
 	for _, lin := range cor.Lines() {
--- a/operator/correlator/correlator_test.go
+++ b/operator/correlator/correlator_test.go
@@ -13,13 +13,13 @@
 func TestCorrelator(t *testing.T) {
 	datadriven.RunTest(t, "testdata/requests", func(t *testing.T, dat *datadriven.TestData) string {
 		cor := &Correlator{}
-		dat.ScanArgs(t, "request", &cor.Request)
+		dat.ScanArgs(t, "request", &cor.RequestID)
 		require.NoError(t, cor.Read(strings.NewReader(dat.Input), "log-1"))
 		var out []string
 		for _, lin := range cor.Lines() {
 			out = append(out, lin.Text())
 		}
-		for _, lin := range cor.Beliefs() {
+		for _, lin := range cor.StateLines() {
 			out = append(out, "believed: "+lin.Text())
 		}
 		return strings.Join(out, "\n") + "\n"
--- a/operator/requester/requester.go
+++ b/operator/requester/requester.go
@@ -37,26 +37,27 @@
 	return "no host answered:\n  " + strings.Join(err.Causes, "\n  ")
 }
 
-// UnknownError reports a write that may or may not have taken effect.
-type UnknownError struct {
+// UnknownOutcomeError reports a write that may or may not have taken effect.
+type UnknownOutcomeError struct {
 	Host    string
 	Message string
 }
 
 // Error formats the failure.
-func (err *UnknownError) Error() string {
+func (err *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("host %s: it is unknown whether the change was accepted: %s", err.Host, err.Message)
 }
 
-// RacedError reports an edit that lost against another one.
-type RacedError struct {
+// ConflictError reports an edit that was refused because another edit had changed
+// the revision that it was based on.
+type ConflictError struct {
 	Host    string
 	Base    uint64
 	Current parser.Tables
 }
 
 // Error formats the failure.
-func (err *RacedError) Error() string {
+func (err *ConflictError) Error() string {
 	return fmt.Sprintf("host %s: the edit was based on revision %d, but revision %d is in force; nothing was changed", err.Host, err.Base, err.Current.Revision)
 }
 
@@ -73,8 +74,8 @@
 	return fmt.Sprintf("%s: %s:\n  %s", err.Host, err.Message, strings.Join(err.Faults, "\n  "))
 }
 
-// AnswerError is any other refusal of a host.
-type AnswerError struct {
+// StatusError is any other answer of a host with a status outside 200 to 299.
+type StatusError struct {
 	Host    string
 	Status  int
 	Code    string
@@ -82,7 +83,7 @@
 }
 
 // Error formats the refusal.
-func (err *AnswerError) Error() string {
+func (err *StatusError) Error() string {
 	return fmt.Sprintf("host %s: status %d %s: %s", err.Host, err.Status, err.Code, err.Message)
 }
 
@@ -133,8 +134,8 @@
 	return read[parser.Tables](ctx, req, http.MethodGet, "/v1/tables/history/"+strconv.FormatUint(rev, 10), nil)
 }
 
-// Accepted is an accepted edit.
-type Accepted struct {
+// AcceptedEdit is an accepted edit.
+type AcceptedEdit struct {
 	Tables parser.Tables
 	// InForce counts the hosts known to have the edit in force when it was
 	// answered.
@@ -142,13 +143,14 @@
 }
 
 // Put replaces the tables if their revision is still base. Its errors are
-// UnreachableError, RejectedError, RacedError, UnknownError and AnswerError.
-func (req *Requester) Put(ctx context.Context, tab parser.Tables, base uint64) (Accepted, error) {
-	var out Accepted
+// UnreachableError, RejectedError, ConflictError, UnknownOutcomeError and
+// StatusError.
+func (req *Requester) Put(ctx context.Context, tab parser.Tables, base uint64) (AcceptedEdit, error) {
+	var out AcceptedEdit
 	hea := http.Header{"If-Match": {strconv.Quote(strconv.FormatUint(base, 10))}}
 	ans, err := req.write(ctx, http.MethodPut, "/v1/tables", hea, tab, &out.Tables)
 	out.InForce, _ = strconv.Atoi(ans.Get(responder.InForceHeader))
-	var rac *RacedError
+	var rac *ConflictError
 	if errors.As(err, &rac) {
 		rac.Base = base
 	}
@@ -167,9 +169,9 @@
 func (req *Requester) Order(ctx context.Context, ord server.OrderRequest) (server.OrderReply, error) {
 	var out server.OrderReply
 	_, err := req.write(ctx, http.MethodPost, "/v1/orders", nil, ord, &out)
-	var ans *AnswerError
+	var ans *StatusError
 	if errors.As(err, &ans) && ans.Status == http.StatusGatewayTimeout {
-		err = &UnknownError{Host: ans.Host, Message: ans.Code + ": " + ans.Message}
+		err = &UnknownOutcomeError{Host: ans.Host, Message: ans.Code + ": " + ans.Message}
 	}
 	return out, err
 }
@@ -190,7 +192,7 @@
 }
 
 func isAnswer(err error) bool {
-	var ans *AnswerError
+	var ans *StatusError
 	var rej *RejectedError
 	return errors.As(err, &ans) || errors.As(err, &rej)
 }
@@ -206,10 +208,10 @@
 		return ans, nil
 	case !sen:
 		return nil, &UnreachableError{[]string{err.Error() + " (nothing was sent)"}}
-	case isAnswer(err) || errors.As(err, new(*RacedError)) || errors.As(err, new(*UnknownError)):
+	case isAnswer(err) || errors.As(err, new(*ConflictError)) || errors.As(err, new(*UnknownOutcomeError)):
 		return nil, err
 	default:
-		return nil, &UnknownError{Host: hos, Message: err.Error()}
+		return nil, &UnknownOutcomeError{Host: hos, Message: err.Error()}
 	}
 }
 
@@ -256,12 +258,12 @@
 	}
 	switch {
 	case bod.Code == "raced" && bod.Current != nil:
-		return &RacedError{Host: host, Current: *bod.Current}
+		return &ConflictError{Host: host, Current: *bod.Current}
 	case bod.Code == "rejected":
 		return &RejectedError{Host: "host " + host, Message: bod.Message, Faults: bod.Faults}
 	case bod.Code == "unknown":
-		return &UnknownError{Host: host, Message: bod.Message}
+		return &UnknownOutcomeError{Host: host, Message: bod.Message}
 	default:
-		return &AnswerError{Host: host, Status: status, Code: bod.Code, Message: bod.Message}
+		return &StatusError{Host: host, Status: status, Code: bod.Code, Message: bod.Message}
 	}
 }
--- a/operator/requester/requester_test.go
+++ b/operator/requester/requester_test.go
@@ -44,11 +44,11 @@
 		want any
 	}{
 		{"rejected", serve(t, answering(422, `{"Code":"rejected","Faults":["one","two"]}`)), new(*requester.RejectedError)},
-		{"raced", serve(t, answering(412, `{"Code":"raced","Current":{"Revision":9}}`)), new(*requester.RacedError)},
-		{"unknown", serve(t, answering(504, `{"Code":"unknown","Message":"store is silent"}`)), new(*requester.UnknownError)},
-		{"answer lost", serve(t, aborting), new(*requester.UnknownError)},
-		{"answer garbled", serve(t, answering(200, `{"Revision":`)), new(*requester.UnknownError)},
-		{"refused", serve(t, answering(503, `{"Code":"not_accepted"}`)), new(*requester.AnswerError)},
+		{"raced", serve(t, answering(412, `{"Code":"raced","Current":{"Revision":9}}`)), new(*requester.ConflictError)},
+		{"unknown", serve(t, answering(504, `{"Code":"unknown","Message":"store is silent"}`)), new(*requester.UnknownOutcomeError)},
+		{"answer lost", serve(t, aborting), new(*requester.UnknownOutcomeError)},
+		{"answer garbled", serve(t, answering(200, `{"Revision":`)), new(*requester.UnknownOutcomeError)},
+		{"refused", serve(t, answering(503, `{"Code":"not_accepted"}`)), new(*requester.StatusError)},
 		{"not sent", nobody(t), new(*requester.UnreachableError)},
 	}
 	for _, tc := range tt {
--- a/process/allocator/overflow.go
+++ b/process/allocator/overflow.go
@@ -70,7 +70,7 @@
 	if all.Cells == nil || len(poo.Overflow) == 0 {
 		return overflower.Digest{}, false
 	}
-	want := overflower.Requirements{Pool: poo.Name, OwnRegion: all.Cells.Region, AllowsRegion: poo.Takes, TimeLeft: req.Deadline.Sub(now)}
+	want := overflower.Requirements{Pool: poo.Name, OwnRegion: all.Cells.Region, AllowsRegion: poo.AcceptsOverflow, TimeLeft: req.Deadline.Sub(now)}
 	return all.Cells.OtherRegions.Choose(want, now)
 }
 
--- a/process/publisher/spread.go
+++ b/process/publisher/spread.go
@@ -90,7 +90,7 @@
 			continue
 		}
 		for _, next := range ver.deltas[i+1:] {
-			del = del.Then(next)
+			del = del.Compose(next)
 		}
 		buf, err := del.Encode()
 		return buf, err == nil && len(buf) <= maxDeltaBytes
--- a/process/server/schedule.go
+++ b/process/server/schedule.go
@@ -61,7 +61,7 @@
 	for {
 		now := time.Now()
 		for _, poo := range ser.publisher.Current().Tables().Pools {
-			if poo.Takes(ser.Settings.Region) {
+			if poo.AcceptsOverflow(ser.Settings.Region) {
 				ser.cells.RecordOwnDigests(poo.Name, len(ser.watcher.Pool(poo).Endpoints), now)
 			}
 		}
--- a/request/relayer/decide.go
+++ b/request/relayer/decide.go
@@ -138,7 +138,7 @@
 		return sta, sta.abort(http.StatusBadGateway, "endpoint_unreached")
 	case Broken:
 		sta.Ran = true
-		if lim.Route.Reruns() && sta.mayResend(lim) {
+		if lim.Route.AllowsResend() && sta.mayResend(lim) {
 			return sta, Resend{}
 		}
 		return sta, sta.abort(http.StatusBadGateway, "endpoint_failed")
--- a/request/relayer/send.go
+++ b/request/relayer/send.go
@@ -98,7 +98,7 @@
 func (run *run) firstEventLimit(lea Lease, now time.Time) time.Duration {
 	left := run.deadline.Sub(now) + time.Second
 	objective := time.Duration(run.route.FirstTarget)
-	if !run.route.Reruns() || run.state.Sends >= run.route.Attempts() || objective <= 0 {
+	if !run.route.AllowsResend() || run.state.Sends >= run.route.Attempts() || objective <= 0 {
 		return left
 	}
 	if !run.route.Stream {
--- a/request/relayer/silence.go
+++ b/request/relayer/silence.go
@@ -96,7 +96,7 @@
 	run.mu.Lock()
 	sta := run.state
 	run.mu.Unlock()
-	return run.route.Reruns() && sta.mayResend(SendLimits{
+	return run.route.AllowsResend() && sta.mayResend(SendLimits{
 		Route: run.route, Left: run.deadline.Sub(now), TakeRetry: func() bool { return run.RetryBudget.Take(run.pool.Name, now) },
 	})
 }
--- a/version/differ/differ.go
+++ b/version/differ/differ.go
@@ -131,8 +131,8 @@
 	return out
 }
 
-// Then joins a delta with the one that follows it.
-func (del Delta) Then(nex Delta) Delta {
+// Compose returns the delta that has the effect of del followed by nex.
+func (del Delta) Compose(nex Delta) Delta {
 	return Delta{
 		BaseRevision: del.BaseRevision, Revision: nex.Revision, Nonce: nex.Nonce,
 		Edits:  append(append([]parser.Edit{}, del.Edits...), nex.Edits...),
--- a/version/explainer/explainer.go
+++ b/version/explainer/explainer.go
@@ -60,7 +60,7 @@
 		out = append(out, fmt.Sprintf("it takes team %q only", mat.Team))
 	}
 	pat := parser.Match{PathPrefix: mat.PathPrefix}
-	if !pat.Takes(que.Model, que.Team, que.Host, que.Path, que.PromptTokens) {
+	if !pat.Matches(que.Model, que.Team, que.Host, que.Path, que.PromptTokens) {
 		out = append(out, fmt.Sprintf("it takes paths under %s only", mat.PathPrefix))
 	}
 	if que.PromptTokens < mat.MinPromptTokens {
--- a/version/matcher/matcher.go
+++ b/version/matcher/matcher.go
@@ -109,7 +109,7 @@
 
 func innermost(bes *parser.Route, rous []*parser.Route, que Query) *parser.Route {
 	for _, rou := range rous {
-		if !rou.Match.Takes(que.Model, que.Team, que.Host, que.Path, que.PromptTokens) {
+		if !rou.Match.Matches(que.Model, que.Team, que.Host, que.Path, que.PromptTokens) {
 			continue
 		}
 		if bes == nil || bes.Match.Contains(rou.Match) {
--- a/version/matcher/matcher_test.go
+++ b/version/matcher/matcher_test.go
@@ -60,7 +60,7 @@
 			var want *parser.Route
 			for ind, rou := range tab.Routes {
 				poo, _ := mat.Pool(rou.Pool)
-				if poo.Kind != que.Kind || !rou.Match.Takes(que.Model, que.Team, que.Host, que.Path, que.PromptTokens) {
+				if poo.Kind != que.Kind || !rou.Match.Matches(que.Model, que.Team, que.Host, que.Path, que.PromptTokens) {
 					continue
 				}
 				if want == nil || want.Match.Contains(rou.Match) {
--- a/version/parser/overlap.go
+++ b/version/parser/overlap.go
@@ -55,8 +55,8 @@
 	return strings.HasPrefix(inn, strings.TrimSuffix(out, "/")+"/")
 }
 
-// Takes reports whether the match takes a request.
-func (mat Match) Takes(model, team, host, path string, promptTokens int64) bool {
+// Matches reports whether a request with these properties matches.
+func (mat Match) Matches(model, team, host, path string, promptTokens int64) bool {
 	return containsText(mat.Model, model) &&
 		containsText(mat.Team, team) &&
 		containsText(mat.Host, host) &&
--- a/version/parser/pool.go
+++ b/version/parser/pool.go
@@ -82,8 +82,9 @@
 // AnyRegion stands for all regions in Overflow.
 const AnyRegion = "*"
 
-// Takes reports whether a region takes requests of the pool from others.
-func (poo Pool) Takes(region string) bool {
+// AcceptsOverflow reports whether a region accepts requests of the pool from other
+// regions.
+func (poo Pool) AcceptsOverflow(region string) bool {
 	return slices.Contains(poo.Overflow, region) || slices.Contains(poo.Overflow, AnyRegion)
 }
 
--- a/version/parser/route.go
+++ b/version/parser/route.go
@@ -89,8 +89,9 @@
 // Attempts returns the number of endpoints to which one call may be sent.
 func (rou Route) Attempts() int { return max(1, rou.MaxAttempts) }
 
-// Reruns reports whether a call of the route may run more than once.
-func (rou Route) Reruns() bool { return rou.Repeatable || rou.Stream && rou.Resumable }
+// AllowsResend reports whether a call of the route may be sent to another endpoint
+// after an endpoint may have run it.
+func (rou Route) AllowsResend() bool { return rou.Repeatable || rou.Stream && rou.Resumable }
 
 // Defaults fills in the fields left empty.
 func (rou Route) Defaults() Route {
