--- a/version/parser/ambiguity.go
+++ b/version/parser/ambiguity.go
@@ -6,102 +6,106 @@
 	"strings"
 )
 
-// bucket groups routes that can overlap. anyText stands for all models or teams.
+// bucket is the key of an index of routes that can overlap. Each route is in several
+// buckets; in those with wildcard as model or team, that property does not count.
 type bucket struct {
 	kind              PoolKind
 	path, model, team string
 }
 
-// anyText is no name of a model or team, for names hold no such byte.
-const anyText = "\x00"
+// wildcard cannot be the name of a model or team, since names contain no NUL byte.
+const wildcard = "\x00"
 
-// pair holds the indexes of two routes, the later one first.
-type pair struct{ one, two int }
+// pair holds the indexes of two routes in the table.
+type pair struct{ later, earlier int }
 
-// ambiguities lists the routes that overlap without nesting. Two routes overlap
-// only if the path of one lies within that of the other, so each pair is found
-// from the side of the longer path, among the buckets of its ancestors.
+// ambiguities returns a fault for each pair of routes that overlap without one
+// containing the other. Two routes overlap only if the path prefix of one contains
+// that of the other. Therefore each route is compared only with the routes in the
+// buckets of its own path prefix and of the shorter prefixes that contain it.
 func ambiguities(rous []Route, kinds map[string]PoolKind) []string {
 	bucs := map[bucket][]int{}
-	for ind, rou := range rous {
+	for i, rou := range rous {
 		for _, buc := range bucketsOf(rou, kinds[rou.Pool]) {
-			bucs[buc] = append(bucs[buc], ind)
+			bucs[buc] = append(bucs[buc], i)
 		}
 	}
-	see := map[pair]bool{}
-	for ind, rou := range rous {
+	found := map[pair]bool{}
+	for i, rou := range rous {
 		for _, buc := range candidates(rou, kinds[rou.Pool]) {
-			for _, oth := range bucs[buc] {
-				if oth != ind && rou.Match.Ambiguous(rous[oth].Match) {
-					see[pair{max(ind, oth), min(ind, oth)}] = true
+			for _, other := range bucs[buc] {
+				if other != i && rou.Match.Ambiguous(rous[other].Match) {
+					found[pair{max(i, other), min(i, other)}] = true
 				}
 			}
 		}
 	}
-	return describe(rous, see)
+	return formatOverlaps(rous, found)
 }
 
-func describe(rous []Route, see map[pair]bool) []string {
-	pais := make([]pair, 0, len(see))
-	for pai := range see {
+func formatOverlaps(rous []Route, found map[pair]bool) []string {
+	pais := make([]pair, 0, len(found))
+	for pai := range found {
 		pais = append(pais, pai)
 	}
-	slices.SortFunc(pais, func(one, two pair) int {
-		if one.one != two.one {
-			return one.one - two.one
+	slices.SortFunc(pais, func(a, b pair) int {
+		if a.later != b.later {
+			return a.later - b.later
 		}
-		return one.two - two.two
+		return a.earlier - b.earlier
 	})
-	var fas []string
+	var faults []string
 	for _, pai := range pais {
-		fas = append(fas, fmt.Sprintf("route %q: overlaps route %q and neither lies within the other", rous[pai.one].Name, rous[pai.two].Name))
+		faults = append(faults, fmt.Sprintf("route %q: overlaps route %q and neither lies within the other", rous[pai.later].Name, rous[pai.earlier].Name))
 	}
-	return fas
+	return faults
 }
 
 // bucketsOf returns the buckets that hold a route.
 func bucketsOf(rou Route, kin PoolKind) []bucket {
 	mat := rou.Match
-	pat := trimPath(mat.PathPrefix)
+	path := trimPath(mat.PathPrefix)
 	return []bucket{
-		{kin, pat, mat.Model, mat.Team},
-		{kin, pat, anyText, mat.Team},
-		{kin, pat, mat.Model, anyText},
-		{kin, pat, anyText, anyText},
+		{kin, path, mat.Model, mat.Team},
+		{kin, path, wildcard, mat.Team},
+		{kin, path, mat.Model, wildcard},
+		{kin, path, wildcard, wildcard},
 	}
 }
 
-// candidates returns the buckets that hold every route that can overlap rou and
-// whose path is the same or shorter.
+// candidates returns the buckets that together hold every route that can overlap
+// rou and whose path prefix is the same as that of rou or contains it.
 func candidates(rou Route, kin PoolKind) []bucket {
 	var out []bucket
-	for _, pat := range ancestors(rou.Match.PathPrefix) {
-		for _, mod := range compatible(rou.Match.Model) {
-			for _, tea := range compatible(rou.Match.Team) {
-				out = append(out, bucket{kin, pat, mod, tea})
+	for _, path := range ancestors(rou.Match.PathPrefix) {
+		for _, model := range compatibleTexts(rou.Match.Model) {
+			for _, team := range compatibleTexts(rou.Match.Team) {
+				out = append(out, bucket{kin, path, model, team})
 			}
 		}
 	}
 	return out
 }
 
-func compatible(txt string) []string {
-	if txt == "" {
-		return []string{anyText}
+// compatibleTexts returns the model or team names of the buckets to search for
+// routes that can overlap a route with the given model or team. Empty means any.
+func compatibleTexts(text string) []string {
+	if text == "" {
+		return []string{wildcard}
 	}
-	return []string{txt, ""}
+	return []string{text, ""}
 }
 
 func trimPath(path string) string { return strings.TrimSuffix(path, "/") }
 
-// ancestors returns a path and all shorter ones that contain it.
+// ancestors returns a path prefix and all shorter prefixes that contain it.
 func ancestors(path string) []string {
-	pat := trimPath(path)
-	out := []string{pat}
-	for pat != "" {
-		pat = pat[:strings.LastIndexByte(pat, '/')+1]
-		pat = trimPath(pat)
-		out = append(out, pat)
+	trimmed := trimPath(path)
+	out := []string{trimmed}
+	for trimmed != "" {
+		trimmed = trimmed[:strings.LastIndexByte(trimmed, '/')+1]
+		trimmed = trimPath(trimmed)
+		out = append(out, trimmed)
 	}
 	return out
 }
--- a/version/parser/overlap.go
+++ b/version/parser/overlap.go
@@ -5,62 +5,64 @@
 	"strings"
 )
 
-// Contains reports whether every request that oth takes is also taken by mat.
-func (mat Match) Contains(oth Match) bool {
-	return containsText(mat.Model, oth.Model) &&
-		containsText(mat.Team, oth.Team) &&
-		containsText(mat.Host, oth.Host) &&
-		containsPath(mat.PathPrefix, oth.PathPrefix) &&
-		mat.MinPromptTokens <= oth.MinPromptTokens &&
-		mat.upper() >= oth.upper()
+// Contains reports whether mat matches every request that other matches.
+func (mat Match) Contains(other Match) bool {
+	return textContains(mat.Model, other.Model) &&
+		textContains(mat.Team, other.Team) &&
+		textContains(mat.Host, other.Host) &&
+		pathContains(mat.PathPrefix, other.PathPrefix) &&
+		mat.MinPromptTokens <= other.MinPromptTokens &&
+		mat.maxTokens() >= other.maxTokens()
 }
 
-// Overlaps reports whether a request exists that both take.
-func (mat Match) Overlaps(oth Match) bool {
-	return (containsText(mat.Model, oth.Model) || containsText(oth.Model, mat.Model)) &&
-		(containsText(mat.Team, oth.Team) || containsText(oth.Team, mat.Team)) &&
-		(containsText(mat.Host, oth.Host) || containsText(oth.Host, mat.Host)) &&
-		(containsPath(mat.PathPrefix, oth.PathPrefix) || containsPath(oth.PathPrefix, mat.PathPrefix)) &&
-		mat.MinPromptTokens <= oth.upper() &&
-		oth.MinPromptTokens <= mat.upper()
+// Overlaps reports whether a request can exist that both match.
+func (mat Match) Overlaps(other Match) bool {
+	return (textContains(mat.Model, other.Model) || textContains(other.Model, mat.Model)) &&
+		(textContains(mat.Team, other.Team) || textContains(other.Team, mat.Team)) &&
+		(textContains(mat.Host, other.Host) || textContains(other.Host, mat.Host)) &&
+		(pathContains(mat.PathPrefix, other.PathPrefix) || pathContains(other.PathPrefix, mat.PathPrefix)) &&
+		mat.MinPromptTokens <= other.maxTokens() &&
+		other.MinPromptTokens <= mat.maxTokens()
 }
 
-// Ambiguous reports whether two matches overlap without one lying strictly
-// within the other, so that no innermost one is defined.
-func (mat Match) Ambiguous(oth Match) bool {
-	if !mat.Overlaps(oth) {
+// Ambiguous reports whether two matches overlap and neither strictly contains the
+// other. The innermost match of a request that both match is then undefined.
+func (mat Match) Ambiguous(other Match) bool {
+	if !mat.Overlaps(other) {
 		return false
 	}
-	return mat.Contains(oth) == oth.Contains(mat)
+	return mat.Contains(other) == other.Contains(mat)
 }
 
-// forPrompts reports whether the match has bounds that only prompts meet.
-func (mat Match) forPrompts() bool {
+// hasPromptBounds reports whether the match restricts the model or the length of
+// the prompt, which calls to plain services do not have.
+func (mat Match) hasPromptBounds() bool {
 	return mat.Model != "" || mat.MinPromptTokens != 0 || mat.MaxPromptTokens != 0
 }
 
-func (mat Match) upper() int64 {
+// maxTokens returns the greatest prompt length in tokens that matches.
+func (mat Match) maxTokens() int64 {
 	if mat.MaxPromptTokens == 0 {
 		return math.MaxInt64
 	}
 	return mat.MaxPromptTokens
 }
 
-func containsText(out, inn string) bool { return out == "" || out == inn }
+func textContains(outer, inner string) bool { return outer == "" || outer == inner }
 
-func containsPath(out, inn string) bool {
-	if out == "" || out == inn {
+func pathContains(outer, inner string) bool {
+	if outer == "" || outer == inner {
 		return true
 	}
-	return strings.HasPrefix(inn, strings.TrimSuffix(out, "/")+"/")
+	return strings.HasPrefix(inner, strings.TrimSuffix(outer, "/")+"/")
 }
 
 // Matches reports whether a request with these properties matches.
 func (mat Match) Matches(model, team, host, path string, promptTokens int64) bool {
-	return containsText(mat.Model, model) &&
-		containsText(mat.Team, team) &&
-		containsText(mat.Host, host) &&
-		containsPath(mat.PathPrefix, path) &&
+	return textContains(mat.Model, model) &&
+		textContains(mat.Team, team) &&
+		textContains(mat.Host, host) &&
+		pathContains(mat.PathPrefix, path) &&
 		mat.MinPromptTokens <= promptTokens &&
-		promptTokens <= mat.upper()
+		promptTokens <= mat.maxTokens()
 }
--- a/version/parser/parser_test.go
+++ b/version/parser/parser_test.go
@@ -13,14 +13,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestParse checks documents and the faults that they are rejected for.
+// TestParse runs the documents of testdata/parse. An accepted document must be
+// the same after encoding and parsing; a rejected one must list all its faults.
 func TestParse(t *testing.T) {
 	datadriven.RunTest(t, "testdata/parse", func(t *testing.T, dat *datadriven.TestData) string {
 		tab, err := parser.Parse([]byte(dat.Input))
-		var fas *parser.FaultsError
-		if eris.As(err, &fas) {
+		var invalid *parser.FaultsError
+		if eris.As(err, &invalid) {
 			require.Zero(t, tab.Routes, "a rejected document gives no tables")
-			return strings.Join(fas.Faults, "\n")
+			return strings.Join(invalid.Faults, "\n")
 		}
 		require.NoError(t, err)
 		doc, err := tab.Encode()
@@ -37,14 +38,14 @@
 	require.ErrorContains(t, err, "the limit is 1048576")
 }
 
-// matches are all combinations of a few models, teams, paths and lengths.
+// matches returns all combinations of a few models, teams, paths and prompt bounds.
 func matches() []parser.Match {
 	var out []parser.Match
-	for _, mod := range []string{"", "m", "n"} {
-		for _, tea := range []string{"", "t", "u"} {
-			for _, pat := range []string{"", "/", "/a", "/a/", "/a/b", "/ab"} {
-				for _, len := range [][2]int64{{0, 0}, {0, 10}, {5, 20}, {11, 0}} {
-					out = append(out, parser.Match{Model: mod, Team: tea, PathPrefix: pat, MinPromptTokens: len[0], MaxPromptTokens: len[1]})
+	for _, model := range []string{"", "m", "n"} {
+		for _, team := range []string{"", "t", "u"} {
+			for _, path := range []string{"", "/", "/a", "/a/", "/a/b", "/ab"} {
+				for _, bounds := range [][2]int64{{0, 0}, {0, 10}, {5, 20}, {11, 0}} {
+					out = append(out, parser.Match{Model: model, Team: team, PathPrefix: path, MinPromptTokens: bounds[0], MaxPromptTokens: bounds[1]})
 				}
 			}
 		}
@@ -52,16 +53,17 @@
 	return out
 }
 
-// The indexed check finds exactly the pairs that comparing all routes finds.
+// The check by index must find the same ambiguous routes as a direct comparison of
+// each pair.
 func TestAmbiguitiesAreComplete(t *testing.T) {
 	mats := matches()
 	pool := parser.Pool{Name: "p", Kind: parser.PoolEngine, Selector: parser.Selector{Service: "s"}}.Defaults()
-	for ind, one := range mats {
-		for _, two := range mats[ind:] {
+	for i, mat := range mats {
+		for _, other := range mats[i:] {
 			tab := parser.Tables{Pools: []parser.Pool{pool}, Routes: []parser.Route{
-				parser.Route{Name: "one", Match: one, Pool: "p"}.Defaults(), parser.Route{Name: "two", Match: two, Pool: "p"}.Defaults(),
+				parser.Route{Name: "one", Match: mat, Pool: "p"}.Defaults(), parser.Route{Name: "two", Match: other, Pool: "p"}.Defaults(),
 			}}
-			require.Equal(t, one.Ambiguous(two), tab.Validate() != nil, "%+v against %+v", one, two)
+			require.Equal(t, mat.Ambiguous(other), tab.Validate() != nil, "%+v against %+v", mat, other)
 		}
 	}
 }
@@ -69,13 +71,13 @@
 // bigTables returns 5,000 routes over 11 models and 980 teams.
 func bigTables() parser.Tables {
 	tab := parser.Tables{Pools: []parser.Pool{{Name: "p", Kind: parser.PoolEngine, Selector: parser.Selector{Service: "s"}}}}
-	for ind := range 980 {
-		tab.Teams = append(tab.Teams, parser.Team{Name: fmt.Sprintf("team-%d", ind), KeyDigests: []string{parser.DigestKey(fmt.Sprint(ind))}})
+	for i := range 980 {
+		tab.Teams = append(tab.Teams, parser.Team{Name: fmt.Sprintf("team-%d", i), KeyDigests: []string{parser.DigestKey(fmt.Sprint(i))}})
 	}
-	for ind := range 5000 {
+	for i := range 5000 {
 		tab.Routes = append(tab.Routes, parser.Route{
-			Name: fmt.Sprintf("route-%d", ind), Pool: "p", TimeLimit: parser.Duration(time.Second),
-			Match: parser.Match{Model: fmt.Sprintf("m-%d", ind/980), Team: fmt.Sprintf("team-%d", ind%980)},
+			Name: fmt.Sprintf("route-%d", i), Pool: "p", TimeLimit: parser.Duration(time.Second),
+			Match: parser.Match{Model: fmt.Sprintf("m-%d", i/980), Team: fmt.Sprintf("team-%d", i%980)},
 		})
 	}
 	return tab.Defaults()
@@ -98,7 +100,8 @@
 	}
 }
 
-// FuzzParse requires that whatever is accepted is accepted again unchanged.
+// FuzzParse checks that an accepted document is accepted again after encoding, and
+// that its encoding is then stable.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"Revision":1,"Routes":[{"Name":"a","Match":{"Model":"m"},"Pool":"p","TimeLimit":"30s"}],"Pools":[{"Name":"p","Kind":"Engine","Selector":{"Service":"s"}}],"Teams":null}`))
 	f.Add([]byte(`{"Routes":[{"Name":"a","Match":{"PathPrefix":"/a//b"},"Pool":"p"}],"Pools":[{"Name":"p","Kind":"Service","Selector":{"Service":"s"}}]}`))
--- a/version/parser/pool.go
+++ b/version/parser/pool.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// PoolKind is the kind of endpoint that a pool names.
+// PoolKind is the kind of a pool's endpoints.
 type PoolKind string
 
 // Kinds of pools.
@@ -15,7 +15,8 @@
 	PoolService PoolKind = "Service"
 )
 
-// Selector picks the endpoints of a pool from the platform's list.
+// Selector selects the endpoints of a pool from the platform's list: those of the
+// service, in the named data centres or, if DataCenters is empty, in all.
 type Selector struct {
 	Service     string
 	DataCenters []string `json:",omitempty"`
@@ -26,60 +27,63 @@
 	Name     string
 	Kind     PoolKind
 	Selector Selector
-	// MaxOutstanding bounds the requests on one endpoint; 0 stands for no bound.
+	// MaxOutstanding bounds the requests on one endpoint; 0 means no bound.
 	MaxOutstanding int `json:",omitempty"`
 	// MaxWaiting bounds the requests that wait for the pool on one host.
 	MaxWaiting int `json:",omitempty"`
 	// ChecksFencing says that the endpoints refuse orders with an old fencing number.
 	ChecksFencing bool `json:",omitempty"`
 	// LongShare is the share of the engines, 0 to 1, that long prompts may
-	// occupy at a time; 0 stands for the default.
+	// occupy at a time; 0 means that hosts derive it from the recent load.
 	LongShare float64 `json:",omitempty"`
-	// Overflow names the regions that take requests of the pool which the
-	// caller's region can't serve in time; AnyRegion stands for all, and none
-	// for no overflow.
+	// Overflow lists the regions that accept requests of the pool that the
+	// caller's region cannot serve in time. AnyRegion means all regions; an empty
+	// list means no overflow.
 	Overflow []string `json:",omitempty"`
-	// HealthPath answers whether an endpoint is healthy.
+	// HealthPath is the path of the endpoints' health check.
 	HealthPath string `json:",omitempty"`
-	// MaxConnections bounds the connections of one endpoint from all callers;
-	// 0 stands for no bound.
+	// MaxConnections bounds the connections to one endpoint from all callers; 0
+	// means no bound.
 	MaxConnections int `json:",omitempty"`
 	// Batching describes the engines of a pool whose prompts are forwarded; nil
 	// for plain services.
 	Batching *Batching `json:",omitempty"`
 }
 
-// Batching says how fast an engine works that reads prompts in pieces between
-// the steps of the answers that it writes.
+// Batching holds the parameters of an engine with continuous batching and chunked
+// prefill: each decode step generates one token of every answer in progress, and
+// prompts are prefilled in chunks along with these steps.
 type Batching struct {
-	// Slots is the number of requests that are read or written at once.
+	// Slots is the number of requests that an engine can prefill or decode at once.
 	Slots int
-	// MemoryTokens is the memory of an engine for prompts and answers.
+	// MemoryTokens is the size in tokens of an engine's memory for prompts and
+	// answers.
 	MemoryTokens int64
-	// StepMs is the time of a step that writes a token of every answer;
-	// SequenceMs is added for each answer and ContextMs for each thousand
-	// tokens of their contexts.
+	// StepMs is the base time of a decode step. SequenceMs is added for each
+	// answer, and ContextMs for each thousand tokens of the answers' contexts.
 	StepMs     float64
 	SequenceMs float64
 	ContextMs  float64
-	// Stride is the number of steps of a pass, after which an event is sent.
+	// Stride is the number of decode steps in a pass; an event is sent after each
+	// pass.
 	Stride int
-	// ReadRate is the number of prompt tokens read in a second, and PairsMs the
-	// further time for a million pairs of a token and an earlier one.
+	// ReadRate is the prefill rate in prompt tokens per second. PairsMs is the
+	// additional prefill time for a million pairs of a token and an earlier token.
 	ReadRate float64
 	PairsMs  float64
-	// ChunkTokens is the most prompt tokens that one step reads.
+	// ChunkTokens is the maximum number of prompt tokens prefilled in one step.
 	ChunkTokens int64
-	// HopMs is added to each step of an answer whose prompt lies on several engines.
+	// HopMs is added to each decode step of an answer whose prompt is divided
+	// among several engines.
 	HopMs float64
-	// ReportLagMs is the age of what an engine reports of itself.
+	// ReportLagMs is the age of an engine's load report when it arrives.
 	ReportLagMs float64
-	// UsualPrompt and UsualAnswer are mean token counts.
+	// UsualPrompt and UsualAnswer are mean lengths in tokens.
 	UsualPrompt int64
 	UsualAnswer int64
 }
 
-// AnyRegion stands for all regions in Overflow.
+// AnyRegion in Overflow means all regions.
 const AnyRegion = "*"
 
 // AcceptsOverflow reports whether a region accepts requests of the pool from other
@@ -88,7 +92,7 @@
 	return slices.Contains(poo.Overflow, region) || slices.Contains(poo.Overflow, AnyRegion)
 }
 
-// Defaults fills in the fields left empty.
+// Defaults returns the pool with defaults for empty fields.
 func (poo Pool) Defaults() Pool {
 	if poo.MaxWaiting == 0 {
 		poo.MaxWaiting = 1000
@@ -96,41 +100,42 @@
 	return poo
 }
 
-// Validate lists every fault of the pool by itself.
+// Validate returns a message for every fault of the pool, except for conflicts
+// with other entries of the tables.
 func (poo Pool) Validate() []string {
-	var fas []string
+	var faults []string
 	if !validName(poo.Name) {
-		fas = append(fas, fmt.Sprintf("pool %q: Name must be 1 to 63 of a-z, 0-9 and -", poo.Name))
+		faults = append(faults, fmt.Sprintf("pool %q: Name must be 1 to 63 of a-z, 0-9 and -", poo.Name))
 	}
 	if poo.Kind != PoolEngine && poo.Kind != PoolService {
-		fas = append(fas, fmt.Sprintf("pool %q: Kind %q must be Engine or Service", poo.Name, poo.Kind))
+		faults = append(faults, fmt.Sprintf("pool %q: Kind %q must be Engine or Service", poo.Name, poo.Kind))
 	}
 	if poo.Selector.Service == "" {
-		fas = append(fas, fmt.Sprintf("pool %q: Selector.Service is missing", poo.Name))
+		faults = append(faults, fmt.Sprintf("pool %q: Selector.Service is missing", poo.Name))
 	}
 	if poo.MaxOutstanding < 0 || poo.MaxWaiting < 0 {
-		fas = append(fas, fmt.Sprintf("pool %q: limits must not be negative", poo.Name))
+		faults = append(faults, fmt.Sprintf("pool %q: limits must not be negative", poo.Name))
 	}
 	if poo.LongShare < 0 || poo.LongShare > 1 {
-		fas = append(fas, fmt.Sprintf("pool %q: LongShare %g is outside 0 to 1", poo.Name, poo.LongShare))
+		faults = append(faults, fmt.Sprintf("pool %q: LongShare %g is outside 0 to 1", poo.Name, poo.LongShare))
 	}
-	return append(fas, poo.validateOverflow()...)
+	return append(faults, poo.validateOverflow()...)
 }
 
 func (poo Pool) validateOverflow() []string {
-	var fas []string
+	var faults []string
 	if len(poo.Overflow) > 0 && poo.Kind != PoolEngine {
-		fas = append(fas, fmt.Sprintf("pool %q: Overflow is for engine pools", poo.Name))
+		faults = append(faults, fmt.Sprintf("pool %q: Overflow is for engine pools", poo.Name))
 	}
-	for ind, reg := range poo.Overflow {
+	for i, reg := range poo.Overflow {
 		switch {
 		case reg == "" || strings.ContainsRune(reg, '/'):
-			fas = append(fas, fmt.Sprintf("pool %q: Overflow names no region by %q", poo.Name, reg))
-		case slices.Contains(poo.Overflow[:ind], reg):
-			fas = append(fas, fmt.Sprintf("pool %q: Overflow names %q twice", poo.Name, reg))
+			faults = append(faults, fmt.Sprintf("pool %q: Overflow names no region by %q", poo.Name, reg))
+		case slices.Contains(poo.Overflow[:i], reg):
+			faults = append(faults, fmt.Sprintf("pool %q: Overflow names %q twice", poo.Name, reg))
 		case reg == AnyRegion && len(poo.Overflow) > 1:
-			fas = append(fas, fmt.Sprintf("pool %q: Overflow names %q beside other regions", poo.Name, reg))
+			faults = append(faults, fmt.Sprintf("pool %q: Overflow names %q beside other regions", poo.Name, reg))
 		}
 	}
-	return fas
+	return faults
 }
--- a/version/parser/route.go
+++ b/version/parser/route.go
@@ -15,60 +15,63 @@
 	MaxPromptTokens = 4_000_000
 )
 
-// Match says which requests a route takes. Empty fields match everything.
+// Match says which requests a route matches. Empty fields match everything.
 type Match struct {
 	// Model matches the model of a prompt.
 	Model string `json:",omitempty"`
 	Team  string `json:",omitempty"`
-	// Host matches the host that a forwarded call names.
+	// Host matches the host name to which a forwarded call is addressed.
 	Host string `json:",omitempty"`
 	// PathPrefix matches the path of a call, in whole segments.
 	PathPrefix string `json:",omitempty"`
-	// MinPromptTokens and MaxPromptTokens bound the prompt, both inclusive.
-	// A maximum of 0 stands for no bound.
+	// MinPromptTokens and MaxPromptTokens bound the length of the prompt, both
+	// inclusive. A maximum of 0 means no bound.
 	MinPromptTokens int64 `json:",omitempty"`
 	MaxPromptTokens int64 `json:",omitempty"`
 }
 
-// Route says where a kind of request goes and under which terms.
+// Route assigns the requests that match to a pool, with the limits and rules for
+// serving them.
 type Route struct {
 	Name  string
 	Match Match
 	Pool  string
-	// TimeLimit bounds a request from arrival to its last byte.
+	// TimeLimit bounds the time from the arrival of a request to the last byte of
+	// its answer.
 	TimeLimit Duration
-	// Priority orders requests; higher goes first.
+	// Priority orders requests; higher values are served first.
 	Priority int `json:",omitempty"`
 	// Repeatable marks calls that may run more than once.
 	Repeatable bool `json:",omitempty"`
 
-	// The fields below hold for calls that are forwarded unchanged.
+	// The fields below are for calls that are forwarded unchanged.
 
-	// Split divides the route's calls over several pools; Pool is then empty.
+	// Split divides the route's calls among several pools; Pool is then empty.
 	Split []Share `json:",omitempty"`
-	// Stream marks calls whose answers are streams of events; Resumable ones may
-	// go on at another endpoint after an event.
+	// Stream marks calls whose answers are streams of events. Resumable streams
+	// may continue on another endpoint after an event.
 	Stream    bool `json:",omitempty"`
 	Resumable bool `json:",omitempty"`
 	// Public calls need no key.
 	Public bool `json:",omitempty"`
-	// MaxAttempts bounds the endpoints to which one call may be sent; 0 stands
-	// for 1.
+	// MaxAttempts bounds the number of endpoints to which one call may be sent; 0
+	// means 1.
 	MaxAttempts int `json:",omitempty"`
-	// FirstTarget is the latency objective: of the answer, or of the first event
-	// of a stream. PauseTarget is that of the pauses between events.
+	// FirstTarget is the latency objective for the answer or, for a stream, its
+	// first event. PauseTarget is the objective for the pauses between events.
 	FirstTarget Duration `json:",omitempty"`
 	PauseTarget Duration `json:",omitempty"`
 }
 
-// Share is the part of a route's calls that a pool gets.
+// Share is the part of a route's calls that a pool receives: its weight divided by
+// the sum of the weights.
 type Share struct {
 	Pool   string
 	Weight int
 }
 
-// PoolFor returns the pool of one call. draw is a uniform hash of the call, so
-// that a call that is sent again stays with its pool.
+// PoolFor returns the pool for a call. draw is a uniformly distributed hash of the
+// call, so that a repeated call is assigned to the same pool.
 func (rou Route) PoolFor(draw uint64) string {
 	sum := 0
 	for _, sha := range rou.Split {
@@ -86,14 +89,14 @@
 	return rou.Pool
 }
 
-// Attempts returns the number of endpoints to which one call may be sent.
+// Attempts returns the maximum number of endpoints to which one call may be sent.
 func (rou Route) Attempts() int { return max(1, rou.MaxAttempts) }
 
 // AllowsResend reports whether a call of the route may be sent to another endpoint
 // after an endpoint may have run it.
 func (rou Route) AllowsResend() bool { return rou.Repeatable || rou.Stream && rou.Resumable }
 
-// Defaults fills in the fields left empty.
+// Defaults returns the route with defaults for empty fields.
 func (rou Route) Defaults() Route {
 	if rou.TimeLimit == 0 {
 		rou.TimeLimit = Duration(30 * time.Second)
@@ -101,52 +104,53 @@
 	return rou
 }
 
-// Validate lists every fault of the route by itself.
+// Validate returns a message for every fault of the route, except for conflicts
+// with other entries of the tables.
 func (rou Route) Validate() []string {
-	var fas []string
+	var faults []string
 	if !validName(rou.Name) {
-		fas = append(fas, fmt.Sprintf("route %q: Name must be 1 to 63 of a-z, 0-9 and -", rou.Name))
+		faults = append(faults, fmt.Sprintf("route %q: Name must be 1 to 63 of a-z, 0-9 and -", rou.Name))
 	}
 	if rou.Pool == "" && len(rou.Split) == 0 {
-		fas = append(fas, fmt.Sprintf("route %q: Pool is missing", rou.Name))
+		faults = append(faults, fmt.Sprintf("route %q: Pool is missing", rou.Name))
 	}
-	fas = append(fas, rou.validateForwarding()...)
-	lim := time.Duration(rou.TimeLimit)
-	if lim < MinTimeLimit || lim > MaxTimeLimit {
-		fas = append(fas, fmt.Sprintf("route %q: TimeLimit %s is outside %s to %s", rou.Name, lim, MinTimeLimit, MaxTimeLimit))
+	faults = append(faults, rou.validateForwarding()...)
+	limit := time.Duration(rou.TimeLimit)
+	if limit < MinTimeLimit || limit > MaxTimeLimit {
+		faults = append(faults, fmt.Sprintf("route %q: TimeLimit %s is outside %s to %s", rou.Name, limit, MinTimeLimit, MaxTimeLimit))
 	}
-	return append(fas, rou.Match.validate(rou.Name)...)
+	return append(faults, rou.Match.validate(rou.Name)...)
 }
 
 func (rou Route) validateForwarding() []string {
-	var fas []string
+	var faults []string
 	for _, sha := range rou.Split {
 		if sha.Weight < 0 || sha.Pool == "" {
-			fas = append(fas, fmt.Sprintf("route %q: a share of Split needs a Pool and a Weight of 0 or more", rou.Name))
+			faults = append(faults, fmt.Sprintf("route %q: a share of Split needs a Pool and a Weight of 0 or more", rou.Name))
 		}
 	}
 	if rou.MaxAttempts < 0 || rou.FirstTarget < 0 || rou.PauseTarget < 0 {
-		fas = append(fas, fmt.Sprintf("route %q: MaxAttempts and targets must not be negative", rou.Name))
+		faults = append(faults, fmt.Sprintf("route %q: MaxAttempts and targets must not be negative", rou.Name))
 	}
 	if rou.Resumable && !rou.Stream {
-		fas = append(fas, fmt.Sprintf("route %q: Resumable is for streams", rou.Name))
+		faults = append(faults, fmt.Sprintf("route %q: Resumable is for streams", rou.Name))
 	}
-	return fas
+	return faults
 }
 
 func (mat Match) validate(name string) []string {
-	var fas []string
+	var faults []string
 	if mat.PathPrefix != "" && !strings.HasPrefix(mat.PathPrefix, "/") {
-		fas = append(fas, fmt.Sprintf("route %q: PathPrefix %q must start with /", name, mat.PathPrefix))
+		faults = append(faults, fmt.Sprintf("route %q: PathPrefix %q must start with /", name, mat.PathPrefix))
 	}
 	if mat.MinPromptTokens < 0 || mat.MaxPromptTokens < 0 {
-		fas = append(fas, fmt.Sprintf("route %q: prompt bounds must not be negative", name))
+		faults = append(faults, fmt.Sprintf("route %q: prompt bounds must not be negative", name))
 	}
 	if mat.MaxPromptTokens > MaxPromptTokens {
-		fas = append(fas, fmt.Sprintf("route %q: MaxPromptTokens %d is over %d", name, mat.MaxPromptTokens, MaxPromptTokens))
+		faults = append(faults, fmt.Sprintf("route %q: MaxPromptTokens %d is over %d", name, mat.MaxPromptTokens, MaxPromptTokens))
 	}
 	if mat.MaxPromptTokens > 0 && mat.MinPromptTokens > mat.MaxPromptTokens {
-		fas = append(fas, fmt.Sprintf("route %q: MinPromptTokens %d is over MaxPromptTokens %d", name, mat.MinPromptTokens, mat.MaxPromptTokens))
+		faults = append(faults, fmt.Sprintf("route %q: MinPromptTokens %d is over MaxPromptTokens %d", name, mat.MinPromptTokens, mat.MaxPromptTokens))
 	}
-	return fas
+	return faults
 }
--- a/version/parser/tables.go
+++ b/version/parser/tables.go
@@ -1,7 +1,9 @@
-// Package parser defines the tables of routes, pools and teams, and checks them.
+// Package parser defines, decodes and validates the tables of routes, pools and
+// teams.
 //
-// The tables are one JSON document with Pascal-case fields. It is kept as one
-// object of the platform, so that one conditional write accepts a change whole.
+// The tables are one JSON document with field names in Pascal case. The document
+// is stored as a single object on the platform, so that a single conditional write
+// makes a change atomic.
 package parser
 
 import (
@@ -15,13 +17,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxDocumentBytes bounds the encoded tables; it is the platform's limit of a value.
+// MaxDocumentBytes bounds the encoded tables; it is the platform's limit for the
+// size of a value.
 const MaxDocumentBytes = 1 << 20
 
-// MaxRecentEdits bounds the edits that the tables list.
+// MaxRecentEdits bounds the number of edits in Tables.Recent.
 const MaxRecentEdits = 32
 
-// Duration is a time.Duration that reads and writes as text such as "30s".
+// Duration is a time.Duration that is encoded as text such as "30s".
 type Duration time.Duration
 
 // MarshalText formats the duration.
@@ -30,12 +33,12 @@
 }
 
 // UnmarshalText parses a duration with its unit.
-func (dur *Duration) UnmarshalText(txt []byte) error {
-	val, err := time.ParseDuration(string(txt))
+func (dur *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
-		return eris.Errorf("bad duration %q: use a number with a unit, such as 30s", txt)
+		return eris.Errorf("bad duration %q: use a number with a unit, such as 30s", text)
 	}
-	*dur = Duration(val)
+	*dur = Duration(parsed)
 	return nil
 }
 
@@ -45,8 +48,8 @@
 	Revision uint64
 	// Nonce identifies the edit that made the revision.
 	Nonce string `json:",omitempty"`
-	// Recent lists the last edits, the newest last, so that an edit can be found
-	// also when later ones were accepted on top of it.
+	// Recent lists the latest edits, the newest last, so that a host can tell
+	// whether its edit was accepted even if other edits followed.
 	Recent []Edit `json:",omitempty"`
 	Routes []Route
 	Pools  []Pool
@@ -55,8 +58,9 @@
 	Caller Limits `json:",omitzero"`
 }
 
-// Limits bound what a caller may send, and how long it may take; 0 stands for
-// no bound of the tables.
+// Limits bound the size of the headers and body that a caller may send, the time
+// for the headers and the idle time of its connection. 0 means that the tables set
+// no bound.
 type Limits struct {
 	MaxHeaderBytes int      `json:",omitempty"`
 	MaxBodyBytes   int64    `json:",omitempty"`
@@ -71,10 +75,10 @@
 	At       time.Time
 }
 
-// FaultsError lists every fault of a tables document.
+// FaultsError lists every fault of a document.
 type FaultsError struct{ Faults []string }
 
-// Error joins the faults, a line each.
+// Error formats the faults, one per line.
 func (err *FaultsError) Error() string {
 	return "tables rejected:\n  " + strings.Join(err.Faults, "\n  ")
 }
@@ -91,8 +95,8 @@
 	return tab, nil
 }
 
-// Decode decodes a document that was validated when it was accepted, and fills
-// in defaults.
+// Decode decodes a document and fills in defaults. It does not validate the
+// entries; it is for documents that were validated when they were accepted.
 func Decode(doc []byte) (Tables, error) {
 	var tab Tables
 	if len(doc) > MaxDocumentBytes {
@@ -115,7 +119,7 @@
 	return doc, eris.Wrap(err, "Tables.Encode")
 }
 
-// Defaults fills in the fields left empty.
+// Defaults returns the tables with defaults for empty fields of all entries.
 func (tab Tables) Defaults() Tables {
 	out := Tables{Revision: tab.Revision, Nonce: tab.Nonce, Recent: tab.Recent, Caller: tab.Caller}
 	for _, rou := range tab.Routes {
@@ -130,22 +134,22 @@
 	return out
 }
 
-// WithRevision returns the tables under another revision and nonce.
+// WithRevision returns the tables with another revision and nonce.
 func (tab Tables) WithRevision(revision uint64, nonce string) Tables {
 	tab.Revision = revision
 	tab.Nonce = nonce
 	return tab
 }
 
-// WithEdit returns the tables as the successor of a revision.
-func (tab Tables) WithEdit(bas Tables, edi Edit) Tables {
-	rec := append(slices.Clone(bas.Recent), edi)
-	tab.Recent = rec[max(0, len(rec)-MaxRecentEdits):]
+// WithEdit returns the tables as the successor of base, made by the edit edi.
+func (tab Tables) WithEdit(base Tables, edi Edit) Tables {
+	recent := append(slices.Clone(base.Recent), edi)
+	tab.Recent = recent[max(0, len(recent)-MaxRecentEdits):]
 	return tab.WithRevision(edi.Revision, edi.Nonce)
 }
 
-// Includes reports whether the edit with a nonce made this revision or an
-// earlier one. known is false when the revision is no longer listed.
+// Includes reports whether the edit with the nonce made the given revision. known
+// is false if the tables no longer list the edit of that revision.
 func (tab Tables) Includes(revision uint64, nonce string) (included, known bool) {
 	if tab.Nonce == nonce && tab.Revision == revision {
 		return true, true
@@ -163,74 +167,74 @@
 
 // Validate returns a FaultsError with every fault, or nil.
 func (tab Tables) Validate() error {
-	var fas []string
-	poos := map[string]PoolKind{}
+	var faults []string
+	kinds := map[string]PoolKind{}
 	for _, poo := range tab.Pools {
-		fas = append(fas, poo.Validate()...)
-		if _, ok := poos[poo.Name]; ok {
-			fas = append(fas, fmt.Sprintf("pool %q: the name stands twice", poo.Name))
+		faults = append(faults, poo.Validate()...)
+		if _, ok := kinds[poo.Name]; ok {
+			faults = append(faults, fmt.Sprintf("pool %q: the name stands twice", poo.Name))
 		}
-		poos[poo.Name] = poo.Kind
+		kinds[poo.Name] = poo.Kind
 	}
-	fas = append(fas, tab.validateRoutes(poos)...)
-	fas = append(fas, tab.validateTeams()...)
-	if len(fas) > 0 {
-		return &FaultsError{fas}
+	faults = append(faults, tab.validateRoutes(kinds)...)
+	faults = append(faults, tab.validateTeams()...)
+	if len(faults) > 0 {
+		return &FaultsError{faults}
 	}
 	return nil
 }
 
-func (tab Tables) validateRoutes(poos map[string]PoolKind) []string {
-	var fas []string
-	nams := map[string]bool{}
+func (tab Tables) validateRoutes(kinds map[string]PoolKind) []string {
+	var faults []string
+	found := map[string]bool{}
 	for _, rou := range tab.Routes {
-		fas = append(fas, rou.Validate()...)
-		if nams[rou.Name] {
-			fas = append(fas, fmt.Sprintf("route %q: the name stands twice", rou.Name))
+		faults = append(faults, rou.Validate()...)
+		if found[rou.Name] {
+			faults = append(faults, fmt.Sprintf("route %q: the name stands twice", rou.Name))
 		}
-		nams[rou.Name] = true
-		kin, ok := poos[rou.Pool]
+		found[rou.Name] = true
+		kin, ok := kinds[rou.Pool]
 		if rou.Pool != "" && !ok {
-			fas = append(fas, fmt.Sprintf("route %q: unknown pool %q", rou.Name, rou.Pool))
+			faults = append(faults, fmt.Sprintf("route %q: unknown pool %q", rou.Name, rou.Pool))
 		}
 		for _, sha := range rou.Split {
-			if _, ok := poos[sha.Pool]; !ok {
-				fas = append(fas, fmt.Sprintf("route %q: unknown pool %q", rou.Name, sha.Pool))
+			if _, ok := kinds[sha.Pool]; !ok {
+				faults = append(faults, fmt.Sprintf("route %q: unknown pool %q", rou.Name, sha.Pool))
 			}
 		}
-		if kin == PoolService && rou.Match.forPrompts() {
-			fas = append(fas, fmt.Sprintf("route %q: Model and prompt bounds are for routes to engine pools", rou.Name))
+		if kin == PoolService && rou.Match.hasPromptBounds() {
+			faults = append(faults, fmt.Sprintf("route %q: Model and prompt bounds are for routes to engine pools", rou.Name))
 		}
 	}
-	return append(fas, ambiguities(tab.Routes, poos)...)
+	return append(faults, ambiguities(tab.Routes, kinds)...)
 }
 
 func (tab Tables) validateTeams() []string {
-	var fas []string
-	nams := map[string]bool{}
-	digs := map[string]string{}
+	var faults []string
+	found := map[string]bool{}
+	owners := map[string]string{}
 	for _, tea := range tab.Teams {
-		fas = append(fas, tea.Validate()...)
-		if nams[tea.Name] {
-			fas = append(fas, fmt.Sprintf("team %q: the name stands twice", tea.Name))
+		faults = append(faults, tea.Validate()...)
+		if found[tea.Name] {
+			faults = append(faults, fmt.Sprintf("team %q: the name stands twice", tea.Name))
 		}
-		nams[tea.Name] = true
-		for _, dig := range tea.KeyDigests {
-			if oth, ok := digs[dig]; ok {
-				fas = append(fas, fmt.Sprintf("team %q: key digest is also that of team %q", tea.Name, oth))
+		found[tea.Name] = true
+		for _, digest := range tea.KeyDigests {
+			if other, ok := owners[digest]; ok {
+				faults = append(faults, fmt.Sprintf("team %q: key digest is also that of team %q", tea.Name, other))
 			}
-			digs[dig] = tea.Name
+			owners[digest] = tea.Name
 		}
 	}
-	return fas
+	return faults
 }
 
-func validName(nam string) bool {
-	if nam == "" || len(nam) > 63 {
+func validName(name string) bool {
+	if name == "" || len(name) > 63 {
 		return false
 	}
-	for _, cha := range nam {
-		if (cha < 'a' || cha > 'z') && (cha < '0' || cha > '9') && cha != '-' {
+	for _, char := range name {
+		if (char < 'a' || char > 'z') && (char < '0' || char > '9') && char != '-' {
 			return false
 		}
 	}
--- a/version/parser/team.go
+++ b/version/parser/team.go
@@ -6,28 +6,29 @@
 	"fmt"
 )
 
-// Team is a caller with its keys and its share of the fleet.
+// Team is a group of callers with its keys and its share of the fleet.
 type Team struct {
 	Name string
 	// KeyDigests are the hex SHA-256 digests of the team's bearer keys.
 	KeyDigests []string
-	// Share weighs the team against others when the fleet is full.
+	// Share is the team's weight relative to the other teams when the fleet is
+	// fully loaded.
 	Share float64 `json:",omitempty"`
-	// TokensPerSecond bounds the team's prompt and answer tokens over the
-	// fleet; 0 stands for no bound.
+	// TokensPerSecond bounds the rate of the team's prompt and answer tokens
+	// across the fleet; 0 means no bound.
 	TokensPerSecond float64 `json:",omitempty"`
-	// Priority takes the place of the routes' priority for the team's forwarded
-	// calls; nil leaves that in force.
+	// Priority replaces the route's priority for the team's forwarded calls; nil
+	// means that the route's priority applies.
 	Priority *int `json:",omitempty"`
 }
 
-// DigestKey returns the digest under which a bearer key is kept.
+// DigestKey returns the digest of a bearer key as KeyDigests lists it.
 func DigestKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Defaults fills in the fields left empty.
+// Defaults returns the team with defaults for empty fields.
 func (tea Team) Defaults() Team {
 	if tea.Share == 0 {
 		tea.Share = 1
@@ -35,22 +36,23 @@
 	return tea
 }
 
-// Validate lists every fault of the team by itself.
+// Validate returns a message for every fault of the team, except for conflicts
+// with other entries of the tables.
 func (tea Team) Validate() []string {
-	var fas []string
+	var faults []string
 	if !validName(tea.Name) {
-		fas = append(fas, fmt.Sprintf("team %q: Name must be 1 to 63 of a-z, 0-9 and -", tea.Name))
+		faults = append(faults, fmt.Sprintf("team %q: Name must be 1 to 63 of a-z, 0-9 and -", tea.Name))
 	}
 	if len(tea.KeyDigests) == 0 {
-		fas = append(fas, fmt.Sprintf("team %q: KeyDigests is empty", tea.Name))
+		faults = append(faults, fmt.Sprintf("team %q: KeyDigests is empty", tea.Name))
 	}
-	for _, dig := range tea.KeyDigests {
-		if buf, err := hex.DecodeString(dig); err != nil || len(buf) != sha256.Size {
-			fas = append(fas, fmt.Sprintf("team %q: key digest %q is not a hex SHA-256", tea.Name, dig))
+	for _, digest := range tea.KeyDigests {
+		if buf, err := hex.DecodeString(digest); err != nil || len(buf) != sha256.Size {
+			faults = append(faults, fmt.Sprintf("team %q: key digest %q is not a hex SHA-256", tea.Name, digest))
 		}
 	}
 	if tea.Share < 0 || tea.TokensPerSecond < 0 {
-		fas = append(fas, fmt.Sprintf("team %q: Share and TokensPerSecond must not be negative", tea.Name))
+		faults = append(faults, fmt.Sprintf("team %q: Share and TokensPerSecond must not be negative", tea.Name))
 	}
-	return fas
+	return faults
 }
