--- a/version/differ/differ.go
+++ b/version/differ/differ.go
@@ -1,5 +1,5 @@
-// Package differ computes the change between two revisions of the tables and
-// applies it, so that hosts need not send each other whole documents.
+// Package differ computes the difference between two revisions of the tables and
+// applies it, so that hosts need not send each other complete documents.
 package differ
 
 import (
@@ -13,11 +13,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrMismatch means that a delta does not lead to the document it was made for.
+// ErrMismatch means that the tables to which a delta is applied are not its base,
+// or that the result is not the document for which the delta was computed.
 var ErrMismatch = eris.New("differ: the delta does not lead to the document")
 
-// Delta changes the tables of BaseRevision into those of Revision. Entries
-// replace those of the same name, or follow at the end.
+// Delta changes the tables of BaseRevision into those of Revision. A changed entry
+// replaces the entry of the same name or, if there is none, is appended.
 type Delta struct {
 	BaseRevision uint64
 	Revision     uint64
@@ -26,11 +27,12 @@
 	Routes       Section[parser.Route]
 	Pools        Section[parser.Pool]
 	Teams        Section[parser.Team]
-	// Caller is nil where the limits have not changed.
+	// Caller is nil if the limits have not changed.
 	Caller *parser.Limits `json:",omitempty"`
 }
 
-// Section holds the changes of one table.
+// Section holds the changes to one table: the new and changed entries and the names
+// of the removed ones.
 type Section[T any] struct {
 	Changed []T      `json:",omitempty"`
 	Removed []string `json:",omitempty"`
@@ -40,89 +42,90 @@
 func poolName(poo parser.Pool) string   { return poo.Name }
 func teamName(tea parser.Team) string   { return tea.Name }
 
-// Diff computes the change from bas to nex.
-func Diff(bas, nex parser.Tables) Delta {
+// Diff computes the delta from base to next.
+func Diff(base, next parser.Tables) Delta {
 	del := Delta{
-		BaseRevision: bas.Revision, Revision: nex.Revision, Nonce: nex.Nonce,
-		Routes: diff(bas.Routes, nex.Routes, routeName),
-		Pools:  diff(bas.Pools, nex.Pools, poolName),
-		Teams:  diff(bas.Teams, nex.Teams, teamName),
+		BaseRevision: base.Revision, Revision: next.Revision, Nonce: next.Nonce,
+		Routes: diff(base.Routes, next.Routes, routeName),
+		Pools:  diff(base.Pools, next.Pools, poolName),
+		Teams:  diff(base.Teams, next.Teams, teamName),
 	}
-	if bas.Caller != nex.Caller {
-		del.Caller = &nex.Caller
+	if base.Caller != next.Caller {
+		del.Caller = &next.Caller
 	}
-	for _, edi := range nex.Recent {
-		if edi.Revision > bas.Revision {
+	for _, edi := range next.Recent {
+		if edi.Revision > base.Revision {
 			del.Edits = append(del.Edits, edi)
 		}
 	}
 	return del
 }
 
-func diff[T any](bas, nex []T, name func(T) string) Section[T] {
+func diff[T any](base, next []T, nameOf func(T) string) Section[T] {
 	var sec Section[T]
-	old := make(map[string]T, len(bas))
-	for _, ent := range bas {
-		old[name(ent)] = ent
-	}
-	for _, ent := range nex {
-		was, ok := old[name(ent)]
-		if !ok || !reflect.DeepEqual(was, ent) {
-			sec.Changed = append(sec.Changed, ent)
+	remaining := make(map[string]T, len(base))
+	for _, entry := range base {
+		remaining[nameOf(entry)] = entry
+	}
+	for _, entry := range next {
+		before, ok := remaining[nameOf(entry)]
+		if !ok || !reflect.DeepEqual(before, entry) {
+			sec.Changed = append(sec.Changed, entry)
 		}
-		delete(old, name(ent))
+		delete(remaining, nameOf(entry))
 	}
-	for _, ent := range bas {
-		if _, gone := old[name(ent)]; gone {
-			sec.Removed = append(sec.Removed, name(ent))
+	for _, entry := range base {
+		if _, ok := remaining[nameOf(entry)]; ok {
+			sec.Removed = append(sec.Removed, nameOf(entry))
 		}
 	}
 	return sec
 }
 
-// Apply returns the tables of Revision. bas must be those of BaseRevision.
-func (del Delta) Apply(bas parser.Tables) (parser.Tables, error) {
-	if bas.Revision != del.BaseRevision {
-		return parser.Tables{}, eris.Wrapf(ErrMismatch, "Delta.Apply: base revision %d, have %d", del.BaseRevision, bas.Revision)
+// Apply returns the tables of Revision. It returns ErrMismatch if base is not of
+// BaseRevision.
+func (del Delta) Apply(base parser.Tables) (parser.Tables, error) {
+	if base.Revision != del.BaseRevision {
+		return parser.Tables{}, eris.Wrapf(ErrMismatch, "Delta.Apply: base revision %d, have %d", del.BaseRevision, base.Revision)
 	}
-	rec := append(append([]parser.Edit{}, bas.Recent...), del.Edits...)
+	rec := append(append([]parser.Edit{}, base.Recent...), del.Edits...)
 	return parser.Tables{
 		Revision: del.Revision, Nonce: del.Nonce,
 		Recent: rec[max(0, len(rec)-parser.MaxRecentEdits):],
-		Routes: apply(bas.Routes, del.Routes, routeName),
-		Pools:  apply(bas.Pools, del.Pools, poolName),
-		Teams:  apply(bas.Teams, del.Teams, teamName),
-		Caller: *cmp.Or(del.Caller, &bas.Caller),
+		Routes: apply(base.Routes, del.Routes, routeName),
+		Pools:  apply(base.Pools, del.Pools, poolName),
+		Teams:  apply(base.Teams, del.Teams, teamName),
+		Caller: *cmp.Or(del.Caller, &base.Caller),
 	}, nil
 }
 
-func apply[T any](bas []T, sec Section[T], name func(T) string) []T {
+func apply[T any](base []T, sec Section[T], nameOf func(T) string) []T {
 	if len(sec.Changed) == 0 && len(sec.Removed) == 0 {
-		return bas
+		return base
 	}
-	cha := make(map[string]T, len(sec.Changed))
-	for _, ent := range sec.Changed {
-		cha[name(ent)] = ent
+	changed := make(map[string]T, len(sec.Changed))
+	for _, entry := range sec.Changed {
+		changed[nameOf(entry)] = entry
 	}
-	rem := make(map[string]bool, len(sec.Removed))
-	for _, nam := range sec.Removed {
-		rem[nam] = true
+	removed := make(map[string]bool, len(sec.Removed))
+	for _, name := range sec.Removed {
+		removed[name] = true
 	}
-	out := make([]T, 0, len(bas)+len(sec.Changed))
-	for _, ent := range bas {
-		nam := name(ent)
-		if rem[nam] {
+	out := make([]T, 0, len(base)+len(sec.Changed))
+	for _, entry := range base {
+		name := nameOf(entry)
+		if removed[name] {
 			continue
 		}
-		if nex, ok := cha[nam]; ok {
-			ent = nex
-			delete(cha, nam)
+		if next, ok := changed[name]; ok {
+			entry = next
+			delete(changed, name)
 		}
-		out = append(out, ent)
+		out = append(out, entry)
 	}
-	for _, ent := range sec.Changed {
-		if _, ok := cha[name(ent)]; ok {
-			out = append(out, ent)
+	for _, entry := range sec.Changed {
+		if _, ok := changed[nameOf(entry)]; ok {
+			out = append(out, entry)
 		}
 	}
 	if len(out) == 0 {
@@ -131,40 +134,40 @@
 	return out
 }
 
-// Compose returns the delta that has the effect of del followed by nex.
-func (del Delta) Compose(nex Delta) Delta {
+// Compose returns the delta that has the effect of del followed by next.
+func (del Delta) Compose(next Delta) Delta {
 	return Delta{
-		BaseRevision: del.BaseRevision, Revision: nex.Revision, Nonce: nex.Nonce,
-		Edits:  append(append([]parser.Edit{}, del.Edits...), nex.Edits...),
-		Routes: then(del.Routes, nex.Routes, routeName),
-		Pools:  then(del.Pools, nex.Pools, poolName),
-		Teams:  then(del.Teams, nex.Teams, teamName),
-		Caller: cmp.Or(nex.Caller, del.Caller),
+		BaseRevision: del.BaseRevision, Revision: next.Revision, Nonce: next.Nonce,
+		Edits:  append(append([]parser.Edit{}, del.Edits...), next.Edits...),
+		Routes: compose(del.Routes, next.Routes, routeName),
+		Pools:  compose(del.Pools, next.Pools, poolName),
+		Teams:  compose(del.Teams, next.Teams, teamName),
+		Caller: cmp.Or(next.Caller, del.Caller),
 	}
 }
 
-func then[T any](one, two Section[T], name func(T) string) Section[T] {
+func compose[T any](first, second Section[T], nameOf func(T) string) Section[T] {
 	var sec Section[T]
-	late := map[string]bool{}
-	for _, ent := range two.Changed {
-		late[name(ent)] = true
+	changedLater := map[string]bool{}
+	for _, entry := range second.Changed {
+		changedLater[nameOf(entry)] = true
 	}
-	gone := map[string]bool{}
-	for _, nam := range two.Removed {
-		gone[nam] = true
+	removedLater := map[string]bool{}
+	for _, name := range second.Removed {
+		removedLater[name] = true
 	}
-	for _, ent := range one.Changed {
-		if !late[name(ent)] && !gone[name(ent)] {
-			sec.Changed = append(sec.Changed, ent)
+	for _, entry := range first.Changed {
+		if !changedLater[nameOf(entry)] && !removedLater[nameOf(entry)] {
+			sec.Changed = append(sec.Changed, entry)
 		}
 	}
-	sec.Changed = append(sec.Changed, two.Changed...)
-	for _, nam := range one.Removed {
-		if !late[nam] {
-			sec.Removed = append(sec.Removed, nam)
+	sec.Changed = append(sec.Changed, second.Changed...)
+	for _, name := range first.Removed {
+		if !changedLater[name] {
+			sec.Removed = append(sec.Removed, name)
 		}
 	}
-	sec.Removed = append(sec.Removed, two.Removed...)
+	sec.Removed = append(sec.Removed, second.Removed...)
 	return sec
 }
 
@@ -181,5 +184,5 @@
 	return del, eris.Wrap(err, "differ.Decode")
 }
 
-// Checksum identifies an encoded document.
+// Checksum returns a hash of an encoded document, to compare documents.
 func Checksum(doc []byte) uint64 { return xxhash.Sum64(doc) }
--- a/version/explainer/explainer.go
+++ b/version/explainer/explainer.go
@@ -1,5 +1,5 @@
-// Package explainer tells why a request takes one route of the tables and not
-// another.
+// Package explainer reports for every route of the tables why a request is or is
+// not served by it.
 package explainer
 
 import (
@@ -9,7 +9,7 @@
 	"hemlockpin/version/parser"
 )
 
-// Candidate is one route with the reasons that keep the request off it.
+// Candidate is a route with the reasons for which it is not chosen.
 type Candidate struct {
 	Route  string
 	Pool   string
@@ -18,35 +18,38 @@
 	Reasons []string `json:",omitempty"`
 }
 
-// Explanation is the way of a request through one version of the tables.
+// Explanation is the result of matching a request with one revision of the tables.
 type Explanation struct {
 	Revision uint64
-	// Route and Pool are nil if no route takes the request.
+	// Route and Pool are nil if no route matches the request.
 	Route      *parser.Route `json:",omitempty"`
 	Pool       *parser.Pool  `json:",omitempty"`
 	Candidates []Candidate
 }
 
-// Explain examines every route.
+// Explain returns the route that the matcher chooses for the query, and for every
+// other route the reasons against it.
 func Explain(mat *matcher.Matcher, que matcher.Query) Explanation {
 	tab := mat.Tables()
 	exp := Explanation{Revision: tab.Revision, Candidates: []Candidate{}}
-	cho, poo, ok := mat.Route(que)
+	chosen, poo, ok := mat.Route(que)
 	if ok {
-		exp.Route = &cho
+		exp.Route = &chosen
 		exp.Pool = &poo
 	}
 	for _, rou := range tab.Routes {
-		can := Candidate{Route: rou.Name, Pool: rou.Pool, Chosen: ok && rou.Name == cho.Name}
+		can := Candidate{Route: rou.Name, Pool: rou.Pool, Chosen: ok && rou.Name == chosen.Name}
 		if !can.Chosen {
 			poo, _ := mat.Pool(rou.Pool)
-			can.Reasons = reasons(rou, poo, que, cho.Name)
+			can.Reasons = reasons(rou, poo, que, chosen.Name)
 		}
 		exp.Candidates = append(exp.Candidates, can)
 	}
 	return exp
 }
 
+// reasons lists why rou does not serve the query. A route that matches is passed
+// over only if the chosen route is nested in it.
 func reasons(rou parser.Route, poo parser.Pool, que matcher.Query, chosen string) []string {
 	var out []string
 	mat := rou.Match
@@ -59,8 +62,8 @@
 	if mat.Team != "" && mat.Team != que.Team {
 		out = append(out, fmt.Sprintf("it takes team %q only", mat.Team))
 	}
-	pat := parser.Match{PathPrefix: mat.PathPrefix}
-	if !pat.Matches(que.Model, que.Team, que.Host, que.Path, que.PromptTokens) {
+	path := parser.Match{PathPrefix: mat.PathPrefix}
+	if !path.Matches(que.Model, que.Team, que.Host, que.Path, que.PromptTokens) {
 		out = append(out, fmt.Sprintf("it takes paths under %s only", mat.PathPrefix))
 	}
 	if que.PromptTokens < mat.MinPromptTokens {
--- a/version/explainer/explainer_test.go
+++ b/version/explainer/explainer_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// seed fixes the drawn cases.
+// seed makes the random cases repeatable.
 const seed = "20261204"
 
 func drawMatch(t *rapid.T) parser.Match {
@@ -28,26 +28,26 @@
 	return mat
 }
 
-// drawTables draws tables that are valid: a route that would be ambiguous is
-// left out.
+// drawTables draws tables without ambiguous routes: a route that would be ambiguous
+// is left out.
 func drawTables(t *rapid.T) parser.Tables {
 	tab := parser.Tables{Pools: []parser.Pool{{Name: "e", Kind: parser.PoolEngine}, {Name: "s", Kind: parser.PoolService}}}
-	for _, nam := range strings.Split("r0 r1 r2 r3 r4 r5", " ") {
-		rou := parser.Route{Name: nam, Match: drawMatch(t), Pool: rapid.SampledFrom([]string{"e", "s"}).Draw(t, "pool")}
-		fits := true
-		for _, oth := range tab.Routes {
-			fits = fits && (oth.Pool != rou.Pool || !rou.Match.Ambiguous(oth.Match))
+	for _, name := range strings.Split("r0 r1 r2 r3 r4 r5", " ") {
+		rou := parser.Route{Name: name, Match: drawMatch(t), Pool: rapid.SampledFrom([]string{"e", "s"}).Draw(t, "pool")}
+		valid := true
+		for _, other := range tab.Routes {
+			valid = valid && (other.Pool != rou.Pool || !rou.Match.Ambiguous(other.Match))
 		}
-		if fits {
+		if valid {
 			tab.Routes = append(tab.Routes, rou)
 		}
 	}
 	return tab
 }
 
-// TestExplain holds every explanation to the matcher's choice: the chosen route
-// has no reasons, every other has one, and what is passed over for an inner
-// route lies around it.
+// TestExplain checks that explanations agree with the matcher: the chosen route
+// has no reasons, every other route has at least one, and a route that is passed
+// over for a nested route contains that route.
 func TestExplain(t *testing.T) {
 	require.NoError(t, flag.Set("rapid.seed", seed))
 	rapid.Check(t, func(t *rapid.T) {
@@ -62,8 +62,8 @@
 		exp := Explain(mat, que)
 		want, _, ok := mat.Route(que)
 		require.Equal(t, ok, exp.Route != nil)
-		for ind, can := range exp.Candidates {
-			rou := mat.Tables().Routes[ind]
+		for i, can := range exp.Candidates {
+			rou := mat.Tables().Routes[i]
 			require.Equal(t, ok && rou.Name == want.Name, can.Chosen)
 			require.Equal(t, can.Chosen, len(can.Reasons) == 0)
 			if !can.Chosen && strings.Contains(can.Reasons[0], "lies within it") {
--- a/version/matcher/matcher.go
+++ b/version/matcher/matcher.go
@@ -1,11 +1,11 @@
-// Package matcher finds the route, pool and team of a request in one accepted
-// version of the tables.
+// Package matcher finds the route, pool and team of a request in one revision of
+// the tables.
 package matcher
 
 import "hemlockpin/version/parser"
 
-// Matcher indexes one version of the tables. It is immutable; its zero value
-// matches nothing.
+// Matcher is an index of one revision of the tables. It is immutable; its zero
+// value matches nothing.
 type Matcher struct {
 	tab    parser.Tables
 	pools  map[string]parser.Pool
@@ -13,20 +13,20 @@
 	routes map[group][]*parser.Route
 }
 
-// group holds the routes of one kind that name a model, a team and a host, or
-// none of them.
+// group is the key of the routes that have the same kind of pool and require the
+// same model, team and host. Empty fields mean any.
 type group struct {
 	kind              parser.PoolKind
 	model, team, host string
 }
 
-// Query describes a request to match. Model is empty for calls to services.
+// Query describes a request to match. Model is empty for calls to plain services.
 type Query struct {
 	// Kind is the kind of pool that can serve the request.
 	Kind  parser.PoolKind
 	Model string
 	Team  string
-	// Host is that of a forwarded call.
+	// Host is the host name to which a forwarded call is addressed.
 	Host         string
 	Path         string
 	PromptTokens int64
@@ -44,25 +44,25 @@
 		mat.pools[poo.Name] = poo
 	}
 	for _, tea := range tab.Teams {
-		for _, dig := range tea.KeyDigests {
-			mat.teams[dig] = tea
+		for _, digest := range tea.KeyDigests {
+			mat.teams[digest] = tea
 		}
 	}
-	for ind := range tab.Routes {
-		rou := &tab.Routes[ind]
+	for i := range tab.Routes {
+		rou := &tab.Routes[i]
 		gro := group{mat.kindOf(rou), rou.Match.Model, rou.Match.Team, rou.Match.Host}
 		mat.routes[gro] = append(mat.routes[gro], rou)
 	}
 	return mat
 }
 
-// kindOf returns the kind of a route's pools.
+// kindOf returns the kind of a route's pool; of a split route, that of the first.
 func (mat *Matcher) kindOf(rou *parser.Route) parser.PoolKind {
-	nam := rou.Pool
-	if nam == "" && len(rou.Split) > 0 {
-		nam = rou.Split[0].Pool
+	name := rou.Pool
+	if name == "" && len(rou.Split) > 0 {
+		name = rou.Split[0].Pool
 	}
-	return mat.pools[nam].Kind
+	return mat.pools[name].Kind
 }
 
 // Tables returns the indexed tables.
@@ -83,7 +83,7 @@
 	return poo, ok
 }
 
-// Route finds the innermost route that takes the query, with its pool.
+// Route finds the innermost route that matches the query, and its pool.
 func (mat *Matcher) Route(que Query) (parser.Route, parser.Pool, bool) {
 	gros := [...]group{
 		{que.Kind, que.Model, que.Team, ""},
@@ -91,45 +91,47 @@
 		{que.Kind, "", que.Team, ""},
 		{que.Kind, "", "", ""},
 	}
-	var bes *parser.Route
-	for ind, gro := range gros {
-		if (ind%2 == 1 && que.Team == "") || (ind >= 2 && que.Model == "") {
+	var best *parser.Route
+	for i, gro := range gros {
+		if (i%2 == 1 && que.Team == "") || (i >= 2 && que.Model == "") {
 			continue
 		}
-		bes = innermost(bes, mat.routes[gro], que)
+		best = innermost(best, mat.routes[gro], que)
 	}
 	if que.Host != "" {
-		bes = innermost(bes, mat.routes[group{kind: que.Kind, host: que.Host}], que)
+		best = innermost(best, mat.routes[group{kind: que.Kind, host: que.Host}], que)
 	}
-	if bes == nil {
+	if best == nil {
 		return parser.Route{}, parser.Pool{}, false
 	}
-	return *bes, mat.pools[bes.Pool], true
+	return *best, mat.pools[best.Pool], true
 }
 
-func innermost(bes *parser.Route, rous []*parser.Route, que Query) *parser.Route {
+// innermost returns the innermost of best and the routes that match the query.
+func innermost(best *parser.Route, rous []*parser.Route, que Query) *parser.Route {
 	for _, rou := range rous {
 		if !rou.Match.Matches(que.Model, que.Team, que.Host, que.Path, que.PromptTokens) {
 			continue
 		}
-		if bes == nil || bes.Match.Contains(rou.Match) {
-			bes = rou
+		if best == nil || best.Match.Contains(rou.Match) {
+			best = rou
 		}
 	}
-	return bes
+	return best
 }
 
-// Models lists the models that a team's routes name, without duplicates.
+// Models lists the models of the routes that are open to a team, without
+// duplicates.
 func (mat *Matcher) Models(team string) []string {
-	var mods []string
-	see := map[string]bool{"": true}
+	var models []string
+	found := map[string]bool{"": true}
 	for _, rou := range mat.tab.Routes {
-		mod := rou.Match.Model
-		if see[mod] || (rou.Match.Team != "" && rou.Match.Team != team) {
+		model := rou.Match.Model
+		if found[model] || (rou.Match.Team != "" && rou.Match.Team != team) {
 			continue
 		}
-		see[mod] = true
-		mods = append(mods, mod)
+		found[model] = true
+		models = append(models, model)
 	}
-	return mods
+	return models
 }
--- a/version/matcher/matcher_test.go
+++ b/version/matcher/matcher_test.go
@@ -17,13 +17,14 @@
 	{Name: "services", Kind: parser.PoolService, Selector: parser.Selector{Service: "s"}},
 }
 
-func pick(ran *rand.Rand, txts ...string) string { return txts[ran.IntN(len(txts))] }
+func pick(ran *rand.Rand, choices ...string) string { return choices[ran.IntN(len(choices))] }
 
-// randomTables adds routes as long as they overlap by nesting only.
+// randomTables returns valid tables: a random route is left out if it overlaps an
+// earlier one without one containing the other.
 func randomTables(ran *rand.Rand) parser.Tables {
 	tab := parser.Tables{Pools: pools}.Defaults()
-	for ind := range 30 {
-		rou := parser.Route{Name: fmt.Sprintf("r%d", ind), Match: parser.Match{
+	for i := range 30 {
+		rou := parser.Route{Name: fmt.Sprintf("r%d", i), Match: parser.Match{
 			Team: pick(ran, "", "t", "u"), PathPrefix: pick(ran, "", "/a", "/a/b", "/c"),
 		}, Pool: "services"}
 		if ran.IntN(2) == 0 {
@@ -32,16 +33,16 @@
 			rou.Match.MinPromptTokens = int64(ran.IntN(3) * 10)
 			rou.Match.MaxPromptTokens = rou.Match.MinPromptTokens + int64(ran.IntN(3)*10)
 		}
-		nex := tab
-		nex.Routes = append(append([]parser.Route{}, tab.Routes...), rou.Defaults())
-		if nex.Validate() == nil {
-			tab = nex
+		next := tab
+		next.Routes = append(append([]parser.Route{}, tab.Routes...), rou.Defaults())
+		if next.Validate() == nil {
+			tab = next
 		}
 	}
 	return tab
 }
 
-// The index gives the same route as looking through all of them.
+// The index must find the same route as a search through all routes.
 func TestRouteIsInnermost(t *testing.T) {
 	ran := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
@@ -58,13 +59,13 @@
 				que.PromptTokens = 0
 			}
 			var want *parser.Route
-			for ind, rou := range tab.Routes {
+			for i, rou := range tab.Routes {
 				poo, _ := mat.Pool(rou.Pool)
 				if poo.Kind != que.Kind || !rou.Match.Matches(que.Model, que.Team, que.Host, que.Path, que.PromptTokens) {
 					continue
 				}
 				if want == nil || want.Match.Contains(rou.Match) {
-					want = &tab.Routes[ind]
+					want = &tab.Routes[i]
 				}
 			}
 			got, poo, ok := mat.Route(que)
@@ -79,15 +80,15 @@
 
 func BenchmarkRoute5000Routes980Teams(b *testing.B) {
 	tab := parser.Tables{Pools: pools}
-	for ind := range 980 {
-		tab.Teams = append(tab.Teams, parser.Team{Name: fmt.Sprintf("team-%d", ind), KeyDigests: []string{parser.DigestKey(fmt.Sprint(ind))}})
+	for i := range 980 {
+		tab.Teams = append(tab.Teams, parser.Team{Name: fmt.Sprintf("team-%d", i), KeyDigests: []string{parser.DigestKey(fmt.Sprint(i))}})
 	}
-	for ind := range 5000 {
-		mat := parser.Match{Model: fmt.Sprintf("model-%d", ind%11), Team: fmt.Sprintf("team-%d", ind/11*2%980)}
-		if ind >= 11*490 {
+	for i := range 5000 {
+		mat := parser.Match{Model: fmt.Sprintf("model-%d", i%11), Team: fmt.Sprintf("team-%d", i/11*2%980)}
+		if i >= 11*490 {
 			mat.Team = ""
 		}
-		tab.Routes = append(tab.Routes, parser.Route{Name: fmt.Sprint(ind), Match: mat, Pool: "engines", TimeLimit: parser.Duration(time.Second)})
+		tab.Routes = append(tab.Routes, parser.Route{Name: fmt.Sprint(i), Match: mat, Pool: "engines", TimeLimit: parser.Duration(time.Second)})
 	}
 	mat := matcher.New(tab.Defaults())
 	que := matcher.Query{Kind: parser.PoolEngine, Model: "model-3", Team: "team-4", Path: "/v1/chat/completions", PromptTokens: 5000}
