--- a/operator/editor/editor.go
+++ b/operator/editor/editor.go
@@ -1,6 +1,6 @@
-// Package editor builds new tables from old ones for the operators' command
-// line: it merges files, sets fields of entries, removes entries and compares
-// two versions. Nothing here talks to a host.
+// Package editor derives new tables from old ones for the operators' command line:
+// it merges files, sets fields of entries, removes entries and compares two
+// versions. It does not communicate with hosts.
 package editor
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind names one of the tables.
+// Kind is the kind of an entry, which names its table.
 type Kind string
 
 // Kinds of entries.
@@ -23,7 +23,7 @@
 	Teams  Kind = "team"
 )
 
-// Entry is a named line of a table: a parser.Route, parser.Pool or parser.Team.
+// Entry is a named entry of a table: a parser.Route, parser.Pool or parser.Team.
 type Entry interface {
 	parser.Route | parser.Pool | parser.Team
 }
@@ -41,7 +41,7 @@
 	}
 }
 
-// Names lists the names of one kind in the order of the table.
+// Names lists the names of the entries of one kind in the order of the table.
 func Names(tab parser.Tables, kin Kind) []string {
 	switch kin {
 	case Routes:
@@ -53,7 +53,7 @@
 	}
 }
 
-// Find returns one entry as a parser.Route, parser.Pool or parser.Team.
+// Find returns the entry with a name as a parser.Route, parser.Pool or parser.Team.
 func Find(tab parser.Tables, kin Kind, name string) (any, error) {
 	switch kin {
 	case Routes:
@@ -65,7 +65,7 @@
 	}
 }
 
-// Put adds the entry in doc, a JSON object, or replaces the one of its name.
+// Put adds the entry in doc, a JSON object, or replaces the entry of the same name.
 func Put(tab parser.Tables, kin Kind, doc []byte) (parser.Tables, error) {
 	var err error
 	switch kin {
@@ -79,7 +79,7 @@
 	return tab, err
 }
 
-// Remove drops an entry.
+// Remove removes the entry with a name. It returns an error if there is none.
 func Remove(tab parser.Tables, kin Kind, name string) (parser.Tables, error) {
 	if _, err := Find(tab, kin, name); err != nil {
 		return tab, err
@@ -95,8 +95,8 @@
 	return tab, nil
 }
 
-// Merge replaces the entries that part names, by kind and name, and adds those
-// that are new. The other entries stay.
+// Merge adds the entries of part to the tables. They replace entries of the same
+// kind and name; the remaining entries are unchanged.
 func Merge(tab, part parser.Tables) parser.Tables {
 	tab.Routes = merge(tab.Routes, part.Routes)
 	tab.Pools = merge(tab.Pools, part.Pools)
@@ -104,13 +104,16 @@
 	return tab
 }
 
-// Decode reads a whole or partial document without checking references.
+// Decode decodes a document that may hold only some of the entries. It does not
+// validate them.
 func Decode(doc []byte) (parser.Tables, error) {
-	tab, err := strict[parser.Tables](doc)
+	tab, err := decodeStrict[parser.Tables](doc)
 	return tab.Defaults(), err
 }
 
-func strict[T any](doc []byte) (T, error) {
+// decodeStrict decodes a JSON document. It returns an error for unknown fields and
+// for text after the document.
+func decodeStrict[T any](doc []byte) (T, error) {
 	var val T
 	dec := json.NewDecoder(bytes.NewReader(doc))
 	dec.DisallowUnknownFields()
@@ -154,7 +157,7 @@
 }
 
 func put[T Entry](ents []T, kin Kind, doc []byte) ([]T, error) {
-	ent, err := strict[T](doc)
+	ent, err := decodeStrict[T](doc)
 	if err != nil {
 		return ents, eris.Wrapf(err, "%s", kin)
 	}
@@ -168,12 +171,12 @@
 func merge[T Entry](ents, part []T) []T {
 	out := slices.Clone(ents)
 	for _, ent := range part {
-		ind := slices.IndexFunc(out, func(old T) bool { return nameOf(old) == nameOf(ent) })
-		if ind < 0 {
+		i := slices.IndexFunc(out, func(old T) bool { return nameOf(old) == nameOf(ent) })
+		if i < 0 {
 			out = append(out, ent)
 			continue
 		}
-		out[ind] = ent
+		out[i] = ent
 	}
 	return out
 }
--- a/operator/editor/editor_test.go
+++ b/operator/editor/editor_test.go
@@ -13,11 +13,11 @@
 	"pgregory.net/rapid"
 )
 
-// seed fixes the drawn cases.
+// seed makes the random cases repeatable.
 const seed = "20261204"
 
-// TestEdits runs the edits of testdata/edits one after the other on one version
-// of the tables, and prints what each changed.
+// TestEdits runs the edits of testdata/edits in sequence on the same tables and
+// prints what each edit changes.
 func TestEdits(t *testing.T) {
 	var tab parser.Tables
 	datadriven.RunTest(t, "testdata/edits", func(t *testing.T, dat *datadriven.TestData) string {
@@ -32,23 +32,23 @@
 }
 
 func edit(tab parser.Tables, dat *datadriven.TestData) (parser.Tables, error) {
-	var kin, nam string
+	var kind, name string
 	if len(dat.CmdArgs) > 0 {
-		kin = dat.CmdArgs[0].Key
+		kind = dat.CmdArgs[0].Key
 	}
 	if len(dat.CmdArgs) > 1 {
-		nam = dat.CmdArgs[1].Key
+		name = dat.CmdArgs[1].Key
 	}
 	switch dat.Cmd {
 	case "merge":
 		part, err := Decode([]byte(dat.Input))
 		return Merge(tab, part), err
 	case "put":
-		return Put(tab, Kind(kin), []byte(dat.Input))
+		return Put(tab, Kind(kind), []byte(dat.Input))
 	case "set":
-		return Set(tab, Kind(kin), nam, strings.Split(dat.Input, "\n"))
+		return Set(tab, Kind(kind), name, strings.Split(dat.Input, "\n"))
 	default:
-		return Remove(tab, Kind(kin), nam)
+		return Remove(tab, Kind(kind), name)
 	}
 }
 
@@ -68,28 +68,28 @@
 
 func drawTables(t *rapid.T) parser.Tables {
 	var tab parser.Tables
-	for _, nam := range rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), rapid.ID[string]).Draw(t, "names") {
-		tab.Routes = append(tab.Routes, parser.Route{Name: nam, Pool: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "pool"), Priority: rapid.IntRange(0, 2).Draw(t, "priority")})
-		tab.Pools = append(tab.Pools, parser.Pool{Name: nam, MaxWaiting: rapid.IntRange(0, 2).Draw(t, "waiting")})
+	for _, name := range rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), rapid.ID[string]).Draw(t, "names") {
+		tab.Routes = append(tab.Routes, parser.Route{Name: name, Pool: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "pool"), Priority: rapid.IntRange(0, 2).Draw(t, "priority")})
+		tab.Pools = append(tab.Pools, parser.Pool{Name: name, MaxWaiting: rapid.IntRange(0, 2).Draw(t, "waiting")})
 	}
 	return tab
 }
 
-// TestMergeLaws checks that a merge puts its entries in place, leaves the
-// others and changes nothing the second time, whatever the tables.
+// TestMergeLaws checks with random tables that a merge adds or replaces its entries,
+// leaves the others unchanged and is idempotent.
 func TestMergeLaws(t *testing.T) {
 	require.NoError(t, flag.Set("rapid.seed", seed))
 	rapid.Check(t, func(t *rapid.T) {
 		old, part := drawTables(t), drawTables(t)
 		cur := Merge(old, part)
 		require.Empty(t, Diff(cur, Merge(cur, part)))
-		for _, nam := range Names(cur, Routes) {
-			want, err := Find(part, Routes, nam)
+		for _, name := range Names(cur, Routes) {
+			want, err := Find(part, Routes, name)
 			if err != nil {
-				want, err = Find(old, Routes, nam)
+				want, err = Find(old, Routes, name)
 			}
 			require.NoError(t, err)
-			got, err := Find(cur, Routes, nam)
+			got, err := Find(cur, Routes, name)
 			require.NoError(t, err)
 			require.Equal(t, want, got)
 		}
--- a/operator/editor/fields.go
+++ b/operator/editor/fields.go
@@ -15,8 +15,8 @@
 var errNoFields = errors.New("the value has no fields")
 
 // Set changes fields of one entry. An assignment is PATH=VALUE, where PATH
-// names a field such as TimeLimit or Match.Model. VALUE is taken as text if the
-// field holds text, else as JSON.
+// names a field such as TimeLimit or Match.Model. VALUE is text if the field holds
+// text, else JSON.
 func Set(tab parser.Tables, kin Kind, name string, assignments []string) (parser.Tables, error) {
 	ent, err := Find(tab, kin, name)
 	if err != nil {
@@ -26,49 +26,52 @@
 	if err != nil {
 		return tab, eris.Wrapf(err, "%s %q", kin, name)
 	}
-	for _, ass := range assignments {
-		pat, val, ok := strings.Cut(ass, "=")
+	for _, assignment := range assignments {
+		path, value, ok := strings.Cut(assignment, "=")
 		if !ok {
-			return tab, eris.Errorf("%q is not of the form FIELD=VALUE", ass)
+			return tab, eris.Errorf("%q is not of the form FIELD=VALUE", assignment)
 		}
-		if pat == "Name" {
+		if path == "Name" {
 			return tab, eris.New("Name cannot be set: add an entry under the new name and remove the old one")
 		}
-		if doc, err = assign(doc, kin, strings.Split(pat, "."), val); err != nil {
-			return tab, eris.Wrapf(err, "%s", ass)
+		if doc, err = assign(doc, kin, strings.Split(path, "."), value); err != nil {
+			return tab, eris.Wrapf(err, "%s", assignment)
 		}
 	}
 	return Put(tab, kin, doc)
 }
 
-// assign tries the value as text, then as JSON, and keeps what the entry's type takes.
+// assign sets the field at path to the value as text or, if the entry cannot be
+// decoded with that, to the value as JSON.
 func assign(doc []byte, kin Kind, path []string, value string) ([]byte, error) {
-	txt, err := json.Marshal(value)
+	text, err := json.Marshal(value)
 	if err != nil {
 		return nil, err
 	}
-	var fai error
-	for _, raw := range []json.RawMessage{txt, json.RawMessage(value)} {
+	var reported error
+	for _, raw := range []json.RawMessage{text, json.RawMessage(value)} {
 		if !json.Valid(raw) {
 			continue
 		}
-		out, err := replace(doc, path, raw)
+		out, err := replaceField(doc, path, raw)
 		if err != nil {
 			return nil, err
 		}
-		err = takes(kin, out)
+		err = checkEntry(kin, out)
 		if err == nil {
 			return out, nil
 		}
-		// The fault of a text is told unless the field holds no text at all.
-		if fai == nil || errors.As(fai, new(*json.UnmarshalTypeError)) {
-			fai = err
+		// The error of the value as text is returned, unless the field does not hold
+		// text: the error of the value as JSON says more then.
+		if reported == nil || errors.As(reported, new(*json.UnmarshalTypeError)) {
+			reported = err
 		}
 	}
-	return nil, fai
+	return nil, reported
 }
 
-func replace(doc []byte, path []string, raw json.RawMessage) ([]byte, error) {
+// replaceField returns the object doc with the field at path set to raw.
+func replaceField(doc []byte, path []string, raw json.RawMessage) ([]byte, error) {
 	obj := map[string]json.RawMessage{}
 	if len(doc) > 0 {
 		if err := json.Unmarshal(doc, &obj); err != nil {
@@ -76,28 +79,29 @@
 		}
 	}
 	if len(path) > 1 {
-		inn, err := replace(obj[path[0]], path[1:], raw)
+		inner, err := replaceField(obj[path[0]], path[1:], raw)
 		if errors.Is(err, errNoFields) {
 			err = eris.Errorf("%s has no fields", path[0])
 		}
 		if err != nil {
 			return nil, err
 		}
-		raw = inn
+		raw = inner
 	}
 	obj[path[0]] = raw
 	return json.Marshal(obj)
 }
 
-func takes(kin Kind, doc []byte) error {
+// checkEntry returns an error if doc cannot be decoded as an entry.
+func checkEntry(kin Kind, doc []byte) error {
 	_, err := Put(parser.Tables{}, kin, doc)
 	return err
 }
 
-// Action is what happened to an entry between two versions.
+// Action says how an entry changed between two versions of the tables.
 type Action string
 
-// Actions.
+// Ways in which an entry can change.
 const (
 	Added   Action = "added"
 	Removed Action = "removed"
@@ -112,23 +116,23 @@
 	Fields []FieldChange `json:",omitempty"`
 }
 
-// FieldChange is the difference of one field. Old and New hold JSON; empty
-// stands for an absent field.
+// FieldChange is the difference of one field. Old and New hold JSON; empty means
+// that the field is absent.
 type FieldChange struct {
 	Path string
 	Old  string `json:",omitempty"`
 	New  string `json:",omitempty"`
 }
 
-// Diff lists the entries that differ, in the order routes, pools, teams and by
-// name within each.
+// Diff lists the entries that differ: first routes, then pools, then teams, each
+// sorted by name.
 func Diff(old, cur parser.Tables) []Change {
 	var out []Change
 	for _, kin := range []Kind{Routes, Pools, Teams} {
-		nams := append(Names(old, kin), Names(cur, kin)...)
-		slices.Sort(nams)
-		for _, nam := range slices.Compact(nams) {
-			if cha, ok := diffEntry(old, cur, kin, nam); ok {
+		entryNames := append(Names(old, kin), Names(cur, kin)...)
+		slices.Sort(entryNames)
+		for _, name := range slices.Compact(entryNames) {
+			if cha, ok := diffEntry(old, cur, kin, name); ok {
 				out = append(out, cha)
 			}
 		}
@@ -138,31 +142,31 @@
 
 func diffEntry(old, cur parser.Tables, kin Kind, name string) (Change, bool) {
 	cha := Change{Kind: kin, Name: name, Action: Changed}
-	one, err := Find(old, kin, name)
+	before, err := Find(old, kin, name)
 	if err != nil {
 		cha.Action = Added
 	}
-	two, err := Find(cur, kin, name)
+	after, err := Find(cur, kin, name)
 	if err != nil {
 		cha.Action = Removed
 	}
-	cha.Fields = diffFields(flatten(one), flatten(two))
+	cha.Fields = diffFields(flatten(before), flatten(after))
 	return cha, len(cha.Fields) > 0
 }
 
 func diffFields(old, cur map[string]string) []FieldChange {
 	var out []FieldChange
-	pats := append(slices.Collect(maps.Keys(old)), slices.Collect(maps.Keys(cur))...)
-	slices.Sort(pats)
-	for _, pat := range slices.Compact(pats) {
-		if pat != "Name" && old[pat] != cur[pat] {
-			out = append(out, FieldChange{Path: pat, Old: old[pat], New: cur[pat]})
+	paths := append(slices.Collect(maps.Keys(old)), slices.Collect(maps.Keys(cur))...)
+	slices.Sort(paths)
+	for _, path := range slices.Compact(paths) {
+		if path != "Name" && old[path] != cur[path] {
+			out = append(out, FieldChange{Path: path, Old: old[path], New: cur[path]})
 		}
 	}
 	return out
 }
 
-// flatten maps the paths of an entry's fields to their JSON.
+// flatten returns the JSON of an entry's fields, keyed by path such as Match.Model.
 func flatten(ent any) map[string]string {
 	out := map[string]string{}
 	if ent == nil {
@@ -182,11 +186,11 @@
 		out[prefix] = string(doc)
 		return
 	}
-	for nam, val := range obj {
-		pat := nam
+	for name, value := range obj {
+		path := name
 		if prefix != "" {
-			pat = prefix + "." + nam
+			path = prefix + "." + name
 		}
-		flattenInto(out, pat, val)
+		flattenInto(out, path, value)
 	}
 }
