--- a/operator/requester/requester.go
+++ b/operator/requester/requester.go
@@ -28,11 +28,11 @@
 	maxReplyBytes = 64 << 20
 )
 
-// UnreachableError reports that no host answered and nothing was sent or, for a
-// read, that the answer does not matter.
+// UnreachableError reports that no host answered. For a write, it also means that
+// nothing was sent.
 type UnreachableError struct{ Causes []string }
 
-// Error lists what each host said.
+// Error lists the cause for each host.
 func (err *UnreachableError) Error() string {
 	return "no host answered:\n  " + strings.Join(err.Causes, "\n  ")
 }
@@ -63,7 +63,7 @@
 
 // RejectedError lists every fault of a refused edit or order.
 type RejectedError struct {
-	// Host says who found the faults.
+	// Host names where the faults were found: a host, or the client itself.
 	Host    string
 	Message string
 	Faults  []string
@@ -87,8 +87,9 @@
 	return fmt.Sprintf("host %s: status %d %s: %s", err.Host, err.Status, err.Code, err.Message)
 }
 
-// Requester asks the hosts at the given operator URLs. Reads go to the first
-// that answers, writes to the first only.
+// Requester sends requests to the hosts at the given operator URLs. Reads try one
+// host after the other until one answers; writes go to the first host only, since a
+// write that may have taken effect must not be sent twice.
 type Requester struct {
 	Hosts  []string
 	Client http.Client
@@ -99,7 +100,7 @@
 	return read[parser.Tables](ctx, req, http.MethodGet, "/v1/tables", nil)
 }
 
-// Status reads what one host says of itself.
+// Status reads the status that one host reports of itself.
 func (req *Requester) Status(ctx context.Context) (server.Status, error) {
 	return read[server.Status](ctx, req, http.MethodGet, "/v1/status", nil)
 }
@@ -109,17 +110,17 @@
 	return read[[]server.HostStatus](ctx, req, http.MethodGet, "/v1/status/hosts", nil)
 }
 
-// EndpointStatuses reads the endpoints as one host knows them.
+// EndpointStatuses reads one host's view of the endpoints.
 func (req *Requester) EndpointStatuses(ctx context.Context) ([]server.EndpointStatus, error) {
 	return read[[]server.EndpointStatus](ctx, req, http.MethodGet, "/v1/status/endpoints", nil)
 }
 
-// TeamsStatus reads the counts of each team over all hosts.
+// TeamsStatus reads the request counts of each team, summed over all hosts.
 func (req *Requester) TeamsStatus(ctx context.Context) (server.TeamsStatus, error) {
 	return read[server.TeamsStatus](ctx, req, http.MethodGet, "/v1/status/teams", nil)
 }
 
-// Explain asks which way a request would take.
+// Explain reads which route, pool and endpoint one host would choose for a request.
 func (req *Requester) Explain(ctx context.Context, exp server.ExplainRequest) (server.Explanation, error) {
 	return read[server.Explanation](ctx, req, http.MethodPost, "/v1/explain", exp)
 }
@@ -137,8 +138,8 @@
 // AcceptedEdit is an accepted edit.
 type AcceptedEdit struct {
 	Tables parser.Tables
-	// InForce counts the hosts known to have the edit in force when it was
-	// answered.
+	// InForce is the number of hosts known to have the edit in force at the time
+	// of the answer.
 	InForce int
 }
 
@@ -147,123 +148,130 @@
 // StatusError.
 func (req *Requester) Put(ctx context.Context, tab parser.Tables, base uint64) (AcceptedEdit, error) {
 	var out AcceptedEdit
-	hea := http.Header{"If-Match": {strconv.Quote(strconv.FormatUint(base, 10))}}
-	ans, err := req.write(ctx, http.MethodPut, "/v1/tables", hea, tab, &out.Tables)
-	out.InForce, _ = strconv.Atoi(ans.Get(responder.InForceHeader))
-	var rac *ConflictError
-	if errors.As(err, &rac) {
-		rac.Base = base
+	header := http.Header{"If-Match": {strconv.Quote(strconv.FormatUint(base, 10))}}
+	replyHeader, err := req.write(ctx, http.MethodPut, "/v1/tables", header, tab, &out.Tables)
+	out.InForce, _ = strconv.Atoi(replyHeader.Get(responder.InForceHeader))
+	var conflict *ConflictError
+	if errors.As(err, &conflict) {
+		conflict.Base = base
 	}
 	return out, err
 }
 
-// Drain makes a host drain and stop; empty stands for the host asked. It
-// returns the name of the draining host.
+// Drain makes a host drain and stop; an empty name means the host that receives the
+// request. It returns the name of the draining host.
 func (req *Requester) Drain(ctx context.Context, host string) (string, error) {
 	var out server.DrainRequest
 	_, err := req.write(ctx, http.MethodPost, "/v1/drain", nil, server.DrainRequest{Host: host}, &out)
 	return out.Host, err
 }
 
-// Order gives an order to an engine. An order with the same ID may be repeated.
+// Order issues an order to an engine. It may be repeated with the same ID, which the
+// engine carries out only once.
 func (req *Requester) Order(ctx context.Context, ord server.OrderRequest) (server.OrderReply, error) {
 	var out server.OrderReply
 	_, err := req.write(ctx, http.MethodPost, "/v1/orders", nil, ord, &out)
-	var ans *StatusError
-	if errors.As(err, &ans) && ans.Status == http.StatusGatewayTimeout {
-		err = &UnknownOutcomeError{Host: ans.Host, Message: ans.Code + ": " + ans.Message}
+	var sta *StatusError
+	if errors.As(err, &sta) && sta.Status == http.StatusGatewayTimeout {
+		err = &UnknownOutcomeError{Host: sta.Host, Message: sta.Code + ": " + sta.Message}
 	}
 	return out, err
 }
 
-// read tries one host after the other.
+// read sends a read to one host after the other until one answers, be it with a
+// status that is an error.
 func read[T any](ctx context.Context, req *Requester, method, path string, in any) (T, error) {
-	var cau []string
-	for _, hos := range req.Hosts {
+	var causes []string
+	for _, host := range req.Hosts {
 		var out T
-		sen, _, err := req.exchange(ctx, readTimeout, method, hos, path, nil, in, &out)
-		if err == nil || sen && isAnswer(err) {
+		sent, _, err := req.exchange(ctx, readTimeout, method, host, path, nil, in, &out)
+		if err == nil || sent && isHostAnswer(err) {
 			return out, err
 		}
-		cau = append(cau, err.Error())
+		causes = append(causes, err.Error())
 	}
 	var out T
-	return out, &UnreachableError{cau}
+	return out, &UnreachableError{causes}
 }
 
-func isAnswer(err error) bool {
-	var ans *StatusError
+// isHostAnswer reports whether a host answered the request and refused it.
+func isHostAnswer(err error) bool {
+	var sta *StatusError
 	var rej *RejectedError
-	return errors.As(err, &ans) || errors.As(err, &rej)
+	return errors.As(err, &sta) || errors.As(err, &rej)
 }
 
-func (req *Requester) write(ctx context.Context, method, path string, hea http.Header, in, out any) (http.Header, error) {
+// write sends a write to the first host. Unless the connection could not be made or
+// the host reports the outcome, the outcome is unknown.
+func (req *Requester) write(ctx context.Context, method, path string, header http.Header, in, out any) (http.Header, error) {
 	if len(req.Hosts) == 0 {
 		return nil, &UnreachableError{[]string{"no host was named"}}
 	}
-	hos := req.Hosts[0]
-	sen, ans, err := req.exchange(ctx, writeTimeout, method, hos, path, hea, in, out)
+	host := req.Hosts[0]
+	sent, replyHeader, err := req.exchange(ctx, writeTimeout, method, host, path, header, in, out)
 	switch {
 	case err == nil:
-		return ans, nil
-	case !sen:
+		return replyHeader, nil
+	case !sent:
 		return nil, &UnreachableError{[]string{err.Error() + " (nothing was sent)"}}
-	case isAnswer(err) || errors.As(err, new(*ConflictError)) || errors.As(err, new(*UnknownOutcomeError)):
+	case isHostAnswer(err) || errors.As(err, new(*ConflictError)) || errors.As(err, new(*UnknownOutcomeError)):
 		return nil, err
 	default:
-		return nil, &UnknownOutcomeError{Host: hos, Message: err.Error()}
+		return nil, &UnknownOutcomeError{Host: host, Message: err.Error()}
 	}
 }
 
-// exchange reports whether the request may have reached the host.
-func (req *Requester) exchange(ctx context.Context, timeout time.Duration, method, host, path string, hea http.Header, in, out any) (sent bool, ans http.Header, err error) {
+// exchange sends a request to a host and decodes the answer into out. sent reports
+// whether the request may have reached the host.
+func (req *Requester) exchange(ctx context.Context, timeout time.Duration, method, host, path string, header http.Header, in, out any) (sent bool, replyHeader http.Header, err error) {
 	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	buf, err := json.Marshal(in)
 	if err != nil {
 		return false, nil, eris.Wrapf(err, "Requester.exchange: encode %s", path)
 	}
-	htr, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(host, "/")+path, bytes.NewReader(buf))
+	httpReq, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(host, "/")+path, bytes.NewReader(buf))
 	if err != nil {
 		return false, nil, eris.Wrapf(err, "Requester.exchange: host %s", host)
 	}
-	for nam, val := range hea {
-		htr.Header[nam] = val
+	for name, values := range header {
+		httpReq.Header[name] = values
 	}
-	res, err := req.Client.Do(htr)
+	res, err := req.Client.Do(httpReq)
 	if err != nil {
-		return !notSent(err), nil, eris.Wrapf(err, "Requester.exchange: host %s", host)
+		return !notConnected(err), nil, eris.Wrapf(err, "Requester.exchange: host %s", host)
 	}
 	defer res.Body.Close()
-	txt, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
 	if err != nil {
 		return true, nil, eris.Wrapf(err, "Requester.exchange: answer of host %s", host)
 	}
 	if res.StatusCode/100 != 2 {
-		return true, nil, answerError(host, res.StatusCode, txt)
+		return true, nil, errorOf(host, res.StatusCode, body)
 	}
-	return true, res.Header, eris.Wrapf(json.Unmarshal(txt, out), "Requester.exchange: decode answer of host %s", host)
+	return true, res.Header, eris.Wrapf(json.Unmarshal(body, out), "Requester.exchange: decode answer of host %s", host)
 }
 
-// notSent reports that no connection was made.
-func notSent(err error) bool {
-	var ope *net.OpError
-	return errors.As(err, &ope) && ope.Op == "dial"
+// notConnected reports whether no connection was made, so that nothing was sent.
+func notConnected(err error) bool {
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
 
-func answerError(host string, status int, txt []byte) error {
-	var bod server.OperatorError
-	if json.Unmarshal(txt, &bod) != nil {
-		bod.Message = strings.TrimSpace(string(txt))
+// errorOf returns the error that an answer with a status other than 2xx stands for.
+func errorOf(host string, status int, body []byte) error {
+	var reply server.OperatorError
+	if json.Unmarshal(body, &reply) != nil {
+		reply.Message = strings.TrimSpace(string(body))
 	}
 	switch {
-	case bod.Code == "raced" && bod.Current != nil:
-		return &ConflictError{Host: host, Current: *bod.Current}
-	case bod.Code == "rejected":
-		return &RejectedError{Host: "host " + host, Message: bod.Message, Faults: bod.Faults}
-	case bod.Code == "unknown":
-		return &UnknownOutcomeError{Host: host, Message: bod.Message}
+	case reply.Code == "raced" && reply.Current != nil:
+		return &ConflictError{Host: host, Current: *reply.Current}
+	case reply.Code == "rejected":
+		return &RejectedError{Host: "host " + host, Message: reply.Message, Faults: reply.Faults}
+	case reply.Code == "unknown":
+		return &UnknownOutcomeError{Host: host, Message: reply.Message}
 	default:
-		return &StatusError{Host: host, Status: status, Code: bod.Code, Message: bod.Message}
+		return &StatusError{Host: host, Status: status, Code: reply.Code, Message: reply.Message}
 	}
 }
