--- a/operator/correlator/correlator.go
+++ b/operator/correlator/correlator.go
@@ -1,5 +1,5 @@
-// Package correlator finds what happened to one request in the logs of several
-// hosts, whose clocks may differ by seconds.
+// Package correlator extracts the log lines about one request from the logs of
+// several hosts, whose clocks may differ by seconds.
 package correlator
 
 import (
@@ -16,10 +16,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxLine bounds a line of a log.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
-// Messages whose order is known.
+// Messages of the host that serves a request: the first line of the request, and the
+// last line of each send.
 const (
 	messageAccepted = "call accepted"
 	messageEnded    = "send ended"
@@ -31,140 +32,144 @@
 	At      time.Time
 	Level   string
 	Message string
-	// Fields are the others.
+	// Fields holds the remaining fields.
 	Fields map[string]any
 }
 
-// request returns the request that a line is about, and the send for which a
-// planner's line was written; -1 for lines of the host that serves the request.
-func (lin Line) request() (id string, send int) {
-	txt, _ := lin.Fields["RequestID"].(string)
-	id, res, ok := strings.Cut(txt, "/")
+// requestAndSend returns the ID of the request that a line is about. For lines of a
+// planner, whose RequestID field has the form ID/SEND/..., it also returns the number
+// of the send; for lines of the host that serves the request, -1.
+func (lin Line) requestAndSend() (id string, send int) {
+	text, _ := lin.Fields["RequestID"].(string)
+	id, rest, ok := strings.Cut(text, "/")
 	if !ok {
 		return id, -1
 	}
-	num, _, _ := strings.Cut(res, "/")
-	send, err := strconv.Atoi(num)
+	number, _, _ := strings.Cut(rest, "/")
+	send, err := strconv.Atoi(number)
 	if err != nil {
 		return id, -1
 	}
 	return id, send
 }
 
-// Correlator collects lines. Its zero value needs a Request.
+// Correlator collects the log lines about the request RequestID, which must be set.
 type Correlator struct {
 	RequestID string
 
-	serving []Line
-	planned map[int][]Line
-	beliefs []Line
-	skipped int
+	servingLines []Line
+	planLines    map[int][]Line
+	stateLines   []Line
+	skipped      int
 }
 
-// Read takes a log. host names the host of lines that don't name theirs.
-func (cor *Correlator) Read(rea io.Reader, host string) error {
-	sca := bufio.NewScanner(rea)
-	sca.Buffer(make([]byte, 0, 64<<10), maxLine)
+// Read reads a log. host is the name of the host for lines without a Host field.
+func (cor *Correlator) Read(reader io.Reader, host string) error {
+	sca := bufio.NewScanner(reader)
+	sca.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for sca.Scan() {
 		lin, ok := parse(sca.Text(), host)
 		if !ok {
 			cor.skipped++
 			continue
 		}
-		cor.take(lin)
+		cor.add(lin)
 	}
 	return eris.Wrapf(sca.Err(), "Correlator.Read: log of %s", host)
 }
 
-// Skipped counts the lines that are no log lines.
+// Skipped returns the number of lines that were not log lines.
 func (cor *Correlator) Skipped() int { return cor.skipped }
 
-// parse reads a line. What stands before its object, such as the prefix of a log
-// collector, is passed over.
-func parse(txt, host string) (Line, bool) {
-	beg := strings.IndexByte(txt, '{')
-	if beg < 0 {
+// parse parses a log line. Text before the JSON object, such as the prefix that a log
+// collector adds, is ignored.
+func parse(text, host string) (Line, bool) {
+	start := strings.IndexByte(text, '{')
+	if start < 0 {
 		return Line{}, false
 	}
-	fies := map[string]any{}
-	if err := json.Unmarshal([]byte(txt[beg:]), &fies); err != nil {
+	fields := map[string]any{}
+	if err := json.Unmarshal([]byte(text[start:]), &fields); err != nil {
 		return Line{}, false
 	}
-	lin := Line{Host: host, Fields: fies}
-	for nam, out := range map[string]*string{"Host": &lin.Host, "level": &lin.Level, "message": &lin.Message} {
-		if val, ok := fies[nam].(string); ok {
-			*out = val
+	lin := Line{Host: host, Fields: fields}
+	for name, out := range map[string]*string{"Host": &lin.Host, "level": &lin.Level, "message": &lin.Message} {
+		if value, ok := fields[name].(string); ok {
+			*out = value
 		}
-		delete(fies, nam)
+		delete(fields, name)
 	}
-	tim, _ := fies["time"].(string)
-	lin.At, _ = time.Parse(time.RFC3339Nano, tim)
-	delete(fies, "time")
+	timestamp, _ := fields["time"].(string)
+	lin.At, _ = time.Parse(time.RFC3339Nano, timestamp)
+	delete(fields, "time")
 	return lin, lin.Message != ""
 }
 
-func (cor *Correlator) take(lin Line) {
-	id, send := lin.request()
+func (cor *Correlator) add(lin Line) {
+	id, send := lin.requestAndSend()
 	switch {
 	case id == "":
-		cor.beliefs = append(cor.beliefs, lin)
+		cor.stateLines = append(cor.stateLines, lin)
 	case id != cor.RequestID:
 	case send < 0:
-		cor.serving = append(cor.serving, lin)
+		cor.servingLines = append(cor.servingLines, lin)
 	default:
-		if cor.planned == nil {
-			cor.planned = map[int][]Line{}
+		if cor.planLines == nil {
+			cor.planLines = map[int][]Line{}
 		}
-		cor.planned[send] = append(cor.planned[send], lin)
+		cor.planLines[send] = append(cor.planLines[send], lin)
 	}
 }
 
-// Lines returns the lines of the request in the order of cause: those of the host
-// that served it as it wrote them, and before each send the plan for it.
+// Lines returns the lines of the request in causal order, which does not depend on
+// the hosts' clocks: the lines of the host that served the request in the order of its
+// log, and before the lines of each send those of its planner.
 func (cor *Correlator) Lines() []Line {
 	var out []Line
 	send := 0
-	planned := maps.Clone(cor.planned)
-	for _, lin := range cor.serving {
+	planLines := maps.Clone(cor.planLines)
+	for _, lin := range cor.servingLines {
 		if lin.Message != messageAccepted {
-			out = append(out, planned[send]...)
-			delete(planned, send)
+			out = append(out, planLines[send]...)
+			delete(planLines, send)
 		}
 		out = append(out, lin)
 		if lin.Message == messageEnded {
 			send++
 		}
 	}
-	for _, num := range slices.Sorted(maps.Keys(planned)) {
-		out = append(out, planned[num]...)
+	for _, n := range slices.Sorted(maps.Keys(planLines)) {
+		out = append(out, planLines[n]...)
 	}
 	return out
 }
 
-// Beliefs returns what the hosts of the request last wrote, before it ended, about
-// the store, the tables, peers and the endpoints that the request met.
+// StateLines returns the newest log lines, up to the end of the request, in which the
+// hosts of the request reported changes of the store, the tables, peers and the
+// endpoints that the request used. Of each host, there is one line per message and
+// subject.
 func (cor *Correlator) StateLines() []Line {
-	ends := map[string]bool{}
-	last := map[string]time.Time{}
+	endpoints := map[string]bool{}
+	lastAt := map[string]time.Time{}
 	for _, lin := range cor.Lines() {
-		if end, ok := lin.Fields["Endpoint"].(string); ok {
-			ends[end] = true
+		if endpoint, ok := lin.Fields["Endpoint"].(string); ok {
+			endpoints[endpoint] = true
 		}
-		if lin.At.After(last[lin.Host]) {
-			last[lin.Host] = lin.At
+		if lin.At.After(lastAt[lin.Host]) {
+			lastAt[lin.Host] = lin.At
 		}
 	}
 	newest := map[string]Line{}
 	var keys []string
-	for _, lin := range cor.beliefs {
-		end, _ := lin.Fields["Endpoint"].(string)
-		until, ok := last[lin.Host]
-		if !ok || lin.At.After(until) || end != "" && !ends[end] {
+	for _, lin := range cor.stateLines {
+		endpoint, _ := lin.Fields["Endpoint"].(string)
+		until, ok := lastAt[lin.Host]
+		if !ok || lin.At.After(until) || endpoint != "" && !endpoints[endpoint] {
 			continue
 		}
 		what, _ := lin.Fields["What"].(string)
 		peer, _ := lin.Fields["Peer"].(string)
-		key := strings.Join([]string{lin.Host, lin.Message, end, what, peer}, "\x00")
+		key := strings.Join([]string{lin.Host, lin.Message, endpoint, what, peer}, "\x00")
 		if _, ok := newest[key]; !ok {
 			keys = append(keys, key)
 		}
@@ -174,29 +179,29 @@
 	for _, key := range keys {
 		out = append(out, newest[key])
 	}
-	slices.SortStableFunc(out, func(one, two Line) int { return one.At.Compare(two.At) })
+	slices.SortStableFunc(out, func(a, b Line) int { return a.At.Compare(b.At) })
 	return out
 }
 
-// Text formats a line for a person: its time, host, message and fields.
+// Text formats a line for display: its time, host, message and fields.
 func (lin Line) Text() string {
 	var bui strings.Builder
 	fmt.Fprintf(&bui, "%s  %-18s %s", lin.At.Format("15:04:05.000"), lin.Host, lin.Message)
-	for _, nam := range slices.Sorted(maps.Keys(lin.Fields)) {
-		if nam == "RequestID" {
+	for _, name := range slices.Sorted(maps.Keys(lin.Fields)) {
+		if name == "RequestID" {
 			continue
 		}
-		val := lin.Fields[nam]
-		if num, ok := val.(float64); ok {
-			val = strconv.FormatFloat(num, 'f', -1, 64)
-			if strings.HasSuffix(nam, "Ms") {
-				val = strconv.FormatFloat(num, 'f', 0, 64)
+		value := lin.Fields[name]
+		if number, ok := value.(float64); ok {
+			value = strconv.FormatFloat(number, 'f', -1, 64)
+			if strings.HasSuffix(name, "Ms") {
+				value = strconv.FormatFloat(number, 'f', 0, 64)
 			}
 		}
-		if obj, ok := val.(map[string]any); ok && len(obj) == 0 {
+		if obj, ok := value.(map[string]any); ok && len(obj) == 0 {
 			continue
 		}
-		fmt.Fprintf(&bui, "  %s=%v", nam, val)
+		fmt.Fprintf(&bui, "  %s=%v", name, value)
 	}
 	return bui.String()
 }
--- a/operator/correlator/correlator_test.go
+++ b/operator/correlator/correlator_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCorrelator reads the logs of testdata/requests. Each block is the joined log
-// of several hosts, and its output what the command prints.
+// TestCorrelator reads the logs of testdata/requests. The input of each case is the
+// concatenated log of several hosts; the output is the text of the lines found.
 func TestCorrelator(t *testing.T) {
 	datadriven.RunTest(t, "testdata/requests", func(t *testing.T, dat *datadriven.TestData) string {
 		cor := &Correlator{}
