--- a/cmd/hemlockpind/forward.go
+++ b/cmd/hemlockpind/forward.go
@@ -13,45 +13,46 @@
 	"github.com/rs/zerolog"
 )
 
-// fileInterval is how often the file of settings is looked at for changes that
-// no signal tells of.
-const fileInterval = 2 * time.Second
+// configPollInterval is the interval at which the settings file is checked for
+// changes that are not announced by SIGHUP.
+const configPollInterval = 2 * time.Second
 
-// forward runs a host that forwards calls unchanged on the users' platform.
-func forward(ctx context.Context, set configurer.Settings, hup <-chan os.Signal, log zerolog.Logger, now time.Time) error {
+// runForwarder runs a host that forwards calls unchanged on the users' platform.
+func runForwarder(ctx context.Context, set configurer.Settings, hup <-chan os.Signal, log zerolog.Logger, now time.Time) error {
 	cli := platform.New(set.Platform, &counter.Traffic{})
 	fwd := forwarder.New(set, forwarder.Platform{Source: cli, Codec: platform.Codec{}, Engines: cli}, log, forwarder.ChooseIncarnation(ctx, set, now))
 	go watchSettings(ctx, set, hup, fwd, log)
 	return fwd.Run(ctx)
 }
 
-// watchSettings reads the settings again on SIGHUP and when their file changes.
+// watchSettings reloads the settings on SIGHUP and when their file changes. Invalid
+// settings are logged and the previous ones kept.
 func watchSettings(ctx context.Context, set configurer.Settings, hup <-chan os.Signal, fwd *forwarder.Forwarder, log zerolog.Logger) {
-	tic := time.NewTicker(fileInterval)
+	tic := time.NewTicker(configPollInterval)
 	defer tic.Stop()
-	last := modified(set.Config)
+	lastModified := modTime(set.Config)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hup:
 		case <-tic.C:
-			if mod := modified(set.Config); mod.IsZero() || mod.Equal(last) {
+			if modified := modTime(set.Config); modified.IsZero() || modified.Equal(lastModified) {
 				continue
 			}
 		}
-		last = modified(set.Config)
-		nex, err := configurer.Read(os.Args[1:])
+		lastModified = modTime(set.Config)
+		next, err := configurer.Read(os.Args[1:])
 		if err != nil {
 			log.Error().Err(err).Msg("settings not reloaded; the old ones stay in force")
 			continue
 		}
-		fwd.Reload(nex)
+		fwd.Reload(next)
 	}
 }
 
-// modified returns the time of a file's last change; zero if there is none.
-func modified(path string) time.Time {
+// modTime returns the modification time of a file; zero if it cannot be read.
+func modTime(path string) time.Time {
 	inf, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/cmd/hemlockpind/main.go
+++ b/cmd/hemlockpind/main.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	// The resolver of the C library serves all programs of the project.
+	// All programs of the project use the name resolver of the C library.
 	_ "runtime/cgo"
 
 	"hemlockpin/process/configurer"
@@ -26,20 +26,20 @@
 	exitFailure  = 1
 	exitSettings = 2
 
-	// timeFormat is that of the log's times: with milliseconds, as a request takes
-	// some hundred of them.
+	// timeFormat is the format of the times in the log. It has milliseconds, since a
+	// request takes only some hundred milliseconds.
 	timeFormat = "2006-01-02T15:04:05.000Z07:00"
 )
 
 func main() {
-	// A SIGHUP that comes while the host is starting must not end it.
+	// A SIGHUP that arrives while the host is starting must not terminate it.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	set, err := configurer.Read(os.Args[1:])
-	var hel *configurer.HelpError
+	var help *configurer.HelpError
 	switch {
-	case errors.As(err, &hel):
-		fmt.Println(hel.Text)
+	case errors.As(err, &help):
+		fmt.Println(help.Text)
 		return
 	case err != nil:
 		fail(err, exitSettings)
@@ -53,8 +53,8 @@
 }
 
 func run(set configurer.Settings, hup <-chan os.Signal) error {
-	if num := set.HeapBytes(); num > 0 {
-		debug.SetMemoryLimit(num)
+	if heapBytes := set.HeapBytes(); heapBytes > 0 {
+		debug.SetMemoryLimit(heapBytes)
 	}
 	lev, _ := zerolog.ParseLevel(set.LogLevel)
 	wri := logger.New(os.Stdout, logger.DefaultBufferBytes)
@@ -70,14 +70,15 @@
 	}
 	defer flush()
 	if set.Interface == configurer.InterfaceForward {
-		return forward(ctx, set, hup, log, now)
+		return runForwarder(ctx, set, hup, log, now)
 	}
-	go warnOfReloads(ctx, hup, log)
+	go warnReloadUnsupported(ctx, hup, log)
 	return server.New(set, log, server.ChooseIncarnation(ctx, set, now), now).Run(ctx)
 }
 
-// warnOfReloads tells operators that a SIGHUP changes nothing here.
-func warnOfReloads(ctx context.Context, hup <-chan os.Signal, log zerolog.Logger) {
+// warnReloadUnsupported logs a warning for each SIGHUP. Only hosts that forward calls
+// unchanged can reload their settings.
+func warnReloadUnsupported(ctx context.Context, hup <-chan os.Signal, log zerolog.Logger) {
 	for {
 		select {
 		case <-hup:
