--- a/cmd/hemlockpin/apply.go
+++ b/cmd/hemlockpin/apply.go
@@ -27,36 +27,40 @@
 
 // Execute applies the file.
 func (com *applyCommand) Execute([]string) error {
-	fil, err := com.decodeFile(com.Args.File)
+	fileTables, err := com.decodeFile(com.Args.File)
 	if err != nil {
 		return err
 	}
 	if com.Base == 0 {
-		com.Base = fil.Revision
+		com.Base = fileTables.Revision
 	}
 	return com.edit(com.editOptions, func(old parser.Tables) (parser.Tables, error) {
-		return combine(old, fil, com.Whole), nil
+		return combine(old, fileTables, com.Whole), nil
 	})
 }
 
+// decodeFile reads the entries of a file. A file that cannot be decoded counts as a
+// rejected edit.
 func (com *command) decodeFile(name string) (parser.Tables, error) {
 	doc, err := com.readFile(name)
 	if err != nil {
 		return parser.Tables{}, err
 	}
-	fil, err := editor.Decode(doc)
+	tab, err := editor.Decode(doc)
 	if err != nil {
-		return fil, &requester.RejectedError{Host: "this command", Message: rejection, Faults: []string{name + ": " + err.Error()}}
+		return tab, &requester.RejectedError{Host: "this command", Message: rejectionMessage, Faults: []string{name + ": " + err.Error()}}
 	}
-	return fil, nil
+	return tab, nil
 }
 
-func combine(old, fil parser.Tables, whole bool) parser.Tables {
+// combine merges the entries of a file into the old tables or, if whole, replaces
+// all entries. Revision, nonce and recent edits are those of the old tables.
+func combine(old, fileTables parser.Tables, whole bool) parser.Tables {
 	if !whole {
-		return editor.Merge(old, fil)
+		return editor.Merge(old, fileTables)
 	}
-	fil.Revision = old.Revision
-	fil.Nonce = old.Nonce
-	fil.Recent = old.Recent
-	return fil
+	fileTables.Revision = old.Revision
+	fileTables.Nonce = old.Nonce
+	fileTables.Recent = old.Recent
+	return fileTables
 }
--- a/cmd/hemlockpin/completion.go
+++ b/cmd/hemlockpin/completion.go
@@ -39,11 +39,11 @@
 
 // Execute prints the script.
 func (com *completionCommand) Execute([]string) error {
-	scrs := map[string]string{"bash": bashCompletion, "zsh": zshCompletion, "fish": fishCompletion}
-	scr, ok := scrs[com.Args.Shell]
+	scripts := map[string]string{"bash": bashCompletion, "zsh": zshCompletion, "fish": fishCompletion}
+	script, ok := scripts[com.Args.Shell]
 	if !ok {
-		return usage("no completion for shell %q: use bash, zsh or fish", com.Args.Shell)
+		return usageErrorf("no completion for shell %q: use bash, zsh or fish", com.Args.Shell)
 	}
-	_, err := fmt.Fprint(com.out, scr)
+	_, err := fmt.Fprint(com.out, script)
 	return err
 }
--- a/cmd/hemlockpin/diff.go
+++ b/cmd/hemlockpin/diff.go
@@ -24,9 +24,9 @@
 // Execute prints the difference.
 func (com *diffCommand) Execute([]string) error {
 	if (com.Args.File == "") == (com.Revision == 0) {
-		return usage("diff needs either FILE or --revision")
+		return usageErrorf("diff needs either FILE or --revision")
 	}
-	old, cur, err := com.versions()
+	old, cur, err := com.readVersions()
 	if err != nil {
 		return err
 	}
@@ -38,23 +38,25 @@
 	return nil
 }
 
-func (com *diffCommand) versions() (old, cur parser.Tables, err error) {
+// readVersions returns the two versions to compare: an earlier revision and the
+// tables in force, or these and the result of applying the file.
+func (com *diffCommand) readVersions() (old, cur parser.Tables, err error) {
 	if com.Revision != 0 {
-		return com.withRevision(com.Revision)
+		return com.readRevisionAndCurrent(com.Revision)
 	}
-	fil, err := com.decodeFile(com.Args.File)
+	fileTables, err := com.decodeFile(com.Args.File)
 	if err != nil {
 		return old, cur, err
 	}
 	old, err = com.requester().Tables(com.ctx)
-	return old, combine(old, fil, com.Whole), err
+	return old, combine(old, fileTables, com.Whole), err
 }
 
-// withRevision reads an earlier revision and the tables in force.
-func (com *command) withRevision(rev uint64) (old, cur parser.Tables, err error) {
-	old, err = com.requester().Revision(com.ctx, rev)
+// readRevisionAndCurrent reads an earlier revision and the tables in force.
+func (com *command) readRevisionAndCurrent(revision uint64) (old, cur parser.Tables, err error) {
+	old, err = com.requester().Revision(com.ctx, revision)
 	if err != nil {
-		return old, cur, historyError(err, "revision "+strconv.FormatUint(rev, 10))
+		return old, cur, historyError(err, "revision "+strconv.FormatUint(revision, 10))
 	}
 	cur, err = com.requester().Tables(com.ctx)
 	return old, cur, err
--- a/cmd/hemlockpin/digest.go
+++ b/cmd/hemlockpin/digest.go
@@ -13,7 +13,7 @@
 	digestShort = "print the digest of a bearer key"
 	digestLong  = "Prints the digest to put into KeyDigests of a team. The key is read from standard input, so that it does not stand in the process list; --new makes one and prints it first."
 
-	keyBytes = 32
+	randomKeyBytes = 32
 )
 
 type digestCommand struct {
@@ -31,7 +31,7 @@
 		return com.printJSON(struct {
 			Key    string `json:",omitempty"`
 			Digest string
-		}{com.shown(key), parser.DigestKey(key)})
+		}{com.keyIfNew(key), parser.DigestKey(key)})
 	}
 	if com.New {
 		fmt.Fprintln(com.out, key)
@@ -40,7 +40,8 @@
 	return nil
 }
 
-func (com *digestCommand) shown(key string) string {
+// keyIfNew returns the key if it is a new one; a key that was read is not printed.
+func (com *digestCommand) keyIfNew(key string) string {
 	if com.New {
 		return key
 	}
@@ -49,14 +50,14 @@
 
 func (com *digestCommand) key() (string, error) {
 	if com.New {
-		buf := make([]byte, keyBytes)
+		buf := make([]byte, randomKeyBytes)
 		_, err := rand.Read(buf)
 		return base64.RawURLEncoding.EncodeToString(buf), err
 	}
 	buf, err := com.readFile("-")
 	key := strings.TrimRight(string(buf), "\r\n")
 	if err == nil && key == "" {
-		return "", usage("no key on standard input")
+		return "", usageErrorf("no key on standard input")
 	}
 	return key, err
 }
--- a/cmd/hemlockpin/drain.go
+++ b/cmd/hemlockpin/drain.go
@@ -14,15 +14,15 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute sends the order.
+// Execute sends the request to drain.
 func (com *drainCommand) Execute([]string) error {
-	hos, err := com.requester().Drain(com.ctx, com.Args.Host)
+	host, err := com.requester().Drain(com.ctx, com.Args.Host)
 	if err != nil {
 		return err
 	}
 	if com.JSON {
-		return com.printJSON(struct{ Host string }{hos})
+		return com.printJSON(struct{ Host string }{host})
 	}
-	fmt.Fprintf(com.out, "host %s drains\n", hos)
+	fmt.Fprintf(com.out, "host %s drains\n", host)
 	return nil
 }
--- a/cmd/hemlockpin/edit.go
+++ b/cmd/hemlockpin/edit.go
@@ -11,9 +11,9 @@
 	"hemlockpin/version/parser"
 )
 
-const rejection = "the tables would have faults; nothing was changed"
+const rejectionMessage = "the tables would have faults; nothing was changed"
 
-// editOptions are shared by the commands that change the tables.
+// editOptions holds the options of all commands that change the tables.
 type editOptions struct {
 	DryRun bool   `long:"dry-run" description:"show the difference and the faults, and change nothing"`
 	Base   uint64 `long:"base" description:"refuse the edit unless this revision is in force"`
@@ -23,13 +23,13 @@
 type editReport struct {
 	Base     uint64
 	Revision uint64 `json:",omitempty"`
-	// InForce counts the hosts known to have the edit in force.
+	// InForce is the number of hosts known to have the edit in force.
 	InForce int `json:",omitempty"`
 	Changes []editor.Change
 }
 
-// edit reads the tables in force, changes them and writes them back if nobody
-// else has changed them since.
+// edit reads the tables in force, changes them and writes them back, unless another
+// edit was accepted meanwhile.
 func (com *command) edit(opt editOptions, change func(parser.Tables) (parser.Tables, error)) error {
 	old, err := com.requester().Tables(com.ctx)
 	if err != nil {
@@ -40,13 +40,14 @@
 		return err
 	}
 	if opt.Base != 0 && opt.Base != old.Revision {
-		return com.late(opt.Base, old, cur.Defaults())
+		return com.refuseStaleBase(opt.Base, old, cur.Defaults())
 	}
 	return com.submit(opt, old, cur.Defaults())
 }
 
-// late refuses an edit whose base is no longer in force.
-func (com *command) late(base uint64, old, cur parser.Tables) error {
+// refuseStaleBase refuses an edit whose base is not the revision in force, and prints
+// what the edit would change there.
+func (com *command) refuseStaleBase(base uint64, old, cur parser.Tables) error {
 	if !com.JSON {
 		fmt.Fprintf(com.out, "against revision %d, now in force, the edit would change:\n", old.Revision)
 		com.printDiff(editor.Diff(old, cur))
@@ -54,31 +55,34 @@
 	return &requester.ConflictError{Host: com.Hosts[0], Base: base, Current: old}
 }
 
+// submit validates the changed tables and, except for a dry run or an edit without
+// effect, writes them if old is still in force.
 func (com *command) submit(opt editOptions, old, cur parser.Tables) error {
 	rep := editReport{Base: old.Revision, Changes: editor.Diff(old, cur)}
-	var fas *parser.FaultsError
-	if err := cur.Validate(); errors.As(err, &fas) {
+	var invalid *parser.FaultsError
+	if err := cur.Validate(); errors.As(err, &invalid) {
 		com.printDiff(rep.Changes)
-		return &requester.RejectedError{Host: "this command", Message: rejection, Faults: fas.Faults}
+		return &requester.RejectedError{Host: "this command", Message: rejectionMessage, Faults: invalid.Faults}
 	}
 	if opt.DryRun || len(rep.Changes) == 0 {
 		return com.printEdit(rep)
 	}
 	out, err := com.requester().Put(com.ctx, cur, old.Revision)
 	if err != nil {
-		return com.raced(old, err)
+		return com.explainConflict(old, err)
 	}
 	rep.Revision = out.Tables.Revision
 	rep.InForce = out.InForce
 	return com.printEdit(rep)
 }
 
-// raced shows what the other edit changed.
-func (com *command) raced(old parser.Tables, err error) error {
-	var rac *requester.ConflictError
-	if errors.As(err, &rac) && !com.JSON && rac.Current.Revision != old.Revision {
-		fmt.Fprintf(com.out, "changes from revision %d to revision %d by others:\n", old.Revision, rac.Current.Revision)
-		com.printDiff(editor.Diff(old, rac.Current))
+// explainConflict prints what others have changed since old if err is a conflict
+// with another edit. It returns err.
+func (com *command) explainConflict(old parser.Tables, err error) error {
+	var conflict *requester.ConflictError
+	if errors.As(err, &conflict) && !com.JSON && conflict.Current.Revision != old.Revision {
+		fmt.Fprintf(com.out, "changes from revision %d to revision %d by others:\n", old.Revision, conflict.Current.Revision)
+		com.printDiff(editor.Diff(old, conflict.Current))
 	}
 	return err
 }
@@ -96,23 +100,24 @@
 	return nil
 }
 
-// readFile reads a file of at most the size of the tables; - is standard input.
+// readFile reads a file, which may be at most as large as the tables; - is standard
+// input.
 func (com *command) readFile(name string) ([]byte, error) {
-	rea := com.in
+	reader := com.in
 	if name != "-" {
 		fil, err := os.Open(name)
 		if err != nil {
 			return nil, &usageError{err}
 		}
 		defer fil.Close()
-		rea = fil
+		reader = fil
 	}
-	doc, err := io.ReadAll(io.LimitReader(rea, parser.MaxDocumentBytes+1))
+	doc, err := io.ReadAll(io.LimitReader(reader, parser.MaxDocumentBytes+1))
 	if err != nil {
-		return nil, usage("read %s: %w", name, err)
+		return nil, usageErrorf("read %s: %w", name, err)
 	}
 	if len(doc) > parser.MaxDocumentBytes {
-		return nil, usage("%s is over %d bytes", name, parser.MaxDocumentBytes)
+		return nil, usageErrorf("%s is over %d bytes", name, parser.MaxDocumentBytes)
 	}
 	return doc, nil
 }
--- a/cmd/hemlockpin/entries.go
+++ b/cmd/hemlockpin/entries.go
@@ -19,22 +19,22 @@
 	removeLong = "Removes one entry. The edit is rejected if another entry refers to it."
 )
 
-// addTableCommands adds routes, pools and teams with their own subcommands.
+// addTableCommands adds the commands routes, pools and teams with their subcommands.
 func addTableCommands(par *flags.Parser, com *command) error {
 	for _, kin := range []editor.Kind{editor.Routes, editor.Pools, editor.Teams} {
-		nam := string(kin) + "s"
-		tab, err := par.AddCommand(nam, "list and edit "+nam, "Lists and edits "+nam+".", &struct{}{})
+		name := string(kin) + "s"
+		cmd, err := par.AddCommand(name, "list and edit "+name, "Lists and edits "+name+".", &struct{}{})
 		if err != nil {
 			return err
 		}
 		subs := []subcommand{
-			{"list", "list " + nam, listLong, &listCommand{command: com, kind: kin}},
+			{"list", "list " + name, listLong, &listCommand{command: com, kind: kin}},
 			{"get", "print one " + string(kin), showLong, &showCommand{command: com, kind: kin}},
 			{"set", "change or add one " + string(kin), setLong, &setCommand{command: com, kind: kin}},
 			{"remove", "remove one " + string(kin), removeLong, &removeCommand{command: com, kind: kin}},
 		}
 		for _, sub := range subs {
-			if _, err := tab.AddCommand(sub.name, sub.short, sub.long, sub.data); err != nil {
+			if _, err := cmd.AddCommand(sub.name, sub.short, sub.long, sub.data); err != nil {
 				return err
 			}
 		}
@@ -60,6 +60,7 @@
 	return com.printTable(heads, rows)
 }
 
+// columns returns the headings and rows for a list of entries.
 func columns(ents any) (heads []string, rows [][]string) {
 	switch ents := ents.(type) {
 	case []parser.Route:
@@ -70,16 +71,16 @@
 	case []parser.Pool:
 		for _, poo := range ents {
 			rows = append(rows, []string{poo.Name, string(poo.Kind), poo.Selector.Service, orDash(strings.Join(poo.Selector.DataCenters, ",")),
-				limit(poo.MaxOutstanding), limit(poo.MaxWaiting), strconv.FormatBool(poo.ChecksFencing)})
+				formatLimit(poo.MaxOutstanding), formatLimit(poo.MaxWaiting), strconv.FormatBool(poo.ChecksFencing)})
 		}
 		return []string{"POOL", "KIND", "SERVICE", "DATA CENTRES", "MAX OUTSTANDING", "MAX WAITING", "CHECKS FENCING"}, rows
 	case []parser.Team:
 		for _, tea := range ents {
-			rat := "-"
+			rate := "-"
 			if tea.TokensPerSecond > 0 {
-				rat = fmt.Sprintf("%g", tea.TokensPerSecond)
+				rate = fmt.Sprintf("%g", tea.TokensPerSecond)
 			}
-			rows = append(rows, []string{tea.Name, strconv.Itoa(len(tea.KeyDigests)), fmt.Sprintf("%g", tea.Share), rat})
+			rows = append(rows, []string{tea.Name, strconv.Itoa(len(tea.KeyDigests)), fmt.Sprintf("%g", tea.Share), rate})
 		}
 		return []string{"TEAM", "KEYS", "SHARE", "TOKENS/S"}, rows
 	default:
@@ -88,22 +89,22 @@
 }
 
 func routeRow(rou parser.Route) []string {
-	ran := "-"
+	tokenRange := "-"
 	switch {
 	case rou.Match.MaxPromptTokens > 0:
-		ran = fmt.Sprintf("%d to %d", rou.Match.MinPromptTokens, rou.Match.MaxPromptTokens)
+		tokenRange = fmt.Sprintf("%d to %d", rou.Match.MinPromptTokens, rou.Match.MaxPromptTokens)
 	case rou.Match.MinPromptTokens > 0:
-		ran = fmt.Sprintf("from %d", rou.Match.MinPromptTokens)
+		tokenRange = fmt.Sprintf("from %d", rou.Match.MinPromptTokens)
 	}
-	return []string{rou.Name, orDash(rou.Match.Model), orDash(rou.Match.Team), orDash(rou.Match.PathPrefix), ran, rou.Pool,
+	return []string{rou.Name, orDash(rou.Match.Model), orDash(rou.Match.Team), orDash(rou.Match.PathPrefix), tokenRange, rou.Pool,
 		time.Duration(rou.TimeLimit).String(), strconv.Itoa(rou.Priority), strconv.FormatBool(rou.Repeatable)}
 }
 
-func limit(num int) string {
-	if num == 0 {
+func formatLimit(n int) string {
+	if n == 0 {
 		return "-"
 	}
-	return strconv.Itoa(num)
+	return strconv.Itoa(n)
 }
 
 type nameArgument struct {
@@ -143,31 +144,32 @@
 // Execute changes the entry.
 func (com *setCommand) Execute([]string) error {
 	if (com.File == "") == (len(com.Args.Fields) == 0) {
-		return usage("set needs either FIELD=VALUE or --file")
+		return usageErrorf("set needs either FIELD=VALUE or --file")
 	}
 	if com.File == "" {
 		return com.edit(com.editOptions, func(tab parser.Tables) (parser.Tables, error) {
 			out, err := editor.Set(tab, com.kind, com.Args.Name, com.Args.Fields)
-			return out, badInput(err)
+			return out, asUsageError(err)
 		})
 	}
 	doc, err := com.readFile(com.File)
 	if err != nil {
 		return err
 	}
-	one, err := editor.Put(parser.Tables{}, com.kind, doc)
+	part, err := editor.Put(parser.Tables{}, com.kind, doc)
 	if err != nil {
-		return badInput(err)
+		return asUsageError(err)
 	}
-	if nams := editor.Names(one, com.kind); nams[0] != com.Args.Name {
-		return usage("the entry in %s is named %q, not %q", com.File, nams[0], com.Args.Name)
+	if names := editor.Names(part, com.kind); names[0] != com.Args.Name {
+		return usageErrorf("the entry in %s is named %q, not %q", com.File, names[0], com.Args.Name)
 	}
 	return com.edit(com.editOptions, func(tab parser.Tables) (parser.Tables, error) {
-		return editor.Merge(tab, one), nil
+		return editor.Merge(tab, part), nil
 	})
 }
 
-func badInput(err error) error {
+// asUsageError makes an error of the operator's input a usageError; nil stays nil.
+func asUsageError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -185,6 +187,6 @@
 func (com *removeCommand) Execute([]string) error {
 	return com.edit(com.editOptions, func(tab parser.Tables) (parser.Tables, error) {
 		out, err := editor.Remove(tab, com.kind, com.Args.Name)
-		return out, badInput(err)
+		return out, asUsageError(err)
 	})
 }
--- a/cmd/hemlockpin/explain.go
+++ b/cmd/hemlockpin/explain.go
@@ -51,14 +51,14 @@
 func (com *explainCommand) request() (server.ExplainRequest, error) {
 	req := server.ExplainRequest{Team: com.Team, Model: com.Model, Path: com.Path, PromptTokens: com.PromptTokens}
 	if (com.Model == "") == (com.Path == "") {
-		return req, usage("explain needs either --model or --path")
+		return req, usageErrorf("explain needs either --model or --path")
 	}
 	if com.PromptFile != "" {
-		txt, err := com.readFile(com.PromptFile)
+		text, err := com.readFile(com.PromptFile)
 		if err != nil {
 			return req, err
 		}
-		req.PromptTokens = hasher.Tokens(string(txt))
+		req.PromptTokens = hasher.Tokens(string(text))
 	}
 	if com.Model != "" {
 		req.Path = "/v1/chat/completions"
@@ -95,12 +95,12 @@
 		case !end.Takes:
 			why = strings.Join(end.Reasons, "; ")
 		}
-		rows = append(rows, []string{end.ID, end.DataCenter, tokens(end.UsedTokens, end.MemoryTokens), strconv.FormatInt(end.QueuedTokens, 10), why})
+		rows = append(rows, []string{end.ID, end.DataCenter, formatTokens(end.UsedTokens, end.MemoryTokens), strconv.FormatInt(end.QueuedTokens, 10), why})
 	}
 	return com.printTable([]string{"ENDPOINT", "DATA CENTRE", "MEMORY TOKENS", "QUEUED TOKENS", "WHY"}, rows)
 }
 
-func tokens(used, all int64) string {
+func formatTokens(used, all int64) string {
 	if all == 0 {
 		return "-"
 	}
--- a/cmd/hemlockpin/history.go
+++ b/cmd/hemlockpin/history.go
@@ -52,7 +52,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute makes the edit.
+// Execute makes a new edit with the entries of the earlier revision.
 func (com *rollbackCommand) Execute([]string) error {
 	old, err := com.requester().Revision(com.ctx, com.Args.Revision)
 	if err != nil {
@@ -63,7 +63,8 @@
 	})
 }
 
-// historyError explains the answer of a host without the wanted history.
+// historyError adds an explanation to the error of a host that does not have the
+// history asked for.
 func historyError(err error, what string) error {
 	var ans *requester.StatusError
 	if errors.As(err, &ans) && ans.Status == http.StatusNotFound {
--- a/cmd/hemlockpin/main.go
+++ b/cmd/hemlockpin/main.go
@@ -17,12 +17,12 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Exit codes.
+// Exit codes. mainLong documents them.
 const (
 	exitOK       = 0
 	exitFailure  = 1
 	exitUsage    = 2
-	exitRaced    = 3
+	exitConflict = 3
 	exitUnknown  = 4
 	exitRejected = 5
 )
@@ -33,7 +33,7 @@
 3 another edit was accepted first, nothing was changed; 4 it is unknown
 whether the change took effect; 5 the edit was rejected, every fault is listed.`
 
-// command is what all subcommands share.
+// command holds the common options, the input and the output of all subcommands.
 type command struct {
 	Hosts []string `long:"host" env:"HEMLOCKPIN_OPERATOR" env-delim:"," default:"http://127.0.0.1:8082" description:"operator URL of a host; may stand several times: reads go to the first that answers, changes to the first only"`
 	JSON  bool     `long:"json" description:"print JSON"`
@@ -45,18 +45,18 @@
 
 func (com *command) requester() *requester.Requester { return &requester.Requester{Hosts: com.Hosts} }
 
-// usageError is a fault of the command line or of an input file.
+// usageError is an error in the command line or in an input file.
 type usageError struct{ err error }
 
-// Error formats the fault.
+// Error returns the text of the cause.
 func (err *usageError) Error() string { return err.err.Error() }
 
 // Unwrap returns the cause.
 func (err *usageError) Unwrap() error { return err.err }
 
-func usage(format string, args ...any) error { return &usageError{fmt.Errorf(format, args...)} }
+func usageErrorf(format string, args ...any) error { return &usageError{fmt.Errorf(format, args...)} }
 
-// exitCode maps an error to the exit code that is documented for it.
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	switch {
 	case err == nil:
@@ -64,7 +64,7 @@
 	case errors.As(err, new(*usageError)):
 		return exitUsage
 	case errors.As(err, new(*requester.ConflictError)):
-		return exitRaced
+		return exitConflict
 	case errors.As(err, new(*requester.UnknownOutcomeError)):
 		return exitUnknown
 	case errors.As(err, new(*requester.RejectedError)):
@@ -104,27 +104,27 @@
 	return exitCode(err)
 }
 
-// execute parses the whole command line before it runs the command, so that a
-// fault of the former changes nothing.
+// execute parses the whole command line before it runs the command, so that nothing
+// is changed if the command line has an error.
 func execute(par *flags.Parser, args []string) error {
-	var cho flags.Commander
+	var chosen flags.Commander
 	par.CommandHandler = func(cmd flags.Commander, _ []string) error {
-		cho = cmd
+		chosen = cmd
 		return nil
 	}
-	lef, err := par.ParseArgs(args)
+	rest, err := par.ParseArgs(args)
 	switch {
 	case flags.WroteHelp(err):
 		return err
 	case err != nil:
 		return &usageError{err}
-	case len(lef) > 0:
-		return usage("unexpected argument %q", lef[0])
+	case len(rest) > 0:
+		return usageErrorf("unexpected argument %q", rest[0])
 	}
-	return cho.Execute(lef)
+	return chosen.Execute(rest)
 }
 
-// subcommand is one command with its help.
+// subcommand is a command with its help texts and options.
 type subcommand struct {
 	name, short, long string
 	data              any
--- a/cmd/hemlockpin/order.go
+++ b/cmd/hemlockpin/order.go
@@ -34,7 +34,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute gives the order.
+// Execute issues the order.
 func (com *orderCommand) Execute([]string) error {
 	if com.ID == "" {
 		com.ID = uuid.NewString()
--- a/cmd/hemlockpin/print.go
+++ b/cmd/hemlockpin/print.go
@@ -11,14 +11,14 @@
 
 const columnGap = 2
 
-// printJSON prints a value for programs.
-func (com *command) printJSON(val any) error {
+// printJSON prints a value as JSON, for use by programs.
+func (com *command) printJSON(value any) error {
 	enc := json.NewEncoder(com.out)
 	enc.SetIndent("", "  ")
-	return enc.Encode(val)
+	return enc.Encode(value)
 }
 
-// printTable prints aligned columns for people.
+// printTable prints rows in aligned columns.
 func (com *command) printTable(heads []string, rows [][]string) error {
 	wri := tabwriter.NewWriter(com.out, 0, 0, columnGap, ' ', 0)
 	fmt.Fprintln(wri, strings.Join(heads, "\t"))
@@ -46,9 +46,9 @@
 	}
 }
 
-func orDash(txt string) string {
-	if txt == "" {
+func orDash(text string) string {
+	if text == "" {
 		return "-"
 	}
-	return txt
+	return text
 }
--- a/cmd/hemlockpin/status.go
+++ b/cmd/hemlockpin/status.go
@@ -24,33 +24,33 @@
 	if err != nil {
 		return err
 	}
-	sil := 0
+	unanswered := 0
 	rows := make([][]string, 0, len(stas))
 	for _, sta := range stas {
 		if sta.Error != "" {
-			sil++
+			unanswered++
 			rows = append(rows, []string{sta.Host, sta.DataCenter, "no answer", "-", "-", "-", "-", sta.Error})
 			continue
 		}
-		sit := "serving"
+		state := "serving"
 		if sta.Draining {
-			sit = "draining"
+			state = "draining"
 		}
-		rows = append(rows, []string{sta.Host, sta.DataCenter, sit, strconv.FormatInt(sta.Requests, 10), strconv.FormatUint(sta.TablesRevision, 10),
-			age(sta.TablesConfirmed), strconv.FormatInt(sta.Peers, 10), sta.Operator})
+		rows = append(rows, []string{sta.Host, sta.DataCenter, state, strconv.FormatInt(sta.Requests, 10), strconv.FormatUint(sta.TablesRevision, 10),
+			formatAge(sta.TablesConfirmed), strconv.FormatInt(sta.Peers, 10), sta.Operator})
 	}
 	if com.JSON {
 		err = com.printJSON(stas)
 	} else {
 		err = com.printTable([]string{"HOST", "DATA CENTRE", "STATE", "REQUESTS", "REVISION", "CONFIRMED", "PEERS", "OPERATOR"}, rows)
 	}
-	if err == nil && sil > 0 {
-		return fmt.Errorf("%d of %d hosts did not answer", sil, len(stas))
+	if err == nil && unanswered > 0 {
+		return fmt.Errorf("%d of %d hosts did not answer", unanswered, len(stas))
 	}
 	return err
 }
 
-func age(at time.Time) string {
+func formatAge(at time.Time) string {
 	if at.UnixMilli() <= 0 {
 		return "never"
 	}
@@ -72,16 +72,16 @@
 	}
 	rows := make([][]string, 0, len(stas))
 	for _, sta := range stas {
-		sit := "listed"
+		state := "listed"
 		if sta.Leaving {
-			sit = "leaving"
+			state = "leaving"
 		}
-		rep := "-"
+		reportAge := "-"
 		if sta.ReportAgeMs >= 0 {
-			rep = (time.Duration(sta.ReportAgeMs) * time.Millisecond).String()
+			reportAge = (time.Duration(sta.ReportAgeMs) * time.Millisecond).String()
 		}
-		rows = append(rows, []string{sta.ID, string(sta.Kind), sta.Service, sta.DataCenter, sit, orDash(strings.Join(sta.Models, ",")),
-			tokens(sta.UsedTokens, sta.MemoryTokens), strconv.FormatInt(sta.QueuedTokens, 10), rep, strconv.Itoa(sta.Outstanding)})
+		rows = append(rows, []string{sta.ID, string(sta.Kind), sta.Service, sta.DataCenter, state, orDash(strings.Join(sta.Models, ",")),
+			formatTokens(sta.UsedTokens, sta.MemoryTokens), strconv.FormatInt(sta.QueuedTokens, 10), reportAge, strconv.Itoa(sta.Outstanding)})
 	}
 	return com.printTable([]string{"ENDPOINT", "KIND", "SERVICE", "DATA CENTRE", "STATE", "MODELS", "MEMORY TOKENS", "QUEUED TOKENS", "REPORT AGE", "OWN REQUESTS"}, rows)
 }
--- a/cmd/hemlockpin/trace.go
+++ b/cmd/hemlockpin/trace.go
@@ -35,36 +35,38 @@
 			return err
 		}
 	}
-	for _, pat := range com.Args.Files {
-		if err := readLog(cor, pat); err != nil {
+	for _, path := range com.Args.Files {
+		if err := readLog(cor, path); err != nil {
 			return err
 		}
 	}
-	lins, bels := cor.Lines(), cor.StateLines()
-	if len(lins) == 0 {
+	lines, stateLines := cor.Lines(), cor.StateLines()
+	if len(lines) == 0 {
 		return fmt.Errorf("no line names request %q (%d lines are no log lines)", com.Args.Request, cor.Skipped())
 	}
 	if com.JSON {
-		return com.printJSON(struct{ Lines, Beliefs []correlator.Line }{lins, bels})
+		return com.printJSON(struct{ Lines, Beliefs []correlator.Line }{lines, stateLines})
 	}
-	for _, lin := range lins {
+	for _, lin := range lines {
 		fmt.Fprintln(com.out, lin.Text())
 	}
-	if len(bels) > 0 {
+	if len(stateLines) > 0 {
 		fmt.Fprintln(com.out, "\nWhat these hosts last wrote of what they believed:")
 	}
-	for _, lin := range bels {
+	for _, lin := range stateLines {
 		fmt.Fprintln(com.out, lin.Text())
 	}
 	return nil
 }
 
+// readLog reads the log at path. Lines without a host count as those of the host that
+// the file is named after.
 func readLog(cor *correlator.Correlator, path string) error {
 	fil, err := os.Open(path)
 	if err != nil {
-		return usage("%w", err)
+		return usageErrorf("%w", err)
 	}
 	defer fil.Close()
-	nam := filepath.Base(path)
-	return cor.Read(fil, strings.TrimSuffix(nam, filepath.Ext(nam)))
+	name := filepath.Base(path)
+	return cor.Read(fil, strings.TrimSuffix(name, filepath.Ext(name)))
 }
--- a/cmd/hemlockpin/usage.go
+++ b/cmd/hemlockpin/usage.go
@@ -26,7 +26,7 @@
 	} else {
 		rows := make([][]string, 0, len(sta.Teams))
 		for _, tea := range sta.Teams {
-			rows = append(rows, []string{tea.Team, count(tea.Whole), count(tea.Refused), count(tea.Failed), count(tea.Cut)})
+			rows = append(rows, []string{tea.Team, formatCount(tea.Whole), formatCount(tea.Refused), formatCount(tea.Failed), formatCount(tea.Cut)})
 		}
 		err = com.printTable([]string{"TEAM", "WHOLE", "REFUSED", "FAILED", "CUT"}, rows)
 	}
@@ -36,4 +36,4 @@
 	return err
 }
 
-func count(num int64) string { return strconv.FormatInt(num, 10) }
+func formatCount(n int64) string { return strconv.FormatInt(n, 10) }
--- a/cmd/hemlockpin/version.go
+++ b/cmd/hemlockpin/version.go
@@ -19,16 +19,16 @@
 
 // Execute prints the version.
 func (com *versionCommand) Execute([]string) error {
-	ver := "unknown"
+	version := "unknown"
 	if inf, ok := debug.ReadBuildInfo(); ok {
-		ver = inf.Main.Version
+		version = inf.Main.Version
 	}
 	if com.JSON {
 		return com.printJSON(struct {
 			Version, Go  string
 			PeerProtocol int
-		}{ver, runtime.Version(), messenger.ProtocolVersion})
+		}{version, runtime.Version(), messenger.ProtocolVersion})
 	}
-	fmt.Fprintf(com.out, "hemlockpin %s, %s, peer protocol %d\n", ver, runtime.Version(), messenger.ProtocolVersion)
+	fmt.Fprintf(com.out, "hemlockpin %s, %s, peer protocol %d\n", version, runtime.Version(), messenger.ProtocolVersion)
 	return nil
 }
