--- a/cmd/hemlockload/compare.go
+++ b/cmd/hemlockload/compare.go
@@ -25,21 +25,21 @@
 
 // Execute compares the reports.
 func (com *compareCommand) Execute([]string) error {
-	one, err := reporter.ReadJSON(com.Args.First)
+	first, err := reporter.ReadJSON(com.Args.First)
 	if err != nil {
 		return err
 	}
-	two, err := reporter.ReadJSON(com.Args.Second)
+	second, err := reporter.ReadJSON(com.Args.Second)
 	if err != nil {
 		return err
 	}
-	if len(one) == 0 || len(two) == 0 {
+	if len(first) == 0 || len(second) == 0 {
 		return eris.New("a file holds no report")
 	}
 	if com.HTML != "" {
-		if err := reporter.WriteHTML(com.HTML, "Comparison", append(one[:1:1], two[0])); err != nil {
+		if err := reporter.WriteHTML(com.HTML, "Comparison", append(first[:1:1], second[0])); err != nil {
 			return err
 		}
 	}
-	return reporter.Compare(os.Stdout, one[0], two[0])
+	return reporter.Compare(os.Stdout, first[0], second[0])
 }
--- a/cmd/hemlockload/main.go
+++ b/cmd/hemlockload/main.go
@@ -1,5 +1,5 @@
-// Command hemlockload sends open-loop load to entry hosts, switches faults of
-// the stand-ins at given times and reports the outcomes.
+// Command hemlockload sends open-loop load to entry hosts, injects faults into the
+// stand-ins at given times and reports the outcomes.
 package main
 
 import (
--- a/cmd/hemlockload/run.go
+++ b/cmd/hemlockload/run.go
@@ -54,7 +54,7 @@
 
 // Execute runs the load.
 func (com *runCommand) Execute([]string) error {
-	run, err := com.plan()
+	run, err := com.newRun()
 	if err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 		return err
 	}
 	rep.Name = com.Name
-	if err := com.write(rep); err != nil {
+	if err := com.writeReport(rep); err != nil {
 		return err
 	}
 	out := rep.Outcomes()
@@ -75,16 +75,16 @@
 	return nil
 }
 
-func (com *runCommand) plan() (*driver.Run, error) {
+func (com *runCommand) newRun() (*driver.Run, error) {
 	mix, ok := mixer.ByName(com.Mix)
 	if !ok {
 		return nil, eris.Errorf("unknown mix %q; see hemlockload mixes", com.Mix)
 	}
 	rate := com.Rate
 	if com.OnlyShort {
-		short, shr := mix.WithoutLong(mixer.ShortTokens)
+		short, share := mix.WithoutLong(mixer.ShortTokens)
 		mix = short
-		rate *= shr
+		rate *= share
 	}
 	if len(com.Keys) > 0 {
 		mix = mix.WithTeams(teams(com.Keys))
@@ -96,8 +96,8 @@
 	if !com.Quiet {
 		run.Progress = os.Stderr
 	}
-	for _, txt := range com.Faults {
-		fau, err := parseFault(txt)
+	for _, text := range com.Faults {
+		fau, err := parseFault(text)
 		if err != nil {
 			return nil, err
 		}
@@ -114,19 +114,20 @@
 	return teas
 }
 
-func parseFault(txt string) (driver.Fault, error) {
-	pars := strings.SplitN(txt, "=", 3)
-	if len(pars) != 3 {
-		return driver.Fault{}, eris.Errorf("bad fault %q: use AT=URL=BODY", txt)
+// parseFault parses a fault of the form AT=URL=BODY.
+func parseFault(text string) (driver.Fault, error) {
+	parts := strings.SplitN(text, "=", 3)
+	if len(parts) != 3 {
+		return driver.Fault{}, eris.Errorf("bad fault %q: use AT=URL=BODY", text)
 	}
-	at, err := time.ParseDuration(pars[0])
+	at, err := time.ParseDuration(parts[0])
 	if err != nil {
-		return driver.Fault{}, eris.Errorf("bad fault %q: %q is not a duration", txt, pars[0])
+		return driver.Fault{}, eris.Errorf("bad fault %q: %q is not a duration", text, parts[0])
 	}
-	return driver.Fault{At: at, URL: pars[1], Body: pars[2]}, nil
+	return driver.Fault{At: at, URL: parts[1], Body: parts[2]}, nil
 }
 
-func (com *runCommand) write(rep summarizer.Report) error {
+func (com *runCommand) writeReport(rep summarizer.Report) error {
 	fmt.Printf("%s: mix %s, seed %d, %.1f requests a second, %.2f a second whole and in time\n", rep.Name, rep.Mix, rep.Seed, rep.Rate, rep.Goodput)
 	if err := reporter.Print(os.Stdout, rep); err != nil {
 		return err
@@ -146,13 +147,13 @@
 	return nil
 }
 
-// printAdmitted compares what each team was let in with the bound of its rate
-// when all hosts reach each other.
+// printAdmitted prints the tokens that were admitted for each team beside the most
+// that its rate allows if all hosts can reach each other.
 func (com *runCommand) printAdmitted(rep summarizer.Report) {
 	fle := limiter.Fleet{Hosts: len(com.Hosts)}
 	for _, tea := range rep.Teams {
-		bou := fle.Bound(com.TeamRate, com.Duration, tea.LargestTokens)
+		bound := fle.Bound(com.TeamRate, com.Duration, tea.LargestTokens)
 		fmt.Printf("%s: admitted %d tokens, bound %.0f, %.2f of the rate\n",
-			tea.Key, tea.AdmittedTokens, bou, float64(tea.AdmittedTokens)/com.TeamRate/com.Duration.Seconds())
+			tea.Key, tea.AdmittedTokens, bound, float64(tea.AdmittedTokens)/com.TeamRate/com.Duration.Seconds())
 	}
 }
--- a/cmd/hemlockstandin/main.go
+++ b/cmd/hemlockstandin/main.go
@@ -1,5 +1,5 @@
-// Command hemlockstandin runs the stand-ins of the outside systems for tests
-// and trials: the platform, a model engine, a plain service.
+// Command hemlockstandin runs stand-ins for the external systems in tests and
+// trials: the platform, a model engine and a plain service.
 package main
 
 import (
@@ -45,6 +45,7 @@
 	return serve(com.Listen, booker.New(com.Settings).Handler())
 }
 
+// serve serves HTTP at addr until SIGTERM or SIGINT.
 func serve(addr string, han http.Handler) error {
 	lis, err := net.Listen("tcp", addr)
 	if err != nil {
