--- a/operator/requester/requester.go
+++ b/operator/requester/requester.go
@@ -88,8 +88,8 @@
 }
 
 // Requester sends requests to the hosts at the given operator URLs. Reads try one
-// host after the other until one answers; writes go to the first host only, since a
-// write that may have taken effect must not be sent twice.
+// host after the other until one answers. Writes go to the first host only: a write
+// whose outcome is unknown must not be sent to another host.
 type Requester struct {
 	Hosts  []string
 	Client http.Client
