--- a/cmd/hemlockpin/apply.go
+++ b/cmd/hemlockpin/apply.go
@@ -53,14 +53,14 @@
 	return tab, nil
 }
 
-// combine merges the entries of a file into the old tables or, if whole, replaces
-// all entries. Revision, nonce and recent edits are those of the old tables.
-func combine(old, fileTables parser.Tables, whole bool) parser.Tables {
+// combine merges the given entries into the old tables or, if whole, replaces all
+// entries by them. Revision, nonce and recent edits are those of the old tables.
+func combine(old, given parser.Tables, whole bool) parser.Tables {
 	if !whole {
-		return editor.Merge(old, fileTables)
+		return editor.Merge(old, given)
 	}
-	fileTables.Revision = old.Revision
-	fileTables.Nonce = old.Nonce
-	fileTables.Recent = old.Recent
-	return fileTables
+	given.Revision = old.Revision
+	given.Nonce = old.Nonce
+	given.Recent = old.Recent
+	return given
 }
--- a/cmd/hemlockpin/edit.go
+++ b/cmd/hemlockpin/edit.go
@@ -19,7 +19,7 @@
 	Base   uint64 `long:"base" description:"refuse the edit unless this revision is in force"`
 }
 
-// editReport is the JSON form of a change.
+// editReport is the result of an edit that is printed as JSON.
 type editReport struct {
 	Base     uint64
 	Revision uint64 `json:",omitempty"`
--- a/cmd/hemlockpin/explain.go
+++ b/cmd/hemlockpin/explain.go
@@ -100,6 +100,7 @@
 	return com.printTable([]string{"ENDPOINT", "DATA CENTRE", "MEMORY TOKENS", "QUEUED TOKENS", "WHY"}, rows)
 }
 
+// formatTokens formats the use of an endpoint's memory; - if its size is unknown.
 func formatTokens(used, all int64) string {
 	if all == 0 {
 		return "-"
--- a/operator/correlator/correlator.go
+++ b/operator/correlator/correlator.go
@@ -105,6 +105,8 @@
 	return lin, lin.Message != ""
 }
 
+// add sorts a line into the lines of the serving host, those of planners and those
+// that belong to no request. Lines of other requests are dropped.
 func (cor *Correlator) add(lin Line) {
 	id, send := lin.requestAndSend()
 	switch {
@@ -144,10 +146,10 @@
 	return out
 }
 
-// StateLines returns the newest log lines, up to the end of the request, in which the
-// hosts of the request reported changes of the store, the tables, peers and the
-// endpoints that the request used. Of each host, there is one line per message and
-// subject.
+// StateLines returns what the hosts of the request last logged about the store, the
+// tables, peers and the endpoints that the request used. For each host, message and
+// subject, it is the newest line that is not later than the host's last line about
+// the request.
 func (cor *Correlator) StateLines() []Line {
 	endpoints := map[string]bool{}
 	lastAt := map[string]time.Time{}
--- a/operator/editor/fields.go
+++ b/operator/editor/fields.go
@@ -61,8 +61,8 @@
 		if err == nil {
 			return out, nil
 		}
-		// The error of the value as text is returned, unless the field does not hold
-		// text: the error of the value as JSON says more then.
+		// If the field does not hold text, the error of the value as JSON is more
+		// useful than that of the value as text.
 		if reported == nil || errors.As(reported, new(*json.UnmarshalTypeError)) {
 			reported = err
 		}
--- a/operator/requester/requester.go
+++ b/operator/requester/requester.go
@@ -135,7 +135,8 @@
 	return read[parser.Tables](ctx, req, http.MethodGet, "/v1/tables/history/"+strconv.FormatUint(rev, 10), nil)
 }
 
-// AcceptedEdit is an accepted edit.
+// AcceptedEdit is the result of an accepted edit: the new tables and the number of
+// hosts that use them.
 type AcceptedEdit struct {
 	Tables parser.Tables
 	// InForce is the number of hosts known to have the edit in force at the time
@@ -258,7 +259,7 @@
 	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
 
-// errorOf returns the error that an answer with a status other than 2xx stands for.
+// errorOf returns the error for an answer with a status other than 2xx.
 func errorOf(host string, status int, body []byte) error {
 	var reply server.OperatorError
 	if json.Unmarshal(body, &reply) != nil {
--- a/version/differ/differ.go
+++ b/version/differ/differ.go
@@ -88,10 +88,10 @@
 	if base.Revision != del.BaseRevision {
 		return parser.Tables{}, eris.Wrapf(ErrMismatch, "Delta.Apply: base revision %d, have %d", del.BaseRevision, base.Revision)
 	}
-	rec := append(append([]parser.Edit{}, base.Recent...), del.Edits...)
+	recent := append(append([]parser.Edit{}, base.Recent...), del.Edits...)
 	return parser.Tables{
 		Revision: del.Revision, Nonce: del.Nonce,
-		Recent: rec[max(0, len(rec)-parser.MaxRecentEdits):],
+		Recent: recent[max(0, len(recent)-parser.MaxRecentEdits):],
 		Routes: apply(base.Routes, del.Routes, routeName),
 		Pools:  apply(base.Pools, del.Pools, poolName),
 		Teams:  apply(base.Teams, del.Teams, teamName),
@@ -134,7 +134,9 @@
 	return out
 }
 
-// Compose returns the delta that has the effect of del followed by next.
+// Compose returns the delta that has the effect of del followed by next, except for
+// the order of entries that both change. If the order differs, the receiver finds
+// another checksum and requests the complete document.
 func (del Delta) Compose(next Delta) Delta {
 	return Delta{
 		BaseRevision: del.BaseRevision, Revision: next.Revision, Nonce: next.Nonce,
--- a/version/explainer/explainer.go
+++ b/version/explainer/explainer.go
@@ -62,8 +62,8 @@
 	if mat.Team != "" && mat.Team != que.Team {
 		out = append(out, fmt.Sprintf("it takes team %q only", mat.Team))
 	}
-	path := parser.Match{PathPrefix: mat.PathPrefix}
-	if !path.Matches(que.Model, que.Team, que.Host, que.Path, que.PromptTokens) {
+	pathMatch := parser.Match{PathPrefix: mat.PathPrefix}
+	if !pathMatch.Matches(que.Model, que.Team, que.Host, que.Path, que.PromptTokens) {
 		out = append(out, fmt.Sprintf("it takes paths under %s only", mat.PathPrefix))
 	}
 	if que.PromptTokens < mat.MinPromptTokens {
--- a/version/parser/ambiguity.go
+++ b/version/parser/ambiguity.go
@@ -96,6 +96,7 @@
 	return []string{text, ""}
 }
 
+// trimPath removes a trailing slash: /a/ and /a match the same paths below /a.
 func trimPath(path string) string { return strings.TrimSuffix(path, "/") }
 
 // ancestors returns a path prefix and all shorter prefixes that contain it.
