--- a/operator/correlator/correlator_test.go
+++ b/operator/correlator/correlator_test.go
@@ -8,18 +8,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCorrelator reads the logs of testdata/requests. Each block is the joined log
-// of several hosts, and its output what the command prints.
+// TestCorrelator reads the logs of testdata/requests. The input of each case is the
+// concatenated log of several hosts; the output is the text of the lines found.
 func TestCorrelator(t *testing.T) {
 	datadriven.RunTest(t, "testdata/requests", func(t *testing.T, dat *datadriven.TestData) string {
 		cor := &Correlator{}
-		dat.ScanArgs(t, "request", &cor.Request)
+		dat.ScanArgs(t, "request", &cor.RequestID)
 		require.NoError(t, cor.Read(strings.NewReader(dat.Input), "log-1"))
 		var out []string
 		for _, lin := range cor.Lines() {
 			out = append(out, lin.Text())
 		}
-		for _, lin := range cor.Beliefs() {
+		for _, lin := range cor.StateLines() {
 			out = append(out, "believed: "+lin.Text())
 		}
 		return strings.Join(out, "\n") + "\n"
