--- a/internal/auditor/auditor.go
+++ b/internal/auditor/auditor.go
@@ -227,9 +227,9 @@
 
 func (aud *Auditor) judgeCall(res sender.Result, runs int) {
 	if runs > 1 {
-		aud.find(CallsDoubled, "key %s ran %d times, callers were told %q", res.CallKey, runs, res.Says)
+		aud.find(CallsDoubled, "key %s ran %d times, callers were told %q", res.CallKey, runs, res.RanByAttempt)
 	}
-	if runs > 0 && allNotRun(res.Says) {
+	if runs > 0 && allNotRun(res.RanByAttempt) {
 		aud.find(FalseNotRun, "key %s ran %d times", res.CallKey, runs)
 	}
 	if runs == 0 && res.Status == 200 {
@@ -263,9 +263,9 @@
 
 // excused reports whether the caller could see its host fail during the request.
 func excused(res sender.Result, spans []disturber.Span) bool {
-	end := res.Began.Add(res.Total)
+	end := res.StartedAt.Add(res.Total)
 	for _, spa := range spans {
-		if spa.Host != "" && spa.Host == res.Host && spa.From.Before(end) && spa.To.After(res.Began) {
+		if spa.Host != "" && spa.Host == res.Host && spa.From.Before(end) && spa.To.After(res.StartedAt) {
 			return true
 		}
 	}
--- a/load/collector/collector.go
+++ b/load/collector/collector.go
@@ -16,8 +16,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Placement is the name of the spans in which a host waits for an engine.
-const Placement = "placement"
+// PlacementSpan is the name of the spans in which a host waits for an engine.
+const PlacementSpan = "placement"
 
 const headerTimeout = 5 * time.Second
 
--- a/load/driver/driver.go
+++ b/load/driver/driver.go
@@ -52,9 +52,9 @@
 	Operators []string
 	// Progress receives a line every few seconds; nil for none.
 	Progress io.Writer
-	// Idle returns the time to the first token of a prompt on idle engines; nil
-	// leaves the slowdowns out of the report.
-	Idle func(mixer.Request) time.Duration
+	// IdleFirstToken returns the time to the first token of a prompt on idle
+	// engines; if it is nil, the report has no slowdowns and no score.
+	IdleFirstToken func(mixer.Request) time.Duration
 	// Observe is called with each result, from several goroutines; nil for none.
 	Observe func(sender.Result)
 
@@ -69,7 +69,7 @@
 		return summarizer.Report{}, err
 	}
 	sum := summarizer.New(run.Mix, run.WarmUp, run.Duration)
-	sum.Idle = run.Idle
+	sum.IdleFirstToken = run.IdleFirstToken
 	bef := readUsage(ctx, run.Operators)
 	beg := time.Now()
 	sto := run.background(ctx, sum, beg)
@@ -185,7 +185,7 @@
 		run.flying.Add(1)
 		gro.Go(func() {
 			defer run.flying.Add(-1)
-			ctx, stop := context.WithTimeout(ctx, max(2*req.Patience, callerTimeout))
+			ctx, stop := context.WithTimeout(ctx, max(2*req.LatencyTarget, callerTimeout))
 			defer stop()
 			text := ""
 			if req.Kind == mixer.KindPrompt {
--- a/load/mixer/mixer.go
+++ b/load/mixer/mixer.go
@@ -70,15 +70,15 @@
 
 // Request is one drawn request.
 type Request struct {
-	Number       int
-	At           time.Duration
-	Kind         Kind
-	Class        string
-	Key          string
-	Path         string
-	PromptTokens int64
-	AnswerTokens int64
-	Patience     time.Duration
+	Number        int
+	At            time.Duration
+	Kind          Kind
+	Class         string
+	Key           string
+	Path          string
+	PromptTokens  int64
+	AnswerTokens  int64
+	LatencyTarget time.Duration
 
 	shared int
 	offset int
@@ -145,7 +145,7 @@
 
 func (mi *Mixer) call(req Request) Request {
 	req.Class = "calls"
-	req.Patience = mi.mix.CallPatience
+	req.LatencyTarget = mi.mix.CallPatience
 	req.Kind = KindRepeatable
 	req.Path = mi.mix.RepeatablePath
 	if mi.ran.Float64() < mi.mix.OnceShare {
@@ -163,7 +163,7 @@
 	cla := mi.mix.Classes[mi.pick(wei)]
 	req.Kind = KindPrompt
 	req.Class = cla.Name
-	req.Patience = cla.Patience
+	req.LatencyTarget = cla.Patience
 	req.Path = "/v1/completions"
 	req.PromptTokens = mi.length(cla)
 	req.AnswerTokens = mi.mix.MinAnswer + mi.ran.Int64N(mi.mix.MaxAnswer-mi.mix.MinAnswer+1)
--- a/load/sender/sender.go
+++ b/load/sender/sender.go
@@ -69,15 +69,16 @@
 	Gaps []time.Duration
 	// CallKey is the idempotency key of a call.
 	CallKey string
-	// Says holds what each try of the call was told of its run; it is empty
-	// where a try had no answer.
-	Says []string
+	// RanByAttempt holds Ran of each attempt of a call that may not be repeated;
+	// it is empty for an attempt without an answer.
+	RanByAttempt []string
 	// Trace is the identifier of the request's trace; it is empty if the request
 	// was not traced.
 	Trace string
-	// Host is the address that took the request, Began the time it was sent.
-	Host  string
-	Began time.Time
+	// Host is the address that accepted the connection, StartedAt the time at
+	// which the request was sent.
+	Host      string
+	StartedAt time.Time
 }
 
 // Sender sends to Hosts in turn, like a balancer that passes by hosts that
@@ -87,10 +88,11 @@
 	Model string
 	// Verify compares answers with those of the engine stand-in.
 	Verify bool
-	// Repeats bounds how often a call is sent again under its key.
-	Repeats int
-	// Traced says which requests the hosts shall trace; nil means none.
-	Traced func(mixer.Request) bool
+	// MaxRetries bounds how often a call is sent again under its idempotency key.
+	MaxRetries int
+	// ShouldTrace reports whether the hosts are to trace a request; nil means that
+	// no request is traced.
+	ShouldTrace func(mixer.Request) bool
 	// TimeLimit is sent with each request; 0 leaves the route's.
 	TimeLimit time.Duration
 
@@ -116,7 +118,7 @@
 	} else {
 		res = sen.call(ctx, req)
 	}
-	res.Began = beg
+	res.StartedAt = beg
 	if res.Total == 0 {
 		res.Total = time.Since(beg)
 	}
@@ -136,7 +138,7 @@
 	beg := time.Now()
 	hea := http.Header{}
 	trace := ""
-	if sen.Traced != nil && sen.Traced(req) {
+	if sen.ShouldTrace != nil && sen.ShouldTrace(req) {
 		trace = traceID()
 		hea.Set("Traceparent", "00-"+trace+"-"+trace[:16]+"-01")
 	}
@@ -302,7 +304,7 @@
 	if sen.Verify && req.PromptTokens <= verifyTokens && got != expected(text, req.AnswerTokens) {
 		return Wrong
 	}
-	if total > req.Patience {
+	if total > req.LatencyTarget {
 		return Late
 	}
 	return Whole
@@ -329,8 +331,8 @@
 		res := sen.callOnce(ctx, req, key)
 		says = append(says, res.Ran)
 		res.CallKey = key
-		res.Says = says
-		if res.Status == http.StatusOK || try >= sen.Repeats || !pause(ctx, repeatPause) {
+		res.RanByAttempt = says
+		if res.Status == http.StatusOK || try >= sen.MaxRetries || !pause(ctx, repeatPause) {
 			return res
 		}
 	}
@@ -366,7 +368,7 @@
 	switch {
 	case err != nil:
 		out.Outcome = Broken
-	case out.Total > req.Patience:
+	case out.Total > req.LatencyTarget:
 		out.Outcome = Late
 	}
 	return out
--- a/load/summarizer/parts.go
+++ b/load/summarizer/parts.go
@@ -16,27 +16,27 @@
 	Slowdown Ratios
 }
 
-// Splitter collects the parts of prompts. Use NewSplitter.
-type Splitter struct {
+// PartsRecorder records the parts of prompts. Use NewPartsRecorder.
+type PartsRecorder struct {
 	placement *hdrhistogram.Histogram
 	rest      *hdrhistogram.Histogram
 	slowdown  *hdrhistogram.Histogram
 }
 
-// NewSplitter starts without prompts.
-func NewSplitter() *Splitter {
-	return &Splitter{placement: newHistogram(), rest: newHistogram(), slowdown: newHistogram()}
+// NewPartsRecorder returns a recorder without prompts.
+func NewPartsRecorder() *PartsRecorder {
+	return &PartsRecorder{placement: newHistogram(), rest: newHistogram(), slowdown: newHistogram()}
 }
 
 // Add counts one answered prompt.
-func (spl *Splitter) Add(placement, first, idle time.Duration) {
+func (spl *PartsRecorder) Add(placement, first, idle time.Duration) {
 	record(spl.placement, placement)
 	record(spl.rest, first-placement)
 	recordRatio(spl.slowdown, first-placement, idle)
 }
 
 // Parts returns what was collected, nil if there was no prompt.
-func (spl *Splitter) Parts() *Parts {
+func (spl *PartsRecorder) Parts() *Parts {
 	if spl.placement.TotalCount() == 0 {
 		return nil
 	}
--- a/load/summarizer/summarizer.go
+++ b/load/summarizer/summarizer.go
@@ -181,9 +181,9 @@
 
 // Summarizer collects results. Use New.
 type Summarizer struct {
-	// Idle returns the time to the first token of a prompt on idle engines; nil
-	// leaves the slowdowns out.
-	Idle func(mixer.Request) time.Duration
+	// IdleFirstToken returns the time to the first token of a prompt on idle
+	// engines; if it is nil, the report has no slowdowns and no score.
+	IdleFirstToken func(mixer.Request) time.Duration
 
 	mix      mixer.Mix
 	warmUp   time.Duration
@@ -245,15 +245,15 @@
 func (sum *Summarizer) addPrompt(cla *class, res sender.Result) {
 	wai := res.First
 	if !answered(res) {
-		wai = max(wai, res.Request.Patience)
+		wai = max(wai, res.Request.LatencyTarget)
 	}
 	record(cla.waited, wai)
 	record(sum.length(res.Request.PromptTokens), wai)
 	if res.Request.Class == mixer.ClassShort {
 		record(sum.team(res.Request.Key).short, wai)
 	}
-	if sum.Idle != nil {
-		idl := sum.Idle(res.Request)
+	if sum.IdleFirstToken != nil {
+		idl := sum.IdleFirstToken(res.Request)
 		record(cla.idle, idl)
 		recordRatio(cla.slowdown, wai, idl)
 	}
@@ -316,7 +316,7 @@
 	rep.Goodput = float64(who) / rep.Duration.Seconds()
 	rep.Lengths = sum.lengthReports()
 	rep.Teams, rep.Others = sum.teamReports()
-	if sum.Idle != nil {
+	if sum.IdleFirstToken != nil {
 		rep.Long = sum.long()
 		rep.Score = rep.score()
 	}
--- a/load/summarizer/summarizer_test.go
+++ b/load/summarizer/summarizer_test.go
@@ -14,11 +14,11 @@
 // Refusing prompts must not improve a score.
 func TestScoreCountsRefusedPromptsWithTheirPatience(t *testing.T) {
 	sum := summarizer.New(mixer.Wijesinghe(), 0, time.Second)
-	sum.Idle = func(mixer.Request) time.Duration { return 100 * time.Millisecond }
+	sum.IdleFirstToken = func(mixer.Request) time.Duration { return 100 * time.Millisecond }
 	for _, out := range []sender.Outcome{sender.Whole, sender.Refused} {
 		sum.Add(sender.Result{
 			Outcome: out, First: 100 * time.Millisecond,
-			Request: mixer.Request{Kind: mixer.KindPrompt, Class: mixer.ClassShort, PromptTokens: 1000, Patience: 5 * time.Second},
+			Request: mixer.Request{Kind: mixer.KindPrompt, Class: mixer.ClassShort, PromptTokens: 1000, LatencyTarget: 5 * time.Second},
 		})
 	}
 	rep := sum.Report()
--- a/tools/experimenter/experiment.go
+++ b/tools/experimenter/experiment.go
@@ -212,7 +212,7 @@
 	dur, war := exp.set.times(cel)
 	run := &driver.Run{
 		Mix: pla.mix, Rate: pla.mean, Streams: pla.strs, Seed: exp.set.Seed, Duration: dur, WarmUp: war,
-		Sender: &sender.Sender{Model: pla.mix.Model, Verify: true, Traced: isLong}, Idle: exp.first, Observe: tra.observe,
+		Sender: &sender.Sender{Model: pla.mix.Model, Verify: true, ShouldTrace: isLong}, IdleFirstToken: exp.first, Observe: tra.observe,
 	}
 	for _, hos := range fle.Hosts {
 		run.Sender.Hosts = append(run.Sender.Hosts, hos.Address)
--- a/tools/experimenter/tracing.go
+++ b/tools/experimenter/tracing.go
@@ -60,9 +60,9 @@
 	case <-time.After(exportPause):
 	case <-ctx.Done():
 	}
-	spl := summarizer.NewSplitter()
+	spl := summarizer.NewPartsRecorder()
 	for _, res := range tra.ress {
-		if pla, ok := tra.col.Time(res.Trace, collector.Placement); ok && res.Request.At >= warmUp {
+		if pla, ok := tra.col.Time(res.Trace, collector.PlacementSpan); ok && res.Request.At >= warmUp {
 			spl.Add(pla, res.First, tra.exp.first(res.Request))
 		}
 	}
--- a/tools/soaker/main.go
+++ b/tools/soaker/main.go
@@ -99,7 +99,7 @@
 	dis := &disturber.Disturber{Fleet: fle, Links: lis, Every: set.Every, Seed: set.Seed, Log: os.Stderr}
 	run := &driver.Run{
 		Mix: mix, Rate: set.Rate, Seed: set.Seed, Duration: set.Duration, Progress: os.Stderr, Observe: func(res sender.Result) { aud.Observe(res); tell(res) },
-		Sender: &sender.Sender{Model: mix.Model, Verify: true, Repeats: callRepeats, TimeLimit: set.TimeLimit},
+		Sender: &sender.Sender{Model: mix.Model, Verify: true, MaxRetries: callRepeats, TimeLimit: set.TimeLimit},
 	}
 	for _, hos := range fle.Hosts {
 		run.Sender.Hosts = append(run.Sender.Hosts, hos.Address)
@@ -132,7 +132,7 @@
 // tell prints a request that was not answered whole, for the search of causes.
 func tell(res sender.Result) {
 	if res.Outcome != sender.Whole && res.Outcome != sender.Late {
-		fmt.Fprintf(os.Stderr, "%s %s %s at %s after %s: %s: %s\n", res.Began.Format("05.000"), res.Request.Class, res.Outcome, res.Host, res.Total.Round(time.Millisecond), res.Code, res.Message)
+		fmt.Fprintf(os.Stderr, "%s %s %s at %s after %s: %s: %s\n", res.StartedAt.Format("05.000"), res.Request.Class, res.Outcome, res.Host, res.Total.Round(time.Millisecond), res.Code, res.Message)
 	}
 }
 
