--- a/standin/generator/batch.go
+++ b/standin/generator/batch.go
@@ -6,25 +6,27 @@
 	"hemlockpin/request/hasher"
 )
 
-// admit starts waiting sequences by urgency while memory lasts. Those that live
-// in reserved memory need none, so they never wait behind one that does.
+// admit starts waiting sequences in the order of priority while there is memory.
+// A sequence in reserved memory needs no other memory, so it is not blocked by a
+// sequence that lacks memory.
 func (gen *Generator) admit(now time.Time) {
 	var left []*sequence
 	blocked := false
 	for _, seq := range gen.waiting {
-		if len(gen.running) >= gen.set.MaxBatch || blocked && !seq.reserved() || !gen.occupy(seq, now) {
+		if len(gen.running) >= gen.set.MaxBatch || blocked && !seq.reserved() || !gen.allocate(seq, now) {
 			blocked = true
 			left = append(left, seq)
 			continue
 		}
 		gen.running = append(gen.running, seq)
-		seq.movedAt = now
+		seq.progressAt = now
 	}
 	gen.waiting = left
 }
 
-// prefill spends one chunk on the prompts, by urgency, and returns the tokens
-// that count towards the time of the step.
+// prefill spends one chunk of prompt tokens on the running sequences, in the
+// order of priority, and returns the tokens that count towards the time of the
+// step.
 func (gen *Generator) prefill(now time.Time) int64 {
 	left := gen.set.ChunkTokens
 	for left > 0 {
@@ -33,48 +35,49 @@
 			break
 		}
 		members := int64(max(1, len(seq.req.Group)))
-		tok := min(left*members, seq.total()-seq.prefilled)
-		seq.prefilled += tok
-		seq.movedAt = now
-		left -= max(1, tok/members)
+		tokens := min(left*members, seq.contextTokens()-seq.prefilled)
+		seq.prefilled += tokens
+		seq.progressAt = now
+		left -= max(1, tokens/members)
 		if !seq.prefilling() {
-			gen.share(seq, now)
+			gen.cachePrompt(seq, now)
 		}
 	}
 	return gen.set.ChunkTokens - max(0, left)
 }
 
 func (gen *Generator) nextPrefill() *sequence {
-	var bes *sequence
+	var best *sequence
 	for _, seq := range gen.running {
-		if seq.prefilling() && (bes == nil || byUrgency(seq, bes) < 0) {
-			bes = seq
+		if seq.prefilling() && (best == nil || byUrgency(seq, best) < 0) {
+			best = seq
 		}
 	}
-	return bes
+	return best
 }
 
 // decode generates one token of each prefilled sequence.
 func (gen *Generator) decode(now time.Time) bool {
-	did := false
+	decoded := false
 	for _, seq := range append([]*sequence(nil), gen.running...) {
-		if seq.done || seq.prefilling() || seq.next-seq.read >= maxUnread || !gen.grow(seq) {
+		if seq.done || seq.prefilling() || seq.next-seq.nextRead >= maxUnread || !gen.grow(seq) {
 			continue
 		}
-		did = true
+		decoded = true
 		seq.next++
 		seq.prefilled++
-		seq.movedAt = now
+		seq.progressAt = now
 		if seq.next >= seq.req.MaxTokens {
 			gen.end(seq)
 		}
-		seq.tell()
+		seq.notifyReader()
 	}
-	return did
+	return decoded
 }
 
-// grow takes the memory of one more token, if need be from the least urgent
-// sequence. It reports whether the sequence may go on.
+// grow allocates memory for one more token and preempts sequences of the lowest
+// priority until there is enough. It returns false if the sequence itself was
+// preempted.
 func (gen *Generator) grow(seq *sequence) bool {
 	if !gen.isRunning(seq) {
 		return false
@@ -83,9 +86,9 @@
 		return true
 	}
 	for !gen.makeRoom(1, time.Time{}) {
-		vic := gen.leastUrgent()
-		gen.preempt(vic)
-		if vic == seq {
+		victim := gen.leastUrgent()
+		gen.preempt(victim)
+		if victim == seq {
 			return false
 		}
 	}
@@ -94,8 +97,8 @@
 }
 
 func (gen *Generator) isRunning(seq *sequence) bool {
-	for _, oth := range gen.running {
-		if oth == seq {
+	for _, other := range gen.running {
+		if other == seq {
 			return true
 		}
 	}
@@ -103,87 +106,90 @@
 }
 
 func (gen *Generator) leastUrgent() *sequence {
-	var las *sequence
+	var last *sequence
 	for _, seq := range gen.running {
-		if !seq.reserved() && (las == nil || byUrgency(seq, las) > 0) {
-			las = seq
+		if !seq.reserved() && (last == nil || byUrgency(seq, last) > 0) {
+			last = seq
 		}
 	}
-	return las
+	return last
 }
 
-// preempt puts a running sequence back into the queue. Its tokens stay, its
-// memory is computed again later.
+// preempt puts a running sequence back into the queue and frees its memory. Its
+// generated tokens are kept; they and the prompt are prefilled again later.
 func (gen *Generator) preempt(seq *sequence) {
-	for ind, oth := range gen.running {
-		if oth == seq {
-			gen.running = append(gen.running[:ind:ind], gen.running[ind+1:]...)
+	for i, other := range gen.running {
+		if other == seq {
+			gen.running = append(gen.running[:i:i], gen.running[i+1:]...)
 			break
 		}
 	}
-	gen.vacate(seq)
+	gen.freeMemory(seq)
 	seq.prefilled = 0
 	gen.queue(seq)
 }
 
-// occupy takes the memory that a sequence starts with, unless there is too
-// little.
-func (gen *Generator) occupy(seq *sequence, now time.Time) bool {
+// allocate takes the memory for the prompt and the generated tokens of a
+// sequence, less its cached blocks. It returns false if there is too little.
+func (gen *Generator) allocate(seq *sequence, now time.Time) bool {
 	if seq.reserved() {
 		return true
 	}
-	mat := gen.cache.match(seq.blocks)
-	gen.cache.pin(mat, now)
-	need := seq.total() - int64(len(mat))*hasher.BlockTokens
-	if !gen.makeRoom(need+gen.promisedBefore(seq), now) {
-		gen.cache.unpin(mat)
+	matched := gen.cache.match(seq.blocks)
+	gen.cache.pin(matched, now)
+	need := seq.contextTokens() - int64(len(matched))*hasher.BlockTokens
+	if !gen.makeRoom(need+gen.reservedAhead(seq), now) {
+		gen.cache.unpin(matched)
 		return false
 	}
-	seq.pinned = mat
+	seq.pinned = matched
 	seq.memory = need
-	seq.cached = int64(len(mat)) * hasher.BlockTokens
+	seq.cached = int64(len(matched)) * hasher.BlockTokens
 	seq.prefilled = seq.cached
 	return true
 }
 
-// vacate frees the memory of a sequence. Its shared blocks stay in the cache.
-func (gen *Generator) vacate(seq *sequence) {
+// freeMemory frees the memory of a sequence. Its blocks in the prefix cache are
+// unpinned and stay there until they are evicted.
+func (gen *Generator) freeMemory(seq *sequence) {
 	gen.cache.unpin(seq.pinned)
 	seq.pinned = nil
 	seq.memory = 0
 }
 
-// share moves the whole blocks of a prefilled prompt into the cache, pinned
-// while the sequence runs.
-func (gen *Generator) share(seq *sequence, now time.Time) {
+// cachePrompt moves the full blocks of a prefilled prompt into the prefix cache,
+// pinned while the sequence runs.
+func (gen *Generator) cachePrompt(seq *sequence, now time.Time) {
 	if seq.reserved() {
 		return
 	}
-	blos := gen.cache.store(seq.blocks[len(seq.pinned):], now)
-	gen.cache.pin(blos, now)
-	seq.pinned = append(seq.pinned[:len(seq.pinned):len(seq.pinned)], blos...)
-	seq.memory -= int64(len(blos)) * hasher.BlockTokens
+	hashes := gen.cache.store(seq.blocks[len(seq.pinned):], now)
+	gen.cache.pin(hashes, now)
+	seq.pinned = append(seq.pinned[:len(seq.pinned):len(seq.pinned)], hashes...)
+	seq.memory -= int64(len(hashes)) * hasher.BlockTokens
 }
 
-// used is the memory that can't be evicted.
-func (gen *Generator) used() int64 {
-	use := gen.cache.pinnedTokens()
+// usedTokens returns the memory that cannot be evicted: running sequences, their
+// cached blocks and holds.
+func (gen *Generator) usedTokens() int64 {
+	used := gen.cache.pinnedTokens()
 	for _, seq := range gen.running {
-		use += seq.memory
+		used += seq.memory
 	}
 	for _, hol := range gen.holds {
-		use += hol.tokens
+		used += hol.tokens
 	}
-	return use
+	return used
 }
 
-// makeRoom evicts cached blocks until need more tokens fit.
+// makeRoom evicts cached blocks until need more tokens fit. It returns false if
+// they do not fit.
 func (gen *Generator) makeRoom(need int64, now time.Time) bool {
-	use := gen.used()
-	if use+need > gen.set.MemoryTokens {
+	used := gen.usedTokens()
+	if used+need > gen.set.MemoryTokens {
 		return false
 	}
-	for use+gen.cache.freeTokens()+need > gen.set.MemoryTokens {
+	for used+gen.cache.freeTokens()+need > gen.set.MemoryTokens {
 		gen.cache.evict(now)
 	}
 	return true
--- a/standin/generator/cache.go
+++ b/standin/generator/cache.go
@@ -8,26 +8,27 @@
 	"hemlockpin/request/hasher"
 )
 
-// maxEvents bounds the cache events that are kept for readers.
+// maxEvents bounds the cache events that are kept for readers; when it is
+// exceeded, the oldest half is dropped.
 const maxEvents = 4096
 
-// cache is a prefix cache of block hashes. Blocks in use are pinned; the others
-// are evicted, least recently used first. Its zero value is empty.
+// cache is a prefix cache of block hashes. Blocks in use are pinned; unpinned
+// blocks are evicted, least recently used first. Its zero value is empty.
 type cache struct {
 	blocks map[uint64]*block
-	// free lists the hashes of blocks that are not pinned, the oldest first.
+	// free lists the hashes of the unpinned blocks, least recently used first.
 	free   list.List
 	pinned int
-	// events are kept by number; those that a reader has not fetched in time
-	// are lost.
+	// events are the newest events, in the order of their sequence numbers. A
+	// reader that is slower than maxEvents misses the dropped events.
 	events   []loggedEvent
 	sequence uint64
 }
 
 type block struct {
 	pins int
-	// place is the block's element of the free list, nil while it is pinned.
-	place *list.Element
+	// element is the block's element of the free list; nil while it is pinned.
+	element *list.Element
 }
 
 type loggedEvent struct {
@@ -35,28 +36,28 @@
 	at time.Time
 }
 
-// match returns the leading blocks that are cached.
-func (cac *cache) match(blos []uint64) []uint64 {
-	for ind, blo := range blos {
-		if cac.blocks[blo] == nil {
-			return blos[:ind:ind]
+// match returns the longest prefix of hashes whose blocks are all cached.
+func (cac *cache) match(hashes []uint64) []uint64 {
+	for i, hash := range hashes {
+		if cac.blocks[hash] == nil {
+			return hashes[:i:i]
 		}
 	}
-	return blos
+	return hashes
 }
 
-// store adds blocks, unless they are cached, and returns those that it added.
-func (cac *cache) store(blos []uint64, now time.Time) []uint64 {
+// store adds the blocks that are not cached yet and returns their hashes.
+func (cac *cache) store(hashes []uint64, now time.Time) []uint64 {
 	if cac.blocks == nil {
 		cac.blocks = map[uint64]*block{}
 	}
 	var out []uint64
-	for _, has := range blos {
-		if cac.blocks[has] != nil {
+	for _, hash := range hashes {
+		if cac.blocks[hash] != nil {
 			continue
 		}
-		cac.blocks[has] = &block{place: cac.free.PushBack(has)}
-		out = append(out, has)
+		cac.blocks[hash] = &block{element: cac.free.PushBack(hash)}
+		out = append(out, hash)
 	}
 	if len(out) > 0 {
 		cac.log(invoker.CacheEvent{Stored: out}, now)
@@ -64,33 +65,33 @@
 	return out
 }
 
-func (cac *cache) pin(blos []uint64, _ time.Time) {
-	for _, has := range blos {
-		blo := cac.blocks[has]
-		if blo.place != nil {
-			cac.free.Remove(blo.place)
-			blo.place = nil
+func (cac *cache) pin(hashes []uint64, _ time.Time) {
+	for _, hash := range hashes {
+		blo := cac.blocks[hash]
+		if blo.element != nil {
+			cac.free.Remove(blo.element)
+			blo.element = nil
 			cac.pinned++
 		}
 		blo.pins++
 	}
 }
 
-func (cac *cache) unpin(blos []uint64) {
-	for _, has := range blos {
-		blo := cac.blocks[has]
+func (cac *cache) unpin(hashes []uint64) {
+	for _, hash := range hashes {
+		blo := cac.blocks[hash]
 		if blo.pins--; blo.pins == 0 {
-			blo.place = cac.free.PushBack(has)
+			blo.element = cac.free.PushBack(hash)
 			cac.pinned--
 		}
 	}
 }
 
-// evict drops the block that was not used for longest.
+// evict drops the least recently used unpinned block.
 func (cac *cache) evict(now time.Time) {
-	has := cac.free.Remove(cac.free.Front()).(uint64)
-	delete(cac.blocks, has)
-	cac.log(invoker.CacheEvent{Evicted: []uint64{has}}, now)
+	hash := cac.free.Remove(cac.free.Front()).(uint64)
+	delete(cac.blocks, hash)
+	cac.log(invoker.CacheEvent{Evicted: []uint64{hash}}, now)
 }
 
 func (cac *cache) pinnedTokens() int64 { return int64(cac.pinned) * hasher.BlockTokens }
@@ -108,13 +109,14 @@
 	}
 }
 
-// after returns the events beyond a number that are older than the lag, without
-// every gap-th.
-func (cac *cache) after(num, gap uint64, lim time.Time) []invoker.CacheEvent {
+// after returns the events with a sequence number above the given one that were
+// logged at or before a time. If gap is positive, it leaves out the events whose
+// number is a multiple of gap.
+func (cac *cache) after(sequence, gap uint64, before time.Time) []invoker.CacheEvent {
 	out := []invoker.CacheEvent{}
 	for _, eve := range cac.events {
 		lost := gap > 0 && eve.Sequence%gap == 0
-		if eve.Sequence > num && !lost && !eve.at.After(lim) {
+		if eve.Sequence > sequence && !lost && !eve.at.After(before) {
 			out = append(out, eve.CacheEvent)
 		}
 	}
--- a/standin/generator/fault.go
+++ b/standin/generator/fault.go
@@ -6,60 +6,62 @@
 	"hemlockpin/connection/invoker"
 )
 
-// Faults are the failures switched on.
+// Faults are the injected faults that are in effect.
 type Faults struct {
-	// Freeze stops all steps and signs of life while connections stay open.
+	// Freeze stops all steps, events and load reports while connections stay open.
 	Freeze bool
-	// Stall stops all steps; signs of life go on.
+	// Stall stops all steps; Idle events and load reports continue.
 	Stall bool
-	// Leaving marks the engine as leaving.
+	// Leaving makes the engine report that it is leaving and refuse new work.
 	Leaving bool
-	// Refuse turns new work away.
+	// Refuse makes the engine refuse new work as overloaded.
 	Refuse bool
 	// LoseCancel acknowledges cancellations without carrying them out.
 	LoseCancel bool
-	// KeepDetached keeps sequences without a connection for good.
+	// KeepDetached keeps sequences without a connection beyond DetachGrace.
 	KeepDetached bool
 
-	// Streams bounds how many streams the faults below befall; 0 is no bound.
+	// Streams is the number of new streams that get the faults below; 0 means
+	// all streams.
 	Streams int
 	// BreakAfter ends a stream after this many tokens.
 	BreakAfter int64
-	// Cross sends tokens under another request's identifier.
+	// Cross sends tokens and the end event under another request ID.
 	Cross bool
 	// Double sends each token twice.
 	Double bool
-	// Late sends each token of an earlier attempt before that of the present.
+	// Late sends a token of the previous attempt before each token.
 	Late bool
-	// GapAfter leaves one token out after this many.
+	// GapAfter leaves out the token with this index.
 	GapAfter int64
-	// FinishAfter claims a whole answer after this many tokens.
+	// FinishAfter sends the end event of a complete answer after this many tokens.
 	FinishAfter int64
-	// LieInUsage claims another prompt length at the end.
+	// LieInUsage reports wrong prompt and cached token counts in the end event.
 	LieInUsage bool
-	// WrongModel confirms another model than was asked for.
+	// WrongModel names another model in the header than was requested.
 	WrongModel bool
-	// Malformed sends an event that can't be read after this many tokens.
+	// Malformed sends an event that is not valid JSON after this many tokens.
 	Malformed int64
-	// Oversized sends an event beyond any size after this many tokens.
+	// Oversized sends an event of oversizedBytes after this many tokens.
 	Oversized int64
 }
 
-// forStream takes the faults of a new stream. The caller holds the lock.
-func (gen *Generator) forStream() Faults {
+// streamFaults returns the faults of a new stream and counts the stream towards
+// Streams. The caller holds the lock.
+func (gen *Generator) streamFaults() Faults {
 	fau := gen.faults
-	if !fau.ofStream() || fau.Streams == 0 {
+	if !fau.hasStreamFaults() || fau.Streams == 0 {
 		return fau
 	}
 	if gen.faults.Streams--; gen.faults.Streams == 0 {
-		gen.faults = gen.faults.withoutStream()
+		gen.faults = gen.faults.withoutStreamFaults()
 	}
 	return fau
 }
 
-func (fau Faults) ofStream() bool { return fau != fau.withoutStream() }
+func (fau Faults) hasStreamFaults() bool { return fau != fau.withoutStreamFaults() }
 
-func (fau Faults) withoutStream() Faults {
+func (fau Faults) withoutStreamFaults() Faults {
 	return Faults{
 		Freeze: fau.Freeze, Stall: fau.Stall, Leaving: fau.Leaving, Refuse: fau.Refuse,
 		LoseCancel: fau.LoseCancel, KeepDetached: fau.KeepDetached,
@@ -76,8 +78,8 @@
 	gen.faults = fau
 }
 
-// tokens are the events that a stream sends for one token.
-func (fau Faults) tokens(tok invoker.Token) []invoker.Event {
+// tokenEvents returns the events that a stream sends for one token.
+func (fau Faults) tokenEvents(tok invoker.Token) []invoker.Event {
 	if fau.Cross {
 		tok.RequestID = "crossed"
 	}
@@ -97,8 +99,8 @@
 	return eves
 }
 
-// finish is the end event that a stream sends.
-func (fau Faults) finish(fin invoker.Finish) invoker.Finish {
+// finishEvent returns the end event that a stream sends.
+func (fau Faults) finishEvent(fin invoker.Finish) invoker.Finish {
 	if fau.Cross {
 		fin.RequestID = "crossed"
 	}
--- a/standin/generator/generator.go
+++ b/standin/generator/generator.go
@@ -1,24 +1,25 @@
-// Package generator stands in for a model engine in tests. The text that it
-// generates is a function of prompt, seed and index, so that a caller's copy of
-// an answer can be checked from outside.
+// Package generator is a simulated model engine for tests and load runs. Each
+// token of an answer is a function of prompt, seed and index, so that a test can
+// check an answer without access to the engine.
 //
-// The engine batches continuously. One step prefills at most ChunkTokens prompt
-// tokens, in the order of priority and then of arrival, and decodes one token of
-// every prefilled sequence. A step takes
+// The engine uses continuous batching. One step prefills at most ChunkTokens
+// prompt tokens, in the order of priority and then of arrival, and decodes one
+// token of each prefilled sequence. A step takes
 //
 //	Step (if it decodes) + prefilled tokens / PrefillRate
 //
-// so that a long prefill slows the tokens of all others by its chunks, and a
-// more urgent prompt gets the next chunk. A group of engines prefills as many
-// times faster as it has members.
+// so that each chunk of a long prefill delays the decoding of all other
+// sequences, and a prompt of higher priority gets the next chunk. A group of n
+// engines prefills n times as fast as one engine.
 //
-// Memory is counted in tokens. A sequence takes that of its prompt when it
-// starts and grows by one a token; the prefix cache takes what is left, and its
-// blocks are evicted, least recently used first, when sequences or holds need
-// the room. A sequence that can't grow takes the memory of the least urgent
-// one, which is prefilled again later.
+// Memory is counted in tokens. A sequence allocates memory for its prompt when
+// it starts and for one more token with each token that it generates. The prefix
+// cache uses the remaining memory; its blocks are evicted, least recently used
+// first, when sequences or holds need memory. If there is no memory for the next
+// token of a sequence, the sequence of the lowest priority is preempted and
+// prefilled again later.
 //
-// A sequence whose connection has gone is kept for DetachGrace, so that its
+// A sequence whose connection was lost is kept for DetachGrace, so that its
 // owner can resume it at a token.
 package generator
 
@@ -33,7 +34,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Settings are the sizes and speeds of the engine.
+// Settings configure the sizes, speeds and report lags of the engine.
 type Settings struct {
 	ID           string        `long:"id" default:"engine" description:"name of the engine"`
 	Listen       string        `long:"listen" default:"127.0.0.1:7100" description:"address, as IP:port"`
@@ -59,18 +60,18 @@
 	return tokenText(*dig, seed, index)
 }
 
-// tokenText continues a digest of the prompt.
+// tokenText is TokenText with the digest of the prompt already computed.
 func tokenText(dig xxhash.Digest, seed, index int64) string {
 	var buf [16]byte
-	for ind := range 8 {
-		buf[ind] = byte(seed >> (8 * ind))
-		buf[8+ind] = byte(index >> (8 * ind))
+	for i := range 8 {
+		buf[i] = byte(seed >> (8 * i))
+		buf[8+i] = byte(index >> (8 * i))
 	}
 	_, _ = dig.Write(buf[:])
 	return fmt.Sprintf(" t%04x", dig.Sum64()&0xffff)
 }
 
-// Generator is the state of the engine.
+// Generator is a simulated engine. Use New.
 type Generator struct {
 	set         Settings
 	incarnation uint64
@@ -78,8 +79,8 @@
 	peers       http.Client
 
 	mu sync.Mutex
-	// sequences holds all sequences by request ID; waiting and running hold
-	// those that still have tokens to generate.
+	// sequences maps request IDs to sequences; waiting and running list the
+	// sequences that still have tokens to generate.
 	sequences map[string]*sequence
 	waiting   []*sequence
 	running   []*sequence
@@ -88,13 +89,13 @@
 	cache     cache
 	arrivals  uint64
 	leaving   bool
-	lagged    []lagged
+	loads     []delayedLoad
 	faults    Faults
 	wake      chan struct{}
 	config    config
 }
 
-// New starts an idle engine.
+// New returns an idle engine. Its steps are taken by Run.
 func New(set Settings) *Generator {
 	now := time.Now()
 	gen := &Generator{
@@ -110,8 +111,8 @@
 	next := time.Now()
 	for {
 		now := time.Now()
-		dur := gen.step(now)
-		if dur == 0 {
+		stepTime := gen.step(now)
+		if stepTime == 0 {
 			select {
 			case <-gen.wake:
 			case <-time.After(gen.set.Step):
@@ -121,8 +122,9 @@
 			next = time.Now()
 			continue
 		}
-		// The steps keep to their times though sleeps overshoot.
-		next = next.Add(dur)
+		// Each step ends at a time computed from the end of the previous step, so
+		// that sleeps that overshoot don't add up.
+		next = next.Add(stepTime)
 		if lag := now.Sub(next); lag > gen.set.Step {
 			next = now
 		}
@@ -130,18 +132,20 @@
 	}
 }
 
-func (gen *Generator) kick() {
+// wakeUp makes Run take the next step at once if the engine is idle.
+func (gen *Generator) wakeUp() {
 	select {
 	case gen.wake <- struct{}{}:
 	default:
 	}
 }
 
-// step admits, prefills and decodes once and returns the time that it takes.
+// step admits, prefills and decodes once and returns the simulated time of the
+// step; 0 means that no sequence is running.
 func (gen *Generator) step(now time.Time) time.Duration {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
-	gen.report(now)
+	gen.recordLoad(now)
 	if gen.faults.Freeze || gen.faults.Stall {
 		return gen.set.Step
 	}
@@ -151,13 +155,13 @@
 	if len(gen.running) == 0 {
 		return 0
 	}
-	// A prompt that this step finishes has its first token with the next one,
-	// when the time of the prefill has passed.
-	dec := gen.decode(now)
-	pre := gen.prefill(now)
-	dur := time.Duration(float64(pre) / gen.set.PrefillRate * float64(time.Second))
-	if dec || pre == 0 {
-		dur += gen.set.Step
+	// Decode comes first: a prompt whose prefill ends in this step gets its first
+	// token in the next step, after the time of the prefill.
+	decoded := gen.decode(now)
+	prefilled := gen.prefill(now)
+	stepTime := time.Duration(float64(prefilled) / gen.set.PrefillRate * float64(time.Second))
+	if decoded || prefilled == 0 {
+		stepTime += gen.set.Step
 	}
-	return dur
+	return stepTime
 }
--- a/standin/generator/generator_test.go
+++ b/standin/generator/generator_test.go
@@ -15,13 +15,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// script drives an engine step by step in virtual time.
+// script drives an engine step by step in simulated time.
 type script struct {
 	gen *Generator
 	now time.Time
 }
 
-// TestEngine runs the scripts of testdata.
+// Runs the scripts of testdata, which cover the prefix cache, reservations, the
+// ownership of sequences and priorities.
 func TestEngine(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		scr := &script{now: time.Unix(1_700_000_000, 0)}
@@ -61,12 +62,12 @@
 		}
 	case "step":
 		for range arg("n", 1) {
-			dur := scr.gen.step(scr.now)
-			scr.now = scr.now.Add(dur)
+			stepTime := scr.gen.step(scr.now)
+			scr.now = scr.now.Add(stepTime)
 		}
 	case "read":
 		seq := scr.gen.sequences[word("id")]
-		seq.read = seq.next
+		seq.nextRead = seq.next
 		return fmt.Sprint(seq.next)
 	case "detach":
 		scr.gen.detach(scr.gen.sequences[word("id")], int(arg("attempt", 1)), scr.now)
@@ -96,12 +97,13 @@
 	var bui strings.Builder
 	fmt.Fprintf(&bui, "used %d, cached %d, holds %d", loa.UsedTokens, loa.CachedTokens, len(scr.gen.holds))
 	for _, seq := range append(append([]*sequence(nil), scr.gen.running...), scr.gen.waiting...) {
-		fmt.Fprintf(&bui, "\n%s: %d/%d prefilled, %d generated, memory %d", seq.req.RequestID, seq.prefilled, seq.total(), seq.next, seq.memory)
+		fmt.Fprintf(&bui, "\n%s: %d/%d prefilled, %d generated, memory %d", seq.req.RequestID, seq.prefilled, seq.contextTokens(), seq.next, seq.memory)
 	}
 	return bui.String()
 }
 
-// TestTransfer moves a prefix from one engine to another and gives it back.
+// A cached prefix is copied from one engine to another, and the export is freed
+// only by its owner.
 func TestTransfer(t *testing.T) {
 	start := func() (*Generator, string) {
 		gen := New(Settings{ID: "engine", MemoryTokens: 10_000, TransferRate: 1e9, LoadLag: time.Second})
@@ -111,60 +113,60 @@
 	}
 	from, fromAddress := start()
 	to, toAddress := start()
-	blos := hasher.Blocks(prompt("shared", 4096))
-	from.cache.store(blos, time.Now())
+	hashes := hasher.Blocks(prompt("shared", 4096))
+	from.cache.store(hashes, time.Now())
 	inv := &invoker.Invoker{}
 	own := invoker.Owner{Host: "host-a", Incarnation: 1}
-	require.NoError(t, inv.Export(t.Context(), fromAddress, "export-1", own, blos))
-	require.Equal(t, int64(4096), from.used())
+	require.NoError(t, inv.Export(t.Context(), fromAddress, "export-1", own, hashes))
+	require.Equal(t, int64(4096), from.usedTokens())
 	require.NoError(t, inv.Import(t.Context(), toAddress, fromAddress, "export-1", own))
-	require.Equal(t, blos, to.cache.match(blos))
-	// Only the exact owner is freed.
+	require.Equal(t, hashes, to.cache.match(hashes))
+	// A request from another incarnation of the owner frees nothing.
 	fre := invoker.Free{Kind: kindExport, ID: "export-1", Owner: invoker.Owner{Host: "host-a", Incarnation: 2}}
 	require.NoError(t, inv.Free(t.Context(), fromAddress, fre))
-	require.Equal(t, int64(4096), from.used())
+	require.Equal(t, int64(4096), from.usedTokens())
 	fre.Owner = own
 	require.NoError(t, inv.Free(t.Context(), fromAddress, fre))
-	require.Zero(t, from.used())
+	require.Zero(t, from.usedTokens())
 	var ine *invoker.Error
 	require.ErrorAs(t, inv.Import(t.Context(), toAddress, fromAddress, "export-1", own), &ine)
 	require.Equal(t, http.StatusBadGateway, ine.Status)
 }
 
-// TestEventsLagAndGap checks that events come late and that lost ones leave
-// gaps in the numbers.
+// Cache events are served only after their lag, and lost events leave gaps in
+// the sequence numbers.
 func TestEventsLagAndGap(t *testing.T) {
 	var cac cache
-	sta := time.Unix(1_700_000_000, 0)
-	for ind := range uint64(6) {
-		cac.store([]uint64{ind}, sta.Add(time.Duration(ind)*time.Second))
+	start := time.Unix(1_700_000_000, 0)
+	for i := range uint64(6) {
+		cac.store([]uint64{i}, start.Add(time.Duration(i)*time.Second))
 	}
-	var nums []uint64
-	for _, eve := range cac.after(1, 3, sta.Add(4*time.Second)) {
-		nums = append(nums, eve.Sequence)
+	var numbers []uint64
+	for _, eve := range cac.after(1, 3, start.Add(4*time.Second)) {
+		numbers = append(numbers, eve.Sequence)
 	}
-	require.Equal(t, []uint64{2, 4, 5}, nums)
+	require.Equal(t, []uint64{2, 4, 5}, numbers)
 }
 
-// BenchmarkReport gives the size of an engine's report with 180 sequences in
-// plain use, whole and as the reclaimer reads it.
+// Measures the size of a load report with 180 sequences in normal use: in full,
+// and with MinIdleMs as the reclaimer requests it.
 func BenchmarkReport(b *testing.B) {
 	gen := New(Settings{ID: "engine", Models: []string{"m"}, MemoryTokens: 10_000_000, MaxBatch: 200, PrefillRate: 1e9, ChunkTokens: 1 << 20, Step: time.Millisecond})
 	now := time.Now()
-	for ind := range 180 {
-		id := fmt.Sprintf("01a23f43-ccd3-7318-a753-%012d", ind)
+	for i := range 180 {
+		id := fmt.Sprintf("01a23f43-ccd3-7318-a753-%012d", i)
 		req := invoker.GenerateRequest{RequestID: id, Attempt: 1, Owner: invoker.Owner{Host: "host-100", Incarnation: 1796357735671357650}, Prompt: id, PromptTokens: 1000, MaxTokens: 200, BudgetMs: 30_000}
 		_, _, ref := gen.accept(req, newSequence(req, now))
 		require.Nil(b, ref)
 	}
 	gen.step(now)
-	gen.report(now)
-	for _, que := range []string{"", "?MinIdleMs=5000"} {
-		b.Run("load"+que, func(b *testing.B) {
+	gen.recordLoad(now)
+	for _, query := range []string{"", "?MinIdleMs=5000"} {
+		b.Run("load"+query, func(b *testing.B) {
 			var size int
 			for b.Loop() {
 				rec := httptest.NewRecorder()
-				gen.getLoad(rec, httptest.NewRequest(http.MethodGet, "/v1/load"+que, nil))
+				gen.getLoad(rec, httptest.NewRequest(http.MethodGet, "/v1/load"+query, nil))
 				size = rec.Body.Len()
 			}
 			b.ReportMetric(float64(size), "bytes")
--- a/standin/generator/handler.go
+++ b/standin/generator/handler.go
@@ -12,7 +12,8 @@
 	"github.com/gorilla/mux"
 )
 
-// Handler serves the engine's API and its control.
+// Handler serves the API of the engine, and the control API by which tests
+// inject faults and read the memory.
 func (gen *Generator) Handler() http.Handler {
 	rou := mux.NewRouter()
 	rou.HandleFunc("/v1/generate", gen.generate).Methods(http.MethodPost)
@@ -23,13 +24,13 @@
 	rou.HandleFunc("/v1/reserve", gen.reserve).Methods(http.MethodPost)
 	rou.HandleFunc("/v1/release", gen.release).Methods(http.MethodPost)
 	rou.HandleFunc("/v1/config", gen.getConfig).Methods(http.MethodGet)
-	rou.HandleFunc("/v1/orders", gen.takeOrder).Methods(http.MethodPost)
+	rou.HandleFunc("/v1/orders", gen.handleOrder).Methods(http.MethodPost)
 	rou.HandleFunc("/v1/group/check", gen.checkHold).Methods(http.MethodPost)
-	rou.HandleFunc("/v1/kv/export", gen.export).Methods(http.MethodPost)
-	rou.HandleFunc("/v1/kv/import", gen.imports).Methods(http.MethodPost)
-	rou.HandleFunc("/v1/kv/fetch", gen.fetch).Methods(http.MethodGet)
+	rou.HandleFunc("/v1/kv/export", gen.exportBlocks).Methods(http.MethodPost)
+	rou.HandleFunc("/v1/kv/import", gen.importBlocks).Methods(http.MethodPost)
+	rou.HandleFunc("/v1/kv/fetch", gen.fetchExport).Methods(http.MethodGet)
 	rou.HandleFunc("/control/faults", gen.putFaults).Methods(http.MethodPut)
-	rou.HandleFunc("/control/memory", gen.memory).Methods(http.MethodGet)
+	rou.HandleFunc("/control/memory", gen.getMemory).Methods(http.MethodGet)
 	return rou
 }
 
@@ -52,7 +53,7 @@
 	return val, true
 }
 
-// refusal says why a dispatch is turned away.
+// refusal is an error answer to a request that was not run.
 type refusal struct {
 	status        int
 	code, message string
@@ -68,7 +69,7 @@
 		refuse(wri, ref.status, ref.code, ref.message)
 		return
 	}
-	gen.kick()
+	gen.wakeUp()
 	if len(req.Group) > 1 {
 		ctx, stop := context.WithCancel(context.WithoutCancel(htr.Context()))
 		defer stop()
@@ -88,7 +89,8 @@
 	str.run(htr.Context())
 }
 
-// accept resumes the sequence of an earlier dispatch or queues the new one.
+// accept resumes the sequence of an earlier attempt if that is possible, and
+// otherwise queues the new sequence. It refuses an attempt that is not newer.
 func (gen *Generator) accept(req invoker.GenerateRequest, seq *sequence) (*sequence, Faults, *refusal) {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
@@ -108,7 +110,7 @@
 		gen.remove(old)
 		gen.add(seq)
 	}
-	return seq, gen.forStream(), nil
+	return seq, gen.streamFaults(), nil
 }
 
 func (gen *Generator) check(req invoker.GenerateRequest) *refusal {
--- a/standin/generator/hold.go
+++ b/standin/generator/hold.go
@@ -17,14 +17,16 @@
 const (
 	groupTimeout       = time.Second
 	groupCheckInterval = 500 * time.Millisecond
-	// defaultHold is the budget of a hold for which its owner named none.
-	defaultHold = 10 * time.Minute
+	// defaultHoldTime is the time to expiry of an export, and of a reservation
+	// whose owner gave no budget.
+	defaultHoldTime = 10 * time.Minute
 
 	kindReservation = "Reservation"
 	kindExport      = "Export"
 )
 
-// hold is memory set aside for a request of a group or an export.
+// hold is memory reserved for a request of a group, or the pinned blocks of an
+// export.
 type hold struct {
 	id        string
 	kind      string
@@ -46,12 +48,12 @@
 		refuse(wri, http.StatusBadRequest, "too_large", "the reservation exceeds the engine's memory")
 		return
 	}
-	bud := time.Duration(res.BudgetMs) * time.Millisecond
-	if bud == 0 {
-		bud = defaultHold
+	budget := time.Duration(res.BudgetMs) * time.Millisecond
+	if budget == 0 {
+		budget = defaultHoldTime
 	}
 	now := time.Now()
-	wai := &waiter{reservation: res, at: now, expiresAt: now.Add(bud), ready: make(chan *refusal, 1)}
+	wai := &waiter{reservation: res, at: now, expiresAt: now.Add(budget), ready: make(chan *refusal, 1)}
 	gen.mu.Lock()
 	gen.addWaiter(wai)
 	gen.grantWaiters(wai.at)
@@ -61,7 +63,7 @@
 	}
 }
 
-// waiter is a reservation that waits for memory.
+// waiter is a reservation request that waits for memory.
 type waiter struct {
 	reservation invoker.Reservation
 	at          time.Time
@@ -69,41 +71,42 @@
 	ready       chan *refusal
 }
 
-// addWaiter queues a reservation by its deadline, so that one which keeps coming
-// back gets its turn.
+// addWaiter queues a reservation request in the order of expiry, so that a
+// request that is retried with the rest of its budget moves forward.
 func (gen *Generator) addWaiter(wai *waiter) {
-	ind, _ := slices.BinarySearchFunc(gen.waiters, wai, func(one, two *waiter) int {
-		return one.expiresAt.Compare(two.expiresAt)
+	i, _ := slices.BinarySearchFunc(gen.waiters, wai, func(a, b *waiter) int {
+		return a.expiresAt.Compare(b.expiresAt)
 	})
-	gen.waiters = slices.Insert(gen.waiters, ind, wai)
+	gen.waiters = slices.Insert(gen.waiters, i, wai)
 }
 
 func (gen *Generator) awaitHold(ctx context.Context, wai *waiter) *refusal {
-	tim := time.NewTimer(time.Duration(wai.reservation.WaitMs) * time.Millisecond)
-	defer tim.Stop()
+	timer := time.NewTimer(time.Duration(wai.reservation.WaitMs) * time.Millisecond)
+	defer timer.Stop()
 	select {
 	case ref := <-wai.ready:
 		return ref
-	case <-tim.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
-	gen.waiters = slices.DeleteFunc(gen.waiters, func(oth *waiter) bool { return oth == wai })
+	gen.waiters = slices.DeleteFunc(gen.waiters, func(other *waiter) bool { return other == wai })
 	select {
 	case ref := <-wai.ready:
 		return ref
 	default:
-		gen.kick()
+		gen.wakeUp()
 		return &refusal{http.StatusServiceUnavailable, "no_memory", "the engine has not enough free memory"}
 	}
 }
 
-// grantWaiters serves the waiting reservations in the order of their arrival.
+// grantWaiters decides the waiting reservation requests in the order of the
+// queue, up to the first one that lacks memory.
 func (gen *Generator) grantWaiters(now time.Time) {
 	for len(gen.waiters) > 0 {
 		wai := gen.waiters[0]
-		ref, done := gen.tryHold(wai, now)
+		ref, done := gen.tryGrant(wai, now)
 		if !done {
 			return
 		}
@@ -112,8 +115,9 @@
 	}
 }
 
-// tryHold reports whether a reservation is decided, and how.
-func (gen *Generator) tryHold(wai *waiter, now time.Time) (*refusal, bool) {
+// tryGrant grants or refuses a reservation. It returns false if the reservation
+// has to wait for memory, and a nil refusal if it is granted.
+func (gen *Generator) tryGrant(wai *waiter, now time.Time) (*refusal, bool) {
 	res := wai.reservation
 	if hol, held := gen.holds[res.ReservationID]; held {
 		if hol.owner != res.Owner || hol.requestID != res.RequestID || hol.tokens != res.Tokens {
@@ -124,7 +128,7 @@
 	if gen.isLeaving() || gen.faults.Refuse {
 		return &refusal{http.StatusServiceUnavailable, "overloaded", "the engine takes no work"}, true
 	}
-	if !gen.makeRoom(res.Tokens+gen.owedBefore(wai), now) {
+	if !gen.makeRoom(res.Tokens+gen.neededAhead(wai), now) {
 		return nil, false
 	}
 	gen.holds[res.ReservationID] = hold{
@@ -134,61 +138,62 @@
 	return nil, true
 }
 
-// promisedBefore is the memory that a sequence leaves to a reservation which
-// has waited longer.
-func (gen *Generator) promisedBefore(seq *sequence) int64 {
+// reservedAhead returns the memory that must stay free for the first waiting
+// reservation because it has waited longer than the sequence.
+func (gen *Generator) reservedAhead(seq *sequence) int64 {
 	if len(gen.waiters) == 0 || seq.queuedAt.Before(gen.waiters[0].at) {
 		return 0
 	}
 	return gen.waiters[0].reservation.Tokens
 }
 
-// owedBefore is the memory that a reservation leaves to the most urgent
-// sequence if that has waited longer.
-func (gen *Generator) owedBefore(wai *waiter) int64 {
+// neededAhead returns the memory that must stay free for a waiting sequence
+// because it has waited longer than the reservation: that of the first such
+// sequence in the order of priority.
+func (gen *Generator) neededAhead(wai *waiter) int64 {
 	for _, seq := range gen.waiting {
 		if !seq.reserved() && seq.queuedAt.Before(wai.at) {
-			return seq.total()
+			return seq.contextTokens()
 		}
 	}
 	return 0
 }
 
 func (gen *Generator) release(wri http.ResponseWriter, htr *http.Request) {
-	rel, ok := decode[struct{ ID string }](wri, htr)
+	body, ok := decode[struct{ ID string }](wri, htr)
 	if !ok {
 		return
 	}
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
-	gen.dropHold(rel.ID)
+	gen.dropHold(body.ID)
 }
 
 func (gen *Generator) dropHold(id string) {
 	gen.cache.unpin(gen.holds[id].blocks)
 	delete(gen.holds, id)
 	gen.grantWaiters(time.Now())
-	gen.kick()
+	gen.wakeUp()
 }
 
 func (gen *Generator) cancel(wri http.ResponseWriter, htr *http.Request) {
-	can, ok := decode[invoker.Free](wri, htr)
+	fre, ok := decode[invoker.Free](wri, htr)
 	if !ok {
 		return
 	}
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
 	if !gen.faults.LoseCancel {
-		gen.stop(can)
+		gen.stop(fre)
 	}
 }
 
-// stop removes a sequence, unless it is of another owner or a newer attempt.
+// stop removes a sequence, unless it belongs to another owner or a newer attempt.
 func (gen *Generator) stop(fre invoker.Free) {
 	seq := gen.sequences[fre.RequestID]
 	if seq != nil && seq.req.Owner == fre.Owner && seq.req.Attempt <= fre.Attempt {
 		gen.remove(seq)
-		gen.kick()
+		gen.wakeUp()
 	}
 }
 
@@ -208,9 +213,10 @@
 	}
 }
 
-// export pins the leading blocks that are cached, for another engine to fetch.
-func (gen *Generator) export(wri http.ResponseWriter, htr *http.Request) {
-	exp, ok := decode[struct {
+// exportBlocks pins the longest cached prefix of the requested blocks, so that
+// another engine can fetch it.
+func (gen *Generator) exportBlocks(wri http.ResponseWriter, htr *http.Request) {
+	body, ok := decode[struct {
 		ExportID string
 		Owner    invoker.Owner
 		Hashes   []uint64
@@ -220,21 +226,21 @@
 	}
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
-	if _, held := gen.holds[exp.ExportID]; held {
+	if _, held := gen.holds[body.ExportID]; held {
 		return
 	}
 	now := time.Now()
-	blos := gen.cache.match(exp.Hashes)
-	if len(blos) == 0 {
+	hashes := gen.cache.match(body.Hashes)
+	if len(hashes) == 0 {
 		refuse(wri, http.StatusNotFound, "not_cached", "none of the blocks is cached")
 		return
 	}
-	gen.cache.pin(blos, now)
-	// The pinned blocks count as cache in use, so the hold itself takes nothing.
-	gen.holds[exp.ExportID] = hold{id: exp.ExportID, kind: kindExport, owner: exp.Owner, blocks: blos, at: now, expiresAt: now.Add(defaultHold)}
+	gen.cache.pin(hashes, now)
+	// The pinned blocks already count as used memory, so the hold has no tokens.
+	gen.holds[body.ExportID] = hold{id: body.ExportID, kind: kindExport, owner: body.Owner, blocks: hashes, at: now, expiresAt: now.Add(defaultHoldTime)}
 }
 
-func (gen *Generator) fetch(wri http.ResponseWriter, htr *http.Request) {
+func (gen *Generator) fetchExport(wri http.ResponseWriter, htr *http.Request) {
 	gen.mu.Lock()
 	hol, held := gen.holds[htr.URL.Query().Get("ExportID")]
 	gen.mu.Unlock()
@@ -245,9 +251,9 @@
 	_ = json.NewEncoder(wri).Encode(hol.blocks)
 }
 
-// imports copies an export of another engine into the cache.
-func (gen *Generator) imports(wri http.ResponseWriter, htr *http.Request) {
-	imp, ok := decode[struct {
+// importBlocks copies an export of another engine into the prefix cache.
+func (gen *Generator) importBlocks(wri http.ResponseWriter, htr *http.Request) {
+	body, ok := decode[struct {
 		FromAddress string
 		ExportID    string
 		Owner       invoker.Owner
@@ -255,20 +261,20 @@
 	if !ok {
 		return
 	}
-	blos, err := gen.fetchFrom(htr.Context(), imp.FromAddress, imp.ExportID)
+	hashes, err := gen.fetchFrom(htr.Context(), body.FromAddress, body.ExportID)
 	if err != nil {
 		refuse(wri, http.StatusBadGateway, "export_unreachable", err.Error())
 		return
 	}
-	tok := int64(len(blos)) * hasher.BlockTokens
-	time.Sleep(time.Duration(float64(tok) / gen.set.TransferRate * float64(time.Second)))
+	tokens := int64(len(hashes)) * hasher.BlockTokens
+	time.Sleep(time.Duration(float64(tokens) / gen.set.TransferRate * float64(time.Second)))
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
-	if !gen.makeRoom(tok, time.Now()) {
+	if !gen.makeRoom(tokens, time.Now()) {
 		refuse(wri, http.StatusServiceUnavailable, "no_memory", "the engine has not enough free memory")
 		return
 	}
-	gen.cache.store(blos, time.Now())
+	gen.cache.store(hashes, time.Now())
 }
 
 func (gen *Generator) fetchFrom(ctx context.Context, address, id string) ([]uint64, error) {
@@ -284,26 +290,27 @@
 	if res.StatusCode != http.StatusOK {
 		return nil, eris.Errorf("Generator.fetchFrom: %s: status %d", address, res.StatusCode)
 	}
-	var blos []uint64
-	return blos, json.NewDecoder(res.Body).Decode(&blos)
+	var hashes []uint64
+	return hashes, json.NewDecoder(res.Body).Decode(&hashes)
 }
 
-// checkHold answers the leader of a group.
+// checkHold answers the leader of a group, which checks that this member still
+// holds its part of the memory.
 func (gen *Generator) checkHold(wri http.ResponseWriter, htr *http.Request) {
-	che, ok := decode[invoker.Reservation](wri, htr)
+	res, ok := decode[invoker.Reservation](wri, htr)
 	if !ok {
 		return
 	}
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
-	hol, held := gen.holds[che.ReservationID]
-	if !held || hol.owner != che.Owner || hol.tokens < che.Tokens {
+	hol, held := gen.holds[res.ReservationID]
+	if !held || hol.owner != res.Owner || hol.tokens < res.Tokens {
 		refuse(wri, http.StatusConflict, "not_held", "the reservation is not held")
 	}
 }
 
 // watchGroup fails a sequence when a member of its group no longer holds its
-// share.
+// part of the memory or does not answer.
 func (gen *Generator) watchGroup(ctx context.Context, seq *sequence, req invoker.GenerateRequest) {
 	for {
 		for _, par := range req.Group[1:] {
--- a/standin/generator/orders.go
+++ b/standin/generator/orders.go
@@ -8,10 +8,11 @@
 	"hemlockpin/connection/invoker"
 )
 
-// keptOrders is the number of order identifiers that the engine remembers.
-const keptOrders = 64
+// maxOrders is the number of order IDs that the engine remembers.
+const maxOrders = 64
 
-// config is what orders change. Its zero value is the configuration at start.
+// config is the state that orders change. Its zero value is the initial
+// configuration.
 type config struct {
 	changes  uint64
 	fence    uint64
@@ -42,9 +43,9 @@
 	_ = json.NewEncoder(wri).Encode(gen.engineConfig())
 }
 
-// takeOrder carries out an order once. Whether it looks at the fencing number
-// is a setting; it always looks at the generation, if the order names one.
-func (gen *Generator) takeOrder(wri http.ResponseWriter, htr *http.Request) {
+// handleOrder carries out an order once. It checks the fencing number only with
+// ChecksFence set, and the generation whenever the order has one.
+func (gen *Generator) handleOrder(wri http.ResponseWriter, htr *http.Request) {
 	ord, ok := decode[invoker.Order](wri, htr)
 	if !ok {
 		return
@@ -68,7 +69,7 @@
 	con.fence = max(con.fence, ord.Fence)
 	con.changes++
 	con.orders = append(con.orders, ord.ID)
-	if len(con.orders) > keptOrders {
+	if len(con.orders) > maxOrders {
 		con.orders = con.orders[1:]
 	}
 }
--- a/standin/generator/report.go
+++ b/standin/generator/report.go
@@ -11,39 +11,40 @@
 	"hemlockpin/connection/invoker"
 )
 
-// packFrom is the number of sequences from which a report is packed.
-const packFrom = 8
+// gzipFromSequences is the number of sequences from which a report is compressed.
+const gzipFromSequences = 8
 
-// lagged is a load report that is shown later.
-type lagged struct {
+// delayedLoad is a load report that is served after LoadLag.
+type delayedLoad struct {
 	at   time.Time
 	load invoker.Load
 }
 
-// report keeps load reports until the lag has passed.
-func (gen *Generator) report(now time.Time) {
-	if cou := len(gen.lagged); cou > 0 && now.Sub(gen.lagged[cou-1].at) < gen.set.LoadLag/4 {
+// recordLoad records the load, at most four times within LoadLag, and drops the
+// reports that a newer one older than LoadLag replaces.
+func (gen *Generator) recordLoad(now time.Time) {
+	if n := len(gen.loads); n > 0 && now.Sub(gen.loads[n-1].at) < gen.set.LoadLag/4 {
 		return
 	}
-	gen.lagged = append(gen.lagged, lagged{now, gen.load(now)})
-	lim := now.Add(-gen.set.LoadLag)
-	for len(gen.lagged) > 1 && gen.lagged[1].at.Before(lim) {
-		gen.lagged = gen.lagged[1:]
+	gen.loads = append(gen.loads, delayedLoad{now, gen.load(now)})
+	limit := now.Add(-gen.set.LoadLag)
+	for len(gen.loads) > 1 && gen.loads[1].at.Before(limit) {
+		gen.loads = gen.loads[1:]
 	}
 }
 
 func (gen *Generator) load(now time.Time) invoker.Load {
 	loa := invoker.Load{
 		Engine: gen.set.ID, Incarnation: gen.incarnation, Role: gen.config.roleOr("Serve"), Leaving: gen.isLeaving(), Models: gen.set.Models,
-		Running: len(gen.running), Queued: len(gen.waiting), MemoryTokens: gen.set.MemoryTokens, UsedTokens: gen.used(),
+		Running: len(gen.running), Queued: len(gen.waiting), MemoryTokens: gen.set.MemoryTokens, UsedTokens: gen.usedTokens(),
 		CachedTokens: gen.cache.tokens(), PrefillRate: gen.set.PrefillRate, StepMs: gen.set.Step.Seconds() * 1000,
 	}
 	for _, seq := range gen.waiting {
-		loa.QueuedPromptTokens += seq.total()
+		loa.QueuedPromptTokens += seq.contextTokens()
 		loa.Sequences = append(loa.Sequences, seq.entry("Queued", now))
 	}
 	for _, seq := range gen.running {
-		loa.QueuedPromptTokens += max(0, seq.total()-seq.prefilled)
+		loa.QueuedPromptTokens += max(0, seq.contextTokens()-seq.prefilled)
 		loa.Sequences = append(loa.Sequences, seq.entry("Running", now))
 	}
 	for _, hol := range gen.holds {
@@ -55,12 +56,12 @@
 func (gen *Generator) isLeaving() bool { return gen.leaving || gen.faults.Leaving }
 
 func (seq *sequence) entry(kind string, now time.Time) invoker.Sequence {
-	ent := invoker.Sequence{
+	entry := invoker.Sequence{
 		RequestID: seq.req.RequestID, Attempt: seq.req.Attempt, Owner: seq.req.Owner, Kind: kind, Tokens: seq.memory,
-		AgeMs: now.Sub(seq.queuedAt).Milliseconds(), IdleMs: now.Sub(seq.movedAt).Milliseconds(),
-		ExpiresMs: seq.expiresAt.Sub(now).Milliseconds(), Detached: seq.sink == 0,
+		AgeMs: now.Sub(seq.queuedAt).Milliseconds(), IdleMs: now.Sub(seq.progressAt).Milliseconds(),
+		ExpiresMs: seq.expiresAt.Sub(now).Milliseconds(), Detached: seq.attachedAttempt == 0,
 	}
-	return ent
+	return entry
 }
 
 func (hol hold) entry(now time.Time) invoker.Sequence {
@@ -71,43 +72,46 @@
 	}
 }
 
-// getLoad serves the lagging report. With MinIdleMs it lists only the sequences
-// that may be lost.
+// getLoad serves the newest report that is older than LoadLag. With MinIdleMs it
+// lists only the sequences that may have lost their owner, with Holders=None no
+// sequences.
 func (gen *Generator) getLoad(wri http.ResponseWriter, htr *http.Request) {
 	gen.mu.Lock()
 	now := time.Now()
-	gen.report(now)
-	rep := gen.lagged[0]
+	gen.recordLoad(now)
+	report := gen.loads[0]
 	frozen := gen.faults.Freeze
 	gen.mu.Unlock()
 	if frozen {
 		<-htr.Context().Done()
 		return
 	}
-	loa := rep.load
-	loa.AgeMs = now.Sub(rep.at).Milliseconds()
+	loa := report.load
+	loa.AgeMs = now.Sub(report.at).Milliseconds()
 	if minIdle, err := strconv.ParseInt(htr.URL.Query().Get("MinIdleMs"), 10, 64); err == nil {
-		loa.Sequences = suspects(rep.load.Sequences, minIdle)
+		loa.Sequences = possiblyLost(report.load.Sequences, minIdle)
 	}
 	if htr.URL.Query().Get("Holders") == "None" {
 		loa.Sequences = nil
 	}
-	writePacked(wri, htr, loa)
+	writeLoad(wri, htr, loa)
 }
 
-// writePacked writes a report, packed where it is long and the caller takes it.
-func writePacked(wri http.ResponseWriter, htr *http.Request, loa invoker.Load) {
-	if len(loa.Sequences) < packFrom || !strings.Contains(htr.Header.Get("Accept-Encoding"), "gzip") {
+// writeLoad writes a report, compressed if it is long and the caller accepts gzip.
+func writeLoad(wri http.ResponseWriter, htr *http.Request, loa invoker.Load) {
+	if len(loa.Sequences) < gzipFromSequences || !strings.Contains(htr.Header.Get("Accept-Encoding"), "gzip") {
 		_ = json.NewEncoder(wri).Encode(loa)
 		return
 	}
 	wri.Header().Set("Content-Encoding", "gzip")
-	pac := gzip.NewWriter(wri)
-	_ = json.NewEncoder(pac).Encode(loa)
-	_ = pac.Close()
+	gzw := gzip.NewWriter(wri)
+	_ = json.NewEncoder(gzw).Encode(loa)
+	_ = gzw.Close()
 }
 
-func suspects(seqs []invoker.Sequence, minIdle int64) []invoker.Sequence {
+// possiblyLost returns the sequences that have no connection, made no progress
+// for at least minIdle milliseconds, or have expired.
+func possiblyLost(seqs []invoker.Sequence, minIdle int64) []invoker.Sequence {
 	var out []invoker.Sequence
 	for _, seq := range seqs {
 		if seq.Detached || seq.IdleMs >= minIdle || seq.ExpiresMs < 0 {
@@ -117,8 +121,8 @@
 	return out
 }
 
-// memory serves the true account without lag.
-func (gen *Generator) memory(wri http.ResponseWriter, _ *http.Request) {
+// getMemory serves the current load without lag.
+func (gen *Generator) getMemory(wri http.ResponseWriter, _ *http.Request) {
 	gen.mu.Lock()
 	loa := gen.load(time.Now())
 	gen.mu.Unlock()
@@ -126,12 +130,12 @@
 }
 
 func (gen *Generator) getEvents(wri http.ResponseWriter, htr *http.Request) {
-	aft, ok := decode[struct{ After uint64 }](wri, htr)
+	body, ok := decode[struct{ After uint64 }](wri, htr)
 	if !ok {
 		return
 	}
 	gen.mu.Lock()
-	eves := gen.cache.after(aft.After, gen.set.EventGap, time.Now().Add(-gen.set.EventLag))
+	eves := gen.cache.after(body.After, gen.set.EventGap, time.Now().Add(-gen.set.EventLag))
 	gen.mu.Unlock()
 	_ = json.NewEncoder(wri).Encode(eves)
 }
--- a/standin/generator/sequence.go
+++ b/standin/generator/sequence.go
@@ -11,39 +11,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxUnread bounds the tokens that a sequence is ahead of its reader.
+// maxUnread bounds the generated tokens that the reader has not received yet.
 const maxUnread = 256
 
 // sequence is one request on the engine.
 type sequence struct {
 	req invoker.GenerateRequest
-	// arrival orders sequences of one priority.
+	// arrival orders sequences of the same priority.
 	arrival uint64
 	blocks  []uint64
 	digest  xxhash.Digest
 	// pinned are the cached blocks that the sequence uses.
 	pinned []uint64
-	// prefilled counts towards total, the tokens to compute before the next one.
+	// prefilled is the number of computed tokens, out of contextTokens.
 	prefilled int64
 	cached    int64
-	// next is the index of the next token to generate, read that of the next
-	// one for the reader.
-	next   int64
-	read   int64
-	memory int64
-	done   bool
-	failed *failure
+	// next is the index of the next token to generate, nextRead the index of the
+	// next token to send to the reader.
+	next     int64
+	nextRead int64
+	memory   int64
+	done     bool
+	failed   *failure
 
 	queuedAt   time.Time
-	movedAt    time.Time
+	progressAt time.Time
 	expiresAt  time.Time
 	detachedAt time.Time
-	// sink is the attempt whose connection is attached; 0 for none.
-	sink   int
-	notify chan struct{}
+	// attachedAttempt is the attempt whose connection reads the sequence; 0 means
+	// none.
+	attachedAttempt int
+	notify          chan struct{}
 }
 
-// failure ends a sequence with an error event.
+// failure is the error event that ends a sequence.
 type failure struct {
 	Code    string
 	Message string
@@ -51,7 +52,7 @@
 
 func newSequence(req invoker.GenerateRequest, now time.Time) *sequence {
 	seq := &sequence{
-		next: req.StartIndex, queuedAt: now, movedAt: now, blocks: hasher.Blocks(req.Prompt),
+		next: req.StartIndex, queuedAt: now, progressAt: now, blocks: hasher.Blocks(req.Prompt),
 		digest: *xxhash.New(), notify: make(chan struct{}, 1),
 	}
 	_, _ = seq.digest.WriteString(req.Prompt)
@@ -59,37 +60,39 @@
 	return seq
 }
 
-// attach makes a dispatch the reader of the sequence.
+// attach makes the connection of an attempt the reader of the sequence.
 func (seq *sequence) attach(req invoker.GenerateRequest, now time.Time) {
 	seq.req = req
-	seq.sink = req.Attempt
-	seq.read = req.StartIndex
+	seq.attachedAttempt = req.Attempt
+	seq.nextRead = req.StartIndex
 	seq.expiresAt = now.Add(time.Duration(req.BudgetMs) * time.Millisecond)
 	seq.detachedAt = time.Time{}
-	seq.tell()
+	seq.notifyReader()
 }
 
-// tell wakes the reader.
-func (seq *sequence) tell() {
+// notifyReader wakes the reader's stream without blocking.
+func (seq *sequence) notifyReader() {
 	select {
 	case seq.notify <- struct{}{}:
 	default:
 	}
 }
 
-// total is what must be computed before the next token.
-func (seq *sequence) total() int64 { return seq.req.PromptTokens + seq.next }
+// contextTokens returns the tokens that must be prefilled before the next token
+// is generated: the prompt and the generated tokens.
+func (seq *sequence) contextTokens() int64 { return seq.req.PromptTokens + seq.next }
 
-func (seq *sequence) prefilling() bool { return seq.prefilled < seq.total() }
+func (seq *sequence) prefilling() bool { return seq.prefilled < seq.contextTokens() }
 
-// reserved reports whether the sequence lives in memory reserved for its group.
+// reserved reports whether the sequence uses memory reserved for its group.
 func (seq *sequence) reserved() bool { return seq.req.ReservationID != "" }
 
-func byUrgency(one, two *sequence) int {
-	if one.req.Priority != two.req.Priority {
-		return cmp.Compare(two.req.Priority, one.req.Priority)
+// byUrgency sorts sequences by priority, the highest first, and then by arrival.
+func byUrgency(a, b *sequence) int {
+	if a.req.Priority != b.req.Priority {
+		return cmp.Compare(b.req.Priority, a.req.Priority)
 	}
-	return cmp.Compare(one.arrival, two.arrival)
+	return cmp.Compare(a.arrival, b.arrival)
 }
 
 // add queues a sequence. The caller holds the lock.
@@ -101,32 +104,34 @@
 }
 
 func (gen *Generator) queue(seq *sequence) {
-	ind, _ := slices.BinarySearchFunc(gen.waiting, seq, byUrgency)
-	gen.waiting = slices.Insert(gen.waiting, ind, seq)
+	i, _ := slices.BinarySearchFunc(gen.waiting, seq, byUrgency)
+	gen.waiting = slices.Insert(gen.waiting, i, seq)
 }
 
-// ahead counts the sequences that are scheduled before this one.
+// ahead counts the sequences before a waiting one: all running sequences and
+// those before it in the queue. It returns 0 for a running sequence.
 func (gen *Generator) ahead(seq *sequence) int64 {
-	if ind := slices.Index(gen.waiting, seq); ind >= 0 {
-		return int64(ind + len(gen.running))
+	if i := slices.Index(gen.waiting, seq); i >= 0 {
+		return int64(i + len(gen.running))
 	}
 	return 0
 }
 
-// end stops a sequence and frees its memory; its record stays for the reader.
+// end stops a sequence and frees its memory. Its record is kept until the reader
+// has received the rest of the answer.
 func (gen *Generator) end(seq *sequence) {
-	is := func(oth *sequence) bool { return oth == seq }
-	gen.waiting = slices.DeleteFunc(gen.waiting, is)
-	gen.running = slices.DeleteFunc(gen.running, is)
-	gen.vacate(seq)
+	same := func(other *sequence) bool { return other == seq }
+	gen.waiting = slices.DeleteFunc(gen.waiting, same)
+	gen.running = slices.DeleteFunc(gen.running, same)
+	gen.freeMemory(seq)
 	seq.done = true
-	seq.tell()
+	seq.notifyReader()
 }
 
-// remove forgets a sequence.
+// remove ends a sequence, detaches its reader and drops its record.
 func (gen *Generator) remove(seq *sequence) {
 	gen.end(seq)
-	seq.sink = 0
+	seq.attachedAttempt = 0
 	if gen.sequences[seq.req.RequestID] == seq {
 		delete(gen.sequences, seq.req.RequestID)
 	}
@@ -138,25 +143,26 @@
 	}
 	gen.end(seq)
 	seq.failed = &fai
-	seq.tell()
+	seq.notifyReader()
 }
 
-// detach notes that the connection of an attempt has gone.
-func (gen *Generator) detach(seq *sequence, att int, now time.Time) {
-	if seq.sink != att {
+// detach records that the connection of an attempt was lost. It does nothing if
+// a newer attempt is attached.
+func (gen *Generator) detach(seq *sequence, attempt int, now time.Time) {
+	if seq.attachedAttempt != attempt {
 		return
 	}
-	seq.sink = 0
+	seq.attachedAttempt = 0
 	seq.detachedAt = now
 }
 
-// dropDetached removes the sequences whose owner did not return in time.
+// dropDetached removes the sequences that no attempt resumed within DetachGrace.
 func (gen *Generator) dropDetached(now time.Time) {
 	if gen.faults.KeepDetached {
 		return
 	}
 	for _, seq := range gen.sequences {
-		if seq.sink == 0 && now.Sub(seq.detachedAt) > gen.set.DetachGrace {
+		if seq.attachedAttempt == 0 && now.Sub(seq.detachedAt) > gen.set.DetachGrace {
 			gen.remove(seq)
 		}
 	}
--- a/standin/generator/stream.go
+++ b/standin/generator/stream.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// batchTokens bounds the tokens sent in one write.
-	batchTokens    = 64
-	oversizedBytes = 4 << 20
+	// maxTokensPerWrite bounds the tokens sent in one write.
+	maxTokensPerWrite = 64
+	oversizedBytes    = 4 << 20
 )
 
-// stream is one connection that reads a sequence.
+// stream is a connection that reads a sequence as server-sent events.
 type stream struct {
 	generator *Generator
 	sequence  *sequence
@@ -32,10 +32,10 @@
 func (str *stream) run(ctx context.Context) {
 	gen := str.generator
 	con := http.NewResponseController(str.writer)
-	tic := time.NewTicker(gen.set.IdleEvery)
-	defer tic.Stop()
+	ticker := time.NewTicker(gen.set.IdleEvery)
+	defer ticker.Stop()
 	for {
-		more := str.collect()
+		more := str.render()
 		_, err := str.writer.Write(str.buf.Bytes())
 		str.buf.Reset()
 		if err == nil {
@@ -49,8 +49,8 @@
 		}
 		select {
 		case <-str.sequence.notify:
-		case <-tic.C:
-			str.idle()
+		case <-ticker.C:
+			str.renderIdle()
 		case <-ctx.Done():
 		}
 	}
@@ -59,89 +59,91 @@
 	gen.detach(str.sequence, str.req.Attempt, time.Now())
 }
 
-func (str *stream) idle() {
+func (str *stream) renderIdle() {
 	gen := str.generator
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
 	if gen.faults.Freeze {
 		return
 	}
-	str.event("Idle", invoker.Idle{Prefilled: str.sequence.prefilled, Ahead: gen.ahead(str.sequence)})
+	str.renderEvent("Idle", invoker.Idle{Prefilled: str.sequence.prefilled, Ahead: gen.ahead(str.sequence)})
 }
 
-// collect renders what the reader has not got and reports whether more follows.
-func (str *stream) collect() bool {
+// render renders the events that the reader has not received yet and reports
+// whether more events follow.
+func (str *stream) render() bool {
 	gen := str.generator
 	seq := str.sequence
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
-	if seq.sink != str.req.Attempt {
+	if seq.attachedAttempt != str.req.Attempt {
 		return false
 	}
 	if gen.faults.Freeze {
 		str.buf.Reset()
 		return true
 	}
-	for cou := 0; seq.read < seq.next && cou < batchTokens; cou++ {
-		if !str.token() {
+	for n := 0; seq.nextRead < seq.next && n < maxTokensPerWrite; n++ {
+		if !str.renderToken() {
 			gen.detach(seq, str.req.Attempt, time.Now())
 			return false
 		}
 	}
-	if seq.read < seq.next {
-		seq.tell()
+	if seq.nextRead < seq.next {
+		seq.notifyReader()
 		return true
 	}
-	return str.ending()
+	return str.renderEnd()
 }
 
-// token renders the next token and reports whether the stream goes on.
-func (str *stream) token() bool {
+// renderToken renders the next token, or the injected fault in its place, and
+// reports whether the stream continues.
+func (str *stream) renderToken() bool {
 	seq := str.sequence
-	sent := seq.read - str.req.StartIndex
+	sent := seq.nextRead - str.req.StartIndex
 	fau := str.faults
 	switch {
 	case fau.BreakAfter > 0 && sent >= fau.BreakAfter:
 		return false
 	case fau.FinishAfter > 0 && sent >= fau.FinishAfter:
-		str.finish(seq.read)
+		str.renderFinish(seq.nextRead)
 		return false
 	case fau.Malformed > 0 && sent == fau.Malformed:
 		str.buf.WriteString("event: Token\ndata: {\"Index\": nonsense\n\n")
 	case fau.Oversized > 0 && sent == fau.Oversized:
 		str.buf.WriteString("event: Token\ndata: " + strings.Repeat("x", oversizedBytes) + "\n\n")
 	}
-	tok := invoker.Token{RequestID: str.req.RequestID, Attempt: str.req.Attempt, Index: seq.read, Text: tokenText(seq.digest, str.req.Seed, seq.read)}
-	for _, eve := range fau.tokens(tok) {
-		str.event("Token", eve)
+	tok := invoker.Token{RequestID: str.req.RequestID, Attempt: str.req.Attempt, Index: seq.nextRead, Text: tokenText(seq.digest, str.req.Seed, seq.nextRead)}
+	for _, eve := range fau.tokenEvents(tok) {
+		str.renderEvent("Token", eve)
 	}
-	seq.read++
+	seq.nextRead++
 	return true
 }
 
-func (str *stream) ending() bool {
+func (str *stream) renderEnd() bool {
 	seq := str.sequence
 	if !seq.done {
 		return true
 	}
 	if seq.failed != nil {
-		str.event("Error", *seq.failed)
+		str.renderEvent("Error", *seq.failed)
 	} else {
-		str.finish(seq.next)
+		str.renderFinish(seq.next)
 	}
 	str.generator.remove(seq)
 	return false
 }
 
-func (str *stream) finish(tokens int64) {
+func (str *stream) renderFinish(tokens int64) {
 	fin := invoker.Finish{
 		RequestID: str.req.RequestID, Attempt: str.req.Attempt, Reason: "length", PromptTokens: str.req.PromptTokens,
 		CachedTokens: min(str.sequence.cached, str.req.PromptTokens), CompletionTokens: tokens,
 	}
-	str.event("Finish", str.faults.finish(fin))
+	str.renderEvent("Finish", str.faults.finishEvent(fin))
 }
 
-func (str *stream) event(name string, eve any) {
+func (str *stream) renderEvent(name string, eve any) {
 	buf, _ := json.Marshal(eve)
 	fmt.Fprintf(&str.buf, "event: %s\ndata: %s\n\n", name, buf)
 }
