--- a/standin/keeper/guard.go
+++ b/standin/keeper/guard.go
@@ -8,15 +8,16 @@
 	"github.com/gorilla/mux"
 )
 
-// guard applies outage, one-shot faults, rate and delay.
-func (kee *Keeper) guard(nex http.HandlerFunc) http.HandlerFunc {
+// guard applies outages, one-shot faults, rate limits and delays to a handler of
+// the platform's API.
+func (kee *Keeper) guard(next http.HandlerFunc) http.HandlerFunc {
 	return func(wri http.ResponseWriter, req *http.Request) {
-		fau, one := kee.faultsOf(req)
-		if fau.Down || one.Kind == Refuse {
+		fau, shot := kee.takeFaults(req)
+		if fau.Down || shot.Kind == Refuse {
 			wri.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if one.Kind == Drop {
+		if shot.Kind == Drop {
 			panic(http.ErrAbortHandler)
 		}
 		if !kee.allow(req) {
@@ -25,11 +26,11 @@
 			return
 		}
 		time.Sleep(kee.set.Delay + time.Duration(fau.SlowMs)*time.Millisecond)
-		if one.Kind == Slow {
-			time.Sleep(time.Duration(one.SlowMs) * time.Millisecond)
+		if shot.Kind == Slow {
+			time.Sleep(time.Duration(shot.SlowMs) * time.Millisecond)
 		}
-		out := afterEffect(wri, one)
-		nex(out, req)
+		out := answerWriter(wri, shot)
+		next(out, req)
 		switch out := out.(type) {
 		case *lostWriter:
 			panic(http.ErrAbortHandler)
@@ -39,13 +40,13 @@
 	}
 }
 
-// afterEffect returns the writer that an answer goes to under a fault.
-func afterEffect(wri http.ResponseWriter, one OneShot) http.ResponseWriter {
-	switch one.Kind {
+// answerWriter returns the writer for the answer to a call under a one-shot fault.
+func answerWriter(wri http.ResponseWriter, shot OneShot) http.ResponseWriter {
+	switch shot.Kind {
 	case LoseAnswer:
 		return &lostWriter{header: http.Header{}}
 	case SlowAnswer:
-		return &slowWriter{ResponseWriter: wri, delay: time.Duration(one.SlowMs) * time.Millisecond}
+		return &slowWriter{ResponseWriter: wri, delay: time.Duration(shot.SlowMs) * time.Millisecond}
 	default:
 		return wri
 	}
@@ -58,7 +59,7 @@
 func (los *lostWriter) Write(buf []byte) (int, error) { return len(buf), nil }
 func (los *lostWriter) WriteHeader(int)               {}
 
-// slowWriter holds an answer back.
+// slowWriter delays an answer once, before its status or first bytes are sent.
 type slowWriter struct {
 	http.ResponseWriter
 	delay time.Duration
@@ -81,40 +82,41 @@
 	slo.delay = 0
 }
 
-// faultsOf returns the lasting faults and takes the one-shot fault that strikes
-// the call, if any.
-func (kee *Keeper) faultsOf(req *http.Request) (Faults, OneShot) {
+// takeFaults returns the faults for a call: the lasting ones and the first
+// one-shot fault that applies, which it removes from the list.
+func (kee *Keeper) takeFaults(req *http.Request) (Faults, OneShot) {
 	kee.mu.Lock()
 	defer kee.mu.Unlock()
 	path := mux.Vars(req)["path"]
-	for ind := range kee.faults.OneShots {
-		one := &kee.faults.OneShots[ind]
-		if one.Method != "" && one.Method != req.Method || !strings.HasPrefix(path, one.PathPrefix) {
+	for i := range kee.faults.OneShots {
+		shot := &kee.faults.OneShots[i]
+		if shot.Method != "" && shot.Method != req.Method || !strings.HasPrefix(path, shot.PathPrefix) {
 			continue
 		}
-		if one.Skip > 0 {
-			one.Skip--
+		if shot.Skip > 0 {
+			shot.Skip--
 			continue
 		}
-		hit := *one
-		kee.faults.OneShots = append(kee.faults.OneShots[:ind:ind], kee.faults.OneShots[ind+1:]...)
-		return kee.faults, hit
+		injected := *shot
+		kee.faults.OneShots = append(kee.faults.OneShots[:i:i], kee.faults.OneShots[i+1:]...)
+		return kee.faults, injected
 	}
 	return kee.faults, OneShot{}
 }
 
-// allow counts a call and holds it against its rate. A waiting watch is a read.
+// allow counts a call and reports whether the rate of reads or writes admits it.
+// A watch is one read.
 func (kee *Keeper) allow(req *http.Request) bool {
 	kee.mu.Lock()
 	defer kee.mu.Unlock()
-	lim := kee.reads
+	limiter := kee.reads
 	if req.Method != http.MethodGet {
-		lim = kee.writes
+		limiter = kee.writes
 		kee.counts.Writes++
 	} else {
 		kee.counts.Reads++
 	}
-	if lim.Allow() {
+	if limiter.Allow() {
 		return true
 	}
 	kee.counts.Limited++
--- a/standin/keeper/keeper.go
+++ b/standin/keeper/keeper.go
@@ -1,6 +1,7 @@
-// Package keeper stands in for the platform in tests: versioned objects with
-// conditional updates and watches, a lagging list of hosts, rates, and faults
-// that are switched on through a control handler.
+// Package keeper is a simulated platform for tests and load runs. It has
+// versioned objects with conditional updates and watches, a list of hosts and
+// endpoints that lags behind its changes, rate limits, and faults that tests
+// inject through a control API.
 package keeper
 
 import (
@@ -18,7 +19,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Settings are the sizes and rates of the platform.
+// Settings configure the delays and limits of the platform.
 type Settings struct {
 	Listen      string        `long:"listen" default:"127.0.0.1:7000" description:"address, as IP:port"`
 	ReadRate    float64       `long:"read-rate" default:"2000" description:"reads a second"`
@@ -29,29 +30,31 @@
 	MaxWatchers int           `long:"max-watchers" default:"1000" description:"limit of waiting watches"`
 }
 
-// Faults are the failures switched on.
+// Faults are the injected faults that are in effect.
 type Faults struct {
 	// Down refuses every call.
 	Down bool
-	// Slow adds to the delay of each answer, in milliseconds.
+	// SlowMs adds to the delay of each answer, in milliseconds.
 	SlowMs int
-	// LoseAnswers applies this many writes without answering them.
+	// LoseAnswers is the number of writes that are applied but not answered.
 	LoseAnswers int
-	// FreezeList keeps the host list as it was when it was set.
+	// FreezeList keeps the list of hosts and endpoints unchanged while it is set.
 	FreezeList bool
-	// OneShots strike single calls, in their order.
+	// OneShots are faults of single calls. Each call gets the first one that
+	// applies to it.
 	OneShots []OneShot `json:",omitempty"`
 }
 
-// OneShot is a fault that strikes one call.
+// OneShot is a fault that is injected into one call.
 type OneShot struct {
-	// Method and PathPrefix pick the calls of the object API; empty for any.
+	// Method and PathPrefix select the calls by HTTP method and object path; empty
+	// means any.
 	Method     string
 	PathPrefix string
-	// Skip lets this many of the picked calls pass first.
+	// Skip is the number of selected calls that pass before the fault.
 	Skip int
 	Kind FaultKind
-	// SlowMs is the added delay of a Slow call, in milliseconds.
+	// SlowMs is the added delay of Slow and SlowAnswer, in milliseconds.
 	SlowMs int
 }
 
@@ -60,19 +63,19 @@
 
 // Kinds of one-shot faults.
 const (
-	// Refuse answers that the platform is unavailable, without effect.
+	// Refuse answers status 503 without applying the call.
 	Refuse FaultKind = "Refuse"
-	// Drop closes the connection without effect.
+	// Drop closes the connection without applying the call.
 	Drop FaultKind = "Drop"
-	// LoseAnswer closes the connection after the effect.
+	// LoseAnswer applies the call and closes the connection without an answer.
 	LoseAnswer FaultKind = "LoseAnswer"
-	// Slow delays the call before its effect.
+	// Slow delays the call before it is applied.
 	Slow FaultKind = "Slow"
-	// SlowAnswer delays the answer after the effect.
+	// SlowAnswer applies the call and delays the answer.
 	SlowAnswer FaultKind = "SlowAnswer"
 )
 
-// Keeper is the platform's state.
+// Keeper is a simulated platform. Use New.
 type Keeper struct {
 	set     Settings
 	reads   *rate.Limiter
@@ -90,11 +93,11 @@
 	changes map[string][]Change
 }
 
-// Counts are the calls taken so far. A watch counts as one read, however long
-// it waits; Waiting is the number of watches that wait now.
+// Counts are the calls received so far. A watch counts as one read, however long
+// it waits; Waiting is the number of watches that are waiting now.
 type Counts struct{ Reads, Writes, Watches, Waiting, Weights, Limited int }
 
-// Change is one accepted write of an object, as checkers of histories see it.
+// Change is one accepted write of an object, for tests that check its history.
 type Change struct {
 	Version uint64
 	At      time.Time
@@ -102,7 +105,7 @@
 	Deleted bool `json:",omitempty"`
 }
 
-// maxChanges bounds the changes kept of one object.
+// maxChanges bounds the changes that are kept for one object.
 const maxChanges = 10_000
 
 type listing struct {
@@ -110,7 +113,7 @@
 	entries []persister.Entry
 }
 
-// New starts with empty state.
+// New returns a platform without objects, hosts or endpoints.
 func New(set Settings) *Keeper {
 	return &Keeper{
 		set:     set,
@@ -124,7 +127,8 @@
 	}
 }
 
-// Handler serves the platform's API and its control.
+// Handler serves the API of the platform, and the control API by which tests set
+// entries, inject faults and read counts.
 func (kee *Keeper) Handler() http.Handler {
 	rou := mux.NewRouter()
 	rou.HandleFunc("/control/entries", kee.putEntry).Methods(http.MethodPut)
@@ -141,7 +145,7 @@
 	return rou
 }
 
-func etag(ver uint64) string { return strconv.Quote(strconv.FormatUint(ver, 10)) }
+func etag(version uint64) string { return strconv.Quote(strconv.FormatUint(version, 10)) }
 
 func (kee *Keeper) get(wri http.ResponseWriter, req *http.Request) {
 	kee.mu.Lock()
@@ -156,36 +160,36 @@
 }
 
 func (kee *Keeper) put(wri http.ResponseWriter, req *http.Request) {
-	val, err := io.ReadAll(io.LimitReader(req.Body, persister.MaxValueBytes+1))
+	value, err := io.ReadAll(io.LimitReader(req.Body, persister.MaxValueBytes+1))
 	if err != nil {
 		wri.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if len(val) > persister.MaxValueBytes {
+	if len(value) > persister.MaxValueBytes {
 		wri.WriteHeader(http.StatusRequestEntityTooLarge)
 		return
 	}
 	path := mux.Vars(req)["path"]
 	kee.mu.Lock()
-	if !kee.matches(path, req) {
+	if !kee.preconditionHolds(path, req) {
 		kee.mu.Unlock()
 		wri.WriteHeader(http.StatusPreconditionFailed)
 		return
 	}
 	kee.version++
-	ver := kee.version
-	kee.objects[path] = persister.Object{Path: path, Version: ver, Value: val}
-	los := kee.changeDone(path, Change{Version: ver, At: time.Now(), Bytes: len(val)})
+	version := kee.version
+	kee.objects[path] = persister.Object{Path: path, Version: version, Value: value}
+	lost := kee.recordChange(path, Change{Version: version, At: time.Now(), Bytes: len(value)})
 	kee.mu.Unlock()
-	if los {
+	if lost {
 		panic(http.ErrAbortHandler)
 	}
-	wri.Header().Set("ETag", etag(ver))
+	wri.Header().Set("ETag", etag(version))
 }
 
-// changeDone notes a change, wakes the watchers and reports whether the answer
-// is to be lost.
-func (kee *Keeper) changeDone(path string, cha Change) bool {
+// recordChange records a change, wakes the watches and reports whether the
+// answer is to be lost.
+func (kee *Keeper) recordChange(path string, cha Change) bool {
 	if len(kee.changes[path]) < maxChanges {
 		kee.changes[path] = append(kee.changes[path], cha)
 	}
@@ -198,7 +202,8 @@
 	return true
 }
 
-func (kee *Keeper) matches(path string, req *http.Request) bool {
+// preconditionHolds checks the If-None-Match or If-Match header of a write.
+func (kee *Keeper) preconditionHolds(path string, req *http.Request) bool {
 	old, ok := kee.objects[path]
 	if req.Header.Get("If-None-Match") == "*" {
 		return !ok
@@ -209,16 +214,16 @@
 func (kee *Keeper) delete(wri http.ResponseWriter, req *http.Request) {
 	path := mux.Vars(req)["path"]
 	kee.mu.Lock()
-	if !kee.matches(path, req) {
+	if !kee.preconditionHolds(path, req) {
 		kee.mu.Unlock()
 		wri.WriteHeader(http.StatusPreconditionFailed)
 		return
 	}
 	delete(kee.objects, path)
 	kee.version++
-	los := kee.changeDone(path, Change{Version: kee.version, At: time.Now(), Deleted: true})
+	lost := kee.recordChange(path, Change{Version: kee.version, At: time.Now(), Deleted: true})
 	kee.mu.Unlock()
-	if los {
+	if lost {
 		panic(http.ErrAbortHandler)
 	}
 	wri.WriteHeader(http.StatusNoContent)
@@ -233,17 +238,18 @@
 	kee.mu.Lock()
 	defer kee.mu.Unlock()
 	kee.entries[ent.ID] = ent
-	kee.snapshot()
+	kee.recordListing()
 }
 
 func (kee *Keeper) deleteEntry(_ http.ResponseWriter, req *http.Request) {
 	kee.mu.Lock()
 	defer kee.mu.Unlock()
 	delete(kee.entries, mux.Vars(req)["id"])
-	kee.snapshot()
+	kee.recordListing()
 }
 
-func (kee *Keeper) snapshot() {
+// recordListing adds the current entries to the history of the list.
+func (kee *Keeper) recordListing() {
 	if kee.faults.FreezeList {
 		return
 	}
@@ -251,7 +257,7 @@
 	for _, ent := range kee.entries {
 		lis.entries = append(lis.entries, ent)
 	}
-	sort.Slice(lis.entries, func(one, two int) bool { return lis.entries[one].ID < lis.entries[two].ID })
+	sort.Slice(lis.entries, func(i, j int) bool { return lis.entries[i].ID < lis.entries[j].ID })
 	kee.history = append(kee.history, lis)
 }
 
--- a/standin/keeper/keeper_test.go
+++ b/standin/keeper/keeper_test.go
@@ -36,8 +36,10 @@
 	}
 }
 
-var plenty = Settings{ReadRate: 1000, WriteRate: 1000, WeightRate: 2, MaxWatchers: 1}
+var generousSettings = Settings{ReadRate: 1000, WriteRate: 1000, WeightRate: 2, MaxWatchers: 1}
 
+// Each kind of one-shot fault is injected once, into the selected call only, and
+// the call is applied or not as its kind says.
 func TestOneShots(t *testing.T) {
 	tests := []struct {
 		kind    FaultKind
@@ -52,7 +54,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(string(tt.kind), func(t *testing.T) {
-			per, _ := start(t, plenty)
+			per, _ := start(t, generousSettings)
 			control(t, per, http.MethodPut, "/control/faults", Faults{OneShots: []OneShot{{Method: http.MethodPut, PathPrefix: "claims/", Skip: 1, Kind: tt.kind, SlowMs: 300}}}, nil)
 			_, err := per.Put(t.Context(), persister.Object{Path: "claims/00"})
 			require.NoError(t, err, "the first call is skipped")
@@ -65,16 +67,18 @@
 			_, err = per.Get(t.Context(), "claims/01")
 			require.Equal(t, tt.applied, err == nil)
 			_, err = per.Put(t.Context(), persister.Object{Path: "claims/02"})
-			require.NoError(t, err, "the fault strikes once")
+			require.NoError(t, err, "the fault is injected once")
 		})
 	}
 }
 
+// Too large values, failed preconditions and weight reads beyond the rate are
+// refused.
 func TestLimits(t *testing.T) {
-	per, _ := start(t, plenty)
+	per, _ := start(t, generousSettings)
 	_, err := per.Put(t.Context(), persister.Object{Path: "big", Value: make([]byte, persister.MaxValueBytes+1)})
 	require.ErrorIs(t, err, persister.ErrTooLarge)
-	ver, err := per.Put(t.Context(), persister.Object{Path: "one", Value: []byte("a")})
+	version, err := per.Put(t.Context(), persister.Object{Path: "one", Value: []byte("a")})
 	require.NoError(t, err)
 	_, err = per.Put(t.Context(), persister.Object{Path: "one", Value: []byte("b")})
 	require.ErrorIs(t, err, persister.ErrConflict)
@@ -88,18 +92,20 @@
 	_, err = per.Weights(t.Context(), "pedal-model", "7")
 	require.ErrorIs(t, err, persister.ErrRateLimited)
 
-	var chas []Change
-	control(t, per, http.MethodGet, "/control/changes/one", nil, &chas)
-	require.Len(t, chas, 1)
-	require.Equal(t, ver, chas[0].Version)
+	var changes []Change
+	control(t, per, http.MethodGet, "/control/changes/one", nil, &changes)
+	require.Len(t, changes, 1)
+	require.Equal(t, version, changes[0].Version)
 }
 
+// A watch counts as one read while it waits, and a watch beyond MaxWatchers is
+// refused.
 func TestWatchIsCounted(t *testing.T) {
-	per, kee := start(t, plenty)
-	don := make(chan []persister.Object, 1)
+	per, kee := start(t, generousSettings)
+	done := make(chan []persister.Object, 1)
 	go func() {
 		objs, _ := per.Watch(context.Background(), "tables/", 0, time.Minute)
-		don <- objs
+		done <- objs
 	}()
 	require.Eventually(t, func() bool {
 		kee.mu.Lock()
@@ -110,8 +116,8 @@
 	require.ErrorIs(t, err, persister.ErrRateLimited, "beyond the limit of waiting watches")
 	_, err = per.Put(t.Context(), persister.Object{Path: "tables/current", Value: []byte("x")})
 	require.NoError(t, err)
-	require.Len(t, <-don, 1)
-	var cou Counts
-	control(t, per, http.MethodGet, "/control/counts", nil, &cou)
-	require.Equal(t, Counts{Reads: 2, Writes: 1, Watches: 1, Limited: 1}, cou)
+	require.Len(t, <-done, 1)
+	var counts Counts
+	control(t, per, http.MethodGet, "/control/counts", nil, &counts)
+	require.Equal(t, Counts{Reads: 2, Writes: 1, Watches: 1, Limited: 1}, counts)
 }
--- a/standin/keeper/list.go
+++ b/standin/keeper/list.go
@@ -13,11 +13,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// list serves the newest listing that is at least the lag old: the hosts of all
-// regions and the endpoints of the region that the request names. A caller that
-// names the version it holds is only told that it is unchanged.
+// list serves the newest listing that is older than ListLag: the hosts of all
+// regions and the endpoints of the requested region. It answers status 304 if
+// the caller's If-None-Match header names the same listing.
 func (kee *Keeper) list(wri http.ResponseWriter, req *http.Request) {
-	buf, err := json.Marshal(kee.listed(req.FormValue("Region"), time.Now()))
+	buf, err := json.Marshal(kee.visibleEntries(req.FormValue("Region"), time.Now()))
 	if err != nil {
 		wri.WriteHeader(http.StatusInternalServerError)
 		return
@@ -33,16 +33,17 @@
 		return
 	}
 	wri.Header().Set("Content-Encoding", "gzip")
-	pac := gzip.NewWriter(wri)
-	_, _ = pac.Write(buf)
-	_ = pac.Close()
+	gzw := gzip.NewWriter(wri)
+	_, _ = gzw.Write(buf)
+	_ = gzw.Close()
 }
 
-func (kee *Keeper) listed(region string, now time.Time) []persister.Entry {
+// visibleEntries returns the entries that a request for a region gets at a time.
+func (kee *Keeper) visibleEntries(region string, now time.Time) []persister.Entry {
 	kee.mu.Lock()
 	defer kee.mu.Unlock()
 	out := []persister.Entry{}
-	for _, ent := range kee.lagging(now.Add(-kee.set.ListLag)) {
+	for _, ent := range kee.listingBefore(now.Add(-kee.set.ListLag)) {
 		if region == "" || ent.Region == "" || ent.Region == region || ent.Kind == persister.KindHost {
 			out = append(out, ent)
 		}
@@ -50,11 +51,11 @@
 	return out
 }
 
-// lagging returns the newest listing before a time.
-func (kee *Keeper) lagging(lim time.Time) []persister.Entry {
+// listingBefore returns the newest listing before a time.
+func (kee *Keeper) listingBefore(before time.Time) []persister.Entry {
 	var out []persister.Entry
 	for _, lis := range kee.history {
-		if lis.at.Before(lim) {
+		if lis.at.Before(before) {
 			out = lis.entries
 		}
 	}
--- a/standin/keeper/watch.go
+++ b/standin/keeper/watch.go
@@ -11,8 +11,8 @@
 	"hemlockpin/connection/persister"
 )
 
-// watch waits for an object with a version above After. Beyond the limit of
-// waiting watches it refuses.
+// watch waits for objects with a version above After. It refuses with status 429
+// if MaxWatchers watches are already waiting.
 func (kee *Keeper) watch(wri http.ResponseWriter, req *http.Request) {
 	if !kee.enterWatch() {
 		wri.Header().Set("Retry-After", "1")
@@ -20,19 +20,19 @@
 		return
 	}
 	defer kee.leaveWatch()
-	aft, _ := strconv.ParseUint(req.FormValue("After"), 10, 64)
-	wai, _ := strconv.Atoi(req.FormValue("WaitMs"))
-	tim := time.NewTimer(time.Duration(wai) * time.Millisecond)
-	defer tim.Stop()
+	after, _ := strconv.ParseUint(req.FormValue("After"), 10, 64)
+	waitMs, _ := strconv.Atoi(req.FormValue("WaitMs"))
+	timer := time.NewTimer(time.Duration(waitMs) * time.Millisecond)
+	defer timer.Stop()
 	for {
-		objs, cha := kee.after(req.FormValue("Prefix"), aft)
+		objs, changed := kee.objectsAfter(req.FormValue("Prefix"), after)
 		if len(objs) > 0 {
 			_ = json.NewEncoder(wri).Encode(objs)
 			return
 		}
 		select {
-		case <-cha:
-		case <-tim.C:
+		case <-changed:
+		case <-timer.C:
 			_ = json.NewEncoder(wri).Encode([]persister.Object{})
 			return
 		case <-req.Context().Done():
@@ -59,16 +59,17 @@
 	kee.counts.Waiting--
 }
 
-// after returns the newer objects in the order of their versions.
-func (kee *Keeper) after(prefix string, aft uint64) ([]persister.Object, chan struct{}) {
+// objectsAfter returns the objects of a path prefix with a higher version, in
+// the order of their versions, and a channel that the next change closes.
+func (kee *Keeper) objectsAfter(prefix string, version uint64) ([]persister.Object, chan struct{}) {
 	kee.mu.Lock()
 	defer kee.mu.Unlock()
 	var objs []persister.Object
 	for _, obj := range kee.objects {
-		if obj.Version > aft && strings.HasPrefix(obj.Path, prefix) {
+		if obj.Version > version && strings.HasPrefix(obj.Path, prefix) {
 			objs = append(objs, obj)
 		}
 	}
-	sort.Slice(objs, func(one, two int) bool { return objs[one].Version < objs[two].Version })
+	sort.Slice(objs, func(i, j int) bool { return objs[i].Version < objs[j].Version })
 	return objs, kee.changed
 }
--- a/standin/keeper/weights.go
+++ b/standin/keeper/weights.go
@@ -9,10 +9,10 @@
 	"github.com/gorilla/mux"
 )
 
-// weightBytes is the size that the store gives for every model.
+// weightBytes is the size of the weights that is reported for every model.
 const weightBytes = 14 << 30
 
-// getWeights grants one read of the weights of a model, at the store's rate.
+// getWeights grants one read of the weights of a model, limited by WeightRate.
 func (kee *Keeper) getWeights(wri http.ResponseWriter, req *http.Request) {
 	kee.mu.Lock()
 	kee.counts.Weights++
@@ -33,9 +33,9 @@
 func (kee *Keeper) getChanges(wri http.ResponseWriter, req *http.Request) {
 	kee.mu.Lock()
 	defer kee.mu.Unlock()
-	chas := kee.changes[mux.Vars(req)["path"]]
-	if chas == nil {
-		chas = []Change{}
+	changes := kee.changes[mux.Vars(req)["path"]]
+	if changes == nil {
+		changes = []Change{}
 	}
-	_ = json.NewEncoder(wri).Encode(chas)
+	_ = json.NewEncoder(wri).Encode(changes)
 }
