--- a/standin/booker/booker.go
+++ b/standin/booker/booker.go
@@ -1,5 +1,6 @@
-// Package booker stands in for a plain service in tests. It counts each
-// execution by key, so that a second run of a call can be seen from outside.
+// Package booker is a simulated plain service for tests and load runs. It counts
+// the executions of each idempotency key, so that a test can detect a call that
+// ran twice.
 package booker
 
 import (
@@ -12,21 +13,21 @@
 	"github.com/gorilla/mux"
 )
 
-// Settings are the timing of the service.
+// Settings configure the service.
 type Settings struct {
 	Listen string        `long:"listen" default:"127.0.0.1:7200" description:"address, as IP:port"`
 	Delay  time.Duration `long:"delay" default:"5ms" description:"time that a call takes"`
 }
 
-// Faults are the failures switched on.
+// Faults are the injected faults that are in effect.
 type Faults struct {
-	// LoseAnswers runs this many calls without answering them.
+	// LoseAnswers is the number of calls that are run but not answered.
 	LoseAnswers int
-	// SlowMs adds to the time of a call.
+	// SlowMs adds to the time of each call, in milliseconds.
 	SlowMs int
 }
 
-// Booker is the state of the service.
+// Booker is a simulated service. Use New.
 type Booker struct {
 	set Settings
 
@@ -35,10 +36,11 @@
 	faults Faults
 }
 
-// New starts with no executions.
+// New returns a service without executions.
 func New(set Settings) *Booker { return &Booker{set: set, runs: map[string]int{}} }
 
-// Handler serves calls and the control.
+// Handler serves calls on any path, and the control API by which tests inject
+// faults and read the executions.
 func (boo *Booker) Handler() http.Handler {
 	rou := mux.NewRouter()
 	rou.HandleFunc("/control/runs", boo.getRuns).Methods(http.MethodGet)
@@ -48,7 +50,7 @@
 }
 
 func (boo *Booker) call(wri http.ResponseWriter, req *http.Request) {
-	bod, err := io.ReadAll(req.Body)
+	body, err := io.ReadAll(req.Body)
 	if err != nil {
 		wri.WriteHeader(http.StatusBadRequest)
 		return
@@ -57,14 +59,14 @@
 	boo.mu.Lock()
 	boo.runs[key]++
 	run := boo.runs[key]
-	sle := boo.set.Delay + time.Duration(boo.faults.SlowMs)*time.Millisecond
-	los := boo.faults.LoseAnswers > 0
-	if los {
+	delay := boo.set.Delay + time.Duration(boo.faults.SlowMs)*time.Millisecond
+	lost := boo.faults.LoseAnswers > 0
+	if lost {
 		boo.faults.LoseAnswers--
 	}
 	boo.mu.Unlock()
-	time.Sleep(sle)
-	if los {
+	time.Sleep(delay)
+	if lost {
 		panic(http.ErrAbortHandler)
 	}
 	wri.Header().Set("Content-Type", "application/json")
@@ -73,7 +75,7 @@
 		Run   int
 		Bytes int
 		Path  string
-	}{key, run, len(bod), req.URL.Path})
+	}{key, run, len(body), req.URL.Path})
 }
 
 func (boo *Booker) getRuns(wri http.ResponseWriter, _ *http.Request) {
