--- a/load/driver/driver.go
+++ b/load/driver/driver.go
@@ -1,5 +1,6 @@
-// Package driver runs an open-loop load: requests start at their drawn times
-// whether or not earlier ones have ended, and faults are switched at given times.
+// Package driver runs an open-loop load: requests are sent at their drawn times
+// whether or not earlier requests have ended, and faults are injected at given
+// times.
 package driver
 
 import (
@@ -22,14 +23,16 @@
 const (
 	progressInterval = 2 * time.Second
 	faultTimeout     = 5 * time.Second
-	// callerTimeout is the least time that a caller waits for an end; it is
-	// above the time limits of the tables used with the mixes for calls.
+	// callerTimeout is the least time after which a caller gives up. It is above
+	// the time limits for calls in the tables that are used with the mixes.
 	callerTimeout = 60 * time.Second
-	// maxInFlight bounds the requests in progress; more are counted as not sent.
+	// maxInFlight bounds the requests in progress; requests beyond it are counted
+	// as not sent.
 	maxInFlight = 20_000
 )
 
-// Fault is a change of a stand-in's faults at a time of the run.
+// Fault is a change of the injected faults of a simulated component, sent as a
+// PUT request to URL at a time from the start of the run.
 type Fault struct {
 	At   time.Duration
 	URL  string
@@ -41,47 +44,49 @@
 	Mix  mixer.Mix
 	Rate float64
 	Seed uint64
-	// Streams, if any, are sent in place of Rate and Seed.
+	// Streams, if any, replace Rate and Seed.
 	Streams  []mixer.Stream
 	Duration time.Duration
-	// WarmUp is the part at the start that is sent but not counted.
+	// WarmUp is the time at the start in which requests are sent but not counted.
 	WarmUp time.Duration
 	Faults []Fault
 	Sender *sender.Sender
-	// Operators are the operator addresses of hosts whose usage is reported.
+	// Operators are the operator addresses of the hosts whose usage is reported.
 	Operators []string
-	// Progress receives a line every few seconds; nil for none.
+	// Progress receives a line every progressInterval and one for each fault; nil
+	// means no output.
 	Progress io.Writer
 	// IdleFirstToken returns the time to the first token of a prompt on idle
 	// engines; if it is nil, the report has no slowdowns and no score.
 	IdleFirstToken func(mixer.Request) time.Duration
-	// Observe is called with each result, from several goroutines; nil for none.
+	// Observe is called with each result, from several goroutines; it may be nil.
 	Observe func(sender.Result)
 
-	flying  atomic.Int64
-	dropped atomic.Int64
+	inFlight atomic.Int64
+	notSent  atomic.Int64
 }
 
-// Do runs the load and returns its report. Requests still in progress at the
-// end are waited for within their patience.
+// Do runs the load and returns its report. Requests in progress at the end are
+// waited for until they end or their caller's timeout passes. It returns an error
+// if the fields are not valid or ctx ends.
 func (run *Run) Do(ctx context.Context) (summarizer.Report, error) {
 	if err := run.validate(); err != nil {
 		return summarizer.Report{}, err
 	}
 	sum := summarizer.New(run.Mix, run.WarmUp, run.Duration)
 	sum.IdleFirstToken = run.IdleFirstToken
-	bef := readUsage(ctx, run.Operators)
-	beg := time.Now()
-	sto := run.background(ctx, sum, beg)
-	run.send(ctx, sum, beg)
-	sto()
+	before := readUsage(ctx, run.Operators)
+	start := time.Now()
+	stop := run.startBackground(ctx, sum, start)
+	run.send(ctx, sum, start)
+	stop()
 	rep := sum.Report()
 	rep.Seed = run.Seed
 	rep.Rate = run.rate()
-	rep.Started = beg
+	rep.Started = start
 	rep.LoadAverage = loadAverage()
-	rep.NotSent = run.dropped.Load()
-	rep.Hosts = usageBetween(bef, readUsage(ctx, run.Operators), time.Since(beg))
+	rep.NotSent = run.notSent.Load()
+	rep.Hosts = usageRates(before, readUsage(ctx, run.Operators), time.Since(start))
 	return rep, ctx.Err()
 }
 
@@ -115,76 +120,79 @@
 	return mixer.Merge(mixer.New(run.Mix, run.Rate, run.Seed))
 }
 
-// background starts faults and progress and returns the function that ends them.
-func (run *Run) background(ctx context.Context, sum *summarizer.Summarizer, beg time.Time) func() {
+// startBackground starts the injection of faults and the output of progress, and
+// returns a function that stops both.
+func (run *Run) startBackground(ctx context.Context, sum *summarizer.Summarizer, start time.Time) func() {
 	ctx, stop := context.WithCancel(ctx)
-	var gro sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, fau := range run.Faults {
-		gro.Go(func() { run.inject(ctx, fau, beg) })
+		wg.Go(func() { run.inject(ctx, fau, start) })
 	}
-	gro.Go(func() { run.progress(ctx, sum, beg) })
-	return func() { stop(); gro.Wait() }
+	wg.Go(func() { run.printProgress(ctx, sum, start) })
+	return func() { stop(); wg.Wait() }
 }
 
-func (run *Run) inject(ctx context.Context, fau Fault, beg time.Time) {
-	if !sleepUntil(ctx, beg.Add(fau.At)) {
+func (run *Run) inject(ctx context.Context, fau Fault, start time.Time) {
+	if !sleepUntil(ctx, start.Add(fau.At)) {
 		return
 	}
 	ctx, stop := context.WithTimeout(ctx, faultTimeout)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, fau.URL, bytes.NewBufferString(fau.Body))
 	if err != nil {
-		run.say("fault at %s not sent: %v\n", fau.At, err)
+		run.printf("fault at %s not sent: %v\n", fau.At, err)
 		return
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		run.say("fault at %s failed: %v\n", fau.At, err)
+		run.printf("fault at %s failed: %v\n", fau.At, err)
 		return
 	}
 	res.Body.Close()
-	run.say("fault at %s: %s %s: status %d\n", fau.At, fau.URL, fau.Body, res.StatusCode)
+	run.printf("fault at %s: %s %s: status %d\n", fau.At, fau.URL, fau.Body, res.StatusCode)
 }
 
-func (run *Run) say(format string, args ...any) {
+func (run *Run) printf(format string, args ...any) {
 	if run.Progress != nil {
 		fmt.Fprintf(run.Progress, format, args...)
 	}
 }
 
-func (run *Run) progress(ctx context.Context, sum *summarizer.Summarizer, beg time.Time) {
-	for nex := beg.Add(progressInterval); sleepUntil(ctx, nex); nex = nex.Add(progressInterval) {
-		run.say("%6.0fs  in progress %5d  %s\n", time.Since(beg).Seconds(), run.flying.Load(), sum.Line())
+func (run *Run) printProgress(ctx context.Context, sum *summarizer.Summarizer, start time.Time) {
+	for next := start.Add(progressInterval); sleepUntil(ctx, next); next = next.Add(progressInterval) {
+		run.printf("%6.0fs  in progress %5d  %s\n", time.Since(start).Seconds(), run.inFlight.Load(), sum.Line())
 	}
 }
 
+// sleepUntil returns false if ctx ends before the given time.
 func sleepUntil(ctx context.Context, at time.Time) bool {
-	tim := time.NewTimer(time.Until(at))
-	defer tim.Stop()
+	timer := time.NewTimer(time.Until(at))
+	defer timer.Stop()
 	select {
-	case <-tim.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (run *Run) send(ctx context.Context, sum *summarizer.Summarizer, beg time.Time) {
+// send sends the requests at their times and waits until all of them have ended.
+func (run *Run) send(ctx context.Context, sum *summarizer.Summarizer, start time.Time) {
 	reqs := run.requests()
-	var gro sync.WaitGroup
-	defer gro.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	for {
 		req := reqs.Next()
-		if req.At > run.Duration || !sleepUntil(ctx, beg.Add(req.At)) {
+		if req.At > run.Duration || !sleepUntil(ctx, start.Add(req.At)) {
 			return
 		}
-		if run.flying.Load() >= maxInFlight {
-			run.dropped.Add(1)
+		if run.inFlight.Load() >= maxInFlight {
+			run.notSent.Add(1)
 			continue
 		}
-		run.flying.Add(1)
-		gro.Go(func() {
-			defer run.flying.Add(-1)
+		run.inFlight.Add(1)
+		wg.Go(func() {
+			defer run.inFlight.Add(-1)
 			ctx, stop := context.WithTimeout(ctx, max(2*req.LatencyTarget, callerTimeout))
 			defer stop()
 			text := ""
--- a/load/driver/driver_test.go
+++ b/load/driver/driver_test.go
@@ -15,7 +15,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A calm fleet answers every request; the report and its page can be written.
+// Hosts without faults answer every request, and the report can be written as
+// HTML and JSON and read back.
 func TestRunOnCalmFleet(t *testing.T) {
 	bin, err := testkit.Build()
 	require.NoError(t, err)
--- a/load/driver/usage.go
+++ b/load/driver/usage.go
@@ -15,22 +15,23 @@
 
 const usageTimeout = 2 * time.Second
 
-// readUsage reads what each host has used so far; silent hosts are left out.
-func readUsage(ctx context.Context, opes []string) map[string]server.Usage {
+// readUsage reads what each host has used so far; hosts that do not answer are
+// left out.
+func readUsage(ctx context.Context, addresses []string) map[string]server.Usage {
 	out := map[string]server.Usage{}
-	for _, ope := range opes {
-		if usa, err := readOne(ctx, ope); err == nil {
+	for _, address := range addresses {
+		if usa, err := readHostUsage(ctx, address); err == nil {
 			out[usa.Host] = usa
 		}
 	}
 	return out
 }
 
-func readOne(ctx context.Context, ope string) (server.Usage, error) {
+func readHostUsage(ctx context.Context, address string) (server.Usage, error) {
 	ctx, stop := context.WithTimeout(ctx, usageTimeout)
 	defer stop()
 	var usa server.Usage
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+ope+"/v1/usage", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/usage", nil)
 	if err != nil {
 		return usa, err
 	}
@@ -42,35 +43,36 @@
 	return usa, json.NewDecoder(res.Body).Decode(&usa)
 }
 
-// loadAverage is the machine's over the last minute; 0 where it is not known.
+// loadAverage returns the load average of the load generator's machine over the
+// last minute; 0 if it cannot be read.
 func loadAverage() float64 {
 	buf, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return 0
 	}
-	fir, _, _ := strings.Cut(string(buf), " ")
-	val, _ := strconv.ParseFloat(fir, 64)
+	first, _, _ := strings.Cut(string(buf), " ")
+	val, _ := strconv.ParseFloat(first, 64)
 	return val
 }
 
-// usageBetween turns two readings into rates. A host that was restarted in
-// between is left out.
-func usageBetween(bef, aft map[string]server.Usage, dur time.Duration) []summarizer.HostUsage {
+// usageRates converts two readings into rates over the time between them. It
+// leaves out a host that is missing from the first reading or was restarted.
+func usageRates(before, after map[string]server.Usage, elapsed time.Duration) []summarizer.HostUsage {
 	var out []summarizer.HostUsage
-	sec := dur.Seconds()
-	for hos, las := range aft {
-		fir, ok := bef[hos]
-		if !ok || fir.Incarnation != las.Incarnation {
+	seconds := elapsed.Seconds()
+	for host, last := range after {
+		first, ok := before[host]
+		if !ok || first.Incarnation != last.Incarnation {
 			continue
 		}
 		out = append(out, summarizer.HostUsage{
-			Host:                   hos,
-			CorePercent:            100 * (las.CPUSeconds - fir.CPUSeconds) / sec,
-			MemoryBytes:            las.MemoryBytes,
-			PeerBytesPerSecond:     float64(las.PeerBytes-fir.PeerBytes) / sec,
-			EndpointBytesPerSecond: float64(las.EndpointBytes-fir.EndpointBytes) / sec,
-			PlatformBytesPerSecond: float64(las.PlatformBytes-fir.PlatformBytes) / sec,
-			PlatformCallsPerHour:   float64(las.PlatformCalls-fir.PlatformCalls) / sec * 3600,
+			Host:                   host,
+			CorePercent:            100 * (last.CPUSeconds - first.CPUSeconds) / seconds,
+			MemoryBytes:            last.MemoryBytes,
+			PeerBytesPerSecond:     float64(last.PeerBytes-first.PeerBytes) / seconds,
+			EndpointBytesPerSecond: float64(last.EndpointBytes-first.EndpointBytes) / seconds,
+			PlatformBytesPerSecond: float64(last.PlatformBytes-first.PlatformBytes) / seconds,
+			PlatformCallsPerHour:   float64(last.PlatformCalls-first.PlatformCalls) / seconds * 3600,
 		})
 	}
 	return out
