--- a/load/collector/collector.go
+++ b/load/collector/collector.go
@@ -1,5 +1,5 @@
-// Package collector takes the spans that hosts export and adds up the time that
-// each traced request spent in a step.
+// Package collector receives the spans that hosts export and sums up the time
+// that each traced request spent in the spans of a name.
 package collector
 
 import (
@@ -21,16 +21,18 @@
 
 const headerTimeout = 5 * time.Second
 
-// Collector is an OTLP collector on loopback. Use Start.
+// Collector is an OTLP/HTTP trace collector on the loopback interface. Use Start.
 type Collector struct {
 	server *http.Server
 	url    string
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// times holds the total time by trace ID and span name.
 	times map[string]map[string]time.Duration
 }
 
-// Start listens on a free port of loopback.
+// Start listens on a free port of the loopback interface and serves exports until
+// Stop.
 func Start() (*Collector, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,13 +44,13 @@
 	return col, nil
 }
 
-// URL is the address for the hosts' exporters.
+// URL returns the base URL for the exporters of the hosts.
 func (col *Collector) URL() string { return col.url }
 
-// Stop ends the collector.
+// Stop closes the listener and all connections.
 func (col *Collector) Stop() { col.server.Close() }
 
-// ServeHTTP takes one export.
+// ServeHTTP receives one export.
 func (col *Collector) ServeHTTP(wri http.ResponseWriter, htr *http.Request) {
 	buf, err := io.ReadAll(htr.Body)
 	var req collector.ExportTraceServiceRequest
@@ -68,18 +70,18 @@
 }
 
 func (col *Collector) add(spa *trace.Span) {
-	id := hex.EncodeToString(spa.GetTraceId())
-	if col.times[id] == nil {
-		col.times[id] = map[string]time.Duration{}
+	traceID := hex.EncodeToString(spa.GetTraceId())
+	if col.times[traceID] == nil {
+		col.times[traceID] = map[string]time.Duration{}
 	}
-	col.times[id][spa.GetName()] += time.Duration(spa.GetEndTimeUnixNano() - spa.GetStartTimeUnixNano())
+	col.times[traceID][spa.GetName()] += time.Duration(spa.GetEndTimeUnixNano() - spa.GetStartTimeUnixNano())
 }
 
-// Time returns the time that a traced request spent in spans of a name, and
-// whether such a span has arrived.
-func (col *Collector) Time(id, name string) (time.Duration, bool) {
+// Time returns the total time of the spans of a name in a trace, and whether such
+// a span has arrived. The trace ID is in hexadecimal digits.
+func (col *Collector) Time(traceID, name string) (time.Duration, bool) {
 	col.mu.Lock()
 	defer col.mu.Unlock()
-	dur, ok := col.times[id][name]
-	return dur, ok
+	total, ok := col.times[traceID][name]
+	return total, ok
 }
