--- a/load/mixer/merger.go
+++ b/load/mixer/merger.go
@@ -1,52 +1,53 @@
 package mixer
 
-// streamNumbers is the span of request numbers of a stream.
-const streamNumbers = 1_000_000_000
+// numbersPerStream is the distance between the first request numbers of two
+// streams, so that numbers, and with them prompts, are unique.
+const numbersPerStream = 1_000_000_000
 
-// Stream is a part of a load with a rate and a seed of its own, so that it
-// stays the same whatever other streams are sent beside it.
+// Stream is the requests of one team with their own rate, in requests a second,
+// and seed, so that they are the same whatever other streams are sent.
 type Stream struct {
 	Team Team
 	Rate float64
 	Seed uint64
 }
 
-// Merger draws the requests of several mixers in the order of their times. Use
+// Merger merges the requests of several mixers in the order of their times. Use
 // Merge or MergeStreams.
 type Merger struct {
-	mis   []*Mixer
-	heads []Request
+	mixers  []*Mixer
+	pending []Request
 }
 
-// Merge starts a drawing from all mixers.
-func Merge(mis ...*Mixer) *Merger {
-	mer := &Merger{mis: mis}
-	for _, mi := range mis {
-		mer.heads = append(mer.heads, mi.Next())
+// Merge returns a merger of mixers.
+func Merge(mixers ...*Mixer) *Merger {
+	mer := &Merger{mixers: mixers}
+	for _, mi := range mixers {
+		mer.pending = append(mer.pending, mi.Next())
 	}
 	return mer
 }
 
-// MergeStreams starts a drawing from streams of one mix.
+// MergeStreams returns a merger of streams of one mix.
 func MergeStreams(mix Mix, strs []Stream) *Merger {
-	var mis []*Mixer
-	for ind, str := range strs {
+	var mixers []*Mixer
+	for i, str := range strs {
 		mi := New(mix.WithTeams([]Team{str.Team}), str.Rate, str.Seed)
-		mi.count = ind * streamNumbers
-		mis = append(mis, mi)
+		mi.count = i * numbersPerStream
+		mixers = append(mixers, mi)
 	}
-	return Merge(mis...)
+	return Merge(mixers...)
 }
 
-// Next draws the next request.
+// Next returns the earliest request that was not returned yet.
 func (mer *Merger) Next() Request {
-	fir := 0
-	for ind, hea := range mer.heads {
-		if hea.At < mer.heads[fir].At {
-			fir = ind
+	first := 0
+	for i, head := range mer.pending {
+		if head.At < mer.pending[first].At {
+			first = i
 		}
 	}
-	req := mer.heads[fir]
-	mer.heads[fir] = mer.mis[fir].Next()
+	req := mer.pending[first]
+	mer.pending[first] = mer.mixers[first].Next()
 	return req
 }
--- a/load/mixer/mixer.go
+++ b/load/mixer/mixer.go
@@ -1,5 +1,5 @@
-// Package mixer draws the requests of a load run: arrival times, lengths,
-// teams and texts, all from one seed.
+// Package mixer draws the random requests of a load run: arrival times, kinds,
+// lengths, teams and texts. A seed determines all of them.
 package mixer
 
 import (
@@ -12,50 +12,57 @@
 )
 
 const (
-	textBytes   = 8 << 20
-	headerBytes = 64
-	alphabet    = "abcdefghijklmnopqrstuvwxyz      "
+	textBytes = 8 << 20
+	// prefixStride is the distance in bytes between the starts of two shared
+	// prefixes in the text.
+	prefixStride = 64
+	alphabet     = "abcdefghijklmnopqrstuvwxyz      "
 )
 
 // Class is a range of prompt lengths, in tokens.
 type Class struct {
 	Name string
-	// MinTokens and MaxTokens bound the prompt; lengths are log-uniform between.
+	// MinTokens and MaxTokens bound the prompt; lengths are log-uniformly
+	// distributed between them.
 	MinTokens int64
 	MaxTokens int64
 	// Weight is the share of the class among prompts.
 	Weight float64
-	// Patience is the time within which the whole answer counts as in time.
+	// Patience is the latency target: a complete answer within it counts as in
+	// time.
 	Patience time.Duration
 }
 
-// Team is a sender of requests.
+// Team is a team that sends requests under its key. Weight is its share of the
+// requests, relative to the weights of the other teams.
 type Team struct {
 	Key    string
 	Weight float64
 }
 
-// Mix describes the requests of one deployment.
+// Mix describes the random requests of one deployment.
 type Mix struct {
 	Name    string
 	Model   string
 	Teams   []Team
 	Classes []Class
-	// MinAnswer and MaxAnswer bound the tokens asked for.
+	// MinAnswer and MaxAnswer bound the requested tokens of an answer, which are
+	// uniformly distributed between them.
 	MinAnswer int64
 	MaxAnswer int64
 	// SharedPrefixes is the number of prefixes that prompts may share, and
-	// SharedShare the share of prompts that do.
+	// SharedShare the share of prompts with such a prefix.
 	SharedPrefixes int
 	SharedShare    float64
 	// CallShare is the share of requests that are calls to a plain service,
-	// and OnceShare the share of these that may not be repeated.
+	// and OnceShare the share of these calls that may not be repeated.
 	CallShare float64
 	OnceShare float64
 	// OncePath and RepeatablePath are the paths of the calls.
 	OncePath       string
 	RepeatablePath string
-	CallPatience   time.Duration
+	// CallPatience is the latency target of calls.
+	CallPatience time.Duration
 }
 
 // Kind is the kind of a request.
@@ -70,21 +77,26 @@
 
 // Request is one drawn request.
 type Request struct {
-	Number        int
-	At            time.Duration
-	Kind          Kind
-	Class         string
-	Key           string
-	Path          string
-	PromptTokens  int64
-	AnswerTokens  int64
+	// Number is unique within a run.
+	Number int
+	// At is the time to send the request, from the start of the run.
+	At           time.Duration
+	Kind         Kind
+	Class        string
+	Key          string
+	Path         string
+	PromptTokens int64
+	AnswerTokens int64
+	// LatencyTarget is the time within which a complete answer counts as in time.
 	LatencyTarget time.Duration
 
-	shared int
+	// prefix is the index of the shared prefix; -1 means none. offset is the start
+	// of the rest of the prompt in the text.
+	prefix int
 	offset int
 }
 
-// Mixer draws the requests of a mix. Use New.
+// Mixer draws the requests of a mix. Use New. It is not safe for concurrent use.
 type Mixer struct {
 	mix   Mix
 	rate  float64
@@ -93,26 +105,26 @@
 	count int
 }
 
-// text is what all prompts are cut from. It has its own source, so that runs
-// with other seeds differ in arrivals and lengths only.
-var text = sync.OnceValue(func() []byte {
+// textSource is the text of which all prompts are substrings. It does not depend
+// on the seed of a run, so that runs with different seeds use the same text.
+var textSource = sync.OnceValue(func() []byte {
 	ran := rand.New(rand.NewPCG(1, 2))
 	buf := make([]byte, textBytes)
-	for ind := range buf {
-		buf[ind] = alphabet[ran.IntN(len(alphabet))]
+	for i := range buf {
+		buf[i] = alphabet[ran.IntN(len(alphabet))]
 	}
 	return buf
 })
 
-// New starts a drawing of requests at a mean rate a second.
+// New returns a mixer of requests at a mean rate in requests a second.
 func New(mix Mix, rate float64, seed uint64) *Mixer {
 	return &Mixer{mix: mix, rate: rate, ran: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15))}
 }
 
-// Next draws the next request; arrivals are a Poisson process.
+// Next draws the next request. Arrivals are a Poisson process.
 func (mi *Mixer) Next() Request {
 	mi.now += time.Duration(mi.ran.ExpFloat64() / mi.rate * float64(time.Second))
-	req := Request{Number: mi.count, At: mi.now, Key: mi.team(), offset: mi.ran.IntN(textBytes / 2), shared: -1}
+	req := Request{Number: mi.count, At: mi.now, Key: mi.team(), offset: mi.ran.IntN(textBytes / 2), prefix: -1}
 	mi.count++
 	if mi.ran.Float64() < mi.mix.CallShare {
 		return mi.call(req)
@@ -121,26 +133,26 @@
 }
 
 func (mi *Mixer) team() string {
-	wei := make([]float64, len(mi.mix.Teams))
-	for ind, tea := range mi.mix.Teams {
-		wei[ind] = tea.Weight
+	weights := make([]float64, len(mi.mix.Teams))
+	for i, tea := range mi.mix.Teams {
+		weights[i] = tea.Weight
 	}
-	return mi.mix.Teams[mi.pick(wei)].Key
+	return mi.mix.Teams[mi.pick(weights)].Key
 }
 
-// pick draws an index by weight.
-func (mi *Mixer) pick(wei []float64) int {
+// pick draws an index with a probability proportional to its weight.
+func (mi *Mixer) pick(weights []float64) int {
 	var sum float64
-	for _, one := range wei {
-		sum += one
+	for _, weight := range weights {
+		sum += weight
 	}
-	lef := mi.ran.Float64() * sum
-	for ind, one := range wei {
-		if lef -= one; lef < 0 {
-			return ind
+	left := mi.ran.Float64() * sum
+	for i, weight := range weights {
+		if left -= weight; left < 0 {
+			return i
 		}
 	}
-	return len(wei) - 1
+	return len(weights) - 1
 }
 
 func (mi *Mixer) call(req Request) Request {
@@ -156,11 +168,11 @@
 }
 
 func (mi *Mixer) prompt(req Request) Request {
-	wei := make([]float64, len(mi.mix.Classes))
-	for ind, cla := range mi.mix.Classes {
-		wei[ind] = cla.Weight
+	weights := make([]float64, len(mi.mix.Classes))
+	for i, cla := range mi.mix.Classes {
+		weights[i] = cla.Weight
 	}
-	cla := mi.mix.Classes[mi.pick(wei)]
+	cla := mi.mix.Classes[mi.pick(weights)]
 	req.Kind = KindPrompt
 	req.Class = cla.Name
 	req.LatencyTarget = cla.Patience
@@ -168,44 +180,46 @@
 	req.PromptTokens = mi.length(cla)
 	req.AnswerTokens = mi.mix.MinAnswer + mi.ran.Int64N(mi.mix.MaxAnswer-mi.mix.MinAnswer+1)
 	if mi.mix.SharedPrefixes > 0 && mi.ran.Float64() < mi.mix.SharedShare {
-		req.shared = mi.ran.IntN(mi.mix.SharedPrefixes)
+		req.prefix = mi.ran.IntN(mi.mix.SharedPrefixes)
 	}
 	return req
 }
 
 func (mi *Mixer) length(cla Class) int64 {
-	low, hig := math.Log(float64(cla.MinTokens)), math.Log(float64(cla.MaxTokens))
-	return int64(math.Exp(low + mi.ran.Float64()*(hig-low)))
+	low, high := math.Log(float64(cla.MinTokens)), math.Log(float64(cla.MaxTokens))
+	return int64(math.Exp(low + mi.ran.Float64()*(high-low)))
 }
 
-// Text builds the prompt of a request. Half of a sharing prompt is the shared
-// prefix; the rest starts with the request's number and so is its own.
+// Text returns the prompt of a request. The first half of a prompt with a shared
+// prefix is that prefix. The rest of each prompt begins with the request's number
+// and is therefore unique.
 func (req Request) Text() string {
 	size := int(req.PromptTokens) * hasher.BytesPerToken
 	buf := make([]byte, 0, size)
-	txt := text()
-	if req.shared >= 0 {
-		off := req.shared * headerBytes
-		buf = append(buf, txt[off:off+size/2]...)
+	source := textSource()
+	if req.prefix >= 0 {
+		start := req.prefix * prefixStride
+		buf = append(buf, source[start:start+size/2]...)
 	}
 	buf = appendNumber(buf, req.Number)
 	for len(buf) < size {
 		end := min(textBytes, req.offset+size-len(buf))
-		buf = append(buf, txt[req.offset:end]...)
+		buf = append(buf, source[req.offset:end]...)
 	}
 	return string(buf[:size])
 }
 
-func appendNumber(buf []byte, num int) []byte {
+func appendNumber(buf []byte, n int) []byte {
 	for range 16 {
-		buf = append(buf, alphabet[num%26])
-		num /= 26
+		buf = append(buf, alphabet[n%26])
+		n /= 26
 	}
 	return append(buf, ' ')
 }
 
-// WithoutLong returns the mix without the prompts of over limit tokens. The
-// rate must be scaled by the returned share to keep the other classes' rates.
+// WithoutLong returns the mix without the classes of prompts longer than limit
+// tokens, and the share of the requests that are left. If the rate is multiplied
+// by that share, the rates of the other classes and of calls stay the same.
 func (mix Mix) WithoutLong(limit int64) (Mix, float64) {
 	var kept []Class
 	var weight, all float64
@@ -223,16 +237,16 @@
 // WithScale returns the mix with all prompt lengths divided by scale.
 func (mix Mix) WithScale(scale float64) Mix {
 	kept := make([]Class, len(mix.Classes))
-	for ind, cla := range mix.Classes {
+	for i, cla := range mix.Classes {
 		cla.MinTokens = max(1, int64(float64(cla.MinTokens)/scale))
 		cla.MaxTokens = max(cla.MinTokens, int64(float64(cla.MaxTokens)/scale))
-		kept[ind] = cla
+		kept[i] = cla
 	}
 	mix.Classes = kept
 	return mix
 }
 
-// WithTeams returns the mix with other teams.
+// WithTeams returns the mix with its teams replaced.
 func (mix Mix) WithTeams(teas []Team) Mix {
 	mix.Teams = teas
 	return mix
@@ -240,15 +254,15 @@
 
 // MeanTokens returns the mean prompt length of the mix, in tokens.
 func (mix Mix) MeanTokens() float64 {
-	var sum, wei float64
+	var sum, weight float64
 	for _, cla := range mix.Classes {
-		low, hig := float64(cla.MinTokens), float64(cla.MaxTokens)
-		mea := low
-		if hig > low {
-			mea = (hig - low) / math.Log(hig/low)
+		low, high := float64(cla.MinTokens), float64(cla.MaxTokens)
+		mean := low
+		if high > low {
+			mean = (high - low) / math.Log(high/low)
 		}
-		sum += cla.Weight * mea
-		wei += cla.Weight
+		sum += cla.Weight * mean
+		weight += cla.Weight
 	}
-	return sum / wei
+	return sum / weight
 }
--- a/load/mixer/mixer_test.go
+++ b/load/mixer/mixer_test.go
@@ -10,19 +10,22 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Two mixers with the same seed draw the same requests, and short prompts have the
+// drawn number of tokens.
 func TestSameSeedDrawsTheSame(t *testing.T) {
-	one := mixer.New(mixer.PortLouis(), 10, 3)
-	two := mixer.New(mixer.PortLouis(), 10, 3)
+	mixerA := mixer.New(mixer.PortLouis(), 10, 3)
+	mixerB := mixer.New(mixer.PortLouis(), 10, 3)
 	for range 200 {
-		fir, sec := one.Next(), two.Next()
-		require.Equal(t, fir, sec)
-		if fir.Kind == mixer.KindPrompt && fir.PromptTokens <= mixer.ShortTokens {
-			require.Equal(t, fir.Text(), sec.Text())
-			require.Equal(t, fir.PromptTokens, hasher.Tokens(fir.Text()))
+		a, b := mixerA.Next(), mixerB.Next()
+		require.Equal(t, a, b)
+		if a.Kind == mixer.KindPrompt && a.PromptTokens <= mixer.ShortTokens {
+			require.Equal(t, a.Text(), b.Text())
+			require.Equal(t, a.PromptTokens, hasher.Tokens(a.Text()))
 		}
 	}
 }
 
+// One prompt in fifty has at least 100,000 tokens.
 func TestOneInFiftyIsOverAHundredThousand(t *testing.T) {
 	for _, mix := range []mixer.Mix{mixer.Wijesinghe(), mixer.PortLouis()} {
 		var all, huge float64
@@ -36,18 +39,18 @@
 	}
 }
 
-// A stream beside others changes none of their requests.
+// Adding a stream changes none of the requests of the other streams.
 func TestStreamsDontChangeEachOther(t *testing.T) {
 	mix := mixer.Wijesinghe()
 	strs := []mixer.Stream{{Team: mix.Teams[0], Rate: 5, Seed: 1}, {Team: mix.Teams[1], Rate: 5, Seed: 2}}
-	lou := append(slices.Clone(strs), mixer.Stream{Team: mix.Teams[0], Rate: 45, Seed: 3})
-	one, two := drawn(mixer.MergeStreams(mix, strs), mix.Teams[1].Key), drawn(mixer.MergeStreams(mix, lou), mix.Teams[1].Key)
-	for ind := range one {
-		require.Equal(t, one[ind], two[ind])
+	loudStreams := append(slices.Clone(strs), mixer.Stream{Team: mix.Teams[0], Rate: 45, Seed: 3})
+	before, after := drawn(mixer.MergeStreams(mix, strs), mix.Teams[1].Key), drawn(mixer.MergeStreams(mix, loudStreams), mix.Teams[1].Key)
+	for i := range before {
+		require.Equal(t, before[i], after[i])
 	}
 }
 
-// drawn returns the first requests of a team.
+// drawn returns the first 100 requests of a team.
 func drawn(mer *mixer.Merger, key string) []mixer.Request {
 	var out []mixer.Request
 	for len(out) < 100 {
--- a/load/mixer/mixes.go
+++ b/load/mixer/mixes.go
@@ -13,8 +13,8 @@
 // ShortTokens is the upper bound of short prompts.
 const ShortTokens = 4000
 
-// classes returns the four length classes; one prompt in fifty is over a
-// hundred thousand tokens.
+// classes returns the four length classes with the given weights. The weight of
+// huge prompts, those of at least 100,000 tokens, is always 0.02.
 func classes(short, medium, large float64) []Class {
 	return []Class{
 		{Name: ClassShort, MinTokens: 1000, MaxTokens: ShortTokens, Weight: short, Patience: 5 * time.Second},
@@ -24,26 +24,28 @@
 	}
 }
 
+// teams returns teams of which the large ones send five times as many requests
+// as the small ones.
 func teams(large, small int) []Team {
 	var teas []Team
-	for ind := range large + small {
-		wei := 1.0
-		if ind < large {
-			wei = 5
+	for i := range large + small {
+		weight := 1.0
+		if i < large {
+			weight = 5
 		}
-		teas = append(teas, Team{Key: TeamKey(ind), Weight: wei})
+		teas = append(teas, Team{Key: TeamKey(i), Weight: weight})
 	}
 	return teas
 }
 
-// TeamKey returns the bearer key of a numbered team.
-func TeamKey(ind int) string { return "key-team-" + string(rune('a'+ind)) }
+// TeamKey returns the bearer key of the team with an index below TeamCount.
+func TeamKey(i int) string { return "key-team-" + string(rune('a'+i)) }
 
 // TeamCount is the number of teams in the mixes.
 const TeamCount = 10
 
-// Wijesinghe returns the mix of the repair firm: questions, repair histories
-// and service ledgers, with bookings beside them.
+// Wijesinghe returns the mix of the repair firm: prompts are questions, repair
+// histories and service ledgers; calls are bookings and look-ups of slots.
 func Wijesinghe() Mix {
 	return Mix{
 		Name: "wijesinghe", Model: "pedal-model", Teams: teams(3, TeamCount-3), Classes: classes(0.70, 0.20, 0.08),
@@ -52,8 +54,8 @@
 	}
 }
 
-// PortLouis returns the mix of the postal workshop: short quotes first, fewer
-// long ones, more payments and labels.
+// PortLouis returns the mix of the postal workshop: mostly short prompts for
+// quotes, fewer long prompts, and more calls, for payments and parcel labels.
 func PortLouis() Mix {
 	return Mix{
 		Name: "port-louis", Model: "cobbler-llm", Teams: teams(3, TeamCount-3), Classes: classes(0.83, 0.12, 0.03),
@@ -62,7 +64,7 @@
 	}
 }
 
-// ByName finds a mix.
+// ByName returns the mix with a name and whether there is one.
 func ByName(name string) (Mix, bool) {
 	for _, mix := range []Mix{Wijesinghe(), PortLouis()} {
 		if mix.Name == name {
