--- a/load/sender/sender.go
+++ b/load/sender/sender.go
@@ -1,5 +1,5 @@
-// Package sender sends one drawn request to an entry host as a caller would,
-// measures its times and judges its answer.
+// Package sender sends drawn requests to entry hosts as a caller does, measures
+// their times and checks their answers.
 package sender
 
 import (
@@ -25,31 +25,31 @@
 )
 
 const (
-	hostDownFor   = time.Second
-	verifyTokens  = 40_000
-	maxEventBytes = 1 << 20
-	maxConns      = 4096
-	repeatPause   = 700 * time.Millisecond
+	hostDownTime      = time.Second
+	maxVerifiedTokens = 40_000
+	maxEventBytes     = 1 << 20
+	maxIdleConns      = 4096
+	retryPause        = 700 * time.Millisecond
 )
 
-// Outcome is how a request ended.
+// Outcome is the result of a request.
 type Outcome string
 
 // Outcomes of requests.
 const (
-	// Whole is a complete answer within the patience of its class.
+	// Whole is a complete answer within the latency target.
 	Whole Outcome = "Whole"
-	// Late is a complete answer past the patience.
+	// Late is a complete answer after the latency target.
 	Late Outcome = "Late"
-	// Refused is an error that says the request was not run.
+	// Refused is an error answer that reports that the request was not run.
 	Refused Outcome = "Refused"
-	// Failed is an error that says the request ran, or that this is unknown.
+	// Failed is an error answer that reports that the request ran or may have run.
 	Failed Outcome = "Failed"
-	// Broken is a connection that ended without an answer or an error.
+	// Broken is a connection that ended before a complete answer or an error.
 	Broken Outcome = "Broken"
-	// Wrong is an answer that is not that of the prompt.
+	// Wrong is an answer that differs from the expected one or cannot be parsed.
 	Wrong Outcome = "Wrong"
-	// Unreachable means that no host took the connection.
+	// Unreachable means that no host accepted the connection.
 	Unreachable Outcome = "Unreachable"
 )
 
@@ -61,8 +61,9 @@
 	Code    string
 	// Message is the explanation of an error answer.
 	Message string
-	Ran     string
-	// First is the time to the first token, Total that to the last byte.
+	// Ran is the header by which the host reports whether the request was run.
+	Ran string
+	// First is the time to the first token, Total the time to the last byte.
 	First time.Duration
 	Total time.Duration
 	// Gaps are the times between tokens.
@@ -72,8 +73,8 @@
 	// RanByAttempt holds Ran of each attempt of a call that may not be repeated;
 	// it is empty for an attempt without an answer.
 	RanByAttempt []string
-	// Trace is the identifier of the request's trace; it is empty if the request
-	// was not traced.
+	// Trace is the trace ID of the request; it is empty if the request was not
+	// traced or was not answered.
 	Trace string
 	// Host is the address that accepted the connection, StartedAt the time at
 	// which the request was sent.
@@ -81,46 +82,47 @@
 	StartedAt time.Time
 }
 
-// Sender sends to Hosts in turn, like a balancer that passes by hosts that
-// don't accept connections.
+// Sender sends requests to random Hosts, like a load balancer that avoids hosts
+// that do not accept connections.
 type Sender struct {
 	Hosts []string
 	Model string
-	// Verify compares answers with those of the engine stand-in.
+	// Verify compares the answers to prompts of up to maxVerifiedTokens with the
+	// expected answers of the simulated engine.
 	Verify bool
 	// MaxRetries bounds how often a call is sent again under its idempotency key.
 	MaxRetries int
 	// ShouldTrace reports whether the hosts are to trace a request; nil means that
 	// no request is traced.
 	ShouldTrace func(mixer.Request) bool
-	// TimeLimit is sent with each request; 0 leaves the route's.
+	// TimeLimit is sent with each request; 0 means the time limit of the route.
 	TimeLimit time.Duration
 
-	once sync.Once
-	htc  *http.Client
-	mu   sync.Mutex
-	down map[string]time.Time
+	once       sync.Once
+	httpClient *http.Client
+	mu         sync.Mutex
+	down       map[string]time.Time
 }
 
 func (sen *Sender) client() *http.Client {
 	sen.once.Do(func() {
-		sen.htc = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxConns, DisableCompression: true}}
+		sen.httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true}}
 	})
-	return sen.htc
+	return sen.httpClient
 }
 
 // Send runs one request to its end.
 func (sen *Sender) Send(ctx context.Context, req mixer.Request, text string) Result {
-	beg := time.Now()
+	start := time.Now()
 	var res Result
 	if req.Kind == mixer.KindPrompt {
 		res = sen.prompt(ctx, req, text)
 	} else {
 		res = sen.call(ctx, req)
 	}
-	res.StartedAt = beg
+	res.StartedAt = start
 	if res.Total == 0 {
-		res.Total = time.Since(beg)
+		res.Total = time.Since(start)
 	}
 	return res
 }
@@ -135,50 +137,52 @@
 	if err != nil {
 		return Result{Request: req, Outcome: Broken, Code: err.Error()}
 	}
-	beg := time.Now()
+	start := time.Now()
 	hea := http.Header{}
 	trace := ""
 	if sen.ShouldTrace != nil && sen.ShouldTrace(req) {
 		trace = traceID()
 		hea.Set("Traceparent", "00-"+trace+"-"+trace[:16]+"-01")
 	}
-	res, hos, err := sen.post(ctx, req, body, hea)
+	res, host, err := sen.post(ctx, req, body, hea)
 	if err != nil {
-		return unanswered(req, hos, err)
+		return connectionErrorResult(req, host, err)
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return refused(req, hos, res, beg)
+		return errorResult(req, host, res, start)
 	}
-	out := sen.stream(req, text, res, beg)
-	out.Host = hos
+	out := sen.stream(req, text, res, start)
+	out.Host = host
 	out.Trace = trace
 	return out
 }
 
-// traceID is a random identifier that is not all zeros in either half.
+// traceID returns a random trace ID. Neither half is all zeros: the first half is
+// also used as the span ID, which must not be zero.
 func traceID() string { return fmt.Sprintf("%016x%016x", rand.Uint64()|1, rand.Uint64()|1) }
 
-func unanswered(req mixer.Request, hos string, err error) Result {
-	res := Result{Request: req, Outcome: Broken, Code: err.Error(), Host: hos}
-	if isDial(err) {
+func connectionErrorResult(req mixer.Request, host string, err error) Result {
+	res := Result{Request: req, Outcome: Broken, Code: err.Error(), Host: host}
+	if isDialError(err) {
 		res.Outcome = Unreachable
 	}
 	return res
 }
 
-func isDial(err error) bool {
+func isDialError(err error) bool {
 	var ope *net.OpError
 	return errors.As(err, &ope) && ope.Op == "dial"
 }
 
-// post tries hosts until one takes the connection and returns that host.
+// post sends a request to one host after the other until one accepts the
+// connection, and returns that host.
 func (sen *Sender) post(ctx context.Context, req mixer.Request, body []byte, hea http.Header) (*http.Response, string, error) {
-	var las error
-	for _, hos := range sen.order(time.Now()) {
-		htr, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+hos+req.Path, bytes.NewReader(body))
+	var lastErr error
+	for _, host := range sen.hostOrder(time.Now()) {
+		htr, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+host+req.Path, bytes.NewReader(body))
 		if err != nil {
-			return nil, hos, err
+			return nil, host, err
 		}
 		htr.Header = hea.Clone()
 		htr.Header.Set("Authorization", "Bearer "+req.Key)
@@ -188,52 +192,53 @@
 		}
 		res, err := sen.client().Do(htr)
 		if err == nil {
-			return res, hos, nil
+			return res, host, nil
 		}
-		las = err
-		if !isDial(err) {
-			return nil, hos, err
+		lastErr = err
+		if !isDialError(err) {
+			return nil, host, err
 		}
-		sen.markDown(hos, time.Now())
+		sen.markDown(host, time.Now())
 	}
-	return nil, "", las
+	return nil, "", lastErr
 }
 
-// order returns the hosts from a random start, those seen down last.
-func (sen *Sender) order(now time.Time) []string {
+// hostOrder returns the hosts in turn from a random one, followed by those that
+// did not accept a connection within the last hostDownTime.
+func (sen *Sender) hostOrder(now time.Time) []string {
 	sen.mu.Lock()
 	defer sen.mu.Unlock()
-	var ups, downs []string
-	sta := rand.IntN(len(sen.Hosts))
-	for ind := range sen.Hosts {
-		hos := sen.Hosts[(sta+ind)%len(sen.Hosts)]
-		if now.Before(sen.down[hos]) {
-			downs = append(downs, hos)
+	var up, down []string
+	first := rand.IntN(len(sen.Hosts))
+	for i := range sen.Hosts {
+		host := sen.Hosts[(first+i)%len(sen.Hosts)]
+		if now.Before(sen.down[host]) {
+			down = append(down, host)
 			continue
 		}
-		ups = append(ups, hos)
+		up = append(up, host)
 	}
-	return append(ups, downs...)
+	return append(up, down...)
 }
 
-func (sen *Sender) markDown(hos string, now time.Time) {
+func (sen *Sender) markDown(host string, now time.Time) {
 	sen.mu.Lock()
 	defer sen.mu.Unlock()
 	if sen.down == nil {
 		sen.down = map[string]time.Time{}
 	}
-	sen.down[hos] = now.Add(hostDownFor)
+	sen.down[host] = now.Add(hostDownTime)
 }
 
-func refused(req mixer.Request, hos string, res *http.Response, beg time.Time) Result {
-	var bod struct {
+func errorResult(req mixer.Request, host string, res *http.Response, start time.Time) Result {
+	var body struct {
 		Error struct {
 			Code    string `json:"code"`
 			Message string `json:"message"`
 		} `json:"error"`
 	}
-	_ = json.NewDecoder(res.Body).Decode(&bod)
-	out := Result{Request: req, Outcome: Failed, Host: hos, Status: res.StatusCode, Code: bod.Error.Code, Message: bod.Error.Message, Ran: res.Header.Get(responder.RunHeader), Total: time.Since(beg)}
+	_ = json.NewDecoder(res.Body).Decode(&body)
+	out := Result{Request: req, Outcome: Failed, Host: host, Status: res.StatusCode, Code: body.Error.Code, Message: body.Error.Message, Ran: res.Header.Get(responder.RunHeader), Total: time.Since(start)}
 	if out.Ran == "NotRun" {
 		out.Outcome = Refused
 	}
@@ -251,11 +256,12 @@
 	} `json:"error"`
 }
 
-// stream reads an answer and judges it.
-func (sen *Sender) stream(req mixer.Request, text string, res *http.Response, beg time.Time) Result {
+// stream reads a streamed answer, measures the times of its tokens and determines
+// the outcome.
+func (sen *Sender) stream(req mixer.Request, text string, res *http.Response, start time.Time) Result {
 	out := Result{Request: req, Outcome: Broken, Status: res.StatusCode, Ran: res.Header.Get(responder.RunHeader)}
 	var got bytes.Buffer
-	las := beg
+	last := start
 	tokens := int64(0)
 	done := false
 	for eve, err := range sse.Read(res.Body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
@@ -284,24 +290,24 @@
 		}
 		now := time.Now()
 		if tokens == 0 {
-			out.First = now.Sub(beg)
+			out.First = now.Sub(start)
 		} else {
-			out.Gaps = append(out.Gaps, now.Sub(las))
+			out.Gaps = append(out.Gaps, now.Sub(last))
 		}
-		las = now
+		last = now
 		tokens++
 		got.WriteString(chu.Choices[0].Text)
 	}
-	out.Total = time.Since(beg)
+	out.Total = time.Since(start)
 	if !done {
 		return out
 	}
-	out.Outcome = sen.judge(req, text, got.String(), out.Total)
+	out.Outcome = sen.answerOutcome(req, text, got.String(), out.Total)
 	return out
 }
 
-func (sen *Sender) judge(req mixer.Request, text, got string, total time.Duration) Outcome {
-	if sen.Verify && req.PromptTokens <= verifyTokens && got != expected(text, req.AnswerTokens) {
+func (sen *Sender) answerOutcome(req mixer.Request, text, got string, total time.Duration) Outcome {
+	if sen.Verify && req.PromptTokens <= maxVerifiedTokens && got != expectedAnswer(text, req.AnswerTokens) {
 		return Wrong
 	}
 	if total > req.LatencyTarget {
@@ -310,35 +316,35 @@
 	return Whole
 }
 
-func expected(text string, tokens int64) string {
+func expectedAnswer(text string, tokens int64) string {
 	var buf bytes.Buffer
-	for ind := range tokens {
-		buf.WriteString(generator.TokenText(text, 0, ind))
+	for i := range tokens {
+		buf.WriteString(generator.TokenText(text, 0, i))
 	}
 	return buf.String()
 }
 
-// call sends a call to a plain service. Calls that may not be repeated carry a
-// key of their own and are sent again under it while their end is not known to
-// the caller.
+// call sends a call to a plain service. A call that may not be repeated has an
+// idempotency key of its own and is sent again under it, up to MaxRetries times,
+// until the answer has status 200.
 func (sen *Sender) call(ctx context.Context, req mixer.Request) Result {
 	if req.Kind != mixer.KindOnce {
-		return sen.callOnce(ctx, req, "")
+		return sen.sendCall(ctx, req, "")
 	}
 	key := uuid.Must(uuid.NewV7()).String()
 	var says []string
-	for try := 0; ; try++ {
-		res := sen.callOnce(ctx, req, key)
+	for attempt := 0; ; attempt++ {
+		res := sen.sendCall(ctx, req, key)
 		says = append(says, res.Ran)
 		res.CallKey = key
 		res.RanByAttempt = says
-		if res.Status == http.StatusOK || try >= sen.MaxRetries || !pause(ctx, repeatPause) {
+		if res.Status == http.StatusOK || attempt >= sen.MaxRetries || !pause(ctx, retryPause) {
 			return res
 		}
 	}
 }
 
-// pause waits and reports whether ctx still lasts.
+// pause waits and returns false if ctx ends first.
 func pause(ctx context.Context, dur time.Duration) bool {
 	select {
 	case <-time.After(dur):
@@ -348,22 +354,22 @@
 	}
 }
 
-func (sen *Sender) callOnce(ctx context.Context, req mixer.Request, key string) Result {
-	beg := time.Now()
+func (sen *Sender) sendCall(ctx context.Context, req mixer.Request, key string) Result {
+	start := time.Now()
 	hea := http.Header{}
 	if key != "" {
 		hea.Set("Idempotency-Key", key)
 	}
-	res, hos, err := sen.post(ctx, req, []byte(`{"Order":1}`), hea)
+	res, host, err := sen.post(ctx, req, []byte(`{"Order":1}`), hea)
 	if err != nil {
-		return unanswered(req, hos, err)
+		return connectionErrorResult(req, host, err)
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return refused(req, hos, res, beg)
+		return errorResult(req, host, res, start)
 	}
 	_, err = io.Copy(io.Discard, res.Body)
-	out := Result{Request: req, Outcome: Whole, Status: res.StatusCode, Ran: res.Header.Get(responder.RunHeader), Total: time.Since(beg), Host: hos}
+	out := Result{Request: req, Outcome: Whole, Status: res.StatusCode, Ran: res.Header.Get(responder.RunHeader), Total: time.Since(start), Host: host}
 	out.First = out.Total
 	switch {
 	case err != nil:
