--- a/load/summarizer/parts.go
+++ b/load/summarizer/parts.go
@@ -6,13 +6,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Parts says where traced prompts spent the time to their first token.
+// Parts is the time to the first token of traced prompts, divided into the wait
+// for an engine and the rest.
 type Parts struct {
 	// Placement is the wait for an engine.
 	Placement Times
 	// Rest is the time between the grant of an engine and the first token.
 	Rest Times
-	// Slowdown is the rest over the whole time on idle engines.
+	// Slowdown is Rest divided by the time to the first token on idle engines.
 	Slowdown Ratios
 }
 
@@ -28,17 +29,18 @@
 	return &PartsRecorder{placement: newHistogram(), rest: newHistogram(), slowdown: newHistogram()}
 }
 
-// Add counts one answered prompt.
-func (spl *PartsRecorder) Add(placement, first, idle time.Duration) {
-	record(spl.placement, placement)
-	record(spl.rest, first-placement)
-	recordRatio(spl.slowdown, first-placement, idle)
+// Add records one answered prompt: its wait for an engine, its time to the first
+// token, and that time on idle engines.
+func (rec *PartsRecorder) Add(placement, first, idle time.Duration) {
+	recordTime(rec.placement, placement)
+	recordTime(rec.rest, first-placement)
+	recordRatio(rec.slowdown, first-placement, idle)
 }
 
-// Parts returns what was collected, nil if there was no prompt.
-func (spl *PartsRecorder) Parts() *Parts {
-	if spl.placement.TotalCount() == 0 {
+// Parts returns the distributions of the recorded prompts; nil if there are none.
+func (rec *PartsRecorder) Parts() *Parts {
+	if rec.placement.TotalCount() == 0 {
 		return nil
 	}
-	return &Parts{Placement: timesOf(spl.placement), Rest: timesOf(spl.rest), Slowdown: ratiosOf(spl.slowdown)}
+	return &Parts{Placement: timesOf(rec.placement), Rest: timesOf(rec.rest), Slowdown: ratiosOf(rec.slowdown)}
 }
--- a/load/summarizer/slowdown.go
+++ b/load/summarizer/slowdown.go
@@ -11,29 +11,31 @@
 )
 
 const (
-	// ratioParts is the resolution of recorded ratios.
-	ratioParts = 1000
-	// lengthSteps is the number of length buckets for each doubling.
-	lengthSteps = 2
+	// ratioScale is the factor by which ratios are multiplied to record them as
+	// integers.
+	ratioScale = 1000
+	// bucketsPerDoubling is the number of length buckets per doubling of the
+	// length.
+	bucketsPerDoubling = 2
 )
 
-func recordRatio(his *hdrhistogram.Histogram, one, two time.Duration) {
-	_ = his.RecordValue(min(maxMicros, max(1, int64(ratioParts*one.Seconds()/two.Seconds()))))
+func recordRatio(his *hdrhistogram.Histogram, dividend, divisor time.Duration) {
+	_ = his.RecordValue(min(maxMicros, max(1, int64(ratioScale*dividend.Seconds()/divisor.Seconds()))))
 }
 
 func ratiosOf(his *hdrhistogram.Histogram) Ratios {
 	return Ratios{
 		Count: his.TotalCount(),
-		P50:   float64(his.ValueAtQuantile(50)) / ratioParts,
-		P95:   float64(his.ValueAtQuantile(95)) / ratioParts,
+		P50:   float64(his.ValueAtQuantile(50)) / ratioScale,
+		P95:   float64(his.ValueAtQuantile(95)) / ratioScale,
 	}
 }
 
-// long is the slowdown of the large and huge prompts together.
-func (sum *Summarizer) long() Ratios {
+// longSlowdown returns the slowdown of the large and huge prompts together.
+func (sum *Summarizer) longSlowdown() Ratios {
 	all := newHistogram()
-	for _, nam := range []string{mixer.ClassLarge, mixer.ClassHuge} {
-		if cla := sum.classes[nam]; cla != nil {
+	for _, name := range []string{mixer.ClassLarge, mixer.ClassHuge} {
+		if cla := sum.classes[name]; cla != nil {
 			all.Merge(cla.slowdown)
 		}
 	}
@@ -41,23 +43,23 @@
 }
 
 func lengthBucket(tokens int64) int {
-	return int(math.Floor(lengthSteps * math.Log2(float64(max(1, tokens)))))
+	return int(math.Floor(bucketsPerDoubling * math.Log2(float64(max(1, tokens)))))
 }
 
 func (sum *Summarizer) length(tokens int64) *hdrhistogram.Histogram {
-	buc := lengthBucket(tokens)
-	if sum.lengths[buc] == nil {
-		sum.lengths[buc] = newHistogram()
+	bucket := lengthBucket(tokens)
+	if sum.lengths[bucket] == nil {
+		sum.lengths[bucket] = newHistogram()
 	}
-	return sum.lengths[buc]
+	return sum.lengths[bucket]
 }
 
 func (sum *Summarizer) lengthReports() []LengthReport {
 	var out []LengthReport
-	for buc, his := range sum.lengths {
+	for bucket, his := range sum.lengths {
 		tim := timesOf(his)
-		out = append(out, LengthReport{Tokens: math.Exp2((float64(buc) + 0.5) / lengthSteps), Count: tim.Count, P50: tim.P50, P95: tim.P95})
+		out = append(out, LengthReport{Tokens: math.Exp2((float64(bucket) + 0.5) / bucketsPerDoubling), Count: tim.Count, P50: tim.P50, P95: tim.P95})
 	}
-	slices.SortFunc(out, func(one, two LengthReport) int { return int(one.Tokens - two.Tokens) })
+	slices.SortFunc(out, func(a, b LengthReport) int { return int(a.Tokens - b.Tokens) })
 	return out
 }
--- a/load/summarizer/summarizer.go
+++ b/load/summarizer/summarizer.go
@@ -1,4 +1,4 @@
-// Package summarizer turns the results of a load run into a report.
+// Package summarizer summarizes the results of a load run in a report.
 package summarizer
 
 import (
@@ -28,11 +28,11 @@
 	P95   float64
 	P99   float64
 	Max   float64
-	// Curve holds the time at each of CurveQuantiles.
+	// Curve holds the time at each percentile of CurveQuantiles.
 	Curve []float64
 }
 
-// CurveQuantiles are the quantiles at which Times.Curve is given.
+// CurveQuantiles are the percentiles of Times.Curve.
 var CurveQuantiles = []float64{5, 10, 20, 30, 40, 50, 60, 70, 80, 90, 95, 97, 99, 99.5, 99.9}
 
 // ClassReport is the part of a report for one class of requests.
@@ -46,14 +46,16 @@
 	Gap Times
 	// Total is the time to the last byte of answered requests.
 	Total Times
-	// InTime is the share of requests answered whole within their patience.
+	// InTime is the share of requests with a complete answer within their latency
+	// target.
 	InTime float64
-	// Waited is First, but a request without a whole answer counts with its
-	// patience if that is longer, so that refusals don't improve it.
+	// Waited is the time to the first token of all prompts. A prompt without a
+	// complete answer counts with its latency target if that is longer, so that
+	// refusing prompts does not improve the figures.
 	Waited Times `json:",omitzero"`
 	// Idle is the time to the first token of the same requests on idle engines.
 	Idle Times `json:",omitzero"`
-	// Slowdown is Waited over Idle, request by request.
+	// Slowdown is the distribution of Waited divided by Idle of each prompt.
 	Slowdown Ratios `json:",omitzero"`
 }
 
@@ -64,31 +66,32 @@
 	P95   float64
 }
 
-// LengthReport holds the times to the first token of prompts of like lengths.
+// LengthReport holds the times to the first token, in milliseconds, of the prompts
+// of one length bucket.
 type LengthReport struct {
-	// Tokens is the middle of the lengths.
+	// Tokens is the geometric mean of the bounds of the bucket.
 	Tokens float64
 	Count  int64
 	P50    float64
 	P95    float64
 }
 
-// TeamReport holds the times to the first token of a team's short prompts and
-// what was admitted of the team.
+// TeamReport holds the times to the first token of a team's short prompts and the
+// tokens admitted of all its prompts.
 type TeamReport struct {
 	Key   string
 	Short Times
-	// AdmittedTokens counts the tokens, asked for ones included, of the prompts
-	// that the limits let in; those of the warm-up are counted.
+	// AdmittedTokens counts the prompt tokens and the requested answer tokens of
+	// the prompts that the team's limit admitted, including the warm-up.
 	AdmittedTokens int64
-	// LargestTokens is the greatest number of tokens of one of them.
+	// LargestTokens is the greatest number of such tokens of one prompt.
 	LargestTokens int64
 }
 
-// Cell says which run of a grid a report is of.
+// Cell identifies a run within a grid of experiments.
 type Cell struct {
 	Policy string
-	// Load is in per cent of what the engines can do.
+	// Load is in per cent of the capacity of the engines.
 	Load    int
 	Variant string
 }
@@ -99,13 +102,13 @@
 	CorePercent        float64
 	MemoryBytes        int64
 	PeerBytesPerSecond float64
-	// EndpointBytesPerSecond leaves requests out.
+	// EndpointBytesPerSecond does not include the bytes of requests.
 	EndpointBytesPerSecond float64
 	PlatformBytesPerSecond float64
 	PlatformCallsPerHour   float64
 }
 
-// Second counts the requests that started within one second of a run.
+// Second counts the requests whose drawn time is in one second of a run.
 type Second struct {
 	Sent   int64
 	InTime int64
@@ -118,8 +121,8 @@
 	Seed    uint64
 	Rate    float64
 	Started time.Time
-	// LoadAverage is the machine's over the last minute, at the end. The run's
-	// own processes are in it.
+	// LoadAverage is the load average of the machine over the last minute of the
+	// run. It includes the processes of the run itself.
 	LoadAverage float64
 	Duration    time.Duration
 	Classes     []ClassReport
@@ -127,27 +130,27 @@
 	Hosts       []HostUsage
 	Timeline    []Second
 	NotSent     int64
-	// Goodput is the number of requests a second answered whole and in time.
+	// Goodput is the number of requests a second with a complete answer in time.
 	Goodput float64
-	// Cell and Setup are the zero value outside of a grid. Setup describes what
-	// all its runs share.
+	// Cell and Setup are empty for a run outside a grid. Setup describes the
+	// settings that all runs of the grid share.
 	Cell  Cell   `json:",omitzero"`
 	Setup string `json:",omitempty"`
 	// Score is nil if the times on idle engines are not known.
 	Score *Score `json:",omitempty"`
 	// Long is the slowdown of the large and huge prompts together.
 	Long Ratios `json:",omitzero"`
-	// Parts says where the large and huge prompts spent their time; nil if they
-	// were not traced.
+	// Parts divides the time to the first token of the large and huge prompts; nil
+	// if they were not traced.
 	Parts   *Parts `json:",omitempty"`
 	Lengths []LengthReport
 	Teams   []TeamReport
 	// Others is the time to the first token of the short prompts of all teams
-	// but the mix's first.
+	// except the first team of the mix.
 	Others Times
 }
 
-// Class finds the report of a class.
+// Class returns the report of a class and whether there is one.
 func (rep Report) Class(name string) (ClassReport, bool) {
 	for _, cla := range rep.Classes {
 		if cla.Name == name {
@@ -161,8 +164,8 @@
 func (rep Report) Outcomes() map[sender.Outcome]int64 {
 	out := map[sender.Outcome]int64{}
 	for _, cla := range rep.Classes {
-		for nam, cou := range cla.Outcomes {
-			out[nam] += cou
+		for name, n := range cla.Outcomes {
+			out[name] += n
 		}
 	}
 	return out
@@ -179,7 +182,7 @@
 	count    int64
 }
 
-// Summarizer collects results. Use New.
+// Summarizer collects results. Use New. It is safe for concurrent use.
 type Summarizer struct {
 	// IdleFirstToken returns the time to the first token of a prompt on idle
 	// engines; if it is nil, the report has no slowdowns and no score.
@@ -197,8 +200,8 @@
 	teams    map[string]*team
 }
 
-// New starts an empty summary; results of requests sent during the warm-up
-// are left out.
+// New returns an empty summary. Requests sent during the warm-up are counted only
+// in the timeline and in the admitted tokens of teams.
 func New(mix mixer.Mix, warmUp, duration time.Duration) *Summarizer {
 	return &Summarizer{
 		mix: mix, warmUp: warmUp, duration: duration,
@@ -214,7 +217,7 @@
 	sum.mu.Lock()
 	defer sum.mu.Unlock()
 	sum.addTimeline(res)
-	sum.team(res.Request.Key).admit(res)
+	sum.team(res.Request.Key).recordAdmitted(res)
 	if res.Request.At < sum.warmUp {
 		return
 	}
@@ -230,10 +233,10 @@
 	if !answered(res) {
 		return
 	}
-	record(cla.first, res.First)
-	record(cla.total, res.Total)
+	recordTime(cla.first, res.First)
+	recordTime(cla.total, res.Total)
 	for _, gap := range res.Gaps {
-		record(cla.gap, gap)
+		recordTime(cla.gap, gap)
 	}
 }
 
@@ -241,36 +244,37 @@
 	return res.Outcome == sender.Whole || res.Outcome == sender.Late
 }
 
-// addPrompt counts a prompt by its length, its team and its slowdown.
+// addPrompt records the time to first token of a prompt by class, length and team,
+// and its slowdown.
 func (sum *Summarizer) addPrompt(cla *class, res sender.Result) {
-	wai := res.First
+	waited := res.First
 	if !answered(res) {
-		wai = max(wai, res.Request.LatencyTarget)
+		waited = max(waited, res.Request.LatencyTarget)
 	}
-	record(cla.waited, wai)
-	record(sum.length(res.Request.PromptTokens), wai)
+	recordTime(cla.waited, waited)
+	recordTime(sum.length(res.Request.PromptTokens), waited)
 	if res.Request.Class == mixer.ClassShort {
-		record(sum.team(res.Request.Key).short, wai)
+		recordTime(sum.team(res.Request.Key).short, waited)
 	}
 	if sum.IdleFirstToken != nil {
-		idl := sum.IdleFirstToken(res.Request)
-		record(cla.idle, idl)
-		recordRatio(cla.slowdown, wai, idl)
+		idle := sum.IdleFirstToken(res.Request)
+		recordTime(cla.idle, idle)
+		recordRatio(cla.slowdown, waited, idle)
 	}
 }
 
-func record(his *hdrhistogram.Histogram, dur time.Duration) {
-	_ = his.RecordValue(min(max(1, dur.Microseconds()), maxMicros))
+func recordTime(his *hdrhistogram.Histogram, elapsed time.Duration) {
+	_ = his.RecordValue(min(max(1, elapsed.Microseconds()), maxMicros))
 }
 
 func (sum *Summarizer) addTimeline(res sender.Result) {
-	ind := int(res.Request.At / bucketSize)
-	if ind >= len(sum.timeline) {
+	i := int(res.Request.At / bucketSize)
+	if i >= len(sum.timeline) {
 		return
 	}
-	sum.timeline[ind].Sent++
+	sum.timeline[i].Sent++
 	if res.Outcome == sender.Whole {
-		sum.timeline[ind].InTime++
+		sum.timeline[i].InTime++
 	}
 }
 
@@ -286,48 +290,48 @@
 	return cla
 }
 
-// Line summarizes the results so far in one line.
+// Line returns a summary of the results so far in one line.
 func (sum *Summarizer) Line() string {
 	sum.mu.Lock()
 	defer sum.mu.Unlock()
-	var all, who int64
+	var all, complete int64
 	for _, cla := range sum.classes {
 		all += cla.count
-		who += cla.outcomes[sender.Whole]
+		complete += cla.outcomes[sender.Whole]
 	}
 	first := Times{}
 	if cla := sum.classes[mixer.ClassShort]; cla != nil {
 		first = timesOf(cla.first)
 	}
-	return fmt.Sprintf("ended %6d  in time %6d  short prompts' first token p95 %.0f ms", all, who, first.P95)
+	return fmt.Sprintf("ended %6d  in time %6d  short prompts' first token p95 %.0f ms", all, complete, first.P95)
 }
 
-// Report summarizes all results.
+// Report returns the report of all results.
 func (sum *Summarizer) Report() Report {
 	sum.mu.Lock()
 	defer sum.mu.Unlock()
 	rep := Report{Mix: sum.mix.Name, Duration: sum.duration - sum.warmUp, Codes: sum.codes, Timeline: sum.timeline}
-	var who int64
-	for nam, cla := range sum.classes {
-		rep.Classes = append(rep.Classes, cla.report(nam))
-		who += cla.outcomes[sender.Whole]
+	var complete int64
+	for name, cla := range sum.classes {
+		rep.Classes = append(rep.Classes, cla.report(name))
+		complete += cla.outcomes[sender.Whole]
 	}
-	sort.Slice(rep.Classes, func(one, two int) bool { return sum.rank(rep.Classes[one].Name) < sum.rank(rep.Classes[two].Name) })
-	rep.Goodput = float64(who) / rep.Duration.Seconds()
+	sort.Slice(rep.Classes, func(i, j int) bool { return sum.rank(rep.Classes[i].Name) < sum.rank(rep.Classes[j].Name) })
+	rep.Goodput = float64(complete) / rep.Duration.Seconds()
 	rep.Lengths = sum.lengthReports()
 	rep.Teams, rep.Others = sum.teamReports()
 	if sum.IdleFirstToken != nil {
-		rep.Long = sum.long()
+		rep.Long = sum.longSlowdown()
 		rep.Score = rep.score()
 	}
 	return rep
 }
 
-// rank orders classes by length, calls last.
+// rank sorts the classes as the mix lists them, with calls last.
 func (sum *Summarizer) rank(name string) int {
-	for ind, cla := range sum.mix.Classes {
+	for i, cla := range sum.mix.Classes {
 		if cla.Name == name {
-			return ind
+			return i
 		}
 	}
 	return math.MaxInt
@@ -343,13 +347,13 @@
 }
 
 func timesOf(his *hdrhistogram.Histogram) Times {
-	const micros = 1000
+	const microsPerMilli = 1000
 	tim := Times{
-		Count: his.TotalCount(), Mean: his.Mean() / micros, Max: float64(his.Max()) / micros,
-		P50: float64(his.ValueAtQuantile(50)) / micros, P95: float64(his.ValueAtQuantile(95)) / micros, P99: float64(his.ValueAtQuantile(99)) / micros,
+		Count: his.TotalCount(), Mean: his.Mean() / microsPerMilli, Max: float64(his.Max()) / microsPerMilli,
+		P50: float64(his.ValueAtQuantile(50)) / microsPerMilli, P95: float64(his.ValueAtQuantile(95)) / microsPerMilli, P99: float64(his.ValueAtQuantile(99)) / microsPerMilli,
 	}
-	for _, qua := range CurveQuantiles {
-		tim.Curve = append(tim.Curve, float64(his.ValueAtQuantile(qua))/micros)
+	for _, quantile := range CurveQuantiles {
+		tim.Curve = append(tim.Curve, float64(his.ValueAtQuantile(quantile))/microsPerMilli)
 	}
 	return tim
 }
--- a/load/summarizer/summarizer_test.go
+++ b/load/summarizer/summarizer_test.go
@@ -11,8 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Refusing prompts must not improve a score.
-func TestScoreCountsRefusedPromptsWithTheirPatience(t *testing.T) {
+// A refused prompt counts with its latency target, so that refusing prompts does
+// not improve a score.
+func TestScoreCountsRefusedPromptsAtLatencyTarget(t *testing.T) {
 	sum := summarizer.New(mixer.Wijesinghe(), 0, time.Second)
 	sum.IdleFirstToken = func(mixer.Request) time.Duration { return 100 * time.Millisecond }
 	for _, out := range []sender.Outcome{sender.Whole, sender.Refused} {
--- a/load/summarizer/team.go
+++ b/load/summarizer/team.go
@@ -21,28 +21,29 @@
 	return sum.teams[key]
 }
 
-// admit counts the tokens of a prompt that the limits let in.
-func (tea *team) admit(res sender.Result) {
+// recordAdmitted counts the tokens of a prompt, unless it reached no host or the
+// team's limit refused it.
+func (tea *team) recordAdmitted(res sender.Result) {
 	if res.Request.Kind != mixer.KindPrompt || res.Outcome == sender.Unreachable || res.Code == admitter.CodeTeamLimit {
 		return
 	}
-	tok := res.Request.PromptTokens + res.Request.AnswerTokens
-	tea.admitted += tok
-	tea.largest = max(tea.largest, tok)
+	tokens := res.Request.PromptTokens + res.Request.AnswerTokens
+	tea.admitted += tokens
+	tea.largest = max(tea.largest, tokens)
 }
 
-// teamReports returns the report of each team and the times of all but the
-// first.
+// teamReports returns the report of each team, and the times of the short prompts
+// of all teams except the first.
 func (sum *Summarizer) teamReports() ([]TeamReport, Times) {
 	var out []TeamReport
 	all := newHistogram()
-	for ind, one := range sum.mix.Teams {
-		tea := sum.teams[one.Key]
+	for i, mixTeam := range sum.mix.Teams {
+		tea := sum.teams[mixTeam.Key]
 		if tea == nil {
 			continue
 		}
-		out = append(out, TeamReport{one.Key, timesOf(tea.short), tea.admitted, tea.largest})
-		if ind > 0 {
+		out = append(out, TeamReport{mixTeam.Key, timesOf(tea.short), tea.admitted, tea.largest})
+		if i > 0 {
 			all.Merge(tea.short)
 		}
 	}
