--- a/load/reporter/comparer.go
+++ b/load/reporter/comparer.go
@@ -8,34 +8,34 @@
 	"hemlockpin/load/summarizer"
 )
 
-// Compare prints the classes of two reports side by side, the second also as a
-// ratio to the first.
-func Compare(wri io.Writer, one, two summarizer.Report) error {
+// Compare prints the figures of two reports side by side, with the ratio of the
+// second to the first.
+func Compare(wri io.Writer, first, second summarizer.Report) error {
 	tab := tabwriter.NewWriter(wri, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(tab, "class\tfigure\t%s\t%s\tratio\t\n", one.Name, two.Name)
-	for _, cla := range one.Classes {
-		oth, ok := two.Class(cla.Name)
+	fmt.Fprintf(tab, "class\tfigure\t%s\t%s\tratio\t\n", first.Name, second.Name)
+	for _, cla := range first.Classes {
+		other, ok := second.Class(cla.Name)
 		if !ok {
 			continue
 		}
-		compareRow(tab, cla.Name, "first token p50 ms", cla.First.P50, oth.First.P50)
-		compareRow(tab, cla.Name, "first token p95 ms", cla.First.P95, oth.First.P95)
-		compareRow(tab, cla.Name, "between tokens p95 ms", cla.Gap.P95, oth.Gap.P95)
-		compareRow(tab, cla.Name, "in time %", 100*cla.InTime, 100*oth.InTime)
+		compareRow(tab, cla.Name, "first token p50 ms", cla.First.P50, other.First.P50)
+		compareRow(tab, cla.Name, "first token p95 ms", cla.First.P95, other.First.P95)
+		compareRow(tab, cla.Name, "between tokens p95 ms", cla.Gap.P95, other.Gap.P95)
+		compareRow(tab, cla.Name, "in time %", 100*cla.InTime, 100*other.InTime)
 	}
-	compareRow(tab, "all", "in time a second", one.Goodput, two.Goodput)
+	compareRow(tab, "all", "in time a second", first.Goodput, second.Goodput)
 	return tab.Flush()
 }
 
-func compareRow(wri io.Writer, class, figure string, one, two float64) {
-	rat := "-"
-	if one != 0 {
-		rat = fmt.Sprintf("%.2f", two/one)
+func compareRow(wri io.Writer, class, figure string, first, second float64) {
+	ratio := "-"
+	if first != 0 {
+		ratio = fmt.Sprintf("%.2f", second/first)
 	}
-	fmt.Fprintf(wri, "%s\t%s\t%.1f\t%.1f\t%s\t\n", class, figure, one, two, rat)
+	fmt.Fprintf(wri, "%s\t%s\t%.1f\t%.1f\t%s\t\n", class, figure, first, second, ratio)
 }
 
-// Print writes one report as a table for people.
+// Print prints one report as a text table.
 func Print(wri io.Writer, rep summarizer.Report) error {
 	tab := tabwriter.NewWriter(wri, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(tab, "class\trequests\tin time %%\tfirst p50 ms\tp95\tp99\tgap p95 ms\trefused\tfailed\tbroken\twrong\t\n")
--- a/load/reporter/plots.go
+++ b/load/reporter/plots.go
@@ -34,23 +34,24 @@
 	color.RGBA{R: 0x7f, G: 0x7f, B: 0x7f, A: 0xff},
 }
 
-// drawing is one plot with a line a report.
+// drawing is a plot with one line per report.
 type drawing struct {
 	title  string
 	labelX string
 	labelY string
-	// logarithmic sets both axes.
+	// logarithmic makes both axes logarithmic.
 	logarithmic bool
 	points      func(summarizer.Report) plotter.XYs
 }
 
-// plots draws, for the reports of each load and variant, the time to the first
-// token by length and by percentile and the requests in time over the run.
+// plots draws for the reports of each load and variant: the time to the first
+// token by length and by percentile, and the requests answered in time over the
+// run.
 func plots(reps []summarizer.Report) ([]template.HTML, error) {
 	var out []template.HTML
-	for _, gro := range groups(reps) {
-		for _, dra := range drawings(groupTitle(gro[0])) {
-			svg, err := dra.draw(gro)
+	for _, group := range groups(reps) {
+		for _, dra := range drawings(groupTitle(group[0])) {
+			svg, err := dra.draw(group)
 			if err != nil {
 				return nil, err
 			}
@@ -60,20 +61,20 @@
 	return out, nil
 }
 
-// groups puts the reports of one load and variant together.
+// groups groups reports by load and variant.
 func groups(reps []summarizer.Report) [][]summarizer.Report {
 	var out [][]summarizer.Report
 	index := map[summarizer.Cell]int{}
 	for _, rep := range reps {
 		key := rep.Cell
 		key.Policy = ""
-		ind, ok := index[key]
+		i, ok := index[key]
 		if !ok {
-			ind = len(out)
-			index[key] = ind
+			i = len(out)
+			index[key] = i
 			out = append(out, nil)
 		}
-		out[ind] = append(out[ind], rep)
+		out[i] = append(out[i], rep)
 	}
 	return out
 }
@@ -87,43 +88,43 @@
 
 func drawings(group string) []drawing {
 	out := []drawing{{
-		title: "Time to first token by length, p95" + group, labelX: "prompt tokens", labelY: "ms", logarithmic: true, points: byLength,
+		title: "Time to first token by length, p95" + group, labelX: "prompt tokens", labelY: "ms", logarithmic: true, points: lengthPoints,
 	}}
 	for _, cla := range []string{mixer.ClassShort, mixer.ClassMedium, mixer.ClassLarge, mixer.ClassHuge} {
 		out = append(out, drawing{
 			title: "Time to first token, " + cla + " prompts" + group, labelX: "percentile", labelY: "ms",
-			points: func(rep summarizer.Report) plotter.XYs { return curve(rep, cla) },
+			points: func(rep summarizer.Report) plotter.XYs { return percentilePoints(rep, cla) },
 		})
 	}
-	return append(out, drawing{title: "Requests answered whole and in time" + group, labelX: "second", labelY: "requests", points: timeline})
+	return append(out, drawing{title: "Requests answered completely and in time" + group, labelX: "second", labelY: "requests", points: inTimePoints})
 }
 
-func byLength(rep summarizer.Report) plotter.XYs {
-	var pts plotter.XYs
-	for _, len := range rep.Lengths {
-		pts = append(pts, plotter.XY{X: len.Tokens, Y: len.P95})
+func lengthPoints(rep summarizer.Report) plotter.XYs {
+	var points plotter.XYs
+	for _, length := range rep.Lengths {
+		points = append(points, plotter.XY{X: length.Tokens, Y: length.P95})
 	}
-	return pts
+	return points
 }
 
-func curve(rep summarizer.Report, name string) plotter.XYs {
+func percentilePoints(rep summarizer.Report, name string) plotter.XYs {
 	cla, ok := rep.Class(name)
 	if !ok || cla.First.Count == 0 {
 		return nil
 	}
-	var pts plotter.XYs
-	for ind, val := range cla.First.Curve {
-		pts = append(pts, plotter.XY{X: summarizer.CurveQuantiles[ind], Y: val})
+	var points plotter.XYs
+	for i, val := range cla.First.Curve {
+		points = append(points, plotter.XY{X: summarizer.CurveQuantiles[i], Y: val})
 	}
-	return pts
+	return points
 }
 
-func timeline(rep summarizer.Report) plotter.XYs {
-	var pts plotter.XYs
-	for ind, sec := range rep.Timeline {
-		pts = append(pts, plotter.XY{X: float64(ind), Y: float64(sec.InTime)})
+func inTimePoints(rep summarizer.Report) plotter.XYs {
+	var points plotter.XYs
+	for i, sec := range rep.Timeline {
+		points = append(points, plotter.XY{X: float64(i), Y: float64(sec.InTime)})
 	}
-	return pts
+	return points
 }
 
 func (dra drawing) plot() *plot.Plot {
@@ -145,17 +146,17 @@
 func (dra drawing) draw(reps []summarizer.Report) (template.HTML, error) {
 	plo := dra.plot()
 	drawn := false
-	for ind, rep := range reps {
-		pts := dra.points(rep)
-		if len(pts) == 0 {
+	for i, rep := range reps {
+		points := dra.points(rep)
+		if len(points) == 0 {
 			continue
 		}
-		lin, err := plotter.NewLine(pts)
+		lin, err := plotter.NewLine(points)
 		if err != nil {
 			return "", eris.Wrapf(err, "drawing.draw: %s", dra.title)
 		}
 		drawn = true
-		lin.Color = palette[ind%len(palette)]
+		lin.Color = palette[i%len(palette)]
 		plo.Add(lin)
 		plo.Legend.Add(rep.Name, lin)
 	}
@@ -168,7 +169,7 @@
 	if _, err := can.WriteTo(&buf); err != nil {
 		return "", eris.Wrapf(err, "drawing.draw: %s", dra.title)
 	}
-	// The XML prologue has no place within an HTML page.
-	_, txt, _ := strings.Cut(buf.String(), "<svg")
-	return template.HTML("<svg" + txt), nil
+	// The XML prologue is not valid within an HTML page.
+	_, body, _ := strings.Cut(buf.String(), "<svg")
+	return template.HTML("<svg" + body), nil
 }
--- a/load/reporter/reporter.go
+++ b/load/reporter/reporter.go
@@ -18,7 +18,7 @@
 
 const filePerm = 0o644
 
-// outcomes is the order of the outcome columns.
+// outcomes are the outcome columns in their order.
 var outcomes = []sender.Outcome{sender.Whole, sender.Late, sender.Refused, sender.Failed, sender.Broken, sender.Wrong, sender.Unreachable}
 
 // WriteJSON writes reports as a JSON array.
@@ -30,7 +30,7 @@
 	return eris.Wrap(os.WriteFile(path, append(buf, '\n'), filePerm), "WriteJSON")
 }
 
-// ReadJSON reads the reports of a file.
+// ReadJSON reads the reports that WriteJSON wrote to a file.
 func ReadJSON(path string) ([]summarizer.Report, error) {
 	buf, err := os.ReadFile(path)
 	if err != nil {
@@ -49,7 +49,7 @@
 	Plots    []template.HTML
 }
 
-// WriteHTML writes reports side by side as one page.
+// WriteHTML writes reports as one HTML page, with the plots at the top.
 func WriteHTML(path, title string, reps []summarizer.Report) error {
 	plos, err := plots(reps)
 	if err != nil {
