--- a/tools/experimenter/cells.go
+++ b/tools/experimenter/cells.go
@@ -16,9 +16,9 @@
 	variantPlatform = "platform-out"
 	variantLedgers  = "ledgers"
 
-	// Variants of the targets. In the last four all teams send alike but for
-	// one in the tenfold ones, which sends its own requests and nine times as
-	// many beside them.
+	// Variants for the targets. In the last four, all teams send at the same rate,
+	// except that in the tenfold variants the first team also sends nine times as
+	// many additional requests.
 	variantWithoutLong    = "without-long"
 	variantFilled         = "filled"
 	variantEven           = "even"
@@ -27,66 +27,67 @@
 	variantTenfoldLimited = "tenfold-limited"
 )
 
-// Loads of the targets, in per cent of what the engines can do.
+// Loads of the targets, in per cent of the capacity of the engines.
 const (
 	targetLoad = 80
 	bestLoad   = 95
 	overLoad   = 120
-	// fairLoad is that of equal teams with which one tenfold team makes 80 per
-	// cent; with equal teams at 80 per cent it makes 152.
+	// fairLoad is the load of equal teams that becomes 80 per cent when one team
+	// sends ten times as much; from 80 per cent the load becomes 152.
 	fairLoad   = 42
 	fairFactor = 10
-	// limitPercent is the limited team's rate in per cent of what the engines
-	// can do: an equal part of them.
+	// limitPercent is the rate limit of the limited team in per cent of the
+	// capacity of the engines: an equal part for each team.
 	limitPercent = 100 / mixer.TeamCount
 )
 
-func validFault(nam string) bool {
-	return slices.Contains([]string{variantCalm, variantEngine, variantHost, variantPlatform, variantLedgers}, nam)
+func validFault(name string) bool {
+	return slices.Contains([]string{variantCalm, variantEngine, variantHost, variantPlatform, variantLedgers}, name)
 }
 
-// cells returns the runs in their order: policies that are compared follow each
-// other.
+// cells returns the runs in their order, with the policies of a load and variant
+// next to each other.
 func (set settings) cells() []summarizer.Cell {
 	var out []summarizer.Cell
-	add := func(loa int, vari string) {
-		for _, pol := range set.Policies {
-			if cel := (summarizer.Cell{Policy: pol, Load: loa, Variant: vari}); !slices.Contains(out, cel) {
+	add := func(load int, variant string) {
+		for _, policy := range set.Policies {
+			if cel := (summarizer.Cell{Policy: policy, Load: load, Variant: variant}); !slices.Contains(out, cel) {
 				out = append(out, cel)
 			}
 		}
 	}
-	for _, loa := range set.Loads {
-		for _, fau := range set.Faults {
-			add(loa, fau)
+	for _, load := range set.Loads {
+		for _, fault := range set.Faults {
+			add(load, fault)
 		}
 	}
-	for _, par := range set.Targets {
-		for _, cel := range targetCells[par] {
+	for _, target := range set.Targets {
+		for _, cel := range targetCells[target] {
 			add(cel.Load, cel.Variant)
 		}
 	}
 	return out
 }
 
-// Parts of the targets.
+// Values of --target.
 const (
-	partLengths  = "lengths"
-	partGoodput  = "goodput"
-	partFairness = "fairness"
+	targetLengths  = "lengths"
+	targetGoodput  = "goodput"
+	targetFairness = "fairness"
 )
 
-// targetCells are the runs that each part of the targets needs.
+// targetCells are the runs that each target needs.
 var targetCells = map[string][]summarizer.Cell{
-	partLengths: {{Load: targetLoad, Variant: variantCalm}, {Load: targetLoad, Variant: variantWithoutLong}},
-	partGoodput: {{Load: targetLoad, Variant: variantCalm}, {Load: bestLoad, Variant: variantCalm}, {Load: overLoad, Variant: variantFilled}},
-	partFairness: {
+	targetLengths: {{Load: targetLoad, Variant: variantCalm}, {Load: targetLoad, Variant: variantWithoutLong}},
+	targetGoodput: {{Load: targetLoad, Variant: variantCalm}, {Load: bestLoad, Variant: variantCalm}, {Load: overLoad, Variant: variantFilled}},
+	targetFairness: {
 		{Load: fairLoad, Variant: variantEven}, {Load: fairLoad, Variant: variantEvenAgain}, {Load: fairLoad, Variant: variantTenfold},
 		{Load: targetLoad, Variant: variantEven}, {Load: targetLoad, Variant: variantTenfold}, {Load: targetLoad, Variant: variantTenfoldLimited},
 	},
 }
 
-// times returns the length of a run and the part of it that is not counted.
+// times returns the duration of a run and the warm-up at its start, which is not
+// counted.
 func (set settings) times(cel summarizer.Cell) (duration, warmUp time.Duration) {
 	if cel.Variant == variantFilled {
 		return set.Fill + set.Duration - set.WarmUp, max(set.Fill, set.WarmUp)
@@ -94,12 +95,13 @@
 	return set.Duration, set.WarmUp
 }
 
-// fillTime is the time after which prompts wait for as long as the most patient
-// class does, if all wait in one queue: the queue grows by the surplus.
+// fillTime returns the time after which the wait in a single queue reaches the
+// longest latency target of the mix. At overLoad the queue grows by the load above
+// 100 per cent.
 func fillTime(mix mixer.Mix) time.Duration {
-	var lon time.Duration
+	var longest time.Duration
 	for _, cla := range mix.Classes {
-		lon = max(lon, cla.Patience)
+		longest = max(longest, cla.Patience)
 	}
-	return lon * percent / (overLoad - percent)
+	return longest * percent / (overLoad - percent)
 }
--- a/tools/experimenter/experiment.go
+++ b/tools/experimenter/experiment.go
@@ -24,22 +24,23 @@
 	engineMemory = 400_000
 	engineRate   = 200_000
 	engineChunk  = 4096
-	// decodeStep is the time that a step with decoding adds to the prefill of
-	// a chunk in the engine stand-in.
+	// decodeStep is the time that decoding adds to a step of the simulated engine.
 	decodeStep = 10 * time.Millisecond
-	// baseFirst is the least time to a first token beside the prefill: one step
-	// of the engine and the way through a host.
-	baseFirst     = 5 * time.Millisecond
-	capacityDraws = 20_000
-	capacitySeed  = 99
-	percent       = 100
-	// seedStride keeps the seeds of streams apart.
+	// firstTokenOverhead is the least time to the first token in addition to the
+	// prefill: one step of the engine and the processing in a host.
+	firstTokenOverhead = 5 * time.Millisecond
+	capacityDraws      = 20_000
+	capacitySeed       = 99
+	percent            = 100
+	// seedStride is the distance between the seeds of the streams of two runs with
+	// successive seeds, so that no two streams have the same seed.
 	seedStride = 1000
-	// ledgerCount is the number of the longest prompts that come at once.
+	// ledgerCount is the number of prompts of the longest class that are sent at
+	// once.
 	ledgerCount = 12
 )
 
-// experiment holds what the runs share.
+// experiment holds the settings, results and log file that the runs share.
 type experiment struct {
 	set  settings
 	mix  mixer.Mix
@@ -66,90 +67,96 @@
 	}
 }
 
-// capacity is the number of requests a second at which the engines only
-// prefill and decode: the mean time of the prefills of the mix.
+// capacity returns the number of requests a second of a mix at which the engines
+// are fully used. It is estimated from the mean prefill time of drawn requests,
+// with a decode step for each chunk of prefill.
 func (exp *experiment) capacity(mix mixer.Mix) float64 {
 	mi := mixer.New(mix, 1, capacitySeed)
 	var sum float64
 	for range capacityDraws {
 		if req := mi.Next(); req.Kind == mixer.KindPrompt {
-			sum += exp.idle(req).Seconds()
+			sum += exp.idlePrefill(req).Seconds()
 		}
 	}
-	chu := engineChunk / float64(engineRate)
-	return float64(exp.set.Engines) * capacityDraws / sum * chu / (chu + decodeStep.Seconds())
+	chunkTime := engineChunk / float64(engineRate)
+	return float64(exp.set.Engines) * capacityDraws / sum * chunkTime / (chunkTime + decodeStep.Seconds())
 }
 
-// idle is the time of a prefill on idle engines. A group prefills together.
-func (exp *experiment) idle(req mixer.Request) time.Duration {
-	mems := make([]int64, exp.set.Engines)
-	for ind := range mems {
-		mems[ind] = int64(engineMemory / exp.set.Scale)
+// idlePrefill returns the prefill time of a prompt on idle engines. A prompt that
+// exceeds the memory of one engine is prefilled by a group of them in parallel.
+func (exp *experiment) idlePrefill(req mixer.Request) time.Duration {
+	memories := make([]int64, exp.set.Engines)
+	for i := range memories {
+		memories[i] = int64(engineMemory / exp.set.Scale)
 	}
-	sec := float64(req.PromptTokens) * exp.set.Scale / engineRate
-	if need := req.PromptTokens + req.AnswerTokens; need > mems[0] {
-		sec /= float64(max(1, len(placer.Split(need, mems))))
+	seconds := float64(req.PromptTokens) * exp.set.Scale / engineRate
+	if need := req.PromptTokens + req.AnswerTokens; need > memories[0] {
+		seconds /= float64(max(1, len(placer.Split(need, memories))))
 	}
-	return time.Duration(sec * float64(time.Second))
+	return time.Duration(seconds * float64(time.Second))
 }
 
-// first is the time to the first token on idle engines.
-func (exp *experiment) first(req mixer.Request) time.Duration { return exp.idle(req) + baseFirst }
+// idleFirstToken returns the time to the first token on idle engines.
+func (exp *experiment) idleFirstToken(req mixer.Request) time.Duration {
+	return exp.idlePrefill(req) + firstTokenOverhead
+}
 
-// plan is the load of a run.
-type plan struct {
-	mix  mixer.Mix
-	mean float64
-	strs []mixer.Stream
+// runLoad is the load of a run: requests of mix at rate, or streams if there are
+// any.
+type runLoad struct {
+	mix     mixer.Mix
+	rate    float64
+	streams []mixer.Stream
 	// limit is the first team's rate in tokens a second; 0 means none.
 	limit float64
 }
 
-// plan returns the load of a run. Policies that are compared get the same
-// requests at the same times.
-func (exp *experiment) plan(cel summarizer.Cell) plan {
-	rat := exp.capacity(exp.mix) * float64(cel.Load) / percent
+// loadOf returns the load of a run. It does not depend on the policy, so that
+// policies are compared with the same requests at the same times.
+func (exp *experiment) loadOf(cel summarizer.Cell) runLoad {
+	rate := exp.capacity(exp.mix) * float64(cel.Load) / percent
 	switch cel.Variant {
 	case variantWithoutLong:
-		mix, sha := exp.mix.WithoutLong(int64(mixer.ShortTokens / exp.set.Scale))
-		return plan{mix: mix, mean: rat * sha}
+		mix, share := exp.mix.WithoutLong(int64(mixer.ShortTokens / exp.set.Scale))
+		return runLoad{mix: mix, rate: rate * share}
 	case variantEven, variantEvenAgain:
-		return exp.teams(rat, 1)
+		return exp.teams(rate, 1)
 	case variantTenfold:
-		return exp.teams(rat, fairFactor)
+		return exp.teams(rate, fairFactor)
 	case variantTenfoldLimited:
-		pla := exp.teams(rat, fairFactor)
-		pla.limit = exp.limit()
-		return pla
+		load := exp.teams(rate, fairFactor)
+		load.limit = exp.limit()
+		return load
 	default:
-		return plan{mix: exp.mix, mean: rat}
+		return runLoad{mix: exp.mix, rate: rate}
 	}
 }
 
-// limit is the limited team's rate in tokens a second.
+// limit returns the rate limit of the limited team in tokens a second.
 func (exp *experiment) limit() float64 {
 	return exp.capacity(exp.mix) * (1 - exp.mix.CallShare) * exp.mix.MeanTokens() * limitPercent / percent
 }
 
-// teams divides a rate into equal streams by team. The surplus of the first
-// team is one more stream, so that the others stay the same.
-func (exp *experiment) teams(rate, factor float64) plan {
+// teams divides a rate into equal streams, one per team. If factor is above 1, the
+// first team sends factor times as much: the additional requests are a stream of
+// their own, so that all other requests stay the same.
+func (exp *experiment) teams(rate, factor float64) runLoad {
 	var teas []mixer.Team
-	var strs []mixer.Stream
-	for ind := range mixer.TeamCount {
-		tea := mixer.Team{Key: mixer.TeamKey(ind), Weight: 1}
+	var streams []mixer.Stream
+	for i := range mixer.TeamCount {
+		tea := mixer.Team{Key: mixer.TeamKey(i), Weight: 1}
 		teas = append(teas, tea)
-		strs = append(strs, mixer.Stream{Team: tea, Rate: rate / mixer.TeamCount, Seed: exp.set.Seed*seedStride + uint64(ind)})
+		streams = append(streams, mixer.Stream{Team: tea, Rate: rate / mixer.TeamCount, Seed: exp.set.Seed*seedStride + uint64(i)})
 	}
 	if factor > 1 {
-		strs = append(strs, mixer.Stream{
+		streams = append(streams, mixer.Stream{
 			Team: teas[0], Rate: rate / mixer.TeamCount * (factor - 1), Seed: exp.set.Seed*seedStride + mixer.TeamCount,
 		})
 	}
-	return plan{mix: exp.mix.WithTeams(teas), strs: strs}
+	return runLoad{mix: exp.mix.WithTeams(teas), streams: streams}
 }
 
-func (exp *experiment) start(ctx context.Context, pla plan, args []string) (*testkit.Fleet, error) {
+func (exp *experiment) start(ctx context.Context, load runLoad, args []string) (*testkit.Fleet, error) {
 	set := exp.set
 	var logs io.Writer
 	if exp.logs != nil {
@@ -157,7 +164,7 @@
 	}
 	tab := testkit.LoadTables(exp.mix)
 	tab.Pools[0].LongShare = set.Long
-	tab.Teams[0].TokensPerSecond = pla.limit
+	tab.Teams[0].TokensPerSecond = load.limit
 	return testkit.Start(ctx, testkit.Plan{
 		Bin: set.Bin, Logs: logs, Hosts: set.Hosts, Engines: set.Engines, Services: set.Services, Model: exp.mix.Model,
 		Tables: tab, HostArgs: args,
@@ -169,19 +176,20 @@
 	})
 }
 
-// run does all runs that are not finished yet, as far as the time allows.
-func (exp *experiment) run(ctx context.Context) error {
-	beg := time.Now()
-	lef := 0
+// runCells does the runs that are not finished yet. It skips those that would end
+// after --for.
+func (exp *experiment) runCells(ctx context.Context) error {
+	start := time.Now()
+	skipped := 0
 	for _, cel := range exp.set.cells() {
 		if _, ok := exp.res.find(cel); ok {
 			continue
 		}
-		if dur, _ := exp.set.times(cel); exp.set.For > 0 && time.Since(beg)+dur > exp.set.For {
-			lef++
+		if duration, _ := exp.set.times(cel); exp.set.For > 0 && time.Since(start)+duration > exp.set.For {
+			skipped++
 			continue
 		}
-		rep, err := exp.cell(ctx, cel)
+		rep, err := exp.runCell(ctx, cel)
 		if err != nil {
 			return eris.Wrap(err, cellName(cel))
 		}
@@ -190,44 +198,45 @@
 			return err
 		}
 	}
-	if lef > 0 {
-		fmt.Printf("\n%d runs are left; go on with --resume\n", lef)
+	if skipped > 0 {
+		fmt.Printf("\n%d runs are left; go on with --resume\n", skipped)
 	}
 	return nil
 }
 
-// cell does one run on a fleet of its own, whose engines hold no prefixes yet.
-func (exp *experiment) cell(ctx context.Context, cel summarizer.Cell) (summarizer.Report, error) {
-	pla := exp.plan(cel)
+// runCell does one run with newly started processes, so that the prefix caches of
+// the engines are empty.
+func (exp *experiment) runCell(ctx context.Context, cel summarizer.Cell) (summarizer.Report, error) {
+	load := exp.loadOf(cel)
 	tra, err := exp.newTracing()
 	if err != nil {
 		return summarizer.Report{}, err
 	}
 	defer tra.col.Stop()
-	fle, err := exp.start(ctx, pla, append(tra.hostArgs(), "--placement", cel.Policy))
+	fle, err := exp.start(ctx, load, append(tra.hostArgs(), "--placement", cel.Policy))
 	if err != nil {
 		return summarizer.Report{}, err
 	}
 	defer fle.Stop()
-	dur, war := exp.set.times(cel)
+	duration, warmUp := exp.set.times(cel)
 	run := &driver.Run{
-		Mix: pla.mix, Rate: pla.mean, Streams: pla.strs, Seed: exp.set.Seed, Duration: dur, WarmUp: war,
-		Sender: &sender.Sender{Model: pla.mix.Model, Verify: true, ShouldTrace: isLong}, IdleFirstToken: exp.first, Observe: tra.observe,
+		Mix: load.mix, Rate: load.rate, Streams: load.streams, Seed: exp.set.Seed, Duration: duration, WarmUp: warmUp,
+		Sender: &sender.Sender{Model: load.mix.Model, Verify: true, ShouldTrace: isLong}, IdleFirstToken: exp.idleFirstToken, Observe: tra.observe,
 	}
-	for _, hos := range fle.Hosts {
-		run.Sender.Hosts = append(run.Sender.Hosts, hos.Address)
-		run.Operators = append(run.Operators, hos.Operator)
+	for _, host := range fle.Hosts {
+		run.Sender.Hosts = append(run.Sender.Hosts, host.Address)
+		run.Operators = append(run.Operators, host.Operator)
 	}
-	bgd, stop := context.WithCancel(ctx)
-	var gro sync.WaitGroup
-	gro.Go(func() { exp.disturb(bgd, fle, run.Sender, cel.Variant) })
+	faultCtx, stop := context.WithCancel(ctx)
+	var wg sync.WaitGroup
+	wg.Go(func() { exp.injectFault(faultCtx, fle, run.Sender, cel.Variant) })
 	rep, err := run.Do(ctx)
 	stop()
-	gro.Wait()
+	wg.Wait()
 	rep.Name = cellName(cel)
 	rep.Cell = cel
 	rep.Setup = exp.set.setup()
-	rep.Parts = tra.parts(ctx, war)
+	rep.Parts = tra.parts(ctx, warmUp)
 	return rep, err
 }
 
@@ -235,23 +244,23 @@
 	fmt.Fprintf(wri, "\n%s: seed %d, %.1f requests a second, in time %.1f a second, long slowdown p50 %.2f, p95 %.2f (%d), load average %.1f\n",
 		rep.Name, rep.Seed, rep.Rate, rep.Goodput, rep.Long.P50, rep.Long.P95, rep.Long.Count, rep.LoadAverage)
 	_ = reporter.Print(wri, rep)
-	if par := rep.Parts; par != nil {
+	if parts := rep.Parts; parts != nil {
 		fmt.Fprintf(wri, "large and huge (%d traced): wait for an engine p50 %.0f ms, p95 %.0f ms; from the grant to the first token p50 %.0f ms, p95 %.0f ms, over idle engines p50 %.2f, p95 %.2f\n",
-			par.Placement.Count, par.Placement.P50, par.Placement.P95, par.Rest.P50, par.Rest.P95, par.Slowdown.P50, par.Slowdown.P95)
+			parts.Placement.Count, parts.Placement.P50, parts.Placement.P95, parts.Rest.P50, parts.Rest.P95, parts.Slowdown.P50, parts.Slowdown.P95)
 	}
 	if len(rep.Codes) > 0 {
 		fmt.Fprintln(wri, "codes:", rep.Codes)
 	}
 }
 
-// disturb brings a fault about in the middle of a run.
-func (exp *experiment) disturb(ctx context.Context, fle *testkit.Fleet, sen *sender.Sender, vari string) {
+// injectFault injects the fault of a variant in the middle of a run.
+func (exp *experiment) injectFault(ctx context.Context, fle *testkit.Fleet, sen *sender.Sender, variant string) {
 	select {
 	case <-time.After(exp.set.Duration / 2):
 	case <-ctx.Done():
 		return
 	}
-	switch vari {
+	switch variant {
 	case variantEngine:
 		fle.Engines[0].Kill()
 	case variantHost:
@@ -259,20 +268,20 @@
 	case variantPlatform:
 		_ = fle.Fault(ctx, fle.Platform, struct{ Down bool }{true})
 	case variantLedgers:
-		exp.ledgers(ctx, sen)
+		exp.sendLedgers(ctx, sen)
 	}
 }
 
-// ledgers sends the longest prompts of the mix at once.
-func (exp *experiment) ledgers(ctx context.Context, sen *sender.Sender) {
+// sendLedgers sends ledgerCount prompts of the longest class at once.
+func (exp *experiment) sendLedgers(ctx context.Context, sen *sender.Sender) {
 	mix := exp.mix
 	mix.Classes = mix.Classes[len(mix.Classes)-1:]
 	mix.CallShare = 0
 	mi := mixer.New(mix, 1, exp.set.Seed*seedStride)
-	var gro sync.WaitGroup
+	var wg sync.WaitGroup
 	for range ledgerCount {
 		req := mi.Next()
-		gro.Go(func() { sen.Send(ctx, req, req.Text()) })
+		wg.Go(func() { sen.Send(ctx, req, req.Text()) })
 	}
-	gro.Wait()
+	wg.Wait()
 }
--- a/tools/experimenter/main.go
+++ b/tools/experimenter/main.go
@@ -1,8 +1,9 @@
-// Command experimenter runs the placement policies side by side on fleets of
-// real processes, at several loads and under faults, and says which targets are
-// met. Lengths, prefill rates and memories are scaled down together, so that
-// all times stay those of the full sizes. Runs of a grid are kept as they end, so
-// that a long grid can be done in parts.
+// Command experimenter compares the placement policies at several loads and under
+// faults, each run with its own host and engine processes, and prints which
+// targets are met. Prompt lengths, prefill rates and engine memories are divided
+// by the same scale, so that all times are those of the full sizes. The results of
+// a grid are written after each run, so that a long grid can be done in parts with
+// --resume.
 package main
 
 import (
@@ -32,9 +33,9 @@
 	Faults   []string      `long:"fault" description:"calm, engine-killed, host-killed, platform-out or ledgers; may be repeated; calm if missing"`
 	Targets  []string      `long:"target" description:"also measure a part of the targets: lengths, goodput or fairness; may be repeated"`
 	Quick    bool          `long:"quick" description:"short runs, for trials"`
-	Resume   bool          `long:"resume" description:"go on with the file of an earlier part: leave out the runs in it"`
+	Resume   bool          `long:"resume" description:"continue a grid: skip the runs that are in its file"`
 	For      time.Duration `long:"for" description:"start no run that would end after this time; 0 does all"`
-	Fill     time.Duration `long:"fill" description:"time before the counted part of the run at 120 per cent in which queues fill; 0 is the longest patience over the surplus, 10 minutes"`
+	Fill     time.Duration `long:"fill" description:"time before the counted part of the run at 120 per cent in which queues fill; 0 means the time after which the wait reaches the longest latency target, 10 minutes"`
 	Duration time.Duration `long:"duration" default:"60s" description:"time of each run"`
 	WarmUp   time.Duration `long:"warm-up" default:"5s" description:"part of each run that is not counted"`
 	Seed     uint64        `long:"seed" default:"1" description:"seed of the load"`
@@ -46,11 +47,12 @@
 	Log      string        `long:"log" description:"file for the logs of all processes"`
 }
 
-// Defaults fills in the lists left empty.
+// Defaults returns the settings with the empty lists and the fill time set to
+// their defaults, and with the times of --quick.
 func (set settings) Defaults() settings {
 	if len(set.Policies) == 0 {
-		for _, pol := range placer.Policies() {
-			set.Policies = append(set.Policies, string(pol))
+		for _, policy := range placer.Policies() {
+			set.Policies = append(set.Policies, string(policy))
 		}
 	}
 	if len(set.Loads) == 0 {
@@ -70,35 +72,35 @@
 	return set
 }
 
-// Validate reports every fault of the settings.
+// Validate returns an error that lists everything that is wrong in the settings.
 func (set settings) Validate() error {
-	var fas []string
+	var problems []string
 	if _, ok := mixer.ByName(set.Mix); !ok {
-		fas = append(fas, "unknown mix "+set.Mix)
+		problems = append(problems, "unknown mix "+set.Mix)
 	}
-	for _, pol := range set.Policies {
-		if !placer.Policy(pol).Valid() {
-			fas = append(fas, "unknown policy "+pol)
+	for _, policy := range set.Policies {
+		if !placer.Policy(policy).Valid() {
+			problems = append(problems, "unknown policy "+policy)
 		}
 	}
-	for _, fau := range set.Faults {
-		if !validFault(fau) {
-			fas = append(fas, "unknown fault "+fau)
+	for _, fault := range set.Faults {
+		if !validFault(fault) {
+			problems = append(problems, "unknown fault "+fault)
 		}
 	}
-	for _, par := range set.Targets {
-		if _, ok := targetCells[par]; !ok {
-			fas = append(fas, "unknown target "+par)
+	for _, target := range set.Targets {
+		if _, ok := targetCells[target]; !ok {
+			problems = append(problems, "unknown target "+target)
 		}
 	}
 	if set.Duration <= set.WarmUp {
-		fas = append(fas, "--duration must be longer than --warm-up")
+		problems = append(problems, "--duration must be longer than --warm-up")
 	}
 	if set.Scale < 1 || set.Hosts < 1 || set.Engines < 1 {
-		fas = append(fas, "--scale, --hosts and --engines must be at least 1")
+		problems = append(problems, "--scale, --hosts and --engines must be at least 1")
 	}
-	if len(fas) > 0 {
-		return eris.Errorf("bad settings: %q", fas)
+	if len(problems) > 0 {
+		return eris.Errorf("bad settings: %q", problems)
 	}
 	return nil
 }
@@ -138,23 +140,24 @@
 		return err
 	}
 	defer exp.close()
-	if err := exp.prepare(); err != nil {
+	if err := exp.resume(); err != nil {
 		return err
 	}
-	if err := exp.run(ctx); err != nil {
+	if err := exp.runCells(ctx); err != nil {
 		return err
 	}
 	if err := reporter.PrintScores(os.Stdout, exp.res.reps); err != nil || len(set.Targets) == 0 {
 		return err
 	}
-	for _, pol := range set.Policies {
-		judge{wri: os.Stdout, res: exp.res, pol: pol, limit: exp.limit()}.print(set)
+	for _, policy := range set.Policies {
+		judge{wri: os.Stdout, res: exp.res, policy: policy, limit: exp.limit()}.print(set)
 	}
 	return nil
 }
 
-// prepare takes over what is finished.
-func (exp *experiment) prepare() error {
+// resume loads the results of earlier runs if --resume is set. It returns an error
+// if they have other settings.
+func (exp *experiment) resume() error {
 	if !exp.set.Resume {
 		return nil
 	}
--- a/tools/experimenter/results.go
+++ b/tools/experimenter/results.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// load takes over the runs of an earlier part.
+// load reads the results of earlier runs, if there is a file.
 func (res *results) load() error {
 	reps, err := reporter.ReadJSON(res.name + ".json")
 	if errors.Is(err, fs.ErrNotExist) {
@@ -45,7 +45,7 @@
 	return summarizer.Report{}, false
 }
 
-// add keeps a report and writes all of them.
+// add adds a report and writes all reports as JSON and HTML.
 func (res *results) add(rep summarizer.Report) error {
 	res.reps = append(res.reps, rep)
 	if err := reporter.WriteJSON(res.name+".json", res.reps); err != nil {
@@ -54,7 +54,7 @@
 	return reporter.WriteHTML(res.name+".html", res.title, res.reps)
 }
 
-// check refuses to go on with runs of other settings.
+// check returns an error if the loaded runs have other settings.
 func (res *results) check(set settings) error {
 	for _, rep := range res.reps {
 		if rep.Setup != set.setup() {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// setup describes what all runs of a grid share beside mix and seed.
+// setup describes the settings that all runs of a grid share, besides mix and seed.
 func (set settings) setup() string {
 	return fmt.Sprintf("scale %g, %d hosts, %d engines, %d services, long share %g, %s a run with %s to warm up, %s to fill queues",
 		set.Scale, set.Hosts, set.Engines, set.Services, set.Long, set.Duration, set.WarmUp, set.Fill)
--- a/tools/experimenter/tracing.go
+++ b/tools/experimenter/tracing.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// exportVariable is read by the exporters of the hosts.
+	// exportVariable sets the delay of span exports in the hosts, in milliseconds.
 	exportVariable = "OTEL_BSP_SCHEDULE_DELAY"
-	exportMillis   = "500"
-	exportPause    = 2 * time.Second
+	exportDelayMs  = "500"
+	// exportWait is the wait for the last export after a run.
+	exportWait = 2 * time.Second
 )
 
-// tracing follows the long prompts of a run through the hosts' traces.
+// tracing collects the hosts' traces of the large and huge prompts of a run.
 type tracing struct {
 	exp *experiment
 	col *collector.Collector
 
-	mu   sync.Mutex
-	ress []sender.Result
+	mu      sync.Mutex
+	results []sender.Result
 }
 
 func (exp *experiment) newTracing() (*tracing, error) {
-	if err := os.Setenv(exportVariable, exportMillis); err != nil {
+	if err := os.Setenv(exportVariable, exportDelayMs); err != nil {
 		return nil, err
 	}
 	col, err := collector.Start()
@@ -50,21 +51,21 @@
 	}
 	tra.mu.Lock()
 	defer tra.mu.Unlock()
-	tra.ress = append(tra.ress, res)
+	tra.results = append(tra.results, res)
 }
 
-// parts waits for the last export and splits the times of the prompts that were
-// sent after the warm-up.
+// parts waits for the last export and returns the parts of the time to first token
+// of the prompts that were sent after the warm-up.
 func (tra *tracing) parts(ctx context.Context, warmUp time.Duration) *summarizer.Parts {
 	select {
-	case <-time.After(exportPause):
+	case <-time.After(exportWait):
 	case <-ctx.Done():
 	}
-	spl := summarizer.NewPartsRecorder()
-	for _, res := range tra.ress {
-		if pla, ok := tra.col.Time(res.Trace, collector.PlacementSpan); ok && res.Request.At >= warmUp {
-			spl.Add(pla, res.First, tra.exp.first(res.Request))
+	rec := summarizer.NewPartsRecorder()
+	for _, res := range tra.results {
+		if placement, ok := tra.col.Time(res.Trace, collector.PlacementSpan); ok && res.Request.At >= warmUp {
+			rec.Add(placement, res.First, tra.exp.idleFirstToken(res.Request))
 		}
 	}
-	return spl.Parts()
+	return rec.Parts()
 }
