--- a/standin/generator/generator.go
+++ b/standin/generator/generator.go
@@ -47,8 +47,8 @@
 	LoadLag      time.Duration `long:"load-lag" default:"200ms" description:"lag of the load report"`
 	ChecksFence  bool          `long:"checks-fencing" description:"refuse orders with an old fencing number"`
 	EventLag     time.Duration `long:"event-lag" default:"100ms" description:"lag of the cache events"`
-	EventGap     uint64        `long:"event-gap" default:"0" description:"lose every such cache event; 0 loses none"`
-	IdleEvery    time.Duration `long:"idle-every" default:"500ms" description:"interval of signs of life on a waiting stream"`
+	EventGap     uint64        `long:"event-gap" default:"0" description:"lose each cache event whose number is a multiple of this; 0 loses none"`
+	IdleEvery    time.Duration `long:"idle-every" default:"500ms" description:"interval of Idle events on a stream"`
 	DetachGrace  time.Duration `long:"detach-grace" default:"2s" description:"time for which a sequence without a connection is kept"`
 	TransferRate float64       `long:"transfer-rate" default:"2000000" description:"tokens of KV cache imported a second"`
 }
