--- a/tools/runner/main.go
+++ b/tools/runner/main.go
@@ -1,6 +1,7 @@
-// Command runner starts the stand-ins and some entry hosts as processes, sends
-// a short prompt, a prompt of a million tokens and a booking, puts an edit in
-// force and shows what the operators' command line says of the fleet.
+// Command runner demonstrates a small deployment. It starts a simulated platform,
+// engines, services and some entry hosts as processes, sends a short prompt, a
+// prompt of a million tokens and a booking, edits the tables, and shows the output
+// of the operators' command line.
 package main
 
 import (
@@ -53,13 +54,13 @@
 	if set.Verbose {
 		pla.Logs = os.Stderr
 	}
-	beg := time.Now()
+	start := time.Now()
 	fle, err := testkit.Start(ctx, pla)
 	if err != nil {
 		return err
 	}
 	defer fle.Stop()
-	fmt.Printf("%d hosts, %d engines and %d services started in %s\n\n", set.Hosts, set.Engines, services, time.Since(beg).Round(time.Millisecond))
+	fmt.Printf("%d hosts, %d engines and %d services started in %s\n\n", set.Hosts, set.Engines, services, time.Since(start).Round(time.Millisecond))
 	if err := showRequests(ctx, fle); err != nil {
 		return err
 	}
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// showAddresses prints what is needed to use the fleet from another shell.
+// showAddresses prints the commands to use the hosts from another shell.
 func showAddresses(fle *testkit.Fleet) {
 	fmt.Print("The fleet runs until it is interrupted. From another shell:\n\n")
 	fmt.Printf("  export HEMLOCKPIN_OPERATOR=http://%s\n", fle.Hosts[0].Operator)
--- a/tools/runner/operations.go
+++ b/tools/runner/operations.go
@@ -14,27 +14,28 @@
 	"github.com/rotisserie/eris"
 )
 
-// propagation bounds the time until an accepted edit holds on every host.
-const propagation = 7 * time.Second
+// propagationTimeout bounds the time until an accepted edit is in force on every
+// host.
+const propagationTimeout = 7 * time.Second
 
-// showOperations edits the tables and asks for explanations and states by the
-// operators' command line.
+// showOperations uses the operators' command line to edit the tables, explain a
+// routing decision, and list the state of hosts and endpoints.
 func showOperations(ctx context.Context, fle *testkit.Fleet) error {
-	beg := time.Now()
-	if err := operate(ctx, fle, "routes", "set", "questions", "TimeLimit=20s"); err != nil {
+	start := time.Now()
+	if err := runOperatorCommand(ctx, fle, "routes", "set", "questions", "TimeLimit=20s"); err != nil {
 		return err
 	}
 	if err := awaitRevision(ctx, fle); err != nil {
 		return err
 	}
-	fmt.Printf("in force on all %d hosts %s after the command began\n", len(fle.Hosts), milliseconds(time.Since(beg)))
-	coms := [][]string{
+	fmt.Printf("in force on all %d hosts %s after the command began\n", len(fle.Hosts), milliseconds(time.Since(start)))
+	commands := [][]string{
 		{"explain", "--team", "tailors", "--model", testkit.Model, "--prompt-tokens", "1200"},
 		{"status"},
 		{"endpoints"},
 	}
-	for _, com := range coms {
-		if err := operate(ctx, fle, com...); err != nil {
+	for _, command := range commands {
+		if err := runOperatorCommand(ctx, fle, command...); err != nil {
 			return err
 		}
 	}
@@ -42,8 +43,8 @@
 	return nil
 }
 
-// operate runs one command and prints it.
-func operate(ctx context.Context, fle *testkit.Fleet, args ...string) error {
+// runOperatorCommand prints and runs one command of the operators' command line.
+func runOperatorCommand(ctx context.Context, fle *testkit.Fleet, args ...string) error {
 	fmt.Printf("\n$ hemlockpin %s\n", strings.Join(args, " "))
 	cmd := exec.CommandContext(ctx, filepath.Join(fle.Plan.Bin, "hemlockpin"), args...)
 	cmd.Env = append(os.Environ(), "HEMLOCKPIN_OPERATOR=http://"+fle.Hosts[0].Operator)
@@ -52,15 +53,16 @@
 	return eris.Wrapf(cmd.Run(), "hemlockpin %s", args[0])
 }
 
-// awaitRevision waits until all hosts have the second revision.
+// awaitRevision waits until all hosts have the second revision of the tables, that
+// of the edit.
 func awaitRevision(ctx context.Context, fle *testkit.Fleet) error {
-	for _, hos := range fle.Hosts {
-		err := testkit.Poll(ctx, propagation, func() bool {
-			sta, err := fle.Status(ctx, hos)
+	for _, host := range fle.Hosts {
+		err := testkit.Poll(ctx, propagationTimeout, func() bool {
+			sta, err := fle.Status(ctx, host)
 			return err == nil && sta.TablesRevision >= 2
 		})
 		if err != nil {
-			return eris.Wrapf(err, "host %s", hos.ID)
+			return eris.Wrapf(err, "host %s", host.ID)
 		}
 	}
 	return nil
--- a/tools/runner/requests.go
+++ b/tools/runner/requests.go
@@ -27,18 +27,19 @@
 	columnGap    = 2
 )
 
-// result is what one request took.
+// result holds the times and the answer of one request.
 type result struct {
 	first  time.Duration
 	total  time.Duration
 	answer string
 }
 
-// showRequests sends the requests to one host after the other.
+// showRequests sends sample requests, each to another host, and prints their times
+// and answers.
 func showRequests(ctx context.Context, fle *testkit.Fleet) error {
-	tries := []struct {
+	samples := []struct {
 		name string
-		send func(ctx context.Context, hos *testkit.Process) (result, error)
+		send func(ctx context.Context, host *testkit.Process) (result, error)
 	}{
 		{"short prompt", prompt("Why does the treadle stick?")},
 		{"ledger of a million tokens", prompt(strings.Repeat(ledgerWord, ledgerTokens*hasher.BytesPerToken/len(ledgerWord)))},
@@ -46,39 +47,40 @@
 	}
 	wri := tabwriter.NewWriter(os.Stdout, 0, 0, columnGap, ' ', 0)
 	fmt.Fprintln(wri, "REQUEST\tHOST\tFIRST TOKEN\tTOTAL\tANSWER")
-	for ind, try := range tries {
-		hos := fle.Hosts[ind%len(fle.Hosts)]
-		res, err := try.send(ctx, hos)
+	for i, sample := range samples {
+		host := fle.Hosts[i%len(fle.Hosts)]
+		res, err := sample.send(ctx, host)
 		if err != nil {
-			return eris.Wrapf(err, "%s at host %s", try.name, hos.ID)
+			return eris.Wrapf(err, "%s at host %s", sample.name, host.ID)
 		}
-		fir := "-"
+		first := "-"
 		if res.first > 0 {
-			fir = milliseconds(res.first)
+			first = milliseconds(res.first)
 		}
-		fmt.Fprintf(wri, "%s\t%s\t%s\t%s\t%s\n", try.name, hos.ID, fir, milliseconds(res.total), shorten(res.answer))
+		fmt.Fprintf(wri, "%s\t%s\t%s\t%s\t%s\n", sample.name, host.ID, first, milliseconds(res.total), shorten(res.answer))
 	}
 	return wri.Flush()
 }
 
-func milliseconds(dur time.Duration) string {
-	return fmt.Sprintf("%.1f ms", float64(dur.Microseconds())/1000)
+func milliseconds(duration time.Duration) string {
+	return fmt.Sprintf("%.1f ms", float64(duration.Microseconds())/1000)
 }
 
-func shorten(txt string) string {
-	if len(txt) <= shownBytes {
-		return txt
+func shorten(text string) string {
+	if len(text) <= shownBytes {
+		return text
 	}
-	return txt[:shownBytes] + "..."
+	return text[:shownBytes] + "..."
 }
 
-// prompt streams an answer through the stock OpenAI client.
+// prompt returns a function that sends a prompt and streams the answer through the
+// unmodified OpenAI client.
 func prompt(text string) func(context.Context, *testkit.Process) (result, error) {
-	return func(ctx context.Context, hos *testkit.Process) (result, error) {
-		cli := openai.NewClient(option.WithBaseURL("http://"+hos.Address+"/v1/"), option.WithAPIKey(testkit.Key), option.WithMaxRetries(0))
+	return func(ctx context.Context, host *testkit.Process) (result, error) {
+		cli := openai.NewClient(option.WithBaseURL("http://"+host.Address+"/v1/"), option.WithAPIKey(testkit.Key), option.WithMaxRetries(0))
 		var res result
 		var acc openai.ChatCompletionAccumulator
-		beg := time.Now()
+		start := time.Now()
 		str := cli.Chat.Completions.NewStreaming(ctx, openai.ChatCompletionNewParams{
 			Model: testkit.Model, MaxTokens: openai.Int(answerTokens),
 			Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage(text)},
@@ -86,11 +88,11 @@
 		defer str.Close()
 		for str.Next() {
 			if res.first == 0 {
-				res.first = time.Since(beg)
+				res.first = time.Since(start)
 			}
 			acc.AddChunk(str.Current())
 		}
-		res.total = time.Since(beg)
+		res.total = time.Since(start)
 		if err := str.Err(); err != nil {
 			return res, err
 		}
@@ -102,9 +104,9 @@
 	}
 }
 
-func booking(ctx context.Context, hos *testkit.Process) (result, error) {
-	beg := time.Now()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+hos.Address+"/bookings", bytes.NewBufferString(`{"Slot":"2026-12-05T09:00"}`))
+func booking(ctx context.Context, host *testkit.Process) (result, error) {
+	start := time.Now()
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+host.Address+"/bookings", bytes.NewBufferString(`{"Slot":"2026-12-05T09:00"}`))
 	if err != nil {
 		return result{}, err
 	}
@@ -114,9 +116,9 @@
 		return result{}, err
 	}
 	defer res.Body.Close()
-	txt, err := io.ReadAll(res.Body)
+	text, err := io.ReadAll(res.Body)
 	if err == nil && res.StatusCode != http.StatusOK {
-		err = eris.Errorf("status %d: %s", res.StatusCode, txt)
+		err = eris.Errorf("status %d: %s", res.StatusCode, text)
 	}
-	return result{total: time.Since(beg), answer: strings.TrimSpace(string(txt))}, err
+	return result{total: time.Since(start), answer: strings.TrimSpace(string(text))}, err
 }
