--- a/tools/experimenter/cells.go
+++ b/tools/experimenter/cells.go
@@ -10,7 +10,7 @@
 
 // Variants of a run.
 const (
-	variantCalm     = "calm"
+	variantNoFault  = "calm"
 	variantEngine   = "engine-killed"
 	variantHost     = "host-killed"
 	variantPlatform = "platform-out"
@@ -42,7 +42,7 @@
 )
 
 func validFault(name string) bool {
-	return slices.Contains([]string{variantCalm, variantEngine, variantHost, variantPlatform, variantLedgers}, name)
+	return slices.Contains([]string{variantNoFault, variantEngine, variantHost, variantPlatform, variantLedgers}, name)
 }
 
 // cells returns the runs in their order, with the policies of a load and variant
@@ -78,8 +78,8 @@
 
 // targetCells are the runs that each target needs.
 var targetCells = map[string][]summarizer.Cell{
-	targetLengths: {{Load: targetLoad, Variant: variantCalm}, {Load: targetLoad, Variant: variantWithoutLong}},
-	targetGoodput: {{Load: targetLoad, Variant: variantCalm}, {Load: bestLoad, Variant: variantCalm}, {Load: overLoad, Variant: variantFilled}},
+	targetLengths: {{Load: targetLoad, Variant: variantNoFault}, {Load: targetLoad, Variant: variantWithoutLong}},
+	targetGoodput: {{Load: targetLoad, Variant: variantNoFault}, {Load: bestLoad, Variant: variantNoFault}, {Load: overLoad, Variant: variantFilled}},
 	targetFairness: {
 		{Load: fairLoad, Variant: variantEven}, {Load: fairLoad, Variant: variantEvenAgain}, {Load: fairLoad, Variant: variantTenfold},
 		{Load: targetLoad, Variant: variantEven}, {Load: targetLoad, Variant: variantTenfold}, {Load: targetLoad, Variant: variantTenfoldLimited},
--- a/tools/experimenter/experiment.go
+++ b/tools/experimenter/experiment.go
@@ -163,7 +163,7 @@
 		logs = exp.logs
 	}
 	tab := testkit.LoadTables(exp.mix)
-	tab.Pools[0].LongShare = set.Long
+	tab.Pools[0].LongShare = set.LongShare
 	tab.Teams[0].TokensPerSecond = load.limit
 	return testkit.Start(ctx, testkit.Plan{
 		Bin: set.Bin, Logs: logs, Hosts: set.Hosts, Engines: set.Engines, Services: set.Services, Model: exp.mix.Model,
@@ -185,7 +185,7 @@
 		if _, ok := exp.res.find(cel); ok {
 			continue
 		}
-		if duration, _ := exp.set.times(cel); exp.set.For > 0 && time.Since(start)+duration > exp.set.For {
+		if duration, _ := exp.set.times(cel); exp.set.MaxTime > 0 && time.Since(start)+duration > exp.set.MaxTime {
 			skipped++
 			continue
 		}
--- a/tools/experimenter/main.go
+++ b/tools/experimenter/main.go
@@ -25,26 +25,26 @@
 const exitUsage = 2
 
 type settings struct {
-	Bin      string        `long:"bin" default:"bin" description:"folder of the built programs"`
-	Out      string        `long:"out" default:"out/placement" description:"folder of the reports"`
-	Mix      string        `long:"mix" default:"wijesinghe" description:"wijesinghe or port-louis"`
-	Policies []string      `long:"policy" description:"placement policy; may be repeated; all if missing"`
-	Loads    []int         `long:"load" description:"per cent of what the engines can do; may be repeated; 50, 80, 95 and 120 if missing"`
-	Faults   []string      `long:"fault" description:"calm, engine-killed, host-killed, platform-out or ledgers; may be repeated; calm if missing"`
-	Targets  []string      `long:"target" description:"also measure a part of the targets: lengths, goodput or fairness; may be repeated"`
-	Quick    bool          `long:"quick" description:"short runs, for trials"`
-	Resume   bool          `long:"resume" description:"continue a grid: skip the runs that are in its file"`
-	For      time.Duration `long:"for" description:"start no run that would end after this time; 0 does all"`
-	Fill     time.Duration `long:"fill" description:"time before the counted part of the run at 120 per cent in which queues fill; 0 means the time after which the wait reaches the longest latency target, 10 minutes"`
-	Duration time.Duration `long:"duration" default:"60s" description:"time of each run"`
-	WarmUp   time.Duration `long:"warm-up" default:"5s" description:"part of each run that is not counted"`
-	Seed     uint64        `long:"seed" default:"1" description:"seed of the load"`
-	Hosts    int           `long:"hosts" default:"15" description:"entry hosts"`
-	Engines  int           `long:"engines" default:"14" description:"model engines"`
-	Services int           `long:"services" default:"3" description:"plain services"`
-	Scale    float64       `long:"scale" default:"10" description:"divides lengths, prefill rates and memories"`
-	Long     float64       `long:"long-share" description:"the pool's share of engines for long prompts; 0 follows the work"`
-	Log      string        `long:"log" description:"file for the logs of all processes"`
+	Bin       string        `long:"bin" default:"bin" description:"folder of the built programs"`
+	Out       string        `long:"out" default:"out/placement" description:"folder of the reports"`
+	Mix       string        `long:"mix" default:"wijesinghe" description:"wijesinghe or port-louis"`
+	Policies  []string      `long:"policy" description:"placement policy; may be repeated; all if missing"`
+	Loads     []int         `long:"load" description:"per cent of what the engines can do; may be repeated; 50, 80, 95 and 120 if missing"`
+	Faults    []string      `long:"fault" description:"calm, engine-killed, host-killed, platform-out or ledgers; may be repeated; calm if missing"`
+	Targets   []string      `long:"target" description:"also measure a part of the targets: lengths, goodput or fairness; may be repeated"`
+	Quick     bool          `long:"quick" description:"short runs, for trials"`
+	Resume    bool          `long:"resume" description:"continue a grid: skip the runs that are in its file"`
+	MaxTime   time.Duration `long:"for" description:"start no run that would end after this time; 0 does all"`
+	Fill      time.Duration `long:"fill" description:"time before the counted part of the run at 120 per cent in which queues fill; 0 means the time after which the wait reaches the longest latency target, 10 minutes"`
+	Duration  time.Duration `long:"duration" default:"60s" description:"time of each run"`
+	WarmUp    time.Duration `long:"warm-up" default:"5s" description:"part of each run that is not counted"`
+	Seed      uint64        `long:"seed" default:"1" description:"seed of the load"`
+	Hosts     int           `long:"hosts" default:"15" description:"entry hosts"`
+	Engines   int           `long:"engines" default:"14" description:"model engines"`
+	Services  int           `long:"services" default:"3" description:"plain services"`
+	Scale     float64       `long:"scale" default:"10" description:"divides lengths, prefill rates and memories"`
+	LongShare float64       `long:"long-share" description:"the pool's share of engines for long prompts; 0 follows the work"`
+	Log       string        `long:"log" description:"file for the logs of all processes"`
 }
 
 // Defaults returns the settings with the empty lists and the fill time set to
@@ -59,7 +59,7 @@
 		set.Loads = []int{50, 80, 95, 120}
 	}
 	if len(set.Faults) == 0 {
-		set.Faults = []string{variantCalm}
+		set.Faults = []string{variantNoFault}
 	}
 	if mix, ok := mixer.ByName(set.Mix); ok && set.Fill == 0 {
 		set.Fill = fillTime(mix)
--- a/tools/experimenter/results.go
+++ b/tools/experimenter/results.go
@@ -67,7 +67,7 @@
 // setup describes the settings that all runs of a grid share, besides mix and seed.
 func (set settings) setup() string {
 	return fmt.Sprintf("scale %g, %d hosts, %d engines, %d services, long share %g, %s a run with %s to warm up, %s to fill queues",
-		set.Scale, set.Hosts, set.Engines, set.Services, set.Long, set.Duration, set.WarmUp, set.Fill)
+		set.Scale, set.Hosts, set.Engines, set.Services, set.LongShare, set.Duration, set.WarmUp, set.Fill)
 }
 
 func cellName(cel summarizer.Cell) string {
--- a/tools/experimenter/results_test.go
+++ b/tools/experimenter/results_test.go
@@ -21,7 +21,7 @@
 	require.NoError(t, exp.resume(), "no file yet")
 	cels := set.cells()
 	require.Len(t, cels, 6, "the run at 80 per cent is shared with the target")
-	cel := summarizer.Cell{Policy: "random", Load: targetLoad, Variant: variantCalm}
+	cel := summarizer.Cell{Policy: "random", Load: targetLoad, Variant: variantNoFault}
 	require.NoError(t, exp.res.add(summarizer.Report{Cell: cel, Setup: set.setup()}))
 
 	again, err := newExperiment(set)
