--- a/load/driver/driver.go
+++ b/load/driver/driver.go
@@ -41,7 +41,8 @@
 
 // Run is one load run.
 type Run struct {
-	Mix  mixer.Mix
+	Mix mixer.Mix
+	// Rate is the mean number of requests a second.
 	Rate float64
 	Seed uint64
 	// Streams, if any, replace Rate and Seed.
--- a/load/sender/sender.go
+++ b/load/sender/sender.go
@@ -203,8 +203,8 @@
 	return nil, "", lastErr
 }
 
-// hostOrder returns the hosts in turn from a random one, followed by those that
-// did not accept a connection within the last hostDownTime.
+// hostOrder returns the hosts in cyclic order from a random start, with the hosts
+// that did not accept a connection within the last hostDownTime at the end.
 func (sen *Sender) hostOrder(now time.Time) []string {
 	sen.mu.Lock()
 	defer sen.mu.Unlock()
--- a/standin/generator/batch.go
+++ b/standin/generator/batch.go
@@ -49,7 +49,7 @@
 func (gen *Generator) nextPrefill() *sequence {
 	var best *sequence
 	for _, seq := range gen.running {
-		if seq.prefilling() && (best == nil || byUrgency(seq, best) < 0) {
+		if seq.prefilling() && (best == nil || byPriority(seq, best) < 0) {
 			best = seq
 		}
 	}
@@ -68,7 +68,7 @@
 		seq.prefilled++
 		seq.progressAt = now
 		if seq.next >= seq.req.MaxTokens {
-			gen.end(seq)
+			gen.finishSequence(seq)
 		}
 		seq.notifyReader()
 	}
@@ -86,7 +86,7 @@
 		return true
 	}
 	for !gen.makeRoom(1, time.Time{}) {
-		victim := gen.leastUrgent()
+		victim := gen.lowestPriority()
 		gen.preempt(victim)
 		if victim == seq {
 			return false
@@ -105,10 +105,10 @@
 	return false
 }
 
-func (gen *Generator) leastUrgent() *sequence {
+func (gen *Generator) lowestPriority() *sequence {
 	var last *sequence
 	for _, seq := range gen.running {
-		if !seq.reserved() && (last == nil || byUrgency(seq, last) > 0) {
+		if !seq.reserved() && (last == nil || byPriority(seq, last) > 0) {
 			last = seq
 		}
 	}
--- a/standin/generator/generator_test.go
+++ b/standin/generator/generator_test.go
@@ -74,7 +74,7 @@
 	case "wait":
 		scr.now = scr.now.Add(time.Duration(arg("ms", 0)) * time.Millisecond)
 	case "cancel":
-		scr.gen.stop(invoker.Free{RequestID: word("id"), Attempt: int(arg("attempt", 1)), Owner: own})
+		scr.gen.removeOwned(invoker.Free{RequestID: word("id"), Attempt: int(arg("attempt", 1)), Owner: own})
 	case "hold":
 		wai := &waiter{
 			reservation: invoker.Reservation{ReservationID: word("id"), Owner: own, Tokens: arg("tokens", 0)},
--- a/standin/generator/hold.go
+++ b/standin/generator/hold.go
@@ -184,12 +184,13 @@
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
 	if !gen.faults.LoseCancel {
-		gen.stop(fre)
+		gen.removeOwned(fre)
 	}
 }
 
-// stop removes a sequence, unless it belongs to another owner or a newer attempt.
-func (gen *Generator) stop(fre invoker.Free) {
+// removeOwned removes a sequence, unless it belongs to another owner or a newer
+// attempt.
+func (gen *Generator) removeOwned(fre invoker.Free) {
 	seq := gen.sequences[fre.RequestID]
 	if seq != nil && seq.req.Owner == fre.Owner && seq.req.Attempt <= fre.Attempt {
 		gen.remove(seq)
@@ -205,7 +206,7 @@
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
 	if fre.Kind != kindReservation && fre.Kind != kindExport {
-		gen.stop(fre)
+		gen.removeOwned(fre)
 		return
 	}
 	if hol, held := gen.holds[fre.ID]; held && hol.owner == fre.Owner && hol.requestID == fre.RequestID {
--- a/standin/generator/report.go
+++ b/standin/generator/report.go
@@ -20,8 +20,8 @@
 	load invoker.Load
 }
 
-// recordLoad records the load, at most four times within LoadLag, and drops the
-// reports that a newer one older than LoadLag replaces.
+// recordLoad records the current load, at most four times within LoadLag. It keeps
+// the newest report that is older than LoadLag and all newer reports.
 func (gen *Generator) recordLoad(now time.Time) {
 	if n := len(gen.loads); n > 0 && now.Sub(gen.loads[n-1].at) < gen.set.LoadLag/4 {
 		return
--- a/standin/generator/sequence.go
+++ b/standin/generator/sequence.go
@@ -87,8 +87,8 @@
 // reserved reports whether the sequence uses memory reserved for its group.
 func (seq *sequence) reserved() bool { return seq.req.ReservationID != "" }
 
-// byUrgency sorts sequences by priority, the highest first, and then by arrival.
-func byUrgency(a, b *sequence) int {
+// byPriority sorts sequences by priority, the highest first, and then by arrival.
+func byPriority(a, b *sequence) int {
 	if a.req.Priority != b.req.Priority {
 		return cmp.Compare(b.req.Priority, a.req.Priority)
 	}
@@ -104,7 +104,7 @@
 }
 
 func (gen *Generator) queue(seq *sequence) {
-	i, _ := slices.BinarySearchFunc(gen.waiting, seq, byUrgency)
+	i, _ := slices.BinarySearchFunc(gen.waiting, seq, byPriority)
 	gen.waiting = slices.Insert(gen.waiting, i, seq)
 }
 
@@ -117,9 +117,9 @@
 	return 0
 }
 
-// end stops a sequence and frees its memory. Its record is kept until the reader
-// has received the rest of the answer.
-func (gen *Generator) end(seq *sequence) {
+// finishSequence stops a sequence and frees its memory. Its record is kept until
+// the reader has received the rest of the answer.
+func (gen *Generator) finishSequence(seq *sequence) {
 	same := func(other *sequence) bool { return other == seq }
 	gen.waiting = slices.DeleteFunc(gen.waiting, same)
 	gen.running = slices.DeleteFunc(gen.running, same)
@@ -130,7 +130,7 @@
 
 // remove ends a sequence, detaches its reader and drops its record.
 func (gen *Generator) remove(seq *sequence) {
-	gen.end(seq)
+	gen.finishSequence(seq)
 	seq.attachedAttempt = 0
 	if gen.sequences[seq.req.RequestID] == seq {
 		delete(gen.sequences, seq.req.RequestID)
@@ -141,7 +141,7 @@
 	if seq.done {
 		return
 	}
-	gen.end(seq)
+	gen.finishSequence(seq)
 	seq.failed = &fai
 	seq.notifyReader()
 }
--- a/tools/experimenter/cells.go
+++ b/tools/experimenter/cells.go
@@ -14,12 +14,14 @@
 	variantEngine   = "engine-killed"
 	variantHost     = "host-killed"
 	variantPlatform = "platform-out"
-	variantLedgers  = "ledgers"
+	// variantLedgers sends ledgerCount prompts of the longest class at once.
+	variantLedgers = "ledgers"
 
-	// Variants for the targets. In the last four, all teams send at the same rate,
-	// except that in the tenfold variants the first team also sends nine times as
-	// many additional requests.
-	variantWithoutLong    = "without-long"
+	// Variants for the targets. From variantEven on, all teams send at the same
+	// rate, except that in the tenfold variants the first team also sends nine times
+	// as many additional requests.
+	variantWithoutLong = "without-long"
+	// variantFilled counts requests only after the queues have filled.
 	variantFilled         = "filled"
 	variantEven           = "even"
 	variantEvenAgain      = "even-again"
