--- a/connection/multiplexer/multiplexer_test.go
+++ b/connection/multiplexer/multiplexer_test.go
@@ -69,9 +69,9 @@
 		fault  func(*testkit.Link) error
 		repair func(*testkit.Link) error
 	}{
-		{"established connections silent", func(lin *testkit.Link) error { lin.SilenceEstablished(); return nil }, func(*testkit.Link) error { return nil }},
-		{"requests of established connections lost", func(lin *testkit.Link) error { lin.SilenceEstablished(testkit.Requests); return nil }, func(*testkit.Link) error { return nil }},
-		{"answers of established connections lost", func(lin *testkit.Link) error { lin.SilenceEstablished(testkit.Answers); return nil }, func(*testkit.Link) error { return nil }},
+		{"established connections silent", func(lin *testkit.Link) error { lin.BlackholeEstablished(); return nil }, func(*testkit.Link) error { return nil }},
+		{"requests of established connections lost", func(lin *testkit.Link) error { lin.BlackholeEstablished(testkit.Requests); return nil }, func(*testkit.Link) error { return nil }},
+		{"answers of established connections lost", func(lin *testkit.Link) error { lin.BlackholeEstablished(testkit.Answers); return nil }, func(*testkit.Link) error { return nil }},
 		{"requests lost", block(testkit.Requests), unblock(testkit.Requests)},
 		{"answers lost", block(testkit.Answers), unblock(testkit.Answers)},
 	}
--- a/internal/auditor/auditor.go
+++ b/internal/auditor/auditor.go
@@ -37,20 +37,20 @@
 
 // Kinds of findings.
 const (
-	CallsDoubled   = "calls doubled"
-	FalseNotRun    = "false not run"
-	RunLost        = "answered but not run"
-	AnswersWrong   = "answers wrong"
-	AnswersBroken  = "answers broken without a visible fault of their host"
-	PastTime       = "requests past their time"
-	MemoryLost     = "engine memory lost"
-	TableReverts   = "table reverts"
-	TablesNotHeld  = "accepted tables not in force"
-	HostsNotServed = "hosts not ready after the faults"
+	CallsRunTwice    = "calls doubled"
+	FalseNotRun      = "false not run"
+	AnsweredNotRun   = "answered but not run"
+	AnswersWrong     = "answers wrong"
+	AnswersBroken    = "answers broken without a visible fault of their host"
+	RequestsPastTime = "requests past their time"
+	MemoryLost       = "engine memory lost"
+	TableReverts     = "table reverts"
+	TablesNotInForce = "accepted tables not in force"
+	HostsNotReady    = "hosts not ready after the faults"
 )
 
 // Kinds lists all kinds of findings in the order of reports.
-var Kinds = []string{CallsDoubled, FalseNotRun, RunLost, AnswersWrong, AnswersBroken, PastTime, MemoryLost, TableReverts, TablesNotHeld, HostsNotServed}
+var Kinds = []string{CallsRunTwice, FalseNotRun, AnsweredNotRun, AnswersWrong, AnswersBroken, RequestsPastTime, MemoryLost, TableReverts, TablesNotInForce, HostsNotReady}
 
 // Auditor collects what is seen during a run and judges it at the end.
 type Auditor struct {
@@ -73,8 +73,8 @@
 	aud.results = append(aud.results, res)
 }
 
-// Accepted notes that an operator was told that a revision was accepted.
-func (aud *Auditor) Accepted(rev uint64) {
+// RecordAccepted notes that an operator was told that a revision was accepted.
+func (aud *Auditor) RecordAccepted(rev uint64) {
 	aud.mu.Lock()
 	defer aud.mu.Unlock()
 	aud.accepted = max(aud.accepted, rev)
@@ -146,9 +146,9 @@
 	}
 }
 
-// Judge checks everything after the faults are over and returns the findings
+// Check checks everything after the faults are over and returns the findings
 // in the order of Kinds, those of count 0 too.
-func (aud *Auditor) Judge(ctx context.Context, spans []disturber.Span) []Finding {
+func (aud *Auditor) Check(ctx context.Context, spans []disturber.InjectedFault) []Finding {
 	aud.judgeHosts(ctx)
 	aud.judgeTables(ctx)
 	aud.judgeMemory(ctx)
@@ -173,7 +173,7 @@
 			return testkit.GetOK(ctx, "http://"+hos.Address+"/readyz") == nil
 		})
 		if err != nil {
-			aud.find(HostsNotServed, "host %s", hos.ID)
+			aud.find(HostsNotReady, "host %s", hos.ID)
 		}
 	}
 }
@@ -186,7 +186,7 @@
 			return err == nil && sta.TablesRevision >= want
 		})
 		if err != nil {
-			aud.find(TablesNotHeld, "host %s has not reached revision %d", hos.ID, want)
+			aud.find(TablesNotInForce, "host %s has not reached revision %d", hos.ID, want)
 		}
 	}
 }
@@ -212,7 +212,7 @@
 	for _, svc := range aud.Fleet.Services {
 		var one map[string]int
 		if err := testkit.GetJSON(ctx, "http://"+svc.Address+"/control/runs", &one); err != nil {
-			aud.find(RunLost, "service %s does not answer: %v", svc.ID, err)
+			aud.find(AnsweredNotRun, "service %s does not answer: %v", svc.ID, err)
 		}
 		for key, cou := range one {
 			runs[key] += cou
@@ -227,13 +227,13 @@
 
 func (aud *Auditor) judgeCall(res sender.Result, runs int) {
 	if runs > 1 {
-		aud.find(CallsDoubled, "key %s ran %d times, callers were told %q", res.CallKey, runs, res.Says)
+		aud.find(CallsRunTwice, "key %s ran %d times, callers were told %q", res.CallKey, runs, res.Says)
 	}
 	if runs > 0 && allNotRun(res.Says) {
 		aud.find(FalseNotRun, "key %s ran %d times", res.CallKey, runs)
 	}
 	if runs == 0 && res.Status == 200 {
-		aud.find(RunLost, "key %s was answered", res.CallKey)
+		aud.find(AnsweredNotRun, "key %s was answered", res.CallKey)
 	}
 }
 
@@ -246,7 +246,7 @@
 	return len(says) > 0
 }
 
-func (aud *Auditor) judgeAnswers(spans []disturber.Span) {
+func (aud *Auditor) judgeAnswers(spans []disturber.InjectedFault) {
 	for _, res := range aud.results {
 		exc := excused(res, spans)
 		if res.Outcome == sender.Wrong {
@@ -256,13 +256,13 @@
 			aud.find(AnswersBroken, "request %d of class %s at host %s after %s: %s", res.Request.Number, res.Request.Class, res.Host, res.Total, res.Code)
 		}
 		if res.Total > aud.TimeLimit+timeMargin && !exc && res.Request.Kind != mixer.KindOnce {
-			aud.find(PastTime, "request %d of class %s at host %s took %s: %s %s", res.Request.Number, res.Request.Class, res.Host, res.Total, res.Outcome, res.Code)
+			aud.find(RequestsPastTime, "request %d of class %s at host %s took %s: %s %s", res.Request.Number, res.Request.Class, res.Host, res.Total, res.Outcome, res.Code)
 		}
 	}
 }
 
 // excused reports whether the caller could see its host fail during the request.
-func excused(res sender.Result, spans []disturber.Span) bool {
+func excused(res sender.Result, spans []disturber.InjectedFault) bool {
 	end := res.Began.Add(res.Total)
 	for _, spa := range spans {
 		if spa.Host != "" && spa.Host == res.Host && spa.From.Before(end) && spa.To.After(res.Began) {
--- a/internal/auditor/editor.go
+++ b/internal/auditor/editor.go
@@ -34,7 +34,7 @@
 	}
 	out, err := aud.Fleet.Edit(ctx, hos, changed(tab, ran), tab.Revision)
 	if err == nil {
-		aud.Accepted(out.Revision)
+		aud.RecordAccepted(out.Revision)
 	}
 }
 
--- a/internal/claimproof/claimproof_test.go
+++ b/internal/claimproof/claimproof_test.go
@@ -134,7 +134,7 @@
 // silenceOpen makes all open connections silent for good; later ones work.
 func (lins *links) silenceOpen() {
 	for _, lin := range lins.all {
-		lin.SilenceEstablished()
+		lin.BlackholeEstablished()
 	}
 }
 
@@ -245,7 +245,7 @@
 	t.Helper()
 	require.NoError(t, hos.Freeze())
 	time.Sleep(freezeTime)
-	require.NoError(t, hos.Wake())
+	require.NoError(t, hos.Resume())
 }
 
 type faultCase struct {
--- a/internal/disturber/disturber.go
+++ b/internal/disturber/disturber.go
@@ -24,8 +24,8 @@
 	listTimeout = 5 * time.Second
 )
 
-// Span is one fault with the time that it lasted.
-type Span struct {
+// InjectedFault is one fault with the time that it lasted.
+type InjectedFault struct {
 	Kind   string
 	Target string
 	// Host is the caller address of the host that the fault hit, if it hit one
@@ -83,14 +83,14 @@
 type Disturber struct {
 	Fleet *testkit.Fleet
 	Links *Links
-	// Every is the mean time between the starts of faults.
-	Every time.Duration
-	Seed  uint64
+	// MeanInterval is the mean time between the starts of faults.
+	MeanInterval time.Duration
+	Seed         uint64
 	// Log receives a line a fault; nil for none.
 	Log io.Writer
 
 	mu    sync.Mutex
-	spans []Span
+	spans []InjectedFault
 	busy  map[string]bool
 }
 
@@ -110,7 +110,7 @@
 	var gro sync.WaitGroup
 	defer gro.Wait()
 	for {
-		wai := time.Duration(ran.ExpFloat64() * float64(dis.Every))
+		wai := time.Duration(ran.ExpFloat64() * float64(dis.MeanInterval))
 		fau := kinds[ran.IntN(len(kinds))]
 		pro := fau.targets[ran.IntN(len(fau.targets))]
 		dur := minFault + time.Duration(ran.Float64()*float64(maxFault-minFault))
@@ -140,7 +140,7 @@
 }
 
 func (dis *Disturber) cause(fau fault, pro *testkit.Process, dur time.Duration) {
-	spa := Span{Kind: fau.kind, Target: pro.ID, From: time.Now()}
+	spa := InjectedFault{Kind: fau.kind, Target: pro.ID, From: time.Now()}
 	if fau.visible {
 		spa.Host = pro.Address
 	}
@@ -156,11 +156,11 @@
 	}
 }
 
-// Spans returns the faults that are over.
-func (dis *Disturber) Spans() []Span {
+// Injected returns the faults that are over.
+func (dis *Disturber) Injected() []InjectedFault {
 	dis.mu.Lock()
 	defer dis.mu.Unlock()
-	return append([]Span(nil), dis.spans...)
+	return append([]InjectedFault(nil), dis.spans...)
 }
 
 func (dis *Disturber) faults() []fault {
@@ -200,7 +200,7 @@
 		return err
 	}
 	time.Sleep(dur)
-	return pro.Wake()
+	return pro.Resume()
 }
 
 func (dis *Disturber) restart(_ context.Context, pro *testkit.Process, _ time.Duration) error {
@@ -214,13 +214,13 @@
 }
 
 func (dis *Disturber) silence(_ context.Context, pro *testkit.Process, dur time.Duration) error {
-	dis.Links.get(pro.ID).SilenceEstablished()
+	dis.Links.get(pro.ID).BlackholeEstablished()
 	time.Sleep(dur)
 	return nil
 }
 
 func (dis *Disturber) silencePlatform(_ context.Context, _ *testkit.Process, dur time.Duration) error {
-	dis.Links.Platform.SilenceEstablished()
+	dis.Links.Platform.BlackholeEstablished()
 	time.Sleep(dur)
 	return nil
 }
--- a/internal/orderproof/orderproof_test.go
+++ b/internal/orderproof/orderproof_test.go
@@ -120,7 +120,7 @@
 	time.Sleep(20 * time.Millisecond)
 	require.NoError(t, fle.Hosts[0].Freeze())
 	second := order(t.Context(), fle.Hosts[1], "frozen-second", "b")
-	require.NoError(t, fle.Hosts[0].Wake())
+	require.NoError(t, fle.Hosts[0].Resume())
 	require.Equal(t, orderer.Applied, second.Effect)
 	fir := <-first
 	cfg := config(t, fle)
@@ -150,7 +150,7 @@
 	go order(context.Background(), fle.Hosts[2], "killed-first", "c")
 	require.Eventually(t, func() bool { return holder(t, fle) == fle.Hosts[2].ID }, takeTime, time.Millisecond)
 	fle.Hosts[2].Kill()
-	require.NoError(t, fle.Engines[0].Wake())
+	require.NoError(t, fle.Engines[0].Resume())
 	ctx, stop := context.WithTimeout(t.Context(), takeTime+orderTime/2)
 	defer stop()
 	require.Equal(t, orderer.Applied, order(ctx, fle.Hosts[1], "killed-second", "d").Effect)
--- a/internal/placementproof/limits_test.go
+++ b/internal/placementproof/limits_test.go
@@ -157,7 +157,7 @@
 		rest = append(append(rest, fle.Hosts[:ind]...), fle.Hosts[ind+1:]...)
 		require.NoError(t, hos.Freeze())
 		all(rest)
-		require.NoError(t, hos.Wake())
+		require.NoError(t, hos.Resume())
 		hos.Kill()
 		all(rest)
 		require.NoError(t, hos.Start())
--- a/internal/streamproof/memory_test.go
+++ b/internal/streamproof/memory_test.go
@@ -113,7 +113,7 @@
 	require.Equal(t, len(ques), held)
 	requireFreed(t, fle.Engines, 40*time.Second)
 	live := begin(t, fle.Hosts[1], questions(4, 200))
-	require.NoError(t, fle.Hosts[0].Wake())
+	require.NoError(t, fle.Hosts[0].Resume())
 	for ind, ans := range <-lost.done {
 		require.False(t, ans.ended)
 		ques[ind].limit = 0
--- a/internal/streamproof/pairs_test.go
+++ b/internal/streamproof/pairs_test.go
@@ -22,7 +22,7 @@
 		vic = busiest(t, fle)
 		vic.Kill()
 		for _, lin := range links {
-			lin.SilenceEstablished()
+			lin.BlackholeEstablished()
 		}
 	}))
 	for ind, ans := range anss {
@@ -53,7 +53,7 @@
 	for ind, ans := range <-live.done {
 		requireWhole(t, live.ques[ind], ans)
 	}
-	require.NoError(t, fle.Engines[0].Wake())
+	require.NoError(t, fle.Engines[0].Resume())
 	requireFreed(t, fle.Engines, 60*time.Second)
 }
 
--- a/internal/streamproof/stream_test.go
+++ b/internal/streamproof/stream_test.go
@@ -79,7 +79,7 @@
 	ques := questions(8, 150)
 	anss := askMany(t.Context(), fle.Hosts, ques, midway(len(ques), func() {
 		for _, lin := range links {
-			lin.SilenceEstablished()
+			lin.BlackholeEstablished()
 		}
 	}))
 	for ind, ans := range anss {
--- a/internal/tableproof/overflow_test.go
+++ b/internal/tableproof/overflow_test.go
@@ -101,7 +101,7 @@
 	require.Less(t, time.Duration(alone.longest.Load()), refusalBound)
 	fle.requireTruthful(0, 2)
 	for _, ind := range []int{1, 3} {
-		require.NoError(t, fle.Hosts[ind].Wake())
+		require.NoError(t, fle.Hosts[ind].Resume())
 	}
 	require.NoError(t, testkit.Poll(t.Context(), settleBound, func() bool {
 		return ask(t.Context(), fle.Hosts[0].Address, "healed", 1) == nil
--- a/internal/tableproof/tables_test.go
+++ b/internal/tableproof/tables_test.go
@@ -202,7 +202,7 @@
 	_, err := fle.Edit(t.Context(), 0, tables(8), 1)
 	require.NoError(t, err)
 	fle.waitRevision(2, inForceBound, fle.Hosts[:3]...)
-	require.NoError(t, cut.Wake())
+	require.NoError(t, cut.Resume())
 	require.NoError(t, testkit.Poll(t.Context(), time.Minute, func() bool { return ageHeader(t, cut) != "" }), "the age is told once it may matter")
 	sta := fle.status(cut)
 	require.Equal(t, uint64(1), sta.TablesRevision)
@@ -275,7 +275,7 @@
 		}
 	}
 	for _, lin := range fle.peers {
-		lin.SilenceEstablished()
+		lin.BlackholeEstablished()
 	}
 	out, err := fle.Edit(t.Context(), 0, tables(11), 1)
 	require.NoError(t, err)
--- a/internal/testkit/fleet.go
+++ b/internal/testkit/fleet.go
@@ -334,11 +334,11 @@
 	<-pro.done
 }
 
-// Freeze stops the process without ending it; Wake lets it go on.
+// Freeze stops the process without ending it; Resume lets it go on.
 func (pro *Process) Freeze() error { return pro.Signal(syscall.SIGSTOP) }
 
-// Wake lets a frozen process go on.
-func (pro *Process) Wake() error { return pro.Signal(syscall.SIGCONT) }
+// Resume lets a frozen process go on.
+func (pro *Process) Resume() error { return pro.Signal(syscall.SIGCONT) }
 
 // Wait waits for the end of the process and returns its exit code.
 func (pro *Process) Wait(timeout time.Duration) (int, error) {
--- a/internal/testkit/link.go
+++ b/internal/testkit/link.go
@@ -122,9 +122,9 @@
 // Restore takes connections again after Cut.
 func (lin *Link) Restore() error { return lin.proxy.Start() }
 
-// SilenceEstablished drops the data of the connections that are open now, in the
+// BlackholeEstablished drops the data of the connections that are open now, in the
 // given directions or in both, while later connections work.
-func (lin *Link) SilenceEstablished(dirs ...Direction) {
+func (lin *Link) BlackholeEstablished(dirs ...Direction) {
 	if len(dirs) == 0 {
 		dirs = []Direction{Requests, Answers}
 	}
--- a/internal/testkit/link_test.go
+++ b/internal/testkit/link_test.go
@@ -54,7 +54,7 @@
 	t.Cleanup(lin.Close)
 	old := dial(t, lin.Address())
 	require.True(t, answers(t, old))
-	lin.SilenceEstablished()
+	lin.BlackholeEstablished()
 	require.False(t, answers(t, old))
 	require.True(t, answers(t, dial(t, lin.Address())))
 }
@@ -66,7 +66,7 @@
 		t.Cleanup(lin.Close)
 		old := dial(t, lin.Address())
 		require.True(t, answers(t, old))
-		lin.SilenceEstablished(dir)
+		lin.BlackholeEstablished(dir)
 		require.False(t, answers(t, old), "%s", dir)
 		require.True(t, answers(t, dial(t, lin.Address())))
 	}
--- a/internal/testkit/load.go
+++ b/internal/testkit/load.go
@@ -10,8 +10,8 @@
 
 const loadTimeLimit = 2 * time.Minute
 
-// LoadTables returns tables that take the requests of a load mix.
-func LoadTables(mix mixer.Mix) parser.Tables {
+// TablesForMix returns tables that take the requests of a load mix.
+func TablesForMix(mix mixer.Mix) parser.Tables {
 	tab := parser.Tables{
 		Routes: []parser.Route{
 			{Name: "short", Match: parser.Match{Model: mix.Model, MaxPromptTokens: mixer.ShortTokens}, Pool: "engines", TimeLimit: parser.Duration(loadTimeLimit), Priority: 10},
--- a/load/driver/driver_test.go
+++ b/load/driver/driver_test.go
@@ -21,7 +21,7 @@
 	require.NoError(t, err)
 	mix := mixer.Wijesinghe().WithScale(20)
 	fle, err := testkit.Start(t.Context(), testkit.Plan{
-		Bin: bin, Hosts: 2, Engines: 3, Services: 1, Model: mix.Model, Tables: testkit.LoadTables(mix),
+		Bin: bin, Hosts: 2, Engines: 3, Services: 1, Model: mix.Model, Tables: testkit.TablesForMix(mix),
 	})
 	require.NoError(t, err)
 	t.Cleanup(fle.Stop)
--- a/tools/experimenter/experiment.go
+++ b/tools/experimenter/experiment.go
@@ -155,7 +155,7 @@
 	if exp.logs != nil {
 		logs = exp.logs
 	}
-	tab := testkit.LoadTables(exp.mix)
+	tab := testkit.TablesForMix(exp.mix)
 	tab.Pools[0].LongShare = set.Long
 	tab.Teams[0].TokensPerSecond = pla.limit
 	return testkit.Start(ctx, testkit.Plan{
--- a/tools/soaker/main.go
+++ b/tools/soaker/main.go
@@ -88,7 +88,7 @@
 	const engineMemory = 400_000
 	return testkit.Plan{
 		Bin: set.Bin, Logs: logs, Hosts: set.Hosts, Engines: set.Engines, Services: set.Services, Model: mix.Model,
-		Tables:      testkit.LoadTables(mix),
+		Tables:      testkit.TablesForMix(mix),
 		EngineArgs:  []string{"--memory-tokens", strconv.Itoa(int(engineMemory / set.Scale))},
 		PlatformVia: lis.ViaPlatform, EndpointVia: lis.Via, PeerVia: lis.Via,
 	}
@@ -96,7 +96,7 @@
 
 func soak(ctx context.Context, set settings, mix mixer.Mix, lis *disturber.Links, fle *testkit.Fleet) error {
 	aud := &auditor.Auditor{Fleet: fle, TimeLimit: set.TimeLimit}
-	dis := &disturber.Disturber{Fleet: fle, Links: lis, Every: set.Every, Seed: set.Seed, Log: os.Stderr}
+	dis := &disturber.Disturber{Fleet: fle, Links: lis, MeanInterval: set.Every, Seed: set.Seed, Log: os.Stderr}
 	run := &driver.Run{
 		Mix: mix, Rate: set.Rate, Seed: set.Seed, Duration: set.Duration, Progress: os.Stderr, Observe: func(res sender.Result) { aud.Observe(res); tell(res) },
 		Sender: &sender.Sender{Model: mix.Model, Verify: true, Repeats: callRepeats, TimeLimit: set.TimeLimit},
@@ -104,7 +104,7 @@
 	for _, hos := range fle.Hosts {
 		run.Sender.Hosts = append(run.Sender.Hosts, hos.Address)
 	}
-	aud.Accepted(1)
+	aud.RecordAccepted(1)
 	bgd, stop := context.WithCancel(ctx)
 	defer stop()
 	var gro sync.WaitGroup
@@ -137,8 +137,8 @@
 }
 
 func judge(ctx context.Context, set settings, aud *auditor.Auditor, dis *disturber.Disturber) error {
-	spas := dis.Spans()
-	fins := aud.Judge(ctx, spas)
+	spas := dis.Injected()
+	fins := aud.Check(ctx, spas)
 	fmt.Printf("seed %d, %s, %d requests, %d faults, %d accepted edits\n", set.Seed, set.Duration, aud.Requests(), len(spas), aud.AcceptedRevision())
 	for _, fin := range fins {
 		fmt.Printf("%6d  %s\n", fin.Count, fin.Kind)
