--- a/internal/testkit/address.go
+++ b/internal/testkit/address.go
@@ -7,9 +7,9 @@
 	"sync"
 )
 
-// Ports that are handed out. They lie below the range from which the system
-// gives ports to outgoing connections, which could otherwise take one before the
-// process that it is meant for listens.
+// Range of the ports that FreeAddress returns. It is below the system's range of
+// ephemeral ports; otherwise an outgoing connection could occupy a port before the
+// process that is to listen on it has started.
 const (
 	firstPort = 10_000
 	lastPort  = 32_000
@@ -26,16 +26,16 @@
 	addressMu.Lock()
 	defer addressMu.Unlock()
 	for {
-		add := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(lastPort-firstPort))
-		if addresses[add] {
+		address := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(lastPort-firstPort))
+		if addresses[address] {
 			continue
 		}
-		lis, err := net.Listen("tcp", add)
+		lis, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
 		}
 		lis.Close()
-		addresses[add] = true
-		return add
+		addresses[address] = true
+		return address
 	}
 }
--- a/internal/testkit/address_test.go
+++ b/internal/testkit/address_test.go
@@ -10,21 +10,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFreeAddress holds the ports out of the range of outgoing connections.
+// TestFreeAddress checks that ports are returned once and are below the system's
+// range of ephemeral ports.
 func TestFreeAddress(t *testing.T) {
-	txt, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
+	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	require.NoError(t, err)
-	low, err := strconv.Atoi(strings.Fields(string(txt))[0])
+	low, err := strconv.Atoi(strings.Fields(string(text))[0])
 	require.NoError(t, err)
-	see := map[string]bool{}
+	seen := map[string]bool{}
 	for range 1000 {
-		add := FreeAddress()
-		require.False(t, see[add], add)
-		see[add] = true
-		_, por, err := net.SplitHostPort(add)
+		address := FreeAddress()
+		require.False(t, seen[address], address)
+		seen[address] = true
+		_, port, err := net.SplitHostPort(address)
 		require.NoError(t, err)
-		num, err := strconv.Atoi(por)
+		n, err := strconv.Atoi(port)
 		require.NoError(t, err)
-		require.Less(t, num, low)
+		require.Less(t, n, low)
 	}
 }
--- a/internal/testkit/build.go
+++ b/internal/testkit/build.go
@@ -10,7 +10,7 @@
 	"github.com/rotisserie/eris"
 )
 
-var build = sync.OnceValues(func() (string, error) {
+var buildOnce = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "hemlockpin-bin-")
 	if err != nil {
 		return "", eris.Wrap(err, "Build: folder")
@@ -24,5 +24,6 @@
 	return dir, nil
 })
 
-// Build builds the programs once for a test program and returns their folder.
-func Build() (string, error) { return build() }
+// Build builds all commands of the module once per test program and returns the
+// folder with the binaries.
+func Build() (string, error) { return buildOnce() }
--- a/internal/testkit/fleet.go
+++ b/internal/testkit/fleet.go
@@ -1,5 +1,5 @@
-// Package testkit starts fleets of real processes on loopback for tests and
-// trials, and talks to them.
+// Package testkit starts fleets of real processes on loopback addresses for
+// tests and measurements, and sends them requests.
 package testkit
 
 import (
@@ -30,7 +30,7 @@
 	stopTimeout  = 10 * time.Second
 )
 
-// Plan says what a fleet consists of.
+// Plan describes a fleet.
 type Plan struct {
 	// Bin is the folder of the built programs.
 	Bin string
@@ -40,21 +40,23 @@
 	Engines     int
 	Services    int
 	DataCenters []string
-	// Regions are given to hosts, engines and services in turn; none for a
-	// fleet without regions.
+	// Regions are assigned to hosts, engines and services by index, round
+	// robin; empty for a fleet without regions.
 	Regions      []string
 	Model        string
 	PlatformArgs []string
 	EngineArgs   []string
 	ServiceArgs  []string
 	HostArgs     []string
-	// HostArgsFor returns further arguments of the host with an index; nil for none.
-	HostArgsFor func(ind int) []string
-	// Tables is put in force before Start returns, unless it is empty.
+	// HostArgsFor returns additional arguments of the host with the given
+	// index; nil for none.
+	HostArgsFor func(i int) []string
+	// Tables are in force before Start returns, unless they have no pools.
 	Tables parser.Tables
-	// PlatformVia returns the address that hosts use for the platform; nil
-	// leaves it as it is. The other Via functions do the same for endpoints
-	// and for the peer addresses that the platform lists.
+	// PlatformVia returns the address under which hosts reach the platform,
+	// usually that of a Link; nil for the platform's own address. EndpointVia
+	// and PeerVia do the same for the addresses of endpoints and for the peer
+	// addresses that the platform lists.
 	PlatformVia func(address string) string
 	EndpointVia func(id, address string) string
 	PeerVia     func(id, address string) string
@@ -64,7 +66,8 @@
 type Process struct {
 	ID      string
 	Address string
-	// Operator and Peer are set for entry hosts.
+	// Operator and Peer are the operator address and the peer address. Only
+	// hosts have them.
 	Operator string
 	Peer     string
 
@@ -85,7 +88,8 @@
 	Hosts    []*Process
 }
 
-// Start starts a fleet and waits until its hosts are ready.
+// Start starts a fleet. If the plan has tables, it waits until all hosts are ready
+// and list all endpoints of their region. On an error the fleet is stopped.
 func Start(ctx context.Context, pla Plan) (*Fleet, error) {
 	fle := &Fleet{Plan: pla}
 	if err := fle.start(ctx); err != nil {
@@ -96,12 +100,12 @@
 }
 
 func (fle *Fleet) start(ctx context.Context) error {
-	add := FreeAddress()
-	fle.Platform = fle.process("platform", "hemlockstandin", add, append([]string{"platform", "--listen", add}, fle.Plan.PlatformArgs...))
+	address := FreeAddress()
+	fle.Platform = fle.newProcess("platform", "hemlockstandin", address, append([]string{"platform", "--listen", address}, fle.Plan.PlatformArgs...))
 	if err := fle.Platform.Start(); err != nil {
 		return err
 	}
-	if err := waitFor(ctx, "http://"+add+"/control/counts"); err != nil {
+	if err := waitFor(ctx, "http://"+address+"/control/counts"); err != nil {
 		return err
 	}
 	for range fle.Plan.Engines {
@@ -122,69 +126,72 @@
 	if fle.Plan.Tables.Pools == nil {
 		return nil
 	}
-	return fle.settle(ctx)
+	return fle.applyTables(ctx)
 }
 
-// settle puts the tables in force and waits until all hosts are ready.
-func (fle *Fleet) settle(ctx context.Context) error {
+// applyTables puts the plan's tables in force and waits until all hosts are ready
+// and list their endpoints.
+func (fle *Fleet) applyTables(ctx context.Context) error {
 	if len(fle.Hosts) == 0 {
 		return nil
 	}
 	if _, err := fle.Edit(ctx, 0, fle.Plan.Tables, 0); err != nil {
 		return err
 	}
-	for _, hos := range fle.Hosts {
-		if err := waitFor(ctx, "http://"+hos.Address+"/readyz"); err != nil {
+	for _, host := range fle.Hosts {
+		if err := waitFor(ctx, "http://"+host.Address+"/readyz"); err != nil {
 			return err
 		}
 	}
-	return fle.waitListed(ctx)
+	return fle.waitForEndpoints(ctx)
 }
 
-// waitListed waits until every host lists every endpoint.
-func (fle *Fleet) waitListed(ctx context.Context) error {
-	for ind, hos := range fle.Hosts {
-		want := len(fle.Hosts) + fle.near(ind, len(fle.Engines)) + fle.near(ind, len(fle.Services))
+// waitForEndpoints waits until every host lists all hosts and the endpoints of its
+// own region.
+func (fle *Fleet) waitForEndpoints(ctx context.Context) error {
+	for i, host := range fle.Hosts {
+		want := len(fle.Hosts) + fle.countInRegionOf(i, len(fle.Engines)) + fle.countInRegionOf(i, len(fle.Services))
 		err := Poll(ctx, startTimeout, func() bool {
-			sta, err := fle.Status(ctx, hos)
+			sta, err := fle.Status(ctx, host)
 			return err == nil && len(sta.Endpoints) >= want
 		})
 		if err != nil {
-			return eris.Wrapf(err, "Fleet.waitListed: host %s", hos.ID)
+			return eris.Wrapf(err, "Fleet.waitListed: host %s", host.ID)
 		}
 	}
 	return nil
 }
 
-// near counts those of a number of processes that are in the region of a host.
-func (fle *Fleet) near(host, num int) int {
-	cou := 0
-	for ind := range num {
-		if fle.region(ind) == fle.region(host) {
-			cou++
+// countInRegionOf returns how many of the processes with the indexes 0 to total-1
+// are in the region of a host.
+func (fle *Fleet) countInRegionOf(host, total int) int {
+	n := 0
+	for i := range total {
+		if fle.regionOf(i) == fle.regionOf(host) {
+			n++
 		}
 	}
-	return cou
+	return n
 }
 
-func (fle *Fleet) region(ind int) string {
+func (fle *Fleet) regionOf(i int) string {
 	if len(fle.Plan.Regions) == 0 {
 		return ""
 	}
-	return fle.Plan.Regions[ind%len(fle.Plan.Regions)]
+	return fle.Plan.Regions[i%len(fle.Plan.Regions)]
 }
 
-func (fle *Fleet) process(id, name, add string, args []string) *Process {
+func (fle *Fleet) newProcess(id, name, address string, args []string) *Process {
 	pro := NewProcess(id, filepath.Join(fle.Plan.Bin, name), args, fle.Plan.Logs)
-	pro.Address = add
+	pro.Address = address
 	return pro
 }
 
-func (fle *Fleet) dataCenter(ind int) string {
+func (fle *Fleet) dataCenterOf(i int) string {
 	if len(fle.Plan.DataCenters) == 0 {
 		return "colombo"
 	}
-	return fle.Plan.DataCenters[ind%len(fle.Plan.DataCenters)]
+	return fle.Plan.DataCenters[i%len(fle.Plan.DataCenters)]
 }
 
 func (fle *Fleet) endpointAddress(pro *Process) string {
@@ -194,69 +201,70 @@
 	return fle.Plan.EndpointVia(pro.ID, pro.Address)
 }
 
-// AddEngine starts one more engine and lists it.
+// AddEngine starts another engine and adds it to the platform's list.
 func (fle *Fleet) AddEngine(ctx context.Context) error {
-	ind := len(fle.Engines)
-	add := FreeAddress()
-	id := fmt.Sprintf("engine-%d", ind)
-	pro := fle.process(id, "hemlockstandin", add, append([]string{"engine", "--id", id, "--listen", add, "--model", fle.Plan.Model}, fle.Plan.EngineArgs...))
+	i := len(fle.Engines)
+	address := FreeAddress()
+	id := fmt.Sprintf("engine-%d", i)
+	pro := fle.newProcess(id, "hemlockstandin", address, append([]string{"engine", "--id", id, "--listen", address, "--model", fle.Plan.Model}, fle.Plan.EngineArgs...))
 	fle.Engines = append(fle.Engines, pro)
 	if err := pro.Start(); err != nil {
 		return err
 	}
-	return fle.List(ctx, persister.Entry{ID: id, Kind: persister.KindEngine, Service: fle.Plan.Model, Address: fle.endpointAddress(pro), DataCenter: fle.dataCenter(ind), Region: fle.region(ind), Models: []string{fle.Plan.Model}})
+	return fle.List(ctx, persister.Entry{ID: id, Kind: persister.KindEngine, Service: fle.Plan.Model, Address: fle.endpointAddress(pro), DataCenter: fle.dataCenterOf(i), Region: fle.regionOf(i), Models: []string{fle.Plan.Model}})
 }
 
-// AddService starts one more plain service and lists it.
+// AddService starts another plain service and adds it to the platform's list.
 func (fle *Fleet) AddService(ctx context.Context) error {
-	ind := len(fle.Services)
-	add := FreeAddress()
-	id := fmt.Sprintf("service-%d", ind)
-	pro := fle.process(id, "hemlockstandin", add, append([]string{"service", "--listen", add}, fle.Plan.ServiceArgs...))
+	i := len(fle.Services)
+	address := FreeAddress()
+	id := fmt.Sprintf("service-%d", i)
+	pro := fle.newProcess(id, "hemlockstandin", address, append([]string{"service", "--listen", address}, fle.Plan.ServiceArgs...))
 	fle.Services = append(fle.Services, pro)
 	if err := pro.Start(); err != nil {
 		return err
 	}
-	return fle.List(ctx, persister.Entry{ID: id, Kind: persister.KindService, Service: "counter", Address: fle.endpointAddress(pro), DataCenter: fle.dataCenter(ind), Region: fle.region(ind)})
+	return fle.List(ctx, persister.Entry{ID: id, Kind: persister.KindService, Service: "counter", Address: fle.endpointAddress(pro), DataCenter: fle.dataCenterOf(i), Region: fle.regionOf(i)})
 }
 
-// AddHost starts one more entry host and lists it.
+// AddHost starts another host, waits until it is healthy and adds it to the
+// platform's list.
 func (fle *Fleet) AddHost(ctx context.Context) error {
-	ind := len(fle.Hosts)
-	id := fmt.Sprintf("host-%d", ind)
-	add, pee, ope := FreeAddress(), FreeAddress(), FreeAddress()
+	i := len(fle.Hosts)
+	id := fmt.Sprintf("host-%d", i)
+	address, peer, operator := FreeAddress(), FreeAddress(), FreeAddress()
 	pla := fle.Platform.Address
 	if fle.Plan.PlatformVia != nil {
 		pla = fle.Plan.PlatformVia(pla)
 	}
 	args := []string{
-		"--host-id", id, "--data-center", fle.dataCenter(ind), "--listen", add, "--peer-listen", pee,
-		"--operator-listen", ope, "--platform", "http://" + pla,
+		"--host-id", id, "--data-center", fle.dataCenterOf(i), "--listen", address, "--peer-listen", peer,
+		"--operator-listen", operator, "--platform", "http://" + pla,
 	}
 	if len(fle.Plan.Regions) > 0 {
-		args = append(args, "--region", fle.region(ind))
+		args = append(args, "--region", fle.regionOf(i))
 	}
 	if fle.Plan.HostArgsFor != nil {
-		args = append(args, fle.Plan.HostArgsFor(ind)...)
+		args = append(args, fle.Plan.HostArgsFor(i)...)
 	}
-	pro := fle.process(id, "hemlockpind", add, append(args, fle.Plan.HostArgs...))
-	pro.Peer = pee
-	pro.Operator = ope
+	pro := fle.newProcess(id, "hemlockpind", address, append(args, fle.Plan.HostArgs...))
+	pro.Peer = peer
+	pro.Operator = operator
 	fle.Hosts = append(fle.Hosts, pro)
 	if err := pro.Start(); err != nil {
 		return err
 	}
-	if err := waitFor(ctx, "http://"+add+"/healthz"); err != nil {
+	if err := waitFor(ctx, "http://"+address+"/healthz"); err != nil {
 		return err
 	}
-	listed := pee
+	listed := peer
 	if fle.Plan.PeerVia != nil {
-		listed = fle.Plan.PeerVia(id, pee)
+		listed = fle.Plan.PeerVia(id, peer)
 	}
-	return fle.List(ctx, persister.Entry{ID: id, Kind: persister.KindHost, Address: listed, DataCenter: fle.dataCenter(ind), Region: fle.region(ind)})
+	return fle.List(ctx, persister.Entry{ID: id, Kind: persister.KindHost, Address: listed, DataCenter: fle.dataCenterOf(i), Region: fle.regionOf(i)})
 }
 
-// List puts an entry into the platform's list.
+// List adds an entry to the platform's list, or replaces the one with its ID.
 func (fle *Fleet) List(ctx context.Context, ent persister.Entry) error {
 	return PutJSON(ctx, "http://"+fle.Platform.Address+"/control/entries", ent)
 }
@@ -266,19 +274,20 @@
 	return send(ctx, http.MethodDelete, "http://"+fle.Platform.Address+"/control/entries/"+id, nil, nil, nil)
 }
 
-// Fault switches faults of a stand-in on or off.
+// Fault sets the faults that a stand-in injects.
 func (fle *Fleet) Fault(ctx context.Context, pro *Process, faults any) error {
 	return PutJSON(ctx, "http://"+pro.Address+"/control/faults", faults)
 }
 
-// Status reads what a host says of itself.
-func (fle *Fleet) Status(ctx context.Context, hos *Process) (server.Status, error) {
+// Status reads the status of a host.
+func (fle *Fleet) Status(ctx context.Context, host *Process) (server.Status, error) {
 	var sta server.Status
-	err := GetJSON(ctx, "http://"+hos.Operator+"/v1/status", &sta)
+	err := GetJSON(ctx, "http://"+host.Operator+"/v1/status", &sta)
 	return sta, err
 }
 
-// Edit replaces the tables through a host.
+// Edit replaces the tables of revision base through a host and returns the
+// accepted ones.
 func (fle *Fleet) Edit(ctx context.Context, host int, tab parser.Tables, base uint64) (parser.Tables, error) {
 	var out parser.Tables
 	hea := http.Header{"If-Match": {strconv.Quote(strconv.FormatUint(base, 10))}}
@@ -286,37 +295,37 @@
 	return out, err
 }
 
-// Stop ends all processes.
+// Stop kills all processes and waits until they have exited.
 func (fle *Fleet) Stop() {
-	var gro sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, pros := range [][]*Process{fle.Hosts, fle.Engines, fle.Services, {fle.Platform}} {
 		for _, pro := range pros {
 			if pro != nil {
-				gro.Go(pro.Kill)
+				wg.Go(pro.Kill)
 			}
 		}
 	}
-	gro.Wait()
+	wg.Wait()
 }
 
-// Start starts the process, also again after it has ended.
+// Start starts the process. It may be called again after the process has exited.
 func (pro *Process) Start() error {
 	pro.mu.Lock()
 	defer pro.mu.Unlock()
 	cmd := exec.Command(pro.name, pro.args...)
 	cmd.Stdout = pro.logs
 	cmd.Stderr = pro.logs
-	// A process does not outlive the program that started it.
+	// The kernel kills the process when the program that started it exits.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return eris.Wrapf(err, "Process.Start: %s", pro.ID)
 	}
-	don := make(chan struct{})
+	done := make(chan struct{})
 	pro.cmd = cmd
-	pro.done = don
+	pro.done = done
 	go func() {
 		_ = cmd.Wait()
-		close(don)
+		close(done)
 	}()
 	return nil
 }
@@ -328,19 +337,20 @@
 	return pro.cmd.Process.Signal(sig)
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits until the process has exited.
 func (pro *Process) Kill() {
 	_ = pro.Signal(syscall.SIGKILL)
 	<-pro.done
 }
 
-// Freeze stops the process without ending it; Resume lets it go on.
+// Freeze suspends the process with SIGSTOP; Resume continues it.
 func (pro *Process) Freeze() error { return pro.Signal(syscall.SIGSTOP) }
 
-// Resume lets a frozen process go on.
+// Resume continues a frozen process with SIGCONT.
 func (pro *Process) Resume() error { return pro.Signal(syscall.SIGCONT) }
 
-// Wait waits for the end of the process and returns its exit code.
+// Wait waits until the process has exited and returns its exit code. It fails if
+// the process still runs after the timeout.
 func (pro *Process) Wait(timeout time.Duration) (int, error) {
 	select {
 	case <-pro.done:
@@ -350,10 +360,11 @@
 	}
 }
 
-// PID returns the process identifier.
+// PID returns the ID that the system gave to the process.
 func (pro *Process) PID() int { return pro.cmd.Process.Pid }
 
-// Poll calls fun until it is true.
+// Poll calls fun until it returns true. It fails if that takes longer than the
+// timeout.
 func Poll(ctx context.Context, timeout time.Duration, fun func() bool) error {
 	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
@@ -372,36 +383,36 @@
 	return eris.Wrapf(err, "waitFor: %s", url)
 }
 
-// PutJSON sends a value.
+// PutJSON sends a value as JSON with PUT. It fails unless the status is 2xx.
 func PutJSON(ctx context.Context, url string, in any) error {
 	return send(ctx, http.MethodPut, url, nil, in, nil)
 }
 
-// GetOK fails unless a GET answers with success.
+// GetOK sends a GET and fails unless the status is 2xx.
 func GetOK(ctx context.Context, url string) error {
 	return send(ctx, http.MethodGet, url, nil, nil, nil)
 }
 
-// GetJSON reads a value.
+// GetJSON reads a JSON value with GET. It fails unless the status is 2xx.
 func GetJSON(ctx context.Context, url string, out any) error {
 	return send(ctx, http.MethodGet, url, nil, nil, out)
 }
 
 func send(ctx context.Context, method, url string, hea http.Header, in, out any) error {
-	var bod io.Reader
+	var body io.Reader
 	if in != nil {
 		buf, err := json.Marshal(in)
 		if err != nil {
 			return err
 		}
-		bod = bytes.NewReader(buf)
+		body = bytes.NewReader(buf)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, url, bod)
+	req, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
 		return err
 	}
-	for nam, val := range hea {
-		req.Header[nam] = val
+	for name, val := range hea {
+		req.Header[name] = val
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -409,8 +420,8 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode/100 != 2 {
-		txt, _ := io.ReadAll(res.Body)
-		return eris.Errorf("%s %s: status %d: %s", method, url, res.StatusCode, txt)
+		text, _ := io.ReadAll(res.Body)
+		return eris.Errorf("%s %s: status %d: %s", method, url, res.StatusCode, text)
 	}
 	if out == nil {
 		return nil
@@ -425,8 +436,8 @@
 	return tab, err
 }
 
-// NewProcess returns a program that is not started yet. Its output goes to logs; nil
-// discards it.
+// NewProcess returns a process that is not started yet. Its output is written to
+// logs; nil discards it.
 func NewProcess(id, program string, args []string, logs io.Writer) *Process {
 	return &Process{ID: id, name: program, args: args, logs: logs}
 }
--- a/internal/testkit/link.go
+++ b/internal/testkit/link.go
@@ -17,120 +17,125 @@
 
 const removeTimeout = 2 * time.Second
 
-// Direction is a direction of a link.
+// Direction is a direction of data through a link.
 type Direction string
 
-// Directions of a link, as the side that dials sees them.
+// Directions of a link, seen from the side that opened the connection.
 const (
-	// Requests flow from the dialing side.
+	// Requests is the direction from the side that opened the connection.
 	Requests Direction = "upstream"
-	// Answers flow to the dialing side.
+	// Answers is the direction to the side that opened the connection.
 	Answers Direction = "downstream"
 )
 
-// silent drops the data of connections that were born before the mark of their
-// link, while later ones pass.
-type silent struct {
-	// Link is the number of the link; toxics are copied by reflection and so
-	// can't hold the mark themselves.
+// blackhole is a toxic that drops the data of all connections that were opened
+// before the cutoff of their link. Data of later connections passes.
+type blackhole struct {
+	// Link is the number of the link, by which the cutoff is looked up: toxiproxy
+	// copies toxics by reflection, so they can't hold the cutoff themselves.
 	Link int64 `json:"link"`
 	// Direction is the direction whose data is dropped.
 	Direction Direction `json:"direction"`
 }
 
-// markKey names the mark of one direction of a link.
-type markKey struct {
+// cutoffKey identifies the cutoff of one direction of a link.
+type cutoffKey struct {
 	link int64
 	dir  Direction
 }
 
-// marks holds the mark of each direction of each link.
+// cutoffs maps each cutoffKey to its cutoff, an *atomic.Int64 in nanoseconds since
+// the epoch.
 var (
-	marks     sync.Map
+	cutoffs   sync.Map
 	linkCount atomic.Int64
 )
 
-func init() { toxics.Register("established_silent", &silent{}) }
+func init() { toxics.Register("established_silent", &blackhole{}) }
 
-// NewState notes the birth of a connection. Connections that are open when the
-// toxic is added get their state then, so they count as born before the mark.
-func (sil *silent) NewState() any { return time.Now().UnixNano() }
+// NewState returns the time at which a connection was opened. A connection that
+// is open when the toxic is added gets the time of the addition.
+func (bla *blackhole) NewState() any { return time.Now().UnixNano() }
 
-// Pipe passes or drops chunks.
-func (sil *silent) Pipe(stub *toxics.ToxicStub) {
+// Pipe passes the chunks of connections opened at or after the cutoff and drops
+// all others.
+func (bla *blackhole) Pipe(stub *toxics.ToxicStub) {
 	born, _ := stub.State.(int64)
 	for {
 		select {
 		case <-stub.Interrupt:
 			return
-		case chu := <-stub.Input:
-			if chu == nil {
+		case chunk := <-stub.Input:
+			if chunk == nil {
 				stub.Close()
 				return
 			}
-			if born >= sil.mark() {
-				stub.Output <- chu
+			if born >= bla.cutoff() {
+				stub.Output <- chunk
 			}
 		}
 	}
 }
 
-func (sil *silent) mark() int64 {
-	val, ok := marks.Load(markKey{sil.Link, sil.Direction})
+func (bla *blackhole) cutoff() int64 {
+	val, ok := cutoffs.Load(cutoffKey{bla.Link, bla.Direction})
 	if !ok {
 		return 0
 	}
 	return val.(*atomic.Int64).Load()
 }
 
-// Link is a fault-injecting proxy in front of one address, inside the program
-// that made it.
+// Link is a fault-injecting TCP proxy in front of one address. It runs inside the
+// program that created it.
 type Link struct {
-	proxy *toxiproxy.Proxy
-	marks map[Direction]*atomic.Int64
+	proxy   *toxiproxy.Proxy
+	cutoffs map[Direction]*atomic.Int64
 }
 
 var linkServer = toxiproxy.NewServer(toxiproxy.NewMetricsContainer(prometheus.NewRegistry()), zerolog.Nop())
 
-// NewLink starts a proxy in front of upstream.
+// NewLink starts a proxy in front of upstream. It fails if the proxy can't listen
+// or the toxic can't be added.
 func NewLink(name, upstream string) (*Link, error) {
 	pro := toxiproxy.NewProxy(linkServer, name, "127.0.0.1:0", upstream)
-	num := linkCount.Add(1)
-	lin := &Link{proxy: pro, marks: map[Direction]*atomic.Int64{}}
+	number := linkCount.Add(1)
+	lin := &Link{proxy: pro, cutoffs: map[Direction]*atomic.Int64{}}
 	for _, dir := range []Direction{Requests, Answers} {
-		lin.marks[dir] = &atomic.Int64{}
-		marks.Store(markKey{num, dir}, lin.marks[dir])
+		lin.cutoffs[dir] = &atomic.Int64{}
+		cutoffs.Store(cutoffKey{number, dir}, lin.cutoffs[dir])
 	}
 	if err := pro.Start(); err != nil {
 		return nil, eris.Wrapf(err, "NewLink: %s", name)
 	}
-	// The toxic that marks births must see every connection from its start.
-	for dir := range lin.marks {
-		if err := lin.add("silent-"+string(dir), "established_silent", dir, map[string]any{"link": num, "direction": dir}); err != nil {
+	// The toxic records when connections are opened, so it must be in place before
+	// the first connection.
+	for dir := range lin.cutoffs {
+		if err := lin.add("silent-"+string(dir), "established_silent", dir, map[string]any{"link": number, "direction": dir}); err != nil {
 			return nil, err
 		}
 	}
 	return lin, nil
 }
 
-// Address is where the link listens.
+// Address returns the address on which the link listens.
 func (lin *Link) Address() string { return lin.proxy.Listen }
 
 // Cut closes all connections and refuses new ones.
 func (lin *Link) Cut() { lin.proxy.Stop() }
 
-// Restore takes connections again after Cut.
+// Restore accepts connections again after Cut.
 func (lin *Link) Restore() error { return lin.proxy.Start() }
 
-// BlackholeEstablished drops the data of the connections that are open now, in the
-// given directions or in both, while later connections work.
+// BlackholeEstablished drops all further data of the connections that are open
+// now, in the given directions (both if none is given). The connections stay open,
+// and later connections work.
 func (lin *Link) BlackholeEstablished(dirs ...Direction) {
 	if len(dirs) == 0 {
 		dirs = []Direction{Requests, Answers}
 	}
 	now := time.Now().UnixNano()
 	for _, dir := range dirs {
-		lin.marks[dir].Store(now)
+		lin.cutoffs[dir].Store(now)
 	}
 }
 
@@ -139,21 +144,21 @@
 	return lin.add("block-"+string(dir), "timeout", dir, map[string]any{"timeout": 0})
 }
 
-// Unblock ends Block. The connections that lost data are closed.
+// Unblock undoes Block. It closes the connections that lost data.
 func (lin *Link) Unblock(dir Direction) error { return lin.remove("block-" + string(dir)) }
 
-// Delay holds answers back.
-func (lin *Link) Delay(dur time.Duration) error {
-	return lin.add("delay", "latency", Answers, map[string]any{"latency": dur.Milliseconds()})
+// Delay delays answers.
+func (lin *Link) Delay(delay time.Duration) error {
+	return lin.add("delay", "latency", Answers, map[string]any{"latency": delay.Milliseconds()})
 }
 
-// Undelay ends Delay.
+// Undelay undoes Delay.
 func (lin *Link) Undelay() error { return lin.remove("delay") }
 
-// Close ends the link.
+// Close closes all connections and stops listening.
 func (lin *Link) Close() { lin.proxy.Stop() }
 
-// add puts a toxic on one direction.
+// add adds a toxic to one direction.
 func (lin *Link) add(name, kind string, dir Direction, attrs map[string]any) error {
 	buf, err := json.Marshal(map[string]any{"name": name, "type": kind, "stream": dir, "toxicity": 1, "attributes": attrs})
 	if err != nil {
--- a/internal/testkit/link_test.go
+++ b/internal/testkit/link_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const silence = 300 * time.Millisecond
+const echoTimeout = 300 * time.Millisecond
 
 func echo(t *testing.T) string {
 	t.Helper()
@@ -42,13 +42,13 @@
 	t.Helper()
 	_, err := con.Write([]byte("x"))
 	require.NoError(t, err)
-	require.NoError(t, con.SetReadDeadline(time.Now().Add(silence)))
+	require.NoError(t, con.SetReadDeadline(time.Now().Add(echoTimeout)))
 	var buf [1]byte
 	_, err = io.ReadFull(con, buf[:])
 	return err == nil
 }
 
-func TestSilenceEstablished(t *testing.T) {
+func TestBlackholeEstablished(t *testing.T) {
 	lin, err := testkit.NewLink("echo", echo(t))
 	require.NoError(t, err)
 	t.Cleanup(lin.Close)
@@ -59,7 +59,7 @@
 	require.True(t, answers(t, dial(t, lin.Address())))
 }
 
-func TestSilenceEstablishedOneWay(t *testing.T) {
+func TestBlackholeEstablishedOneWay(t *testing.T) {
 	for _, dir := range []testkit.Direction{testkit.Requests, testkit.Answers} {
 		lin, err := testkit.NewLink("echo", echo(t))
 		require.NoError(t, err)
--- a/internal/testkit/load.go
+++ b/internal/testkit/load.go
@@ -10,7 +10,7 @@
 
 const loadTimeLimit = 2 * time.Minute
 
-// TablesForMix returns tables that take the requests of a load mix.
+// TablesForMix returns tables whose routes match all requests of a load mix.
 func TablesForMix(mix mixer.Mix) parser.Tables {
 	tab := parser.Tables{
 		Routes: []parser.Route{
@@ -24,8 +24,8 @@
 			{Name: "services", Kind: parser.PoolService, Selector: parser.Selector{Service: "counter"}},
 		},
 	}
-	for ind := range mixer.TeamCount {
-		tab.Teams = append(tab.Teams, parser.Team{Name: fmt.Sprintf("team-%d", ind), KeyDigests: []string{parser.DigestKey(mixer.TeamKey(ind))}})
+	for i := range mixer.TeamCount {
+		tab.Teams = append(tab.Teams, parser.Team{Name: fmt.Sprintf("team-%d", i), KeyDigests: []string{parser.DigestKey(mixer.TeamKey(i))}})
 	}
 	return tab
 }
--- a/internal/testkit/tables.go
+++ b/internal/testkit/tables.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// Model is the model of the sample tables.
+	// Model is the name of the model in the sample tables.
 	Model = "pedal-model"
 	// Key is the bearer key of the team tailors in the sample tables.
 	Key = "key-tailors"
-	// OtherKey is the bearer key of the team seamstresses.
+	// OtherKey is the bearer key of the team seamstresses in the sample tables.
 	OtherKey = "key-seamstresses"
 )
 
