--- a/internal/auditor/auditor.go
+++ b/internal/auditor/auditor.go
@@ -1,6 +1,7 @@
-// Package auditor checks from outside what a fleet promised during a run with
-// faults: by the callers' own results, the services' counts of executions, the
-// engines' memory accounts and the revisions of the tables on each host.
+// Package auditor checks the guarantees of a fleet after a run with faults. It uses
+// only what can be seen from outside: the results of the callers, the number of
+// executions that the services counted, the memory that the engines report as used,
+// and the revision of the tables on each host.
 package auditor
 
 import (
@@ -17,18 +18,20 @@
 )
 
 const (
-	// timeMargin is allowed beyond a request's time limit for the network and
-	// the measuring program itself.
+	// timeMargin is how much longer than its time limit a request may take,
+	// which covers delays in the network and in the load generator.
 	timeMargin = time.Second
-	// reclaimLimit bounds the time in which engines must have freed all memory
-	// that no live request owns.
+	// reclaimLimit is the time within which engines must have freed all memory
+	// that belongs to no request in progress.
 	reclaimLimit = 90 * time.Second
-	// spreadLimit is the time in which an accepted edit is in force everywhere.
-	spreadLimit = 7 * time.Second
-	maxExamples = 5
+	// propagationLimit is the time within which an accepted edit must be in
+	// force on all hosts.
+	propagationLimit = 7 * time.Second
+	maxExamples      = 5
 )
 
-// Finding is one kind of broken promise.
+// Finding is a kind of violated guarantee, with the number of its violations and
+// the first few of them.
 type Finding struct {
 	Kind     string
 	Count    int
@@ -52,20 +55,20 @@
 // Kinds lists all kinds of findings in the order of reports.
 var Kinds = []string{CallsRunTwice, FalseNotRun, AnsweredNotRun, AnswersWrong, AnswersBroken, RequestsPastTime, MemoryLost, TableReverts, TablesNotInForce, HostsNotReady}
 
-// Auditor collects what is seen during a run and judges it at the end.
+// Auditor collects observations during a run and checks them at the end.
 type Auditor struct {
 	Fleet *testkit.Fleet
-	// TimeLimit is the limit that every request was sent with.
+	// TimeLimit is the time limit of every request.
 	TimeLimit time.Duration
 
 	mu        sync.Mutex
 	results   []sender.Result
 	revisions map[string]uint64
 	accepted  uint64
-	found     map[string]*Finding
+	findings  map[string]*Finding
 }
 
-// Observe takes the result of one request.
+// Observe records the result of a request.
 func (aud *Auditor) Observe(res sender.Result) {
 	res.Gaps = nil
 	aud.mu.Lock()
@@ -73,37 +76,38 @@
 	aud.results = append(aud.results, res)
 }
 
-// RecordAccepted notes that an operator was told that a revision was accepted.
+// RecordAccepted records that a host reported a revision as accepted to an
+// operator.
 func (aud *Auditor) RecordAccepted(rev uint64) {
 	aud.mu.Lock()
 	defer aud.mu.Unlock()
 	aud.accepted = max(aud.accepted, rev)
 }
 
-// Requests returns the number of results seen.
+// Requests returns the number of results observed so far.
 func (aud *Auditor) Requests() int {
 	aud.mu.Lock()
 	defer aud.mu.Unlock()
 	return len(aud.results)
 }
 
-// AcceptedRevision returns the highest revision that an operator was told of.
+// AcceptedRevision returns the highest revision that was reported as accepted.
 func (aud *Auditor) AcceptedRevision() uint64 {
 	aud.mu.Lock()
 	defer aud.mu.Unlock()
 	return aud.accepted
 }
 
-func (aud *Auditor) find(kind, format string, args ...any) {
+func (aud *Auditor) record(kind, format string, args ...any) {
 	aud.mu.Lock()
 	defer aud.mu.Unlock()
-	if aud.found == nil {
-		aud.found = map[string]*Finding{}
+	if aud.findings == nil {
+		aud.findings = map[string]*Finding{}
 	}
-	fin := aud.found[kind]
+	fin := aud.findings[kind]
 	if fin == nil {
 		fin = &Finding{Kind: kind}
-		aud.found[kind] = fin
+		aud.findings[kind] = fin
 	}
 	fin.Count++
 	if len(fin.Examples) < maxExamples {
@@ -112,25 +116,25 @@
 }
 
 // WatchTables polls the revision of each host until ctx ends.
-func (aud *Auditor) WatchTables(ctx context.Context, every time.Duration) {
-	tic := time.NewTicker(every)
-	defer tic.Stop()
+func (aud *Auditor) WatchTables(ctx context.Context, interval time.Duration) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
-		for _, hos := range aud.Fleet.Hosts {
-			aud.watchOne(ctx, hos, every)
+		for _, host := range aud.Fleet.Hosts {
+			aud.pollRevision(ctx, host, interval)
 		}
 		select {
-		case <-tic.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (aud *Auditor) watchOne(ctx context.Context, hos *testkit.Process, timeout time.Duration) {
+func (aud *Auditor) pollRevision(ctx context.Context, host *testkit.Process, timeout time.Duration) {
 	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
-	sta, err := aud.Fleet.Status(ctx, hos)
+	sta, err := aud.Fleet.Status(ctx, host)
 	if err != nil || sta.TablesRevision == 0 {
 		return
 	}
@@ -138,28 +142,28 @@
 	if aud.revisions == nil {
 		aud.revisions = map[string]uint64{}
 	}
-	old := aud.revisions[hos.ID]
-	aud.revisions[hos.ID] = max(old, sta.TablesRevision)
+	old := aud.revisions[host.ID]
+	aud.revisions[host.ID] = max(old, sta.TablesRevision)
 	aud.mu.Unlock()
 	if sta.TablesRevision < old {
-		aud.find(TableReverts, "host %s went from revision %d to %d", hos.ID, old, sta.TablesRevision)
+		aud.record(TableReverts, "host %s went from revision %d to %d", host.ID, old, sta.TablesRevision)
 	}
 }
 
-// Check checks everything after the faults are over and returns the findings
-// in the order of Kinds, those of count 0 too.
-func (aud *Auditor) Check(ctx context.Context, spans []disturber.InjectedFault) []Finding {
-	aud.judgeHosts(ctx)
-	aud.judgeTables(ctx)
-	aud.judgeMemory(ctx)
-	aud.judgeCalls(ctx)
-	aud.judgeAnswers(spans)
+// Check checks all guarantees and returns one finding for each of Kinds, in that
+// order, also if its count is 0. It is called after all faults are over.
+func (aud *Auditor) Check(ctx context.Context, injected []disturber.InjectedFault) []Finding {
+	aud.checkHosts(ctx)
+	aud.checkTables(ctx)
+	aud.checkMemory(ctx)
+	aud.checkCalls(ctx)
+	aud.checkAnswers(injected)
 	aud.mu.Lock()
 	defer aud.mu.Unlock()
 	out := make([]Finding, 0, len(Kinds))
-	for _, kin := range Kinds {
-		fin := Finding{Kind: kin}
-		if got := aud.found[kin]; got != nil {
+	for _, kind := range Kinds {
+		fin := Finding{Kind: kind}
+		if got := aud.findings[kind]; got != nil {
 			fin = *got
 		}
 		out = append(out, fin)
@@ -167,32 +171,33 @@
 	return out
 }
 
-func (aud *Auditor) judgeHosts(ctx context.Context) {
-	for _, hos := range aud.Fleet.Hosts {
-		err := testkit.Poll(ctx, spreadLimit, func() bool {
-			return testkit.GetOK(ctx, "http://"+hos.Address+"/readyz") == nil
+func (aud *Auditor) checkHosts(ctx context.Context) {
+	for _, host := range aud.Fleet.Hosts {
+		err := testkit.Poll(ctx, propagationLimit, func() bool {
+			return testkit.GetOK(ctx, "http://"+host.Address+"/readyz") == nil
 		})
 		if err != nil {
-			aud.find(HostsNotReady, "host %s", hos.ID)
+			aud.record(HostsNotReady, "host %s", host.ID)
 		}
 	}
 }
 
-func (aud *Auditor) judgeTables(ctx context.Context) {
+func (aud *Auditor) checkTables(ctx context.Context) {
 	want := aud.AcceptedRevision()
-	for _, hos := range aud.Fleet.Hosts {
-		err := testkit.Poll(ctx, spreadLimit, func() bool {
-			sta, err := aud.Fleet.Status(ctx, hos)
+	for _, host := range aud.Fleet.Hosts {
+		err := testkit.Poll(ctx, propagationLimit, func() bool {
+			sta, err := aud.Fleet.Status(ctx, host)
 			return err == nil && sta.TablesRevision >= want
 		})
 		if err != nil {
-			aud.find(TablesNotInForce, "host %s has not reached revision %d", hos.ID, want)
+			aud.record(TablesNotInForce, "host %s has not reached revision %d", host.ID, want)
 		}
 	}
 }
 
-// judgeMemory waits until all engines have freed what nobody owns.
-func (aud *Auditor) judgeMemory(ctx context.Context) {
+// checkMemory waits until all engines have freed the memory of all sequences. No
+// request is in progress any more when it is called.
+func (aud *Auditor) checkMemory(ctx context.Context) {
 	end := time.Now().Add(reclaimLimit)
 	for _, eng := range aud.Fleet.Engines {
 		var loa invoker.Load
@@ -202,70 +207,71 @@
 			return err == nil && len(loa.Sequences) == 0
 		})
 		if err != nil {
-			aud.find(MemoryLost, "engine %s holds %+v", eng.ID, loa.Sequences)
+			aud.record(MemoryLost, "engine %s holds %+v", eng.ID, loa.Sequences)
 		}
 	}
 }
 
-func (aud *Auditor) judgeCalls(ctx context.Context) {
+func (aud *Auditor) checkCalls(ctx context.Context) {
 	runs := map[string]int{}
 	for _, svc := range aud.Fleet.Services {
-		var one map[string]int
-		if err := testkit.GetJSON(ctx, "http://"+svc.Address+"/control/runs", &one); err != nil {
-			aud.find(AnsweredNotRun, "service %s does not answer: %v", svc.ID, err)
+		var counts map[string]int
+		if err := testkit.GetJSON(ctx, "http://"+svc.Address+"/control/runs", &counts); err != nil {
+			aud.record(AnsweredNotRun, "service %s does not answer: %v", svc.ID, err)
 		}
-		for key, cou := range one {
-			runs[key] += cou
+		for key, n := range counts {
+			runs[key] += n
 		}
 	}
 	for _, res := range aud.results {
 		if res.CallKey != "" {
-			aud.judgeCall(res, runs[res.CallKey])
+			aud.checkCall(res, runs[res.CallKey])
 		}
 	}
 }
 
-func (aud *Auditor) judgeCall(res sender.Result, runs int) {
+func (aud *Auditor) checkCall(res sender.Result, runs int) {
 	if runs > 1 {
-		aud.find(CallsRunTwice, "key %s ran %d times, callers were told %q", res.CallKey, runs, res.Says)
+		aud.record(CallsRunTwice, "key %s ran %d times, the responses reported %q", res.CallKey, runs, res.Says)
 	}
 	if runs > 0 && allNotRun(res.Says) {
-		aud.find(FalseNotRun, "key %s ran %d times", res.CallKey, runs)
+		aud.record(FalseNotRun, "key %s ran %d times", res.CallKey, runs)
 	}
 	if runs == 0 && res.Status == 200 {
-		aud.find(AnsweredNotRun, "key %s was answered", res.CallKey)
+		aud.record(AnsweredNotRun, "key %s was answered", res.CallKey)
 	}
 }
 
-func allNotRun(says []string) bool {
-	for _, say := range says {
-		if say != string(invoker.NotRun) {
+func allNotRun(reports []string) bool {
+	for _, report := range reports {
+		if report != string(invoker.NotRun) {
 			return false
 		}
 	}
-	return len(says) > 0
+	return len(reports) > 0
 }
 
-func (aud *Auditor) judgeAnswers(spans []disturber.InjectedFault) {
+func (aud *Auditor) checkAnswers(injected []disturber.InjectedFault) {
 	for _, res := range aud.results {
-		exc := excused(res, spans)
+		isExcused := excused(res, injected)
 		if res.Outcome == sender.Wrong {
-			aud.find(AnswersWrong, "request %d of class %s at host %s: %s", res.Request.Number, res.Request.Class, res.Host, res.Code)
+			aud.record(AnswersWrong, "request %d of class %s at host %s: %s", res.Request.Number, res.Request.Class, res.Host, res.Code)
 		}
-		if res.Outcome == sender.Broken && !exc {
-			aud.find(AnswersBroken, "request %d of class %s at host %s after %s: %s", res.Request.Number, res.Request.Class, res.Host, res.Total, res.Code)
+		if res.Outcome == sender.Broken && !isExcused {
+			aud.record(AnswersBroken, "request %d of class %s at host %s after %s: %s", res.Request.Number, res.Request.Class, res.Host, res.Total, res.Code)
 		}
-		if res.Total > aud.TimeLimit+timeMargin && !exc && res.Request.Kind != mixer.KindOnce {
-			aud.find(RequestsPastTime, "request %d of class %s at host %s took %s: %s %s", res.Request.Number, res.Request.Class, res.Host, res.Total, res.Outcome, res.Code)
+		if res.Total > aud.TimeLimit+timeMargin && !isExcused && res.Request.Kind != mixer.KindOnce {
+			aud.record(RequestsPastTime, "request %d of class %s at host %s took %s: %s %s", res.Request.Number, res.Request.Class, res.Host, res.Total, res.Outcome, res.Code)
 		}
 	}
 }
 
-// excused reports whether the caller could see its host fail during the request.
-func excused(res sender.Result, spans []disturber.InjectedFault) bool {
+// excused reports whether a fault that callers can notice affected the request's
+// host during the request.
+func excused(res sender.Result, injected []disturber.InjectedFault) bool {
 	end := res.Began.Add(res.Total)
-	for _, spa := range spans {
-		if spa.Host != "" && spa.Host == res.Host && spa.From.Before(end) && spa.To.After(res.Began) {
+	for _, inf := range injected {
+		if inf.Host != "" && inf.Host == res.Host && inf.From.Before(end) && inf.To.After(res.Began) {
 			return true
 		}
 	}
