--- a/examples/claiming/main.go
+++ b/examples/claiming/main.go
@@ -44,17 +44,17 @@
 }
 
 func main() {
-	sto := &memory{objects: map[string]persister.Object{}}
-	for _, hos := range []string{"host-0", "host-1"} {
-		jou := &journaler.Journal{Store: sto, Self: journaler.Member{ID: hos}}
+	mem := &memory{objects: map[string]persister.Object{}}
+	for _, host := range []string{"host-0", "host-1"} {
+		jou := &journaler.Journal{Store: mem, Self: journaler.Member{ID: host}}
 		res := jou.Commit(context.Background(), &messenger.ClaimCommit{
 			Step: messenger.ClaimCommit_STEP_CLAIM, Key: "tailors/pickup-7", BodyDigest: []byte("tuesday"),
-			Host: hos, Nonce: "request-at-" + hos, KeyTimeMs: time.Now().UnixMilli(),
+			Host: host, Nonce: "request-at-" + host, KeyTimeMs: time.Now().UnixMilli(),
 		})
 		if res.GetState() == messenger.ClaimResult_STATE_COMMITTED {
-			fmt.Println(hos, "runs the call")
+			fmt.Println(host, "runs the call")
 			continue
 		}
-		fmt.Println(hos, "must not run it:", res.GetState())
+		fmt.Println(host, "must not run it:", res.GetState())
 	}
 }
--- a/internal/clitest/cli_test.go
+++ b/internal/clitest/cli_test.go
@@ -84,10 +84,10 @@
 	out, err := os.Create(ts.MkAbs("out"))
 	ts.Check(err)
 	defer out.Close()
-	bad, err := os.Create(ts.MkAbs("err"))
+	errFile, err := os.Create(ts.MkAbs("err"))
 	ts.Check(err)
-	defer bad.Close()
-	cmd.Stdout, cmd.Stderr = out, bad
+	defer errFile.Close()
+	cmd.Stdout, cmd.Stderr = out, errFile
 	_ = cmd.Run()
 	if got := cmd.ProcessState.ExitCode(); got != want {
 		ts.Fatalf("exit code %d, want %d: %s", got, want, ts.ReadFile("err"))
@@ -105,30 +105,30 @@
 
 // revision waits until a host has a revision in force.
 func revision(ts *testscript.TestScript, _ bool, args []string) {
-	hos, err := strconv.Atoi(args[0])
+	index, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	ts.Check(testkit.Poll(context.Background(), propagation, func() bool {
-		sta, err := fleet(ts).Status(context.Background(), fleet(ts).Hosts[hos])
+		sta, err := fleet(ts).Status(context.Background(), fleet(ts).Hosts[index])
 		return err == nil && fmt.Sprint(sta.TablesRevision) == args[1]
 	}))
 }
 
 // ended waits until a host has ended by itself with code 0.
 func ended(ts *testscript.TestScript, _ bool, args []string) {
-	hos, err := strconv.Atoi(args[0])
+	index, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	cod, err := fleet(ts).Hosts[hos].Wait(propagation)
+	code, err := fleet(ts).Hosts[index].Wait(propagation)
 	ts.Check(err)
-	if cod != 0 {
-		ts.Fatalf("exit code %d", cod)
+	if code != 0 {
+		ts.Fatalf("exit code %d", code)
 	}
 }
 
 // book sends a call of a plain service to a host with the given key.
 func book(ts *testscript.TestScript, _ bool, args []string) {
-	hos, err := strconv.Atoi(args[0])
+	index, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	req, err := http.NewRequest(http.MethodGet, "http://"+fleet(ts).Hosts[hos].Address+args[2], nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+fleet(ts).Hosts[index].Address+args[2], nil)
 	ts.Check(err)
 	req.Header.Set("Authorization", "Bearer "+args[1])
 	res, err := http.DefaultClient.Do(req)
--- a/internal/docproof/docs_test.go
+++ b/internal/docproof/docs_test.go
@@ -18,19 +18,19 @@
 
 func read(t *testing.T, name string) string {
 	t.Helper()
-	txt, err := os.ReadFile(filepath.Join(root, name))
+	text, err := os.ReadFile(filepath.Join(root, name))
 	require.NoError(t, err)
-	return string(txt)
+	return string(text)
 }
 
 func pages(t *testing.T) []string {
 	t.Helper()
 	var out []string
-	for _, pat := range []string{"*.md", "docs/*.md", "docs/operators/*.md"} {
-		nams, err := filepath.Glob(filepath.Join(root, pat))
+	for _, pattern := range []string{"*.md", "docs/*.md", "docs/operators/*.md"} {
+		names, err := filepath.Glob(filepath.Join(root, pattern))
 		require.NoError(t, err)
-		for _, nam := range nams {
-			rel, err := filepath.Rel(root, nam)
+		for _, name := range names {
+			rel, err := filepath.Rel(root, name)
 			require.NoError(t, err)
 			out = append(out, rel)
 		}
@@ -43,12 +43,12 @@
 	t.Helper()
 	var bui strings.Builder
 	for _, dir := range []string{"cmd", "connection", "operator", "process", "request", "version"} {
-		require.NoError(t, filepath.WalkDir(filepath.Join(root, dir), func(nam string, ent os.DirEntry, err error) error {
-			if err != nil || ent.IsDir() || !strings.HasSuffix(nam, ".go") || strings.HasSuffix(nam, "_test.go") {
+		require.NoError(t, filepath.WalkDir(filepath.Join(root, dir), func(name string, entry os.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
 				return err
 			}
-			txt, err := os.ReadFile(nam)
-			bui.Write(txt)
+			text, err := os.ReadFile(name)
+			bui.Write(text)
 			return err
 		}))
 	}
@@ -57,31 +57,31 @@
 
 // TestExamples holds the examples of the library's page to the compiled ones.
 func TestExamples(t *testing.T) {
-	pag := read(t, "docs/LIBRARY.md")
-	for _, nam := range []string{"examples/placing/main.go", "examples/claiming/main.go"} {
-		require.Contains(t, pag, "```go\n"+read(t, nam)+"```\n", nam)
+	page := read(t, "docs/LIBRARY.md")
+	for _, name := range []string{"examples/placing/main.go", "examples/claiming/main.go"} {
+		require.Contains(t, page, "```go\n"+read(t, name)+"```\n", name)
 	}
 }
 
 // TestMetrics looks for every metric that a page names.
 func TestMetrics(t *testing.T) {
-	src := source(t)
-	exp := regexp.MustCompile("`hemlockpin_([a-z_]+)")
-	for _, pag := range pages(t) {
-		for _, mat := range exp.FindAllStringSubmatch(read(t, pag), -1) {
-			require.Contains(t, src, `"`+mat[1]+`"`, "%s names metric %s", pag, mat[1])
+	code := source(t)
+	re := regexp.MustCompile("`hemlockpin_([a-z_]+)")
+	for _, page := range pages(t) {
+		for _, match := range re.FindAllStringSubmatch(read(t, page), -1) {
+			require.Contains(t, code, `"`+match[1]+`"`, "%s names metric %s", page, match[1])
 		}
 	}
 }
 
 // TestCodes looks for every error code of the callers' page.
 func TestCodes(t *testing.T) {
-	src := source(t)
-	_, tab, ok := strings.Cut(read(t, "docs/CALLERS.md"), "## Errors")
+	code := source(t)
+	_, errors, ok := strings.Cut(read(t, "docs/CALLERS.md"), "## Errors")
 	require.True(t, ok)
-	exp := regexp.MustCompile("`([a-z]+(?:_[a-z]+)+)`")
-	for _, mat := range exp.FindAllStringSubmatch(tab, -1) {
-		require.Contains(t, src, `"`+mat[1]+`"`, mat[1])
+	re := regexp.MustCompile("`([a-z]+(?:_[a-z]+)+)`")
+	for _, match := range re.FindAllStringSubmatch(errors, -1) {
+		require.Contains(t, code, `"`+match[1]+`"`, match[1])
 	}
 }
 
@@ -89,16 +89,16 @@
 func TestCommands(t *testing.T) {
 	bin, err := testkit.Build()
 	require.NoError(t, err)
-	exp := regexp.MustCompile(`(?m)^    hemlockpin ((?:routes |pools |teams )?[a-z]+)`)
+	re := regexp.MustCompile(`(?m)^    hemlockpin ((?:routes |pools |teams )?[a-z]+)`)
 	done := map[string]bool{}
-	for _, pag := range pages(t) {
-		for _, mat := range exp.FindAllStringSubmatch(read(t, pag), -1) {
-			if done[mat[1]] {
+	for _, page := range pages(t) {
+		for _, match := range re.FindAllStringSubmatch(read(t, page), -1) {
+			if done[match[1]] {
 				continue
 			}
-			done[mat[1]] = true
-			out, err := exec.Command(filepath.Join(bin, "hemlockpin"), append(strings.Fields(mat[1]), "--help")...).CombinedOutput()
-			require.NoError(t, err, "%s shows hemlockpin %s: %s", pag, mat[1], out)
+			done[match[1]] = true
+			out, err := exec.Command(filepath.Join(bin, "hemlockpin"), append(strings.Fields(match[1]), "--help")...).CombinedOutput()
+			require.NoError(t, err, "%s shows hemlockpin %s: %s", page, match[1], out)
 		}
 	}
 	require.NotEmpty(t, done)
@@ -106,11 +106,11 @@
 
 // TestLinks looks for every file that a page links to.
 func TestLinks(t *testing.T) {
-	exp := regexp.MustCompile(`\]\(([^)#:]+)\)`)
-	for _, pag := range pages(t) {
-		for _, mat := range exp.FindAllStringSubmatch(read(t, pag), -1) {
-			_, err := os.Stat(filepath.Join(root, filepath.Dir(pag), mat[1]))
-			require.NoError(t, err, pag)
+	re := regexp.MustCompile(`\]\(([^)#:]+)\)`)
+	for _, page := range pages(t) {
+		for _, match := range re.FindAllStringSubmatch(read(t, page), -1) {
+			_, err := os.Stat(filepath.Join(root, filepath.Dir(page), match[1]))
+			require.NoError(t, err, page)
 		}
 	}
 }
--- a/internal/placementproof/limits_test.go
+++ b/internal/placementproof/limits_test.go
@@ -22,7 +22,7 @@
 	testTimeout   = 3 * time.Minute
 )
 
-func start(t *testing.T, pla testkit.Plan) *testkit.Fleet {
+func startFleet(t *testing.T, pla testkit.Plan) *testkit.Fleet {
 	t.Helper()
 	bin, err := testkit.Build()
 	require.NoError(t, err)
@@ -39,8 +39,8 @@
 
 // prompt sends a prompt and returns the status, the code of an error, the run
 // header and the retry header.
-func prompt(ctx context.Context, hos *testkit.Process, key string, tokens, answer int) (status int, code, ran, retry string, err error) {
-	bod, err := json.Marshal(struct {
+func sendPrompt(ctx context.Context, host *testkit.Process, key string, tokens, answer int) (status int, code, ran, retry string, err error) {
+	body, err := json.Marshal(struct {
 		Model     string `json:"model"`
 		Prompt    string `json:"prompt"`
 		MaxTokens int    `json:"max_tokens"`
@@ -48,7 +48,7 @@
 	if err != nil {
 		return 0, "", "", "", err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+hos.Address+"/v1/completions", bytes.NewReader(bod))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+host.Address+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
 		return 0, "", "", "", err
 	}
@@ -58,13 +58,13 @@
 		return 0, "", "", "", err
 	}
 	defer res.Body.Close()
-	txt, err := io.ReadAll(res.Body)
+	text, err := io.ReadAll(res.Body)
 	var out struct {
 		Error struct {
 			Code string `json:"code"`
 		} `json:"error"`
 	}
-	_ = json.Unmarshal(txt, &out)
+	_ = json.Unmarshal(text, &out)
 	return res.StatusCode, out.Error.Code, res.Header.Get("Hemlockpin-Run"), res.Header.Get("Retry-After"), err
 }
 
@@ -80,31 +80,31 @@
 	)
 	tab := testkit.SampleTables()
 	tab.Teams[0].TokensPerSecond = rate
-	fle := start(t, testkit.Plan{Hosts: hosts, Engines: 2, Tables: tab})
+	fle := startFleet(t, testkit.Plan{Hosts: hosts, Engines: 2, Tables: tab})
 	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
 	defer stop()
 	type reply struct {
 		status           int
 		code, ran, retry string
 	}
-	reps := make(chan reply, int(period/every)+1)
-	beg := time.Now()
+	replies := make(chan reply, int(period/every)+1)
+	start := time.Now()
 	sent := 0
-	for ; time.Since(beg) < period; sent++ {
-		hos := fle.Hosts[sent%hosts]
+	for ; time.Since(start) < period; sent++ {
+		host := fle.Hosts[sent%hosts]
 		go func() {
-			sta, cod, ran, ret, err := prompt(ctx, hos, testkit.Key, tokens-1, 1)
+			status, code, ran, retry, err := sendPrompt(ctx, host, testkit.Key, tokens-1, 1)
 			if err != nil {
-				cod = err.Error()
+				code = err.Error()
 			}
-			reps <- reply{sta, cod, ran, ret}
+			replies <- reply{status, code, ran, retry}
 		}()
-		time.Sleep(time.Until(beg.Add(time.Duration(sent+1) * every)))
+		time.Sleep(time.Until(start.Add(time.Duration(sent+1) * every)))
 	}
-	took := time.Since(beg)
+	elapsed := time.Since(start)
 	admitted := 0
 	for range sent {
-		rep := <-reps
+		rep := <-replies
 		switch rep.status {
 		case http.StatusOK:
 			admitted += tokens
@@ -115,31 +115,31 @@
 			require.NotEmpty(t, rep.retry)
 		}
 	}
-	bound := rate*(1.1*took.Seconds()+2+6) + hosts*tokens
-	t.Logf("sent %d, admitted %d tokens in %s, %.2f of the rate, bound %.0f", sent*tokens, admitted, took, float64(admitted)/rate/took.Seconds(), bound)
+	bound := rate*(1.1*elapsed.Seconds()+2+6) + hosts*tokens
+	t.Logf("sent %d, admitted %d tokens in %s, %.2f of the rate, bound %.0f", sent*tokens, admitted, elapsed, float64(admitted)/rate/elapsed.Seconds(), bound)
 	require.LessOrEqual(t, float64(admitted), bound)
-	require.GreaterOrEqual(t, float64(admitted), 0.5*rate*took.Seconds())
-	sta, cod, _, _, err := prompt(ctx, fle.Hosts[0], testkit.OtherKey, tokens, 1)
+	require.GreaterOrEqual(t, float64(admitted), 0.5*rate*elapsed.Seconds())
+	status, code, _, _, err := sendPrompt(ctx, fle.Hosts[0], testkit.OtherKey, tokens, 1)
 	require.NoError(t, err)
-	require.Equal(t, http.StatusOK, sta, cod)
+	require.Equal(t, http.StatusOK, status, code)
 }
 
 // TestSchedulerDies kills and freezes hosts while prompts run. Each prompt on a
 // host that lives is answered whole, whichever host schedules the cell.
 func TestSchedulerDies(t *testing.T) {
-	fle := start(t, testkit.Plan{Hosts: 4, Engines: 3, Tables: testkit.SampleTables()})
+	fle := startFleet(t, testkit.Plan{Hosts: 4, Engines: 3, Tables: testkit.SampleTables()})
 	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
 	defer stop()
-	all := func(hoss []*testkit.Process) {
-		errs := make(chan string, 10*len(hoss))
-		for num := range 10 * len(hoss) {
+	requireAnswered := func(hosts []*testkit.Process) {
+		errs := make(chan string, 10*len(hosts))
+		for i := range 10 * len(hosts) {
 			go func() {
-				sta, cod, _, _, err := prompt(ctx, hoss[num%len(hoss)], testkit.Key, 1000, 3)
+				status, code, _, _, err := sendPrompt(ctx, hosts[i%len(hosts)], testkit.Key, 1000, 3)
 				if err != nil {
-					cod = err.Error()
+					code = err.Error()
 				}
-				if sta != http.StatusOK {
-					errs <- cod
+				if status != http.StatusOK {
+					errs <- code
 					return
 				}
 				errs <- ""
@@ -149,36 +149,36 @@
 			require.Empty(t, <-errs)
 		}
 	}
-	awaitMembers(t, fle)
-	all(fle.Hosts)
+	waitForMembers(t, fle)
+	requireAnswered(fle.Hosts)
 	// Every host is once the one that is gone, so that the scheduler is too.
-	for ind, hos := range fle.Hosts {
+	for i, host := range fle.Hosts {
 		var rest []*testkit.Process
-		rest = append(append(rest, fle.Hosts[:ind]...), fle.Hosts[ind+1:]...)
-		require.NoError(t, hos.Freeze())
-		all(rest)
-		require.NoError(t, hos.Resume())
-		hos.Kill()
-		all(rest)
-		require.NoError(t, hos.Start())
-		awaitMembers(t, fle)
+		rest = append(append(rest, fle.Hosts[:i]...), fle.Hosts[i+1:]...)
+		require.NoError(t, host.Freeze())
+		requireAnswered(rest)
+		require.NoError(t, host.Resume())
+		host.Kill()
+		requireAnswered(rest)
+		require.NoError(t, host.Start())
+		waitForMembers(t, fle)
 	}
-	all(fle.Hosts[:1])
+	requireAnswered(fle.Hosts[:1])
 }
 
 // awaitMembers waits until every host counts every other as alive, so that all
 // turn to the same scheduler.
-func awaitMembers(t *testing.T, fle *testkit.Fleet) {
+func waitForMembers(t *testing.T, fle *testkit.Fleet) {
 	t.Helper()
 	require.NoError(t, testkit.Poll(t.Context(), 30*time.Second, func() bool {
-		for _, hos := range fle.Hosts {
-			sta, err := fle.Status(t.Context(), hos)
+		for _, host := range fle.Hosts {
+			status, err := fle.Status(t.Context(), host)
 			if err != nil {
 				return false
 			}
 			alive := 0
-			for _, per := range sta.Peers {
-				if per.State == gossiper.StateAlive {
+			for _, peer := range status.Peers {
+				if peer.State == gossiper.StateAlive {
 					alive++
 				}
 			}
--- a/internal/traceproof/trace_test.go
+++ b/internal/traceproof/trace_test.go
@@ -34,44 +34,44 @@
 }
 
 // sink stands in for a collector.
-type sink struct {
+type spanCollector struct {
 	mu    sync.Mutex
 	spans map[string][]span
 }
 
 // ServeHTTP takes an OTLP export.
-func (sin *sink) ServeHTTP(wri http.ResponseWriter, htr *http.Request) {
+func (col *spanCollector) ServeHTTP(wri http.ResponseWriter, htr *http.Request) {
 	buf, err := io.ReadAll(htr.Body)
 	var req collector.ExportTraceServiceRequest
 	if err != nil || htr.URL.Path != "/v1/traces" || proto.Unmarshal(buf, &req) != nil {
 		wri.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	sin.mu.Lock()
-	defer sin.mu.Unlock()
+	col.mu.Lock()
+	defer col.mu.Unlock()
 	for _, res := range req.GetResourceSpans() {
-		for _, sco := range res.GetScopeSpans() {
-			for _, spa := range sco.GetSpans() {
-				tra := hex.EncodeToString(spa.GetTraceId())
-				one := span{id: hex.EncodeToString(spa.GetSpanId()), parent: hex.EncodeToString(spa.GetParentSpanId()), name: spa.GetName(), attributes: map[string]string{}}
-				for _, att := range spa.GetAttributes() {
-					one.attributes[att.GetKey()] = att.GetValue().GetStringValue()
+		for _, scope := range res.GetScopeSpans() {
+			for _, spa := range scope.GetSpans() {
+				trace := hex.EncodeToString(spa.GetTraceId())
+				sp := span{id: hex.EncodeToString(spa.GetSpanId()), parent: hex.EncodeToString(spa.GetParentSpanId()), name: spa.GetName(), attributes: map[string]string{}}
+				for _, attr := range spa.GetAttributes() {
+					sp.attributes[attr.GetKey()] = attr.GetValue().GetStringValue()
 				}
-				sin.spans[tra] = append(sin.spans[tra], one)
+				col.spans[trace] = append(col.spans[trace], sp)
 			}
 		}
 	}
 }
 
 // root returns attributes of the span that the caller's span is parent of.
-func (sin *sink) root(trace string, names ...string) []string {
-	sin.mu.Lock()
-	defer sin.mu.Unlock()
+func (col *spanCollector) root(trace string, names ...string) []string {
+	col.mu.Lock()
+	defer col.mu.Unlock()
 	var out []string
-	for _, spa := range sin.spans[trace] {
+	for _, spa := range col.spans[trace] {
 		if spa.parent == callerSpan {
-			for _, nam := range names {
-				out = append(out, spa.attributes[nam])
+			for _, name := range names {
+				out = append(out, spa.attributes[name])
 			}
 		}
 	}
@@ -79,24 +79,24 @@
 }
 
 // tree prints the spans under a parent, children in the order of their names.
-func (sin *sink) tree(trace string) string {
-	sin.mu.Lock()
-	defer sin.mu.Unlock()
+func (col *spanCollector) tree(trace string) string {
+	col.mu.Lock()
+	defer col.mu.Unlock()
 	var bui strings.Builder
-	var num int
+	var n int
 	var walk func(parent, indent string)
 	walk = func(parent, indent string) {
-		spas := slices.DeleteFunc(slices.Clone(sin.spans[trace]), func(spa span) bool { return spa.parent != parent })
-		slices.SortFunc(spas, func(one, two span) int { return strings.Compare(one.name, two.name) })
-		for _, spa := range spas {
-			num++
+		children := slices.DeleteFunc(slices.Clone(col.spans[trace]), func(spa span) bool { return spa.parent != parent })
+		slices.SortFunc(children, func(sp, other span) int { return strings.Compare(sp.name, other.name) })
+		for _, spa := range children {
+			n++
 			bui.WriteString(indent + spa.name + "\n")
 			walk(spa.id, indent+"  ")
 		}
 	}
 	walk(callerSpan, "")
-	if num < len(sin.spans[trace]) {
-		fmt.Fprintf(&bui, "%d spans without a parent\n", len(sin.spans[trace])-num)
+	if n < len(col.spans[trace]) {
+		fmt.Fprintf(&bui, "%d spans without a parent\n", len(col.spans[trace])-n)
 	}
 	return bui.String()
 }
@@ -113,24 +113,24 @@
 	res, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
 	defer res.Body.Close()
-	txt, _ := io.ReadAll(res.Body)
-	require.Equal(t, http.StatusOK, res.StatusCode, string(txt))
+	text, _ := io.ReadAll(res.Body)
+	require.Equal(t, http.StatusOK, res.StatusCode, string(text))
 	return res.Header.Get("Hemlockpin-Request-Id")
 }
 
-func traceID(num int) string { return fmt.Sprintf("4bf92f3577b34da6a3ce929d0e0e%04d", num) }
+func traceID(n int) string { return fmt.Sprintf("4bf92f3577b34da6a3ce929d0e0e%04d", n) }
 
 // TestTree sends prompts and bookings whose callers trace them, and reads the
 // spans back from the collector.
 func TestTree(t *testing.T) {
 	// The exporter of the hosts reads its interval, in milliseconds, from here.
 	t.Setenv("OTEL_BSP_SCHEDULE_DELAY", "200")
-	sin := &sink{spans: map[string][]span{}}
-	col := httptest.NewServer(sin)
-	defer col.Close()
-	heard := make(chan string, 16)
+	col := &spanCollector{spans: map[string][]span{}}
+	server := httptest.NewServer(col)
+	defer server.Close()
+	traceparents := make(chan string, 16)
 	service := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
-		heard <- htr.Header.Get("Traceparent")
+		traceparents <- htr.Header.Get("Traceparent")
 		fmt.Fprint(wri, "{}")
 	}))
 	defer service.Close()
@@ -138,35 +138,35 @@
 	require.NoError(t, err)
 	fle, err := testkit.Start(t.Context(), testkit.Plan{
 		Bin: bin, Hosts: 3, Engines: 1, Model: testkit.Model, Tables: testkit.SampleTables(),
-		HostArgs: []string{"--trace-endpoint", col.URL, "--trace-ratio", "0"},
+		HostArgs: []string{"--trace-endpoint", server.URL, "--trace-ratio", "0"},
 	})
 	require.NoError(t, err)
 	t.Cleanup(fle.Stop)
-	add := strings.TrimPrefix(service.URL, "http://")
-	require.NoError(t, fle.List(t.Context(), persister.Entry{ID: "service-0", Kind: persister.KindService, Service: "counter", Address: add, DataCenter: "colombo"}))
-	for _, hos := range fle.Hosts {
+	address := strings.TrimPrefix(service.URL, "http://")
+	require.NoError(t, fle.List(t.Context(), persister.Entry{ID: "service-0", Kind: persister.KindService, Service: "counter", Address: address, DataCenter: "colombo"}))
+	for _, host := range fle.Hosts {
 		require.NoError(t, testkit.Poll(t.Context(), exportTime, func() bool {
-			sta, err := fle.Status(t.Context(), hos)
-			return err == nil && slices.ContainsFunc(sta.Endpoints, func(ent persister.Entry) bool { return ent.ID == "service-0" })
+			sta, err := fle.Status(t.Context(), host)
+			return err == nil && slices.ContainsFunc(sta.Endpoints, func(entry persister.Entry) bool { return entry.ID == "service-0" })
 		}))
 	}
 	var traces []string
-	for ind, hos := range fle.Hosts {
-		prompt, booking := traceID(10+ind), traceID(20+ind)
-		id := post(t, "http://"+hos.Address+"/v1/completions", prompt, `{"model":"`+testkit.Model+`","prompt":"hum","max_tokens":3}`)
-		post(t, "http://"+hos.Address+"/bookings", booking, `{}`)
-		require.Contains(t, <-heard, booking)
-		requireTree(t, sin, prompt, "prompt\n  admission\n  engine\n  placement\n")
-		require.Equal(t, []string{id, "questions", "tailors", "whole"}, sin.root(prompt, "RequestID", "Route", "Team", "Outcome"))
-		requireTree(t, sin, booking, "call\n  admission\n  claim\n  placement\n  service\n")
+	for i, host := range fle.Hosts {
+		prompt, booking := traceID(10+i), traceID(20+i)
+		id := post(t, "http://"+host.Address+"/v1/completions", prompt, `{"model":"`+testkit.Model+`","prompt":"hum","max_tokens":3}`)
+		post(t, "http://"+host.Address+"/bookings", booking, `{}`)
+		require.Contains(t, <-traceparents, booking)
+		requireTree(t, col, prompt, "prompt\n  admission\n  engine\n  placement\n")
+		require.Equal(t, []string{id, "questions", "tailors", "whole"}, col.root(prompt, "RequestID", "Route", "Team", "Outcome"))
+		requireTree(t, col, booking, "call\n  admission\n  claim\n  placement\n  service\n")
 		traces = append(traces, prompt, booking)
 	}
 	// One prompt in three goes to a scheduler on its own host at most. The spans
 	// of the other hosts come with their own exports.
 	require.NoError(t, testkit.Poll(t.Context(), exportTime, func() bool {
 		peers := 0
-		for _, tra := range traces {
-			peers += strings.Count(sin.tree(tra), "peer call\n      peer\n")
+		for _, trace := range traces {
+			peers += strings.Count(col.tree(trace), "peer call\n      peer\n")
 		}
 		return peers >= 2
 	}))
@@ -174,18 +174,18 @@
 
 // requireTree compares the tree without the calls between hosts, which depend
 // on who schedules and writes.
-func requireTree(t *testing.T, sin *sink, trace, want string) {
+func requireTree(t *testing.T, col *spanCollector, trace, want string) {
 	t.Helper()
 	var got string
 	err := testkit.Poll(t.Context(), exportTime, func() bool {
 		var out []string
-		for _, lin := range strings.SplitAfter(sin.tree(trace), "\n") {
-			if !strings.HasPrefix(strings.TrimSpace(lin), "peer") {
-				out = append(out, lin)
+		for _, line := range strings.SplitAfter(col.tree(trace), "\n") {
+			if !strings.HasPrefix(strings.TrimSpace(line), "peer") {
+				out = append(out, line)
 			}
 		}
 		got = strings.Join(out, "")
 		return got == want
 	})
-	require.NoError(t, err, "the tree is\n%s", sin.tree(trace))
+	require.NoError(t, err, "the tree is\n%s", col.tree(trace))
 }
