--- a/internal/claimproof/claimproof_test.go
+++ b/internal/claimproof/claimproof_test.go
@@ -1,5 +1,5 @@
-// Package claimproof_test proves with real processes that no call runs twice and
-// that no caller is told "not run" of a call that ran.
+// Package claimproof_test checks with real processes and injected faults that no
+// call runs twice, and that no response reports NotRun for a call that ran.
 package claimproof_test
 
 import (
@@ -31,23 +31,23 @@
 	callers     = 8
 	callLimit   = 2 * time.Second
 	clientLimit = 4 * time.Second
-	maxTries  = 4
+	maxTries    = 4
 	faultTime   = 3 * time.Second
-	// freezeTime is past every time-out of a call.
-	freezeTime = 6 * time.Second
-	drainTimeout  = 20 * time.Second
-	rollingRestart   = "hosts restarted one after another"
+	// freezeTime is longer than every time-out of a call.
+	freezeTime     = 6 * time.Second
+	drainTimeout   = 20 * time.Second
+	rollingRestart = "hosts restarted one after another"
 )
 
-// answer is what a caller was told of one try.
+// tryResult is what a caller knows about one try of a call.
 type tryResult struct {
-	host   string
-	execution    invoker.Execution
-	status int
-	code   string
+	host      string
+	execution invoker.Execution
+	status    int
+	detail    string
 }
 
-// record keeps what callers were told of each key.
+// callLog records the results of all tries by key.
 type callLog struct {
 	mu    sync.Mutex
 	tries map[string][]tryResult
@@ -55,7 +55,7 @@
 
 func (log *callLog) add(key string, res tryResult) {
 	if key == "" {
-		// The host made a key and its answer was lost.
+		// The host generated the key and its response was lost.
 		return
 	}
 	log.mu.Lock()
@@ -63,8 +63,8 @@
 	log.tries[key] = append(log.tries[key], res)
 }
 
-// call makes one try and returns the key that the host used. Without an answer
-// the execution is unknown.
+// call sends one try and returns the key that the host used. Without a complete
+// response the execution is Unknown.
 func call(ctx context.Context, host *testkit.Process, key string) (string, tryResult) {
 	res := tryResult{host: host.ID, execution: invoker.Unknown}
 	ctx, stop := context.WithTimeout(ctx, clientLimit)
@@ -77,11 +77,11 @@
 	if key != "" {
 		req.Header.Set(invoker.KeyHeader, key)
 	}
-	// A connection of its own keeps the caller's library from sending twice.
+	// On a reused connection the HTTP client could send the request twice.
 	req.Close = true
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		res.code = err.Error()
+		res.detail = err.Error()
 		return key, res
 	}
 	defer resp.Body.Close()
@@ -91,13 +91,13 @@
 	}
 	res.status = resp.StatusCode
 	res.execution = invoker.Execution(resp.Header.Get(responder.RunHeader))
-	res.code = string(text)
+	res.detail = string(text)
 	return resp.Header.Get(invoker.KeyHeader), res
 }
 
-// run makes calls until ctx ends, one in four under a key that the host makes.
-// A key is repeated on any host while it is unknown whether it ran, and given
-// up once it is known.
+// run makes calls until ctx ends. For one call in four the host generates the key.
+// While the execution is Unknown, the call is retried under the same key on a
+// random host, up to maxTries times in all.
 func (log *callLog) run(ctx context.Context, fle *testkit.Fleet, ran *rand.Rand) {
 	for ctx.Err() == nil {
 		key := uuid.Must(uuid.NewV7()).String()
@@ -116,13 +116,13 @@
 	}
 }
 
-// links are the faulty connections of the fleet.
+// faultyLinks are the links in front of the platform, the endpoints and the peers.
 type faultyLinks struct {
 	t   *testing.T
 	all []*testkit.Link
 }
 
-// via returns the address of a link to address.
+// via starts a link to an address and returns the address of the link.
 func (lins *faultyLinks) via(address string) string {
 	lin, err := testkit.NewLink(uuid.NewString(), address)
 	require.NoError(lins.t, err)
@@ -131,7 +131,8 @@
 	return lin.Address()
 }
 
-// silenceOpen makes all open connections silent for good; later ones work.
+// blackholeOpen drops all further data of the open connections. Connections opened
+// later work.
 func (lins *faultyLinks) blackholeOpen() {
 	for _, lin := range lins.all {
 		lin.BlackholeEstablished()
@@ -158,7 +159,8 @@
 	return fle, lins
 }
 
-// runs adds up the executions that the services counted.
+// countExecutions returns for each key the sum of the executions that the services
+// counted.
 func countExecutions(t *testing.T, fle *testkit.Fleet) map[string]int {
 	t.Helper()
 	out := map[string]int{}
@@ -172,53 +174,54 @@
 	return out
 }
 
-// why sums up why a caller does not know whether a try ran.
+// unknownReason returns why the execution of a try is Unknown: the error code of
+// the response, or the last part of the connection error.
 func unknownReason(res tryResult) string {
 	if res.status == 0 {
-		return res.code[strings.LastIndex(res.code, ": ")+2:]
+		return res.detail[strings.LastIndex(res.detail, ": ")+2:]
 	}
 	var body struct {
 		Error struct {
 			Code string `json:"code"`
 		} `json:"error"`
 	}
-	_ = json.Unmarshal([]byte(res.code), &body)
+	_ = json.Unmarshal([]byte(res.detail), &body)
 	return body.Error.Code
 }
 
-// check compares what callers were told with what the services counted, and
-// returns why tries were unknown.
-func (log *callLog) check(t *testing.T, n map[string]int) map[string]int {
+// check compares the results of the callers with the executions that the services
+// counted. It returns how often each reason made an execution Unknown.
+func (log *callLog) check(t *testing.T, executions map[string]int) map[string]int {
 	t.Helper()
 	outcomes := map[invoker.Execution]int{}
 	reasons := map[string]int{}
 	repeated := 0
-	for key, results := range log.tries {
-		require.LessOrEqual(t, n[key], 1, "key %s ran %d times: %v", key, n[key], results)
-		last := results[len(results)-1]
+	for key, tries := range log.tries {
+		require.LessOrEqual(t, executions[key], 1, "key %s ran %d times: %v", key, executions[key], tries)
+		last := tries[len(tries)-1]
 		outcomes[last.execution]++
-		for _, res := range results {
+		for _, res := range tries {
 			if res.execution == invoker.Unknown {
 				reasons[unknownReason(res)]++
 			}
 		}
-		if len(results) > 1 {
+		if len(tries) > 1 {
 			repeated++
 		}
 		switch last.execution {
 		case invoker.NotRun:
-			require.Zero(t, n[key], "key %s was told not run: %v", key, results)
+			require.Zero(t, executions[key], "key %s was reported as not run: %v", key, tries)
 		case invoker.Ran:
-			require.Equal(t, 1, n[key], "key %s was told ran: %v", key, results)
+			require.Equal(t, 1, executions[key], "key %s was reported as run: %v", key, tries)
 		}
 	}
 	require.NotEmpty(t, log.tries)
 	require.Positive(t, outcomes[invoker.Ran], "no call ran")
-	t.Logf("seed %d: %d keys, %d repeated, last told %v, unknown by %v", seed, len(log.tries), repeated, outcomes, reasons)
+	t.Logf("seed %d: %d keys, %d retried, last execution %v, reasons for unknown %v", seed, len(log.tries), repeated, outcomes, reasons)
 	return reasons
 }
 
-// platformFault switches a fault of the platform on for a while.
+// platformFault sets faults of the platform for a time.
 func platformFault(t *testing.T, fle *testkit.Fleet, fau keeper.Faults, duration time.Duration) {
 	t.Helper()
 	require.NoError(t, fle.Fault(t.Context(), fle.Platform, fau))
@@ -294,7 +297,9 @@
 	}
 }
 
-// TestClaims runs callers that repeat their keys over several hosts under faults.
+// TestClaims injects faults while callers retry calls under the same keys on
+// several hosts. A lost response, a frozen host or a takeover of the claim must not
+// lead to a second execution.
 func TestClaims(t *testing.T) {
 	fle, lins := startFleet(t)
 	for i, tt := range faultCases(fle, lins) {
@@ -316,7 +321,7 @@
 			reasons := log.check(t, countExecutions(t, fle))
 			if tt.name == rollingRestart {
 				delete(reasons, "connection refused")
-				require.Empty(t, reasons, "a graceful restart cuts no call")
+				require.Empty(t, reasons, "a graceful restart must not abort a call")
 			}
 		})
 	}
