--- a/internal/clitest/cli_test.go
+++ b/internal/clitest/cli_test.go
@@ -1,5 +1,5 @@
-// Package clitest runs the operators' command line against real hosts by
-// scripts under testdata.
+// Package clitest runs the scripts in testdata, which call the operators' command
+// line on a fleet of real hosts.
 package clitest
 
 import (
@@ -22,7 +22,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// propagation is the time within which an accepted edit holds on every host.
+// propagation is the time within which an accepted edit must be in force on all
+// hosts.
 const propagation = 7 * time.Second
 
 func TestScripts(t *testing.T) {
@@ -53,28 +54,28 @@
 	})
 }
 
-// lockedBuffer takes the output of several processes.
+// lockedBuffer is a buffer to which several processes may write concurrently.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-// Write takes output.
+// Write appends to the buffer.
 func (buf *lockedBuffer) Write(out []byte) (int, error) {
 	buf.mu.Lock()
 	defer buf.mu.Unlock()
 	return buf.buf.Write(out)
 }
 
-// String returns the output so far.
+// String returns the content of the buffer.
 func (buf *lockedBuffer) String() string {
 	buf.mu.Lock()
 	defer buf.mu.Unlock()
 	return buf.buf.String()
 }
 
-// exits runs a program that must end with the given code, with its output in
-// the files out and err.
+// exits runs a program, requires the given exit code and writes its output to the
+// files out and err.
 func exits(ts *testscript.TestScript, _ bool, args []string) {
 	want, err := strconv.Atoi(args[0])
 	ts.Check(err)
@@ -98,12 +99,12 @@
 	return ts.Value("fleet").(*testkit.Fleet)
 }
 
-// fault switches faults of the platform.
+// fault sets the faults of the platform, given as JSON.
 func fault(ts *testscript.TestScript, _ bool, args []string) {
 	ts.Check(fleet(ts).Fault(context.Background(), fleet(ts).Platform, json.RawMessage(args[0])))
 }
 
-// revision waits until a host has a revision in force.
+// revision waits until a host has the given revision in force.
 func revision(ts *testscript.TestScript, _ bool, args []string) {
 	index, err := strconv.Atoi(args[0])
 	ts.Check(err)
@@ -113,7 +114,7 @@
 	}))
 }
 
-// ended waits until a host has ended by itself with code 0.
+// ended waits until a host has exited and requires the exit code 0.
 func ended(ts *testscript.TestScript, _ bool, args []string) {
 	index, err := strconv.Atoi(args[0])
 	ts.Check(err)
@@ -124,7 +125,7 @@
 	}
 }
 
-// book sends a call of a plain service to a host with the given key.
+// book sends a GET for the given path to a host with the given bearer key.
 func book(ts *testscript.TestScript, _ bool, args []string) {
 	index, err := strconv.Atoi(args[0])
 	ts.Check(err)
