--- a/tools/experimenter/experiment.go
+++ b/tools/experimenter/experiment.go
@@ -162,7 +162,7 @@
 	if exp.logs != nil {
 		logs = exp.logs
 	}
-	tab := testkit.LoadTables(exp.mix)
+	tab := testkit.TablesForMix(exp.mix)
 	tab.Pools[0].LongShare = set.LongShare
 	tab.Teams[0].TokensPerSecond = load.limit
 	return testkit.Start(ctx, testkit.Plan{
--- a/tools/soaker/main.go
+++ b/tools/soaker/main.go
@@ -90,7 +90,7 @@
 	const engineMemory = 400_000
 	return testkit.Plan{
 		Bin: set.Bin, Logs: logs, Hosts: set.Hosts, Engines: set.Engines, Services: set.Services, Model: mix.Model,
-		Tables:      testkit.LoadTables(mix),
+		Tables:      testkit.TablesForMix(mix),
 		EngineArgs:  []string{"--memory-tokens", strconv.Itoa(int(engineMemory / set.Scale))},
 		PlatformVia: links.ViaPlatform, EndpointVia: links.Via, PeerVia: links.Via,
 	}
@@ -98,7 +98,7 @@
 
 func soak(ctx context.Context, set settings, mix mixer.Mix, links *disturber.Links, fle *testkit.Fleet) error {
 	aud := &auditor.Auditor{Fleet: fle, TimeLimit: set.TimeLimit}
-	dis := &disturber.Disturber{Fleet: fle, Links: links, Every: set.FaultEvery, Seed: set.Seed, Log: os.Stderr}
+	dis := &disturber.Disturber{Fleet: fle, Links: links, MeanInterval: set.FaultEvery, Seed: set.Seed, Log: os.Stderr}
 	run := &driver.Run{
 		Mix: mix, Rate: set.Rate, Seed: set.Seed, Duration: set.Duration, Progress: os.Stderr, Observe: func(res sender.Result) { aud.Observe(res); printFailed(res) },
 		Sender: &sender.Sender{Model: mix.Model, Verify: true, MaxRetries: callRepeats, TimeLimit: set.TimeLimit},
@@ -106,7 +106,7 @@
 	for _, host := range fle.Hosts {
 		run.Sender.Hosts = append(run.Sender.Hosts, host.Address)
 	}
-	aud.Accepted(1)
+	aud.RecordAccepted(1)
 	background, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg sync.WaitGroup
@@ -139,8 +139,8 @@
 }
 
 func checkGuarantees(ctx context.Context, set settings, aud *auditor.Auditor, dis *disturber.Disturber) error {
-	spans := dis.Spans()
-	findings := aud.Judge(ctx, spans)
+	spans := dis.Injected()
+	findings := aud.Check(ctx, spans)
 	fmt.Printf("seed %d, %s, %d requests, %d faults, %d accepted edits\n", set.Seed, set.Duration, aud.Requests(), len(spans), aud.AcceptedRevision())
 	for _, fin := range findings {
 		fmt.Printf("%6d  %s\n", fin.Count, fin.Kind)
