--- a/internal/streammatrix/matrix_test.go
+++ b/internal/streammatrix/matrix_test.go
@@ -114,7 +114,7 @@
 	buf, err := os.ReadFile("testdata/move")
 	require.NoError(t, err)
 	require.NotContains(t, string(buf), "VIOLATION")
-	for ste := mover.Asking; ste <= mover.Over; ste++ {
+	for ste := mover.Requesting; ste <= mover.Over; ste++ {
 		for _, fau := range moveFaults {
 			require.Contains(t, string(buf), fmt.Sprintf("move step=%s fault=%s\n", ste, fau))
 		}
--- a/process/allocator/health.go
+++ b/process/allocator/health.go
@@ -59,8 +59,8 @@
 // the endpoint that it moves to, to the ejector.
 func (all *Allocator) withReports(lea executor.Lease, err error) (executor.Lease, error) {
 	lea.Report = all.reporter(lea.Endpoint)
-	if mov := lea.Move; mov != nil {
-		lea.Move = func(ctx context.Context) (executor.Target, bool) {
+	if mov := lea.FindTarget; mov != nil {
+		lea.FindTarget = func(ctx context.Context) (executor.Target, bool) {
 			tar, ok := mov(ctx)
 			tar.Report = all.reporter(tar.Endpoint)
 			return tar, ok
--- a/process/allocator/move.go
+++ b/process/allocator/move.go
@@ -18,7 +18,7 @@
 // withMove makes a lease able to request, from its cell, an engine that decodes the
 // rest of its answer.
 func (all *Allocator) withMove(lea executor.Lease, hos host, cell, id string) executor.Lease {
-	lea.Move = func(ctx context.Context) (executor.Target, bool) {
+	lea.FindTarget = func(ctx context.Context) (executor.Target, bool) {
 		mov, ok := all.Cells.move(ctx, hos, cell, id)
 		if !ok {
 			return executor.Target{}, false
--- a/process/assigner/assigner.go
+++ b/process/assigner/assigner.go
@@ -102,13 +102,13 @@
 	ass.activeCalls[end.ID]++
 	failed := false
 	return relayer.Lease{
-		Endpoint: end,
-		Began:    func() {},
-		Failed: func(string) {
+		Endpoint:         end,
+		ReportFirstEvent: func() {},
+		ReportFailure: func(string) {
 			failed = true
 			ass.Ejector.RecordFailure(end.ID, ass.Clock())
 		},
-		End: sync.OnceFunc(func() {
+		Release: sync.OnceFunc(func() {
 			if !failed {
 				ass.Ejector.RecordSuccess(end.ID)
 			}
--- a/process/assigner/assigner_test.go
+++ b/process/assigner/assigner_test.go
@@ -168,7 +168,7 @@
 
 func callFor(id string, tokens int64) relayer.PlacementRequest {
 	now := time.Now()
-	return relayer.PlacementRequest{ID: id, Pool: "llm", PromptTokens: tokens, MaxTokens: 1000, Arrived: now, Objective: 3 * time.Second, Pause: time.Second, Deadline: now.Add(15 * time.Second)}
+	return relayer.PlacementRequest{ID: id, Pool: "llm", PromptTokens: tokens, MaxTokens: 1000, WaitingSince: now, Objective: 3 * time.Second, PauseObjective: time.Second, Deadline: now.Add(15 * time.Second)}
 }
 
 // TestOnePlan places calls from several hosts: a single host must plan them all.
@@ -271,7 +271,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 1, fle.granted(cans[0].id))
 	require.Zero(t, fle.granted(cans[1].id), "the relaying host has no plan of its own")
-	lea.End()
+	lea.Release()
 	require.Eventually(t, func() bool { return fle.granted(cans[0].id) == 0 }, 3*time.Second, 5*time.Millisecond)
 }
 
@@ -289,7 +289,7 @@
 	for _, id := range []string{self, cans[1].id} {
 		fle.hosts[id].suspect(cans[0].id, errors.New("connection refused"))
 	}
-	lea.End()
+	lea.Release()
 	time.Sleep(300 * time.Millisecond)
 	fle.mu.Lock()
 	defer fle.mu.Unlock()
@@ -305,12 +305,12 @@
 	ass := fle.assigner(self, &reserver{})
 	lea, err := ass.Place(t.Context(), callFor("1", 140_000))
 	require.NoError(t, err)
-	lea.Began()
+	lea.ReportFirstEvent()
 	fle.leaving[cans[0].id] = true
 	fle.hosts[self].Announce(time.Now())
 	require.Eventually(t, func() bool { return fle.granted(cans[1].id) == 1 }, time.Second, 5*time.Millisecond)
 	fle.hosts[self].Announce(time.Now())
-	lea.End()
+	lea.Release()
 	require.Eventually(t, func() bool { return fle.granted(cans[1].id) == 0 }, time.Second, 5*time.Millisecond)
 	require.Empty(t, fle.hosts[self].grants)
 }
@@ -348,7 +348,7 @@
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, len(lea.Helpers), 2)
 	require.GreaterOrEqual(t, res.count(), 2)
-	lea.End()
+	lea.Release()
 	require.Eventually(t, func() bool { return res.count() == 0 }, 5*time.Second, time.Millisecond)
 	res.refuses = "10.0.0.2:1"
 	_, err = ass.Place(t.Context(), callFor("2", 800_000))
@@ -386,16 +386,16 @@
 	second, err := ass.Place(t.Context(), relayer.PlacementRequest{Pool: "desk"})
 	require.NoError(t, err)
 	require.NotEqual(t, "d1", second.Endpoint.ID, "endpoints with fewer calls come next")
-	first.End()
-	first.End()
+	first.Release()
+	first.Release()
 	require.Len(t, ass.activeCalls, 1)
-	second.Failed("")
-	second.End()
+	second.ReportFailure("")
+	second.Release()
 	for range 20 {
 		lea, err := ass.Place(t.Context(), relayer.PlacementRequest{Pool: "desk"})
 		require.NoError(t, err)
 		require.NotEqual(t, second.Endpoint.ID, lea.Endpoint.ID, "an endpoint that has just failed is avoided")
-		lea.End()
+		lea.Release()
 	}
 	_, err = ass.Place(t.Context(), relayer.PlacementRequest{Pool: "desk", Excluded: []string{"d1", "d2", "d3"}})
 	var ref *relayer.RefusedError
--- a/process/assigner/plan.go
+++ b/process/assigner/plan.go
@@ -74,16 +74,16 @@
 	if !ok {
 		return relayer.Lease{}, false
 	}
-	lea := relayer.Lease{Endpoint: end, Helpers: res.helpers, ExpectedFirst: act.First}
-	lea.Began = func() { ass.Planners.report(act.ID, planner.Began{ID: act.ID}) }
-	lea.Failed = func(address string) {
+	lea := relayer.Lease{Endpoint: end, Helpers: res.helpers, ExpectedFirstEvent: act.First}
+	lea.ReportFirstEvent = func() { ass.Planners.report(act.ID, planner.Began{ID: act.ID}) }
+	lea.ReportFailure = func(address string) {
 		failed := end.ID
 		if address != "" {
 			failed = address
 		}
 		ass.Planners.report(act.ID, planner.Failed{ID: act.ID, Endpoint: failed})
 	}
-	lea.End = sync.OnceFunc(func() {
+	lea.Release = sync.OnceFunc(func() {
 		res.release()
 		ass.Planners.report(act.ID, planner.Ended{ID: act.ID})
 	})
--- a/process/assigner/planners.go
+++ b/process/assigner/planners.go
@@ -174,7 +174,7 @@
 func promptOf(req relayer.PlacementRequest) planner.Prompt {
 	return planner.Prompt{
 		Tokens: req.PromptTokens, MaxTokens: req.MaxTokens, AnswerTokens: req.AnswerTokens, Priority: req.Priority,
-		Target: req.Arrived.Add(req.Objective), Deadline: req.Deadline, Objective: req.Objective, Pause: req.Pause, Excluded: req.Excluded,
+		Target: req.WaitingSince.Add(req.Objective), Deadline: req.Deadline, Objective: req.Objective, Pause: req.PauseObjective, Excluded: req.Excluded,
 	}
 }
 
--- a/process/journaler/world_test.go
+++ b/process/journaler/world_test.go
@@ -69,7 +69,7 @@
 }
 
 func (wor *world) newCall(host string, strikes ...*strike) *simCall {
-	return &simCall{wor: wor, host: host, strikes: strikes, state: claimer.State{CallerKey: true}}
+	return &simCall{wor: wor, host: host, strikes: strikes, state: claimer.State{KeyFromCaller: true}}
 }
 
 // system names what a step depends on, and what an outage at it takes away.
@@ -237,7 +237,7 @@
 	cal.before(fau)
 	cal.after(fau)
 	if fau == "down" {
-		return claimer.NoEndpoint{Message: "none"}
+		return claimer.Refused{Message: "none"}
 	}
 	return claimer.Placed{}
 }
--- a/request/assembler/assembler.go
+++ b/request/assembler/assembler.go
@@ -25,8 +25,9 @@
 	Excess
 	// Complete means that the answer has ended and is complete.
 	Complete
-	// Short means that the end of the stream does not match the received tokens.
-	Short
+	// Mismatch means that the end of the stream does not match the received tokens, or
+	// that its reason is unknown.
+	Mismatch
 )
 
 var verdictNames = [...]string{"Deliver", "Drop", "Foreign", "Gap", "Excess", "Complete", "Short"}
@@ -83,11 +84,11 @@
 	case fin.Attempt != ass.Attempt:
 		return Drop
 	case fin.CompletionTokens != ass.Next:
-		return Short
+		return Mismatch
 	case fin.Reason == reasonLength && ass.Next != ass.MaxTokens:
-		return Short
+		return Mismatch
 	case fin.Reason != reasonLength && fin.Reason != reasonStop:
-		return Short
+		return Mismatch
 	}
 	return Complete
 }
--- a/request/attempter/attempter.go
+++ b/request/attempter/attempter.go
@@ -43,8 +43,8 @@
 	Excluded []string
 	// Rounds counts how often the list of excluded endpoints was cleared.
 	Rounds int
-	// Waits counts the refusals because the engines of a group were busy.
-	Waits int
+	// GroupRefusals counts the refusals because the engines of a group were busy.
+	GroupRefusals int
 	// Jitter, from 0 to 1, varies the pauses of different requests.
 	Jitter float64
 	// Pending says that a dispatch has not ended yet.
@@ -205,13 +205,13 @@
 // groupPause doubles with each refusal, and varies by Jitter, so that hosts that
 // compete for the same engines do not collide again.
 func (sta State) groupPause() time.Duration {
-	pause := min(maxGroupPause, roundPause<<min(sta.Waits, 10))
+	pause := min(maxGroupPause, roundPause<<min(sta.GroupRefusals, 10))
 	return time.Duration(float64(pause) * (0.5 + sta.Jitter))
 }
 
 func (sta State) afterRefusal(ref Refused, now time.Time) (State, Action) {
 	if pause := sta.groupPause(); ref.Code == "group_unavailable" && sta.left(now) > pause+MinBudget {
-		sta.Waits++
+		sta.GroupRefusals++
 		return sta, Dispatch{After: pause}
 	}
 	again := ref.Code == "no_endpoint" && len(sta.Excluded) > 0
--- a/request/claimer/claimer.go
+++ b/request/claimer/claimer.go
@@ -46,17 +46,17 @@
 
 // State is the state of one call. It is an immutable value.
 type State struct {
-	// CallerKey says that the caller supplied the key, so that an earlier call may have
-	// used it.
-	CallerKey  bool
-	Phase      Phase
-	Dispatches int
-	Excluded   []string
+	// KeyFromCaller says that the caller supplied the key, so that an earlier call may
+	// have used it.
+	KeyFromCaller bool
+	Phase         Phase
+	Dispatches    int
+	Excluded      []string
 	// Waits counts the pauses spent waiting for the call that holds the key.
 	Waits int
 }
 
-// Event is a step of a call: Claimed, Placed, NoEndpoint, Replied, Failed or Expired.
+// Event is a step of a call: Claimed, Placed, Refused, Replied, Failed or Expired.
 type Event interface{ event() }
 
 // Claimed reports the result of the claim.
@@ -81,18 +81,18 @@
 	Message  string
 }
 
-// NoEndpoint reports that no endpoint was available.
-type NoEndpoint struct{ Message string }
+// Refused reports that no endpoint was available.
+type Refused struct{ Message string }
 
 // Expired reports that the time limit has passed.
 type Expired struct{}
 
-func (Claimed) event()    {}
-func (Placed) event()     {}
-func (Replied) event()    {}
-func (Failed) event()     {}
-func (NoEndpoint) event() {}
-func (Expired) event()    {}
+func (Claimed) event() {}
+func (Placed) event()  {}
+func (Replied) event() {}
+func (Failed) event()  {}
+func (Refused) event() {}
+func (Expired) event() {}
 
 // Action is what to do next: Await, Place, Dispatch, Record, Release, Replay, Fail or
 // Stop.
@@ -154,7 +154,7 @@
 		act = Record(eve)
 	case Failed:
 		sta, act = sta.afterFailure(eve)
-	case NoEndpoint:
+	case Refused:
 		act = Release{failNotRun(http.StatusServiceUnavailable, "no_endpoint", eve.Message)}
 	case Expired:
 		return sta.afterExpiry()
@@ -199,7 +199,7 @@
 // ranWithoutClaim returns what is known about the execution of a call that does not
 // hold its claim. An earlier call may have run with a key supplied by the caller.
 func (sta State) ranWithoutClaim() invoker.Execution {
-	if sta.CallerKey {
+	if sta.KeyFromCaller {
 		return invoker.Unknown
 	}
 	return invoker.NotRun
--- a/request/claimer/claimer_test.go
+++ b/request/claimer/claimer_test.go
@@ -28,7 +28,7 @@
 	case "placed":
 		return Placed{}
 	case "no-endpoint":
-		return NoEndpoint{}
+		return Refused{}
 	case "replied":
 		return Replied{}
 	case "failed":
@@ -59,7 +59,7 @@
 	datadriven.RunTest(t, "testdata/decisions", func(t *testing.T, dat *datadriven.TestData) string {
 		var bui strings.Builder
 		var states [2]State
-		states[0].CallerKey = true
+		states[0].KeyFromCaller = true
 		for line := range strings.Lines(dat.Input) {
 			eve := parseEvent(t, line)
 			var outputs [2]string
--- a/request/claimer/key.go
+++ b/request/claimer/key.go
@@ -55,7 +55,7 @@
 		}
 	}
 	if keyTime.After(now.Add(skew)) {
-		// A host whose clock is ahead may have accepted the key.
+		// A host whose clock is ahead may have accepted the key before.
 		return Key{}, badKey("idempotency_key_from_future", "the time of the key lies in the future", invoker.Unknown)
 	}
 	key.Time = keyTime
--- a/request/executor/executor.go
+++ b/request/executor/executor.go
@@ -37,10 +37,10 @@
 	// Prefilled notifies the allocator that the first token has arrived. It is
 	// idempotent and never nil.
 	Prefilled func()
-	// Move finds an engine on which the answer can continue after the first token. It
-	// returns false if the request stays on its engine. It may be called once. A nil
-	// Move means that the request cannot move.
-	Move func(ctx context.Context) (Target, bool)
+	// FindTarget finds an engine on which the answer can continue after the first
+	// token. It returns false if no engine is available. It must be called at most
+	// once. A nil FindTarget means that the request cannot move.
+	FindTarget func(ctx context.Context) (Target, bool)
 	// Report reports to the allocator whether the endpoint served the request or failed
 	// it; nil if no report is needed.
 	Report func(healthy bool, now time.Time)
@@ -103,8 +103,8 @@
 	Tracer    trace.Tracer
 	// MaxBodyBytes bounds the body of a request.
 	MaxBodyBytes int64
-	// Retries limits the dispatches of all requests after their first one.
-	Retries budgeter.Budget
+	// RetryBudget limits the dispatches after the first dispatch of each request.
+	RetryBudget budgeter.Budget
 
 	countersOnce sync.Once
 	counterSet   counters
--- a/request/executor/generate.go
+++ b/request/executor/generate.go
@@ -86,7 +86,7 @@
 	}
 	defer done()
 	defer exe.track(gen.id)()
-	exe.Retries.Earn(exe.Clock())
+	exe.RetryBudget.Earn(exe.Clock())
 	for {
 		eve := exe.step(ctx, gen)
 		if eve == nil {
@@ -105,7 +105,7 @@
 // use it.
 func (exe *Executor) decide(gen *generation, eve attempter.Event) attempter.Action {
 	now := exe.Clock()
-	retry := exe.Retries.Take(now)
+	retry := exe.RetryBudget.Take(now)
 	sta, act := gen.state.Next(eve, retry, now)
 	gen.state = sta
 	_, refused := eve.(attempter.Refused)
@@ -117,7 +117,7 @@
 		}
 	}
 	if retry {
-		exe.Retries.Return()
+		exe.RetryBudget.Return()
 	}
 	return act
 }
--- a/request/executor/move.go
+++ b/request/executor/move.go
@@ -74,7 +74,7 @@
 	switch {
 	case gen.move != nil:
 		exe.pollMove(gen)
-	case gen.lease.Move != nil && gen.assembler.Next > 0:
+	case gen.lease.FindTarget != nil && gen.assembler.Next > 0:
 		exe.beginMove(ctx, gen)
 	}
 }
@@ -93,7 +93,7 @@
 // as abandoned.
 func (exe *Executor) beginMove(ctx context.Context, gen *generation) {
 	mov := &move{source: *gen.lease, first: gen.assembler.Next, compareReady: make(chan mover.Action, 1)}
-	gen.lease.Move = nil
+	gen.lease.FindTarget = nil
 	if len(gen.lease.Group) > 0 {
 		return
 	}
@@ -177,7 +177,7 @@
 var errNoTarget = eris.New("no engine available to continue the answer")
 
 func (exe *Executor) requestTarget(ctx context.Context, mov *move) error {
-	tar, ok := mov.source.Move(ctx)
+	tar, ok := mov.source.FindTarget(ctx)
 	if !ok {
 		return errNoTarget
 	}
--- a/request/executor/move_test.go
+++ b/request/executor/move_test.go
@@ -35,7 +35,7 @@
 			mov.done.Add(1)
 		}}, true
 	}
-	return executor.Lease{Endpoint: "source", Address: mov.source, Release: func() {}, Prefilled: func() {}, Move: offer}, nil
+	return executor.Lease{Endpoint: "source", Address: mov.source, Release: func() {}, Prefilled: func() {}, FindTarget: offer}, nil
 }
 
 // startGenerator starts an engine. It calls seen with the path of each request, and
--- a/request/executor/once.go
+++ b/request/executor/once.go
@@ -60,7 +60,7 @@
 	cal.writer.Header().Set(receiver.KeyHeader, key.Text)
 	cla := &claimedCall{
 		call: cal, executor: exe, commit: exe.claimOf(cal, key), end: make(chan claimer.Action, 1),
-		state: claimer.State{CallerKey: key.FromCaller},
+		state: claimer.State{KeyFromCaller: key.FromCaller},
 	}
 	exe.claimedCalls.Add(1)
 	go func() {
@@ -151,7 +151,7 @@
 	req.Excluded = cla.excluded()
 	lea, err := cla.executor.Allocator.Acquire(ctx, req, cla.pool)
 	if err != nil {
-		return lea, claimer.NoEndpoint{Message: err.Error()}
+		return lea, claimer.Refused{Message: err.Error()}
 	}
 	return lea, claimer.Placed{}
 }
--- a/request/executor/repeat.go
+++ b/request/executor/repeat.go
@@ -37,7 +37,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	now := exe.Clock()
-	exe.Retries.Earn(now)
+	exe.RetryBudget.Earn(now)
 	rep := &repeatableCall{call: cal, latencies: exe.latenciesOf(cal.pool.Name), startedAt: now, results: make(chan dispatchResult, hedger.MaxDispatches)}
 	var hedgeTimer <-chan time.Time
 	if delay, ok := rep.latencies.Delay(now); ok {
@@ -69,18 +69,18 @@
 	now := exe.Clock()
 	retry := false
 	switch eve.(type) {
-	case hedger.Waited:
-		retry = exe.Retries.TakeSpare(now)
+	case hedger.DelayPassed:
+		retry = exe.RetryBudget.TakeSpare(now)
 	case hedger.Failed:
-		retry = exe.Retries.Take(now)
+		retry = exe.RetryBudget.Take(now)
 	}
 	sta, act := rep.state.Next(eve, retry)
 	rep.state = sta
 	dis, ok := act.(hedger.Dispatch)
 	if retry && !ok {
-		exe.Retries.Return()
+		exe.RetryBudget.Return()
 	}
-	if _, waited := eve.(hedger.Waited); waited {
+	if _, waited := eve.(hedger.DelayPassed); waited {
 		exe.countHedge(dis, retry)
 	}
 	return act
@@ -102,10 +102,10 @@
 	lea, err := exe.Allocator.Acquire(ctx, req, rep.pool)
 	if err != nil {
 		if hedge {
-			exe.Retries.Return()
+			exe.RetryBudget.Return()
 		}
 		rep.problem = problemOf(err)
-		return hedger.Unplaced{Code: rep.problem.Code, Message: rep.problem.Message}
+		return hedger.Refused{Code: rep.problem.Code, Message: rep.problem.Message}
 	}
 	go func() {
 		defer lea.Release()
@@ -120,7 +120,7 @@
 	case res := <-rep.results:
 		return exe.resultEvent(ctx, rep, res)
 	case <-hedgeTimer:
-		return hedger.Waited{}
+		return hedger.DelayPassed{}
 	case <-ctx.Done():
 		return hedger.Expired{}
 	}
--- a/request/executor/repeat_test.go
+++ b/request/executor/repeat_test.go
@@ -120,7 +120,7 @@
 			mat := tablesOf(true)
 			var durations []time.Duration
 			for b.Loop() {
-				for spent && exe.Retries.Take(time.Now()) {
+				for spent && exe.RetryBudget.Take(time.Now()) {
 				}
 				start := time.Now()
 				callSlots(exe, mat)
--- a/request/hedger/hedger.go
+++ b/request/hedger/hedger.go
@@ -27,7 +27,7 @@
 	Ran invoker.Execution
 }
 
-// Event is a step of a call: Began, Placed, Waited, Replied, Failed, Unplaced or
+// Event is a step of a call: Began, Placed, DelayPassed, Replied, Failed, Refused or
 // Expired.
 type Event interface{ event() }
 
@@ -37,8 +37,8 @@
 // Placed reports the endpoint of the requested dispatch.
 type Placed struct{ Endpoint string }
 
-// Waited reports that the first dispatch has taken longer than the hedging delay.
-type Waited struct{}
+// DelayPassed reports that the first dispatch has taken longer than the hedging delay.
+type DelayPassed struct{}
 
 // Replied reports a complete answer.
 type Replied struct{}
@@ -46,19 +46,19 @@
 // Failed reports that a dispatch ended without a complete answer.
 type Failed struct{ Ran invoker.Execution }
 
-// Unplaced reports that no endpoint was available for a dispatch.
-type Unplaced struct{ Code, Message string }
+// Refused reports that no endpoint was available for a dispatch.
+type Refused struct{ Code, Message string }
 
 // Expired reports that the time limit has passed or the caller has disconnected.
 type Expired struct{}
 
-func (Began) event()    {}
-func (Placed) event()   {}
-func (Waited) event()   {}
-func (Replied) event()  {}
-func (Failed) event()   {}
-func (Unplaced) event() {}
-func (Expired) event()  {}
+func (Began) event()       {}
+func (Placed) event()      {}
+func (DelayPassed) event() {}
+func (Replied) event()     {}
+func (Failed) event()      {}
+func (Refused) event()     {}
+func (Expired) event()     {}
 
 // Action is what to do next: Dispatch, Wait, Deliver or Fail. Deliver and Fail end the
 // call and cancel the dispatches in flight.
@@ -94,13 +94,13 @@
 		sta.InFlight++
 		sta.Excluded = append(slices.Clip(sta.Excluded), eve.Endpoint)
 		return sta, Wait{}
-	case Waited:
+	case DelayPassed:
 		return sta.afterDelay(retry)
 	case Replied:
 		return sta, Deliver{}
 	case Failed:
 		return sta.afterFailure(eve, retry)
-	case Unplaced:
+	case Refused:
 		if sta.InFlight > 0 {
 			return sta, Wait{}
 		}
--- a/request/hedger/hedger_test.go
+++ b/request/hedger/hedger_test.go
@@ -22,8 +22,8 @@
 			line, retry := strings.CutSuffix(strings.TrimSpace(line), " +")
 			name, arg, _ := strings.Cut(line, " ")
 			eve := map[string]Event{
-				"began": Began{}, "placed": Placed{Endpoint: arg}, "waited": Waited{}, "replied": Replied{},
-				"failed": Failed{Ran: invoker.Execution(arg)}, "unplaced": Unplaced{Code: "no_endpoint"}, "expired": Expired{},
+				"began": Began{}, "placed": Placed{Endpoint: arg}, "waited": DelayPassed{}, "replied": Replied{},
+				"failed": Failed{Ran: invoker.Execution(arg)}, "unplaced": Refused{Code: "no_endpoint"}, "expired": Expired{},
 			}[name]
 			require.NotNil(t, eve, line)
 			var act Action
--- a/request/mover/mover.go
+++ b/request/mover/mover.go
@@ -32,13 +32,14 @@
 // Steps, in their order.
 const (
 	Idle Step = iota
-	Asking
+	Requesting
 	Exporting
 	Importing
 	// CatchingUp means that both engines generate.
 	CatchingUp
-	// Caught means that the target is ahead of the source.
-	Caught
+	// Comparing means that the target is ahead of the caller, and its tokens are to be
+	// compared.
+	Comparing
 	// Over means that the move has ended, whether completed or aborted.
 	Over
 )
@@ -176,11 +177,11 @@
 	case Imported:
 		return sta.afterImported(eve.Remaining)
 	case CaughtUp:
-		return sta.advance(CatchingUp, Caught, Compare{})
+		return sta.advance(CatchingUp, Comparing, Compare{})
 	case Behind:
-		return sta.advance(Caught, CatchingUp, CatchUp{})
+		return sta.advance(Comparing, CatchingUp, CatchUp{})
 	case Agreed:
-		return sta.advance(Caught, Over, Switch{Export: sta.Blocks > 0})
+		return sta.advance(Comparing, Over, Switch{Export: sta.Blocks > 0})
 	case SourceFailed:
 		return sta.afterSourceFailure()
 	case Failed, Ended:
@@ -203,15 +204,15 @@
 		sta.Step = Over
 		return sta, Nothing{}
 	}
-	return sta.advance(Idle, Asking, Ask{})
+	return sta.advance(Idle, Requesting, Ask{})
 }
 
 // afterOffered skips the transfer if the prompt is shorter than one block.
 func (sta State) afterOffered() (State, Action) {
 	if sta.Blocks == 0 {
-		return sta.advance(Asking, CatchingUp, CatchUp{})
+		return sta.advance(Requesting, CatchingUp, CatchUp{})
 	}
-	return sta.advance(Asking, Exporting, Export{})
+	return sta.advance(Requesting, Exporting, Export{})
 }
 
 func (sta State) afterImported(rem Remaining) (State, Action) {
@@ -223,7 +224,7 @@
 
 // afterSourceFailure waits for the target only if the target already has the request.
 func (sta State) afterSourceFailure() (State, Action) {
-	if sta.Step == CatchingUp || sta.Step == Caught {
+	if sta.Step == CatchingUp || sta.Step == Comparing {
 		return sta, Await{}
 	}
 	return sta.abort()
@@ -238,7 +239,7 @@
 		return sta, Nothing{}
 	}
 	return sta, Abort{
-		At: at, Target: at >= Asking, Export: at >= Exporting && sta.Blocks > 0, Dispatch: at >= CatchingUp,
+		At: at, Target: at >= Requesting, Export: at >= Exporting && sta.Blocks > 0, Dispatch: at >= CatchingUp,
 	}
 }
 
--- a/request/relayer/call.go
+++ b/request/relayer/call.go
@@ -12,8 +12,8 @@
 	"hemlockpin/process/registrar"
 )
 
-// Call holds what the headers of a call contain.
-type Call struct {
+// CallInfo holds what the headers of a call contain.
+type CallInfo struct {
 	ID string
 	// Key is the caller's key; empty if the caller sent none.
 	Key string
@@ -50,32 +50,32 @@
 	Helpers   []Helper
 }
 
-// Answer holds what the headers of an endpoint's answer contain.
-type Answer struct {
+// AnswerInfo holds what the headers of an endpoint's answer contain.
+type AnswerInfo struct {
 	// ID is the ID of the call that the answer belongs to; empty if the answer has
 	// none.
 	ID string
-	// Sealed says that the answer carries proof that the endpoint produced it.
-	Sealed bool
+	// HasProof says that the answer carries proof that the endpoint produced it.
+	HasProof bool
 	// NotRun says that the endpoint has not run the call and will not run it.
 	NotRun bool
 	// OtherEndpoint says that another endpoint now has the address.
 	OtherEndpoint bool
-	// Fault is the address of the endpoint that caused the failure; empty if it is the
-	// called endpoint.
-	Fault string
+	// FaultyEndpoint is the address of the endpoint that caused the failure; empty if
+	// that is the called endpoint.
+	FaultyEndpoint string
 }
 
 // Codec translates the headers of calls and answers.
 type Codec interface {
 	// Call parses the headers of a caller.
-	Call(hea http.Header) (Call, error)
+	Call(hea http.Header) (CallInfo, error)
 	// Dispatch changes a copy of the caller's headers into those for an endpoint.
 	Dispatch(hea http.Header, dis Dispatch)
 	// Answer parses the headers of an endpoint's answer.
-	Answer(status int, hea http.Header) Answer
-	// Refuse sets the headers of an answer of the host itself.
-	Refuse(hea http.Header, id string, retryAfter time.Duration)
+	Answer(status int, hea http.Header) AnswerInfo
+	// HostAnswer sets the headers of an answer that the host itself gives.
+	HostAnswer(hea http.Header, id string, retryAfter time.Duration)
 }
 
 // PlacementRequest is a request for an endpoint for a call.
@@ -89,14 +89,14 @@
 	MaxTokens    int64
 	AnswerTokens int64
 	Priority     int
-	// Arrived is when the caller began to wait for the next event: the arrival of the
-	// call, or the time of the last event that was forwarded.
-	Arrived time.Time
-	// Objective is the latency objective for the first event, Pause the objective for
-	// the pauses between events.
-	Objective time.Duration
-	Pause     time.Duration
-	Deadline  time.Time
+	// WaitingSince is when the caller began to wait for the next event: the arrival of
+	// the call, or the time of the last event that was forwarded.
+	WaitingSince time.Time
+	// Objective is the latency objective for the first event, PauseObjective the
+	// objective for the pauses between events.
+	Objective      time.Duration
+	PauseObjective time.Duration
+	Deadline       time.Time
 	// Excluded lists the endpoints that have failed the call.
 	Excluded []string
 	// Sends counts the earlier sends of the call.
@@ -107,14 +107,14 @@
 type Lease struct {
 	Endpoint registrar.Endpoint
 	Helpers  []Helper
-	// ExpectedFirst is the expected time to the first event; 0 if unknown.
-	ExpectedFirst time.Duration
-	// Began reports that the first event has arrived. Failed reports that the endpoint
-	// with the address failed the call; an empty address stands for the called
-	// endpoint. End reports that the call has ended there. End is idempotent.
-	Began  func()
-	Failed func(address string)
-	End    func()
+	// ExpectedFirstEvent is the expected time to the first event; 0 if unknown.
+	ExpectedFirstEvent time.Duration
+	// ReportFirstEvent reports that the first event has arrived. ReportFailure reports
+	// that the endpoint with the address failed the call; an empty address stands for
+	// the called endpoint. Release ends the lease and is idempotent.
+	ReportFirstEvent func()
+	ReportFailure    func(address string)
+	Release          func()
 }
 
 // RefusedError reports that no endpoint was available.
--- a/request/relayer/decide.go
+++ b/request/relayer/decide.go
@@ -34,7 +34,7 @@
 type Unreached struct{}
 
 // Broken says that the answer was aborted, invalid or not begun in time.
-type Broken struct{ Step string }
+type Broken struct{ Cause string }
 
 // TimedOut says that the time limit of the call has passed. Sent says whether the call
 // had been sent to an endpoint by then.
@@ -53,10 +53,10 @@
 
 // State is the history of a call. It is an immutable value.
 type State struct {
-	// Sends counts the endpoints to which the call was sent, Dials those to which no
-	// connection was made.
-	Sends int
-	Dials int
+	// Sends counts the endpoints to which the call was sent, FailedDials those to which
+	// no connection was made.
+	Sends       int
+	FailedDials int
 	// Ran says that an endpoint has run the call or may have.
 	Ran bool
 	// Events counts the events forwarded to the caller.
@@ -131,8 +131,8 @@
 		return sta, sta.abort(http.StatusBadGateway, "endpoint_refused")
 	case Unreached:
 		sta.Sends--
-		sta.Dials++
-		if sta.Dials < maxDials && lim.Left > minSendTime {
+		sta.FailedDials++
+		if sta.FailedDials < maxDials && lim.Left > minSendTime {
 			return sta, Resend{}
 		}
 		return sta, sta.abort(http.StatusBadGateway, "endpoint_unreached")
--- a/request/relayer/finish.go
+++ b/request/relayer/finish.go
@@ -71,7 +71,7 @@
 	run.log.Warn().Int("Status", rej.status).Str("Code", rej.code).Str("Message", rej.message).Dur("RetryAfterMs", rej.retryAfter).
 		Dur("AfterMs", run.Clock().Sub(run.arrived)).Msg("call answered by the host")
 	run.Scope.Tagged(map[string]string{"code": rej.code}).Counter("forward_rejections").Inc(1)
-	run.Codec.Refuse(run.wri.Header(), run.call.ID, rej.retryAfter)
+	run.Codec.HostAnswer(run.wri.Header(), run.call.ID, rej.retryAfter)
 	bod, _ := json.Marshal(struct{ Code, Message string }{rej.code, rej.message})
 	run.wri.Header().Set("Content-Type", "application/json")
 	run.wri.Header().Set("Content-Length", strconv.Itoa(len(bod)))
--- a/request/relayer/log_test.go
+++ b/request/relayer/log_test.go
@@ -19,7 +19,7 @@
 		{Answered{Status: 500}, Resend{}, `{"Outcome":"failure","Status":500,"Decision":"resend"}`},
 		{NotRun{}, Refuse{Code: "endpoint_refused"}, `{"Outcome":"not_run","Decision":"refuse","Code":"endpoint_refused"}`},
 		{Unreached{}, Resend{}, `{"Outcome":"unreached","Decision":"resend"}`},
-		{Broken{Step: "reading the answer"}, Fail{Status: 502, Code: "endpoint_failed"}, `{"Outcome":"broken","Step":"reading the answer","Decision":"fail","Code":"endpoint_failed"}`},
+		{Broken{Cause: "reading the answer"}, Fail{Status: 502, Code: "endpoint_failed"}, `{"Outcome":"broken","Step":"reading the answer","Decision":"fail","Code":"endpoint_failed"}`},
 		{TimedOut{Sent: true}, Cut{Code: "time_limit"}, `{"Outcome":"time_limit","Sent":true,"Decision":"cut","Code":"time_limit"}`},
 		{CallerDisconnected{}, Cut{Code: "caller_gone"}, `{"Outcome":"caller_gone","Decision":"cut","Code":"caller_gone"}`},
 	}
--- a/request/relayer/relayer.go
+++ b/request/relayer/relayer.go
@@ -87,7 +87,7 @@
 	*Relayer
 	wri   http.ResponseWriter
 	htr   *http.Request
-	call  Call
+	call  CallInfo
 	route parser.Route
 	pool  parser.Pool
 	team  parser.Team
@@ -282,7 +282,7 @@
 		}
 		run.state = run.state.WithSend()
 		out := run.send(ctx, lea)
-		lea.End()
+		lea.Release()
 		now := run.Clock()
 		var dec Decision
 		run.state, dec = Next(run.state, out, SendLimits{
@@ -311,7 +311,7 @@
 // dropReplacement releases the replacement if it was not used.
 func (run *run) dropReplacement() {
 	if run.replacement != nil {
-		run.replacement.End()
+		run.replacement.Release()
 		run.replacement = nil
 	}
 }
@@ -327,7 +327,7 @@
 	req := PlacementRequest{
 		ID: run.call.ID, Pool: run.pool.Name, Team: run.team.Name,
 		PromptTokens: run.call.PromptTokens, MaxTokens: run.call.MaxTokens, AnswerTokens: run.call.AnswerTokens,
-		Priority: priority, Arrived: run.waitingSince(), Objective: time.Duration(run.route.FirstTarget), Pause: time.Duration(run.route.PauseTarget),
+		Priority: priority, WaitingSince: run.waitingSince(), Objective: time.Duration(run.route.FirstTarget), PauseObjective: time.Duration(run.route.PauseTarget),
 		Deadline: run.deadline, Excluded: excluded, Sends: run.state.Sends,
 	}
 	run.mu.Unlock()
@@ -392,7 +392,7 @@
 	case Answered:
 		line.Int("Status", out.Status)
 	case Broken:
-		line.Str("Step", out.Step)
+		line.Str("Step", out.Cause)
 	case TimedOut:
 		line.Bool("Sent", out.Sent)
 	}
--- a/request/relayer/send.go
+++ b/request/relayer/send.go
@@ -104,7 +104,7 @@
 	if !run.route.Stream {
 		return min(left, answerFactor*objective)
 	}
-	return min(left, max(firstEventFactor*lea.ExpectedFirst, objectiveFactor*objective)+firstEventSlack)
+	return min(left, max(firstEventFactor*lea.ExpectedFirstEvent, objectiveFactor*objective)+firstEventSlack)
 }
 
 // pauseLimit returns how long a stream may pause after an event.
@@ -125,13 +125,13 @@
 	case unreached && errors.Is(err, errTimeLimit):
 		return TimedOut{}
 	case unreached:
-		lea.Failed("")
+		lea.ReportFailure("")
 		run.log.Warn().Str("Endpoint", lea.Endpoint.ID).Str("Peer", lea.Endpoint.Address).Err(err).Msg("connecting to the endpoint failed")
 		return Unreached{}
 	default:
-		lea.Failed("")
+		lea.ReportFailure("")
 		run.log.Warn().Str("Endpoint", lea.Endpoint.ID).Str("Peer", lea.Endpoint.Address).AnErr("Cause", context.Cause(ctx)).Err(err).Msg("send to the endpoint failed")
-		return Broken{Step: err.Error()}
+		return Broken{Cause: err.Error()}
 	}
 }
 
@@ -142,14 +142,14 @@
 	case hea.ID != "" && hea.ID != run.call.ID:
 		return run.sendFailure(ctx, lea, errors.New("answer belongs to another call"))
 	case hea.NotRun:
-		if hea.Fault != "" || ans.Status != http.StatusTooManyRequests {
-			lea.Failed(hea.Fault)
+		if hea.FaultyEndpoint != "" || ans.Status != http.StatusTooManyRequests {
+			lea.ReportFailure(hea.FaultyEndpoint)
 		}
-		run.log.Info().Str("Endpoint", lea.Endpoint.ID).Int("Status", ans.Status).Str("Fault", hea.Fault).Bool("OtherEndpoint", hea.OtherEndpoint).Msg("endpoint refused the call without running it")
+		run.log.Info().Str("Endpoint", lea.Endpoint.ID).Int("Status", ans.Status).Str("Fault", hea.FaultyEndpoint).Bool("OtherEndpoint", hea.OtherEndpoint).Msg("endpoint refused the call without running it")
 		return NotRun{}
 	case impliesNotRun(ans.Status):
 		return run.sendFailure(ctx, lea, errors.New("endpoint answered "+http.StatusText(ans.Status)+" without the header that says that the call has not run"))
-	case !hea.Sealed:
+	case !hea.HasProof:
 		return run.sendFailure(ctx, lea, errors.New("answer carries no proof that the endpoint produced it"))
 	case ans.Status == http.StatusOK && isStream(ans.Header):
 		return run.stream(ctx, lea, ans, watch)
@@ -215,8 +215,8 @@
 		buf = eve.raw
 		if first {
 			first = false
-			lea.Began()
-			run.log.Info().Str("Endpoint", lea.Endpoint.ID).Dur("AfterMs", run.Clock().Sub(run.arrived)).Dur("ExpectedMs", lea.ExpectedFirst).Msg("stream began")
+			lea.ReportFirstEvent()
+			run.log.Info().Str("Endpoint", lea.Endpoint.ID).Dur("AfterMs", run.Clock().Sub(run.arrived)).Dur("ExpectedMs", lea.ExpectedFirstEvent).Msg("stream began")
 		}
 		if !follows(eve.id, run.lastEvent) {
 			// Repeated events do not count as progress: a faulty endpoint may repeat
--- a/request/relayer/silence.go
+++ b/request/relayer/silence.go
@@ -67,7 +67,7 @@
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
 	if watch.stopped || watch.events != before {
-		lea.End()
+		lea.Release()
 		return
 	}
 	run.log.Info().Str("Endpoint", id).Str("Next", lea.Endpoint.ID).Dur("LookMs", run.Clock().Sub(now)).Msg("endpoint stalled; resending the call to another endpoint")
