--- a/request/relayer/call.go
+++ b/request/relayer/call.go
@@ -32,7 +32,8 @@
 	AnswerTokens int64
 }
 
-// Helper is an engine that prefills a part of a prompt for the engine that is called.
+// Helper is an engine that prefills a prompt or holds a part of it for the engine that
+// is called.
 type Helper struct {
 	Address string
 	// Reservation identifies the memory reserved on an engine that holds a part of the
@@ -62,7 +63,7 @@
 	// OtherEndpoint says that another endpoint now has the address.
 	OtherEndpoint bool
 	// FaultyEndpoint is the address of the endpoint that caused the failure; empty if
-	// that is the called endpoint.
+	// the called endpoint caused it.
 	FaultyEndpoint string
 }
 
--- a/request/relayer/decide.go
+++ b/request/relayer/decide.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxDials bounds the endpoints to which a call fails to connect.
+	// maxDials bounds the failed connection attempts of a call.
 	maxDials = 4
 	// minObjectiveShare is the share of the latency objective that must be left for
 	// another send. With less, another endpoint is unlikely to begin in time.
@@ -33,7 +33,8 @@
 // Unreached says that no connection to the endpoint was made.
 type Unreached struct{}
 
-// Broken says that the answer was aborted, invalid or not begun in time.
+// Broken says that the send failed: the answer was aborted, invalid, too large or
+// stalled. Cause is the text of the error.
 type Broken struct{ Cause string }
 
 // TimedOut says that the time limit of the call has passed. Sent says whether the call
@@ -53,11 +54,11 @@
 
 // State is the history of a call. It is an immutable value.
 type State struct {
-	// Sends counts the endpoints to which the call was sent, FailedDials those to which
-	// no connection was made.
+	// Sends counts the endpoints to which the call was sent, FailedDials the connection
+	// attempts that failed.
 	Sends       int
 	FailedDials int
-	// Ran says that an endpoint has run the call or may have.
+	// Ran says that an endpoint may have run the call.
 	Ran bool
 	// Events counts the events forwarded to the caller.
 	Events int
@@ -72,10 +73,9 @@
 // SendLimits limit the sends of a call.
 type SendLimits struct {
 	Route parser.Route
-	// Left is the time left.
+	// Left is the time until the deadline of the call.
 	Left time.Duration
-	// TakeRetry reports whether the retry budget allows another send, and counts that
-	// send.
+	// TakeRetry takes a retry from the budget. It returns false if none is left.
 	TakeRetry func() bool
 }
 
@@ -117,7 +117,7 @@
 		return sta, Cut{Code: "caller_gone"}
 	case TimedOut:
 		sta.Ran = sta.Ran || out.Sent
-		return sta, sta.abort(http.StatusGatewayTimeout, "time_limit")
+		return sta, sta.endIncomplete(http.StatusGatewayTimeout, "time_limit")
 	case Answered:
 		sta.Ran = true
 		if lim.Route.Repeatable && out.Status >= http.StatusInternalServerError && sta.mayResend(lim) {
@@ -128,29 +128,30 @@
 		if sta.mayResend(lim) {
 			return sta, Resend{}
 		}
-		return sta, sta.abort(http.StatusBadGateway, "endpoint_refused")
+		return sta, sta.endIncomplete(http.StatusBadGateway, "endpoint_refused")
 	case Unreached:
+		// The call was not sent, although WithSend has counted it.
 		sta.Sends--
 		sta.FailedDials++
 		if sta.FailedDials < maxDials && lim.Left > minSendTime {
 			return sta, Resend{}
 		}
-		return sta, sta.abort(http.StatusBadGateway, "endpoint_unreached")
+		return sta, sta.endIncomplete(http.StatusBadGateway, "endpoint_unreached")
 	case Broken:
 		sta.Ran = true
 		if lim.Route.Reruns() && sta.mayResend(lim) {
 			return sta, Resend{}
 		}
-		return sta, sta.abort(http.StatusBadGateway, "endpoint_failed")
+		return sta, sta.endIncomplete(http.StatusBadGateway, "endpoint_failed")
 	default:
-		return sta, sta.abort(http.StatusBadGateway, "internal")
+		return sta, sta.endIncomplete(http.StatusBadGateway, "internal")
 	}
 }
 
-// abort ends a call without a complete answer. Events already sent cannot be taken
-// back, so a begun stream is aborted. A call that may have run must not be reported as
-// refused.
-func (sta State) abort(status int, code string) Decision {
+// endIncomplete returns the decision that ends a call without a complete answer. A
+// stream that has begun is aborted, since its events cannot be undone. A call that may
+// have run must not be reported as refused.
+func (sta State) endIncomplete(status int, code string) Decision {
 	switch {
 	case sta.Events > 0:
 		return Cut{Code: code}
@@ -162,6 +163,6 @@
 }
 
 func (sta State) mayResend(lim SendLimits) bool {
-	least := max(minSendTime, time.Duration(minObjectiveShare*float64(lim.Route.FirstTarget)))
-	return sta.Sends < lim.Route.Attempts() && lim.Left >= least && lim.TakeRetry()
+	minLeft := max(minSendTime, time.Duration(minObjectiveShare*float64(lim.Route.FirstTarget)))
+	return sta.Sends < lim.Route.Attempts() && lim.Left >= minLeft && lim.TakeRetry()
 }
--- a/request/relayer/decide_test.go
+++ b/request/relayer/decide_test.go
@@ -59,6 +59,6 @@
 	case "gone":
 		return CallerDisconnected{}
 	}
-	require.Fail(t, "no outcome", name)
+	require.Fail(t, "unknown outcome", name)
 	return nil
 }
--- a/request/relayer/event.go
+++ b/request/relayer/event.go
@@ -20,8 +20,8 @@
 	id  string
 }
 
-// readEvent reads up to the blank line that ends an event, into buf. It returns io.EOF
-// between two events and io.ErrUnexpectedEOF within an event.
+// readEvent reads one event, up to its final blank line, into buf. At the end of the
+// stream it returns io.EOF, or io.ErrUnexpectedEOF within an event.
 func readEvent(rea *bufio.Reader, buf []byte) (event, error) {
 	eve := event{raw: buf[:0]}
 	for {
--- a/request/relayer/finish.go
+++ b/request/relayer/finish.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// finish ends the call as decided. Except for Deliver, Refuse and Fail, it panics with
-// http.ErrAbortHandler to abort the connection.
-func (run *run) finish(dec Decision, retryAfter time.Duration) {
-	run.Scope.Tagged(map[string]string{"route": run.route.Name, "decision": decisionLabel(dec)}).Counter("forward_calls").Inc(1)
-	run.Scope.Tagged(map[string]string{"decision": decisionLabel(dec)}).Timer("forward_seconds").Record(run.Clock().Sub(run.arrived))
+// finish ends the call as decided. For any decision but Deliver, Refuse and Fail, it
+// aborts the connection by a panic with http.ErrAbortHandler.
+func (fwd *forwarding) finish(dec Decision, retryAfter time.Duration) {
+	fwd.Scope.Tagged(map[string]string{"route": fwd.route.Name, "decision": decisionLabel(dec)}).Counter("forward_calls").Inc(1)
+	fwd.Scope.Tagged(map[string]string{"decision": decisionLabel(dec)}).Timer("forward_seconds").Record(fwd.Clock().Sub(fwd.arrived))
 	switch dec := dec.(type) {
 	case Deliver:
-		run.deliver()
+		fwd.deliver()
 	case Refuse:
-		run.writeRejection(&rejection{
+		fwd.writeError(&errorAnswer{
 			status: http.StatusServiceUnavailable, code: dec.Code, message: "the call has not run and will not",
 			retryAfter: max(retryAfter, minRetryAfter),
 		})
 	case Fail:
-		run.writeRejection(&rejection{status: dec.Status, code: dec.Code, message: "the call failed and may have run"})
+		fwd.writeError(&errorAnswer{status: dec.Status, code: dec.Code, message: "the call failed and may have run"})
 	default:
 		code := ""
 		if cut, ok := dec.(Cut); ok {
 			code = cut.Code
 		}
-		run.log.Warn().Int("Events", run.state.Events).Str("Code", code).Msg("aborting the connection in the middle of the answer")
+		fwd.log.Warn().Int("Events", fwd.state.Events).Str("Code", code).Msg("aborting the caller's connection without a complete answer")
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -48,33 +48,33 @@
 }
 
 // deliver writes a complete answer. A stream was already written as its events arrived.
-func (run *run) deliver() {
-	if run.answer.status == 0 {
+func (fwd *forwarding) deliver() {
+	if fwd.answer.status == 0 {
 		return
 	}
-	run.copyHeader(run.answer.header)
-	run.wri.Header().Set("Content-Length", strconv.Itoa(len(run.answer.body)))
-	run.wri.WriteHeader(run.answer.status)
-	_, _ = run.wri.Write(run.answer.body)
+	fwd.copyHeader(fwd.answer.header)
+	fwd.wri.Header().Set("Content-Length", strconv.Itoa(len(fwd.answer.body)))
+	fwd.wri.WriteHeader(fwd.answer.status)
+	_, _ = fwd.wri.Write(fwd.answer.body)
 }
 
-func (run *run) copyHeader(from http.Header) {
+func (fwd *forwarding) copyHeader(from http.Header) {
 	hea := from.Clone()
 	stripHopHeaders(hea)
 	for name, vals := range hea {
-		run.wri.Header()[name] = vals
+		fwd.wri.Header()[name] = vals
 	}
 }
 
-// writeRejection answers the call on behalf of the host.
-func (run *run) writeRejection(rej *rejection) {
-	run.log.Warn().Int("Status", rej.status).Str("Code", rej.code).Str("Message", rej.message).Dur("RetryAfterMs", rej.retryAfter).
-		Dur("AfterMs", run.Clock().Sub(run.arrived)).Msg("call answered by the host")
-	run.Scope.Tagged(map[string]string{"code": rej.code}).Counter("forward_rejections").Inc(1)
-	run.Codec.HostAnswer(run.wri.Header(), run.call.ID, rej.retryAfter)
-	bod, _ := json.Marshal(struct{ Code, Message string }{rej.code, rej.message})
-	run.wri.Header().Set("Content-Type", "application/json")
-	run.wri.Header().Set("Content-Length", strconv.Itoa(len(bod)))
-	run.wri.WriteHeader(rej.status)
-	_, _ = run.wri.Write(bod)
+// writeError answers the call with an error of the host itself.
+func (fwd *forwarding) writeError(ans *errorAnswer) {
+	fwd.log.Warn().Int("Status", ans.status).Str("Code", ans.code).Str("Message", ans.message).Dur("RetryAfterMs", ans.retryAfter).
+		Dur("AfterMs", fwd.Clock().Sub(fwd.arrived)).Msg("call answered by the host")
+	fwd.Scope.Tagged(map[string]string{"code": ans.code}).Counter("forward_rejections").Inc(1)
+	fwd.Codec.HostAnswer(fwd.wri.Header(), fwd.call.ID, ans.retryAfter)
+	body, _ := json.Marshal(struct{ Code, Message string }{ans.code, ans.message})
+	fwd.wri.Header().Set("Content-Type", "application/json")
+	fwd.wri.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	fwd.wri.WriteHeader(ans.status)
+	_, _ = fwd.wri.Write(body)
 }
--- a/request/relayer/log_test.go
+++ b/request/relayer/log_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDetail checks the log fields of outcomes and decisions.
-func TestDetail(t *testing.T) {
+// TestAddDecision guards against a send in the log without the reason of its decision.
+func TestAddDecision(t *testing.T) {
 	tests := []struct {
 		out  Outcome
 		dec  Decision
@@ -27,7 +27,7 @@
 		t.Run(outcomeLabel(tt.out), func(t *testing.T) {
 			var buf bytes.Buffer
 			log := zerolog.New(&buf)
-			detail(log.Log().Str("Outcome", outcomeLabel(tt.out)), tt.out, tt.dec).Send()
+			addDecision(log.Log().Str("Outcome", outcomeLabel(tt.out)), tt.out, tt.dec).Send()
 			require.JSONEq(t, tt.want, buf.String())
 		})
 	}
--- a/request/relayer/relayer.go
+++ b/request/relayer/relayer.go
@@ -26,9 +26,9 @@
 	// maxAnswerBytes bounds a non-streamed answer, which is buffered: a faulty endpoint
 	// may send data without end.
 	maxAnswerBytes = 8 << 20
-	// startupWait is how long a call waits at a host that has no tables yet. Hosts get
-	// the tables within a few hundred milliseconds of their start. After a failure of
-	// all hosts no other host could serve the call sooner.
+	// startupWait is how long a call waits at a host that has no tables yet. A host
+	// receives the tables within a few hundred milliseconds of its start. If all hosts
+	// restart at once, no other host could serve a refused call sooner.
 	startupWait = 400 * time.Millisecond
 	// staleCheckInterval is how often a waiting call checks whether the host's state
 	// has been confirmed.
@@ -43,15 +43,15 @@
 // Causes for which a send is cancelled.
 var (
 	errTimeLimit = errors.New("the time limit of the call has passed")
-	errStalled   = errors.New("the endpoint is stalled and another one is available")
+	errStalled   = errors.New("the endpoint is stalled and another endpoint is available")
 )
 
 // RetryBudget limits the resends of calls, for each pool.
 type RetryBudget interface {
 	// Earn counts a call to a pool, which earns a share of a resend.
 	Earn(pool string, now time.Time)
-	// Take reports whether a call to a pool may be sent once more, and counts the
-	// resend.
+	// Take takes a resend of a call to a pool from the budget. It returns false if none
+	// is left.
 	Take(pool string, now time.Time) bool
 }
 
@@ -82,8 +82,8 @@
 	Tracer       trace.Tracer
 }
 
-// run is the state of one call in progress.
-type run struct {
+// forwarding is the state of one call in progress.
+type forwarding struct {
 	*Relayer
 	wri   http.ResponseWriter
 	htr   *http.Request
@@ -103,7 +103,7 @@
 	excluded []string
 	log      zerolog.Logger
 	// answer is the last complete answer of an endpoint.
-	answer answer
+	answer bufferedAnswer
 	// replacement is a lease on another endpoint, obtained while the current endpoint
 	// was stalled.
 	replacement *Lease
@@ -118,8 +118,8 @@
 	lastEventAt time.Time
 }
 
-// answer is a complete answer.
-type answer struct {
+// bufferedAnswer is a complete answer of an endpoint.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -127,285 +127,287 @@
 
 // ServeHTTP forwards one call.
 func (rel *Relayer) ServeHTTP(wri http.ResponseWriter, htr *http.Request) {
-	run := &run{Relayer: rel, wri: wri, htr: htr, arrived: rel.Clock()}
-	run.suspendedBefore = run.suspendedSince(run.arrived)
+	fwd := &forwarding{Relayer: rel, wri: wri, htr: htr, arrived: rel.Clock()}
+	fwd.suspendedBefore = fwd.suspendedSince(fwd.arrived)
 	ctx, spa := rel.Tracer.Start(htr.Context(), "forward", trace.WithSpanKind(trace.SpanKindServer))
 	defer spa.End()
 	if rel.Draining() {
 		wri.Header().Set("Connection", "close")
 	}
-	if rej := run.accept(); rej != nil {
-		run.writeRejection(rej)
+	if ans := fwd.accept(); ans != nil {
+		fwd.writeError(ans)
 		return
 	}
-	spa.SetAttributes(attribute.String("RequestID", run.call.ID), attribute.String("Route", run.route.Name))
-	run.serve(ctx)
+	spa.SetAttributes(attribute.String("RequestID", fwd.call.ID), attribute.String("Route", fwd.route.Name))
+	fwd.serve(ctx)
 }
 
-// rejection is an answer of the host itself to a call.
-type rejection struct {
+// errorAnswer is an error with which the host itself answers a call.
+type errorAnswer struct {
 	status     int
 	code       string
 	message    string
 	retryAfter time.Duration
 }
 
-// accept reads the call, finds its route and checks its key. It returns a rejection if
-// the call cannot be forwarded.
-func (run *run) accept() *rejection {
+// accept reads the call, finds its route and checks its key. It returns an error if the
+// call cannot be forwarded.
+func (fwd *forwarding) accept() *errorAnswer {
 	var err error
-	if run.call, err = run.Codec.Call(run.htr.Header); err != nil {
-		return &rejection{status: http.StatusBadRequest, code: "bad_header", message: err.Error()}
+	if fwd.call, err = fwd.Codec.Call(fwd.htr.Header); err != nil {
+		return &errorAnswer{status: http.StatusBadRequest, code: "bad_header", message: err.Error()}
 	}
-	run.log = run.Log.With().Str("RequestID", run.call.ID).Logger()
-	run.awaitTables()
-	run.awaitConfirmed()
-	mat := run.Tables()
+	fwd.log = fwd.Log.With().Str("RequestID", fwd.call.ID).Logger()
+	fwd.awaitTables()
+	fwd.awaitConfirmed()
+	mat := fwd.Tables()
 	if mat.Revision() == 0 {
-		return &rejection{status: http.StatusServiceUnavailable, code: "host_starting", message: "the host has no tables yet", retryAfter: startRetryAfter}
+		return &errorAnswer{status: http.StatusServiceUnavailable, code: "host_starting", message: "the host has no tables yet", retryAfter: startRetryAfter}
 	}
-	rou, _, ok := mat.Route(matcher.Query{Kind: parser.PoolService, Host: run.htr.Host, Path: run.htr.URL.Path})
+	rou, _, ok := mat.Route(matcher.Query{Kind: parser.PoolService, Host: fwd.htr.Host, Path: fwd.htr.URL.Path})
 	if !ok {
-		return &rejection{status: http.StatusNotFound, code: "route_not_found", message: "no route takes this call"}
+		return &errorAnswer{status: http.StatusNotFound, code: "route_not_found", message: "no route takes this call"}
 	}
-	run.route = rou
-	if rej := run.authorize(mat); rej != nil {
-		return rej
+	fwd.route = rou
+	if ans := fwd.authorize(mat); ans != nil {
+		return ans
 	}
-	run.pool, ok = mat.Pool(rou.PoolFor(xxhash.Sum64String(run.call.ID)))
+	fwd.pool, ok = mat.Pool(rou.PoolFor(xxhash.Sum64String(fwd.call.ID)))
 	if !ok {
-		return &rejection{status: http.StatusServiceUnavailable, code: "no_pool", message: "the route's pool is not known", retryAfter: startRetryAfter}
+		return &errorAnswer{status: http.StatusServiceUnavailable, code: "no_pool", message: "the route's pool is not known", retryAfter: startRetryAfter}
 	}
-	if rej := run.readBody(mat.Tables().Caller); rej != nil {
-		return rej
+	if ans := fwd.readBody(mat.Tables().Caller); ans != nil {
+		return ans
 	}
 	timeout := defaultTimeLimit
-	if run.call.TimeLeft > 0 {
-		timeout = run.call.TimeLeft
+	if fwd.call.TimeLeft > 0 {
+		timeout = fwd.call.TimeLeft
 	}
-	run.deadline = run.arrived.Add(min(timeout, time.Duration(rou.TimeLimit)))
-	run.lastEvent = run.call.LastEvent
-	run.log.Info().Str("Route", rou.Name).Str("Pool", run.pool.Name).Str("Team", run.team.Name).Uint64("TablesRevision", mat.Revision()).
-		Int64("PromptTokens", run.call.PromptTokens).Dur("LeftMs", run.deadline.Sub(run.arrived)).Msg("call accepted")
+	fwd.deadline = fwd.arrived.Add(min(timeout, time.Duration(rou.TimeLimit)))
+	fwd.lastEvent = fwd.call.LastEvent
+	fwd.log.Info().Str("Route", rou.Name).Str("Pool", fwd.pool.Name).Str("Team", fwd.team.Name).Uint64("TablesRevision", mat.Revision()).
+		Int64("PromptTokens", fwd.call.PromptTokens).Dur("LeftMs", fwd.deadline.Sub(fwd.arrived)).Msg("call accepted")
 	return nil
 }
 
 // awaitTables waits up to startupWait for the tables of a starting host.
-func (run *run) awaitTables() {
-	if run.Ready == nil {
+func (fwd *forwarding) awaitTables() {
+	if fwd.Ready == nil {
 		return
 	}
 	select {
-	case <-run.Ready:
+	case <-fwd.Ready:
 		return
 	default:
 	}
 	timer := time.NewTimer(startupWait)
 	defer timer.Stop()
 	select {
-	case <-run.Ready:
-		run.log.Info().Dur("HeldMs", run.Clock().Sub(run.arrived)).Msg("call waited for the tables of the starting host")
+	case <-fwd.Ready:
+		fwd.log.Info().Dur("HeldMs", fwd.Clock().Sub(fwd.arrived)).Msg("call was held until the starting host received its tables; continuing")
 	case <-timer.C:
-	case <-run.htr.Context().Done():
+	case <-fwd.htr.Context().Done():
 	}
 }
 
 // awaitConfirmed waits up to startupWait until a host that was suspended has confirmed
 // its tables and endpoints. After that time the call is served with the old state, so
 // that an outage of the store does not stop calls.
-func (run *run) awaitConfirmed() {
-	if run.Stale == nil || !run.Stale(run.arrived) {
+func (fwd *forwarding) awaitConfirmed() {
+	if fwd.Stale == nil || !fwd.Stale(fwd.arrived) {
 		return
 	}
 	ticker := time.NewTicker(staleCheckInterval)
 	defer ticker.Stop()
-	for now := run.arrived; now.Sub(run.arrived) < startupWait && run.Stale(now); now = run.Clock() {
+	for now := fwd.arrived; now.Sub(fwd.arrived) < startupWait && fwd.Stale(now); now = fwd.Clock() {
 		select {
 		case <-ticker.C:
-		case <-run.htr.Context().Done():
+		case <-fwd.htr.Context().Done():
 			return
 		}
 	}
-	run.log.Info().Dur("HeldMs", run.Clock().Sub(run.arrived)).Bool("Stale", run.Stale(run.Clock())).Msg("call waited for the host to confirm its state after a suspension")
+	fwd.log.Info().Dur("HeldMs", fwd.Clock().Sub(fwd.arrived)).Bool("Stale", fwd.Stale(fwd.Clock())).Msg("call was held after a suspension of the host; continuing with its present state")
 }
 
 // suspendedSince returns the time for which the host was suspended since the call
-// arrived.
-func (run *run) suspendedSince(now time.Time) time.Duration {
-	if run.SuspendedFor == nil {
+// arrived. ServeHTTP calls it before suspendedBefore is set, to get the total.
+func (fwd *forwarding) suspendedSince(now time.Time) time.Duration {
+	if fwd.SuspendedFor == nil {
 		return 0
 	}
-	return run.SuspendedFor(now) - run.suspendedBefore
+	return fwd.SuspendedFor(now) - fwd.suspendedBefore
 }
 
-func (run *run) authorize(mat *matcher.Matcher) *rejection {
-	if run.route.Public || len(mat.Tables().Teams) == 0 {
+func (fwd *forwarding) authorize(mat *matcher.Matcher) *errorAnswer {
+	if fwd.route.Public || len(mat.Tables().Teams) == 0 {
 		return nil
 	}
-	tea, ok := mat.Team(run.call.Key)
-	if run.call.Key == "" || !ok {
-		return &rejection{status: http.StatusUnauthorized, code: "invalid_api_key", message: "the key belongs to no team"}
+	tea, ok := mat.Team(fwd.call.Key)
+	if fwd.call.Key == "" || !ok {
+		return &errorAnswer{status: http.StatusUnauthorized, code: "invalid_api_key", message: "the key belongs to no team"}
 	}
-	run.team = tea
+	fwd.team = tea
 	return nil
 }
 
-func (run *run) readBody(lim parser.Limits) *rejection {
-	maxBytes := run.MaxBodyBytes
+func (fwd *forwarding) readBody(lim parser.Limits) *errorAnswer {
+	maxBytes := fwd.MaxBodyBytes
 	if lim.MaxBodyBytes > 0 {
 		maxBytes = lim.MaxBodyBytes
 	}
-	bod := receiver.NewBody(run.htr.Body, run.Bodies, run.htr.ContentLength, maxBytes)
+	bod := receiver.NewBody(fwd.htr.Body, fwd.Bodies, fwd.htr.ContentLength, maxBytes)
 	defer bod.Release()
 	var err error
-	if run.body, err = receiver.ReadBody(bod, maxBytes); err == nil {
+	if fwd.body, err = receiver.ReadBody(bod, maxBytes); err == nil {
 		return nil
 	}
 	var badReq *receiver.BadRequestError
 	if errors.As(err, &badReq) {
-		return &rejection{status: badReq.Status, code: badReq.Code, message: badReq.Message, retryAfter: badReq.RetryAfter}
+		return &errorAnswer{status: badReq.Status, code: badReq.Code, message: badReq.Message, retryAfter: badReq.RetryAfter}
 	}
-	return &rejection{status: http.StatusBadRequest, code: "body_incomplete", message: err.Error()}
+	return &errorAnswer{status: http.StatusBadRequest, code: "body_incomplete", message: err.Error()}
 }
 
 // serve sends the call to one endpoint after another until Next decides on an answer.
-func (run *run) serve(ctx context.Context) {
-	run.RetryBudget.Earn(run.pool.Name, run.arrived)
-	defer run.releaseAnswer()
-	ctx, stop := context.WithDeadlineCause(ctx, run.deadline, errTimeLimit)
+func (fwd *forwarding) serve(ctx context.Context) {
+	fwd.RetryBudget.Earn(fwd.pool.Name, fwd.arrived)
+	defer fwd.releaseAnswer()
+	ctx, stop := context.WithDeadlineCause(ctx, fwd.deadline, errTimeLimit)
 	defer stop()
 	for {
-		lea, err := run.nextLease(ctx)
+		lea, err := fwd.nextLease(ctx)
 		if err != nil {
-			run.finishUnplaced(ctx, err)
+			fwd.finishUnplaced(ctx, err)
 			return
 		}
-		run.state = run.state.WithSend()
-		out := run.send(ctx, lea)
+		fwd.state = fwd.state.WithSend()
+		out := fwd.send(ctx, lea)
 		lea.Release()
-		now := run.Clock()
+		now := fwd.Clock()
 		var dec Decision
-		run.state, dec = Next(run.state, out, SendLimits{
-			Route: run.route, Left: run.deadline.Sub(now), TakeRetry: func() bool { return run.replacement != nil || run.RetryBudget.Take(run.pool.Name, now) },
+		// The retry for a replacement was taken before its placement.
+		fwd.state, dec = Next(fwd.state, out, SendLimits{
+			Route: fwd.route, Left: fwd.deadline.Sub(now), TakeRetry: func() bool { return fwd.replacement != nil || fwd.RetryBudget.Take(fwd.pool.Name, now) },
 		})
-		run.logSend(lea, out, dec, now)
+		fwd.logSend(lea, out, dec, now)
 		if _, again := dec.(Resend); !again {
-			run.dropReplacement()
-			run.finish(dec, 0)
+			fwd.dropReplacement()
+			fwd.finish(dec, 0)
 			return
 		}
-		run.excluded = append(run.excluded, lea.Endpoint.ID)
+		fwd.excluded = append(fwd.excluded, lea.Endpoint.ID)
 	}
 }
 
 // nextLease returns the replacement found while the last endpoint was stalled, or else
 // requests an endpoint.
-func (run *run) nextLease(ctx context.Context) (Lease, error) {
-	if lea := run.replacement; lea != nil {
-		run.replacement = nil
+func (fwd *forwarding) nextLease(ctx context.Context) (Lease, error) {
+	if lea := fwd.replacement; lea != nil {
+		fwd.replacement = nil
 		return *lea, nil
 	}
-	return run.place(ctx, run.excluded)
+	return fwd.place(ctx, fwd.excluded)
 }
 
 // dropReplacement releases the replacement if it was not used.
-func (run *run) dropReplacement() {
-	if run.replacement != nil {
-		run.replacement.Release()
-		run.replacement = nil
+func (fwd *forwarding) dropReplacement() {
+	if fwd.replacement != nil {
+		fwd.replacement.Release()
+		fwd.replacement = nil
 	}
 }
 
-func (run *run) place(ctx context.Context, excluded []string) (Lease, error) {
-	ctx, spa := run.Tracer.Start(ctx, "placement")
+func (fwd *forwarding) place(ctx context.Context, excluded []string) (Lease, error) {
+	ctx, spa := fwd.Tracer.Start(ctx, "placement")
 	defer spa.End()
-	priority := run.route.Priority
-	if run.team.Priority != nil {
-		priority = *run.team.Priority
+	priority := fwd.route.Priority
+	if fwd.team.Priority != nil {
+		priority = *fwd.team.Priority
 	}
-	run.mu.Lock()
+	fwd.mu.Lock()
 	req := PlacementRequest{
-		ID: run.call.ID, Pool: run.pool.Name, Team: run.team.Name,
-		PromptTokens: run.call.PromptTokens, MaxTokens: run.call.MaxTokens, AnswerTokens: run.call.AnswerTokens,
-		Priority: priority, WaitingSince: run.waitingSince(), Objective: time.Duration(run.route.FirstTarget), PauseObjective: time.Duration(run.route.PauseTarget),
-		Deadline: run.deadline, Excluded: excluded, Sends: run.state.Sends,
+		ID: fwd.call.ID, Pool: fwd.pool.Name, Team: fwd.team.Name,
+		PromptTokens: fwd.call.PromptTokens, MaxTokens: fwd.call.MaxTokens, AnswerTokens: fwd.call.AnswerTokens,
+		Priority: priority, WaitingSince: fwd.waitingSince(), Objective: time.Duration(fwd.route.FirstTarget), PauseObjective: time.Duration(fwd.route.PauseTarget),
+		Deadline: fwd.deadline, Excluded: excluded, Sends: fwd.state.Sends,
 	}
-	run.mu.Unlock()
-	return run.Placer.Place(ctx, req)
+	fwd.mu.Unlock()
+	return fwd.Placer.Place(ctx, req)
 }
 
 // waitingSince returns the time from which the caller waits for the next event. For a
 // stream that continues on another endpoint, the objective and the caller's timeout
 // count from the last event.
-func (run *run) waitingSince() time.Time {
-	if run.state.Events > 0 {
-		return run.lastEventAt
+func (fwd *forwarding) waitingSince() time.Time {
+	if fwd.state.Events > 0 {
+		return fwd.lastEventAt
 	}
-	return run.arrived
+	return fwd.arrived
 }
 
-// finishUnplaced ends a call for which no endpoint was available.
-func (run *run) finishUnplaced(ctx context.Context, err error) {
+// finishUnplaced ends a call for which no endpoint was available, or whose time limit
+// passed or caller disconnected during placement.
+func (fwd *forwarding) finishUnplaced(ctx context.Context, err error) {
 	if ctx.Err() != nil {
-		_, dec := Next(run.state, run.endOutcome(ctx, false), SendLimits{Route: run.route})
-		run.finish(dec, 0)
+		_, dec := Next(fwd.state, fwd.endOutcome(ctx, false), SendLimits{Route: fwd.route})
+		fwd.finish(dec, 0)
 		return
 	}
 	var refused *RefusedError
 	if !errors.As(err, &refused) {
 		refused = &RefusedError{Code: "placement_failed", Message: err.Error()}
 	}
-	run.log.Warn().Str("Code", refused.Code).Str("Message", refused.Message).Dur("RetryAfterMs", refused.RetryAfter).Int("Sends", run.state.Sends).Msg("no endpoint available for the call")
-	if run.answer.status != 0 {
+	fwd.log.Warn().Str("Code", refused.Code).Str("Message", refused.Message).Dur("RetryAfterMs", refused.RetryAfter).Int("Sends", fwd.state.Sends).Msg("no endpoint available for the call; ending the call")
+	if fwd.answer.status != 0 {
 		// Another endpoint has answered with a failure before; the caller gets that
 		// answer rather than an error of the host.
-		run.finish(Deliver{}, 0)
+		fwd.finish(Deliver{}, 0)
 		return
 	}
-	run.finish(run.state.abort(http.StatusBadGateway, refused.Code), refused.RetryAfter)
+	fwd.finish(fwd.state.endIncomplete(http.StatusBadGateway, refused.Code), refused.RetryAfter)
 }
 
 // endOutcome returns the outcome of a call whose context has ended.
-func (run *run) endOutcome(ctx context.Context, sent bool) Outcome {
+func (fwd *forwarding) endOutcome(ctx context.Context, sent bool) Outcome {
 	if errors.Is(context.Cause(ctx), errTimeLimit) {
 		return TimedOut{Sent: sent}
 	}
 	return CallerDisconnected{}
 }
 
-func (run *run) logSend(lea Lease, out Outcome, dec Decision, now time.Time) {
-	line := run.log.Info()
+func (fwd *forwarding) logSend(lea Lease, out Outcome, dec Decision, now time.Time) {
+	entry := fwd.log.Info()
 	switch out.(type) {
 	case Whole:
 	default:
-		line = run.log.Warn()
+		entry = fwd.log.Warn()
 	}
-	detail(line.Str("Endpoint", lea.Endpoint.ID).Uint64("EndpointRevision", lea.Endpoint.Revision).Str("Outcome", outcomeLabel(out)), out, dec).
-		Int("Sends", run.state.Sends).Int("Events", run.state.Events).Dur("AfterMs", now.Sub(run.arrived)).Msg("send ended")
-	run.Scope.Tagged(map[string]string{"route": run.route.Name, "outcome": outcomeLabel(out)}).Counter("forward_sends").Inc(1)
+	addDecision(entry.Str("Endpoint", lea.Endpoint.ID).Uint64("EndpointRevision", lea.Endpoint.Revision).Str("Outcome", outcomeLabel(out)), out, dec).
+		Int("Sends", fwd.state.Sends).Int("Events", fwd.state.Events).Dur("AfterMs", now.Sub(fwd.arrived)).Msg("send ended")
+	fwd.Scope.Tagged(map[string]string{"route": fwd.route.Name, "outcome": outcomeLabel(out)}).Counter("forward_sends").Inc(1)
 }
 
-// detail adds the decision on an outcome, and the fields that explain it, to a log
+// addDecision adds the decision on an outcome, and the fields that explain it, to a log
 // event.
-func detail(line *zerolog.Event, out Outcome, dec Decision) *zerolog.Event {
+func addDecision(entry *zerolog.Event, out Outcome, dec Decision) *zerolog.Event {
 	switch out := out.(type) {
 	case Answered:
-		line.Int("Status", out.Status)
+		entry.Int("Status", out.Status)
 	case Broken:
-		line.Str("Step", out.Cause)
+		entry.Str("Step", out.Cause)
 	case TimedOut:
-		line.Bool("Sent", out.Sent)
+		entry.Bool("Sent", out.Sent)
 	}
-	line.Str("Decision", decisionLabel(dec))
+	entry.Str("Decision", decisionLabel(dec))
 	switch dec := dec.(type) {
 	case Refuse:
-		line.Str("Code", dec.Code)
+		entry.Str("Code", dec.Code)
 	case Fail:
-		line.Str("Code", dec.Code)
+		entry.Str("Code", dec.Code)
 	case Cut:
-		line.Str("Code", dec.Code)
+		entry.Str("Code", dec.Code)
 	}
-	return line
+	return entry
 }
 
 // outcomeLabel returns the label of an outcome in logs and metrics.
--- a/request/relayer/send.go
+++ b/request/relayer/send.go
@@ -13,28 +13,32 @@
 )
 
 const (
-	// firstEventFactor is how many times the expected time to the first event the
-	// endpoint may take before the call is sent to another one.
+	// firstEventFactor times the expected time to the first event is the limit after
+	// which another endpoint is sought for a stream.
 	firstEventFactor = 3
-	// objectiveFactor and firstEventSlack set the minimum of that limit: under load a
-	// pass of an engine takes some hundred milliseconds.
+	// objectiveFactor times the objective is the minimum of that limit. firstEventSlack
+	// is always added, since one forward pass of a loaded engine takes a few hundred
+	// milliseconds.
 	objectiveFactor = 2
 	firstEventSlack = 600 * time.Millisecond
-	// pauseFactor is how many times the objective for pauses a stream may stall.
-	// Callers give up after eight times the objective. Shorter limits would also hit
-	// endpoints that prefill a long prompt and send nothing meanwhile.
+	// pauseFactor times the objective for pauses is the longest pause of a stream that
+	// does not count as a stall. Callers give up after eight times the objective. With
+	// a shorter limit, endpoints that prefill a long prompt and send nothing meanwhile
+	// would count as stalled.
 	pauseFactor = 6
 	// minPauseLimit is the shortest pause that counts as a stall. Callers wait for at
-	// least two seconds, and another engine needs some hundred milliseconds to begin.
+	// least two seconds, and another engine needs a few hundred milliseconds to send
+	// its first event.
 	minPauseLimit = 1500 * time.Millisecond
-	// answerFactor is how many times the objective a non-streamed answer may take
-	// before the call is sent to another endpoint.
+	// answerFactor times the objective is the limit after which another endpoint is
+	// sought for a non-streamed answer.
 	answerFactor = 2
 	// replacementInterval is the time between two searches for a replacement of a
 	// stalled endpoint.
 	replacementInterval = 300 * time.Millisecond
-	// maxRepeatedEvents bounds the events that an endpoint may repeat to a caller that
-	// resumes a stream. Streams have some dozens of events.
+	// maxRepeatedEvents bounds the already delivered events that an endpoint may send
+	// again when a stream resumes; the host drops them. Streams have a few dozen
+	// events.
 	maxRepeatedEvents = 1024
 )
 
@@ -57,105 +61,109 @@
 }
 
 // send sends the call to one endpoint and forwards the events of a stream.
-func (run *run) send(ctx context.Context, lea Lease) Outcome {
-	ctx, spa := run.Tracer.Start(ctx, "dispatch")
+func (fwd *forwarding) send(ctx context.Context, lea Lease) Outcome {
+	ctx, spa := fwd.Tracer.Start(ctx, "dispatch")
 	defer spa.End()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := run.watchStall(ctx, lea, cancel)
+	watch := fwd.watchStall(ctx, lea, cancel)
 	defer watch.stop()
-	ans, err := run.Exchanger.Exchange(ctx, lea.Endpoint.Address, exchanger.Request{
-		Method: run.htr.Method, Target: run.htr.RequestURI, Host: run.htr.Host, Body: run.body,
-		Header: func() (http.Header, error) { return run.header(lea) },
+	ans, err := fwd.Exchanger.Exchange(ctx, lea.Endpoint.Address, exchanger.Request{
+		Method: fwd.htr.Method, Target: fwd.htr.RequestURI, Host: fwd.htr.Host, Body: fwd.body,
+		Header: func() (http.Header, error) { return fwd.header(lea) },
 	})
 	if err != nil {
-		return run.sendFailure(ctx, lea, err)
+		return fwd.sendFailure(ctx, lea, err)
 	}
 	defer ans.Close()
-	return run.readAnswer(ctx, lea, ans, watch)
+	return fwd.readAnswer(ctx, lea, ans, watch)
 }
 
 // header returns the headers of a send. It runs once the connection is established, and
 // fails if the time limit has passed, for example because the host was suspended
 // meanwhile.
-func (run *run) header(lea Lease) (http.Header, error) {
-	now := run.Clock()
-	left := run.deadline.Sub(now) - run.suspendedSince(now)
+func (fwd *forwarding) header(lea Lease) (http.Header, error) {
+	now := fwd.Clock()
+	left := fwd.deadline.Sub(now) - fwd.suspendedSince(now)
 	if left <= 0 {
 		return nil, errTimeLimit
 	}
-	hea := run.htr.Header.Clone()
+	hea := fwd.htr.Header.Clone()
 	stripHopHeaders(hea)
-	run.Codec.Dispatch(hea, Dispatch{
-		Endpoint: lea.Endpoint.ID, Team: run.team.Name, TimeLeft: left, LastEvent: run.lastEvent, Helpers: lea.Helpers,
+	fwd.Codec.Dispatch(hea, Dispatch{
+		Endpoint: lea.Endpoint.ID, Team: fwd.team.Name, TimeLeft: left, LastEvent: fwd.lastEvent, Helpers: lea.Helpers,
 	})
 	hea.Set("Connection", "close")
 	return hea, nil
 }
 
-// firstEventLimit returns how long the endpoint may take until the first byte of its
-// answer. Calls that cannot be sent again wait until their own time limit.
-func (run *run) firstEventLimit(lea Lease, now time.Time) time.Duration {
-	left := run.deadline.Sub(now) + time.Second
-	objective := time.Duration(run.route.FirstTarget)
-	if !run.route.Reruns() || run.state.Sends >= run.route.Attempts() || objective <= 0 {
-		return left
+// stallLimit returns how long the endpoint may take until the first event of a stream
+// or the complete non-streamed answer. For a call that cannot be sent again, the limit
+// lies after the call's deadline.
+func (fwd *forwarding) stallLimit(lea Lease, now time.Time) time.Duration {
+	// The deadline ends the send first.
+	pastDeadline := fwd.deadline.Sub(now) + time.Second
+	objective := time.Duration(fwd.route.FirstTarget)
+	if !fwd.route.Reruns() || fwd.state.Sends >= fwd.route.Attempts() || objective <= 0 {
+		return pastDeadline
 	}
-	if !run.route.Stream {
-		return min(left, answerFactor*objective)
+	if !fwd.route.Stream {
+		return min(pastDeadline, answerFactor*objective)
 	}
-	return min(left, max(firstEventFactor*lea.ExpectedFirstEvent, objectiveFactor*objective)+firstEventSlack)
+	return min(pastDeadline, max(firstEventFactor*lea.ExpectedFirstEvent, objectiveFactor*objective)+firstEventSlack)
 }
 
-// pauseLimit returns how long a stream may pause after an event.
-func (run *run) pauseLimit() time.Duration {
-	if !run.route.Resumable || run.state.Sends >= run.route.Attempts() {
+// pauseLimit returns how long a stream may pause after an event. A stream that cannot
+// be resumed is in effect limited only by the call's deadline.
+func (fwd *forwarding) pauseLimit() time.Duration {
+	if !fwd.route.Resumable || fwd.state.Sends >= fwd.route.Attempts() {
 		return time.Hour
 	}
-	return max(minPauseLimit, pauseFactor*time.Duration(run.route.PauseTarget))
+	return max(minPauseLimit, pauseFactor*time.Duration(fwd.route.PauseTarget))
 }
 
 // sendFailure turns an error of a send into an outcome.
-func (run *run) sendFailure(ctx context.Context, lea Lease, err error) Outcome {
+func (fwd *forwarding) sendFailure(ctx context.Context, lea Lease, err error) Outcome {
 	var dialErr *exchanger.DialError
 	unreached := errors.As(err, &dialErr)
 	switch {
 	case ctx.Err() != nil && !errors.Is(context.Cause(ctx), errStalled):
-		return run.endOutcome(ctx, !unreached)
+		return fwd.endOutcome(ctx, !unreached)
 	case unreached && errors.Is(err, errTimeLimit):
 		return TimedOut{}
 	case unreached:
 		lea.ReportFailure("")
-		run.log.Warn().Str("Endpoint", lea.Endpoint.ID).Str("Peer", lea.Endpoint.Address).Err(err).Msg("connecting to the endpoint failed")
+		fwd.log.Warn().Str("Endpoint", lea.Endpoint.ID).Str("Peer", lea.Endpoint.Address).Err(err).Msg("connecting to the endpoint failed")
 		return Unreached{}
 	default:
 		lea.ReportFailure("")
-		run.log.Warn().Str("Endpoint", lea.Endpoint.ID).Str("Peer", lea.Endpoint.Address).AnErr("Cause", context.Cause(ctx)).Err(err).Msg("send to the endpoint failed")
+		fwd.log.Warn().Str("Endpoint", lea.Endpoint.ID).Str("Peer", lea.Endpoint.Address).AnErr("Cause", context.Cause(ctx)).Err(err).Msg("endpoint failed the call")
 		return Broken{Cause: err.Error()}
 	}
 }
 
-// readAnswer reads the answer of an endpoint.
-func (run *run) readAnswer(ctx context.Context, lea Lease, ans *exchanger.Answer, watch *stallWatch) Outcome {
-	hea := run.Codec.Answer(ans.Status, ans.Header)
+// readAnswer checks the headers of an endpoint's answer, and forwards the stream or
+// buffers the complete answer.
+func (fwd *forwarding) readAnswer(ctx context.Context, lea Lease, ans *exchanger.Answer, watch *stallWatch) Outcome {
+	info := fwd.Codec.Answer(ans.Status, ans.Header)
 	switch {
-	case hea.ID != "" && hea.ID != run.call.ID:
-		return run.sendFailure(ctx, lea, errors.New("answer belongs to another call"))
-	case hea.NotRun:
-		if hea.FaultyEndpoint != "" || ans.Status != http.StatusTooManyRequests {
-			lea.ReportFailure(hea.FaultyEndpoint)
+	case info.ID != "" && info.ID != fwd.call.ID:
+		return fwd.sendFailure(ctx, lea, errors.New("answer belongs to another call"))
+	case info.NotRun:
+		if info.FaultyEndpoint != "" || ans.Status != http.StatusTooManyRequests {
+			lea.ReportFailure(info.FaultyEndpoint)
 		}
-		run.log.Info().Str("Endpoint", lea.Endpoint.ID).Int("Status", ans.Status).Str("Fault", hea.FaultyEndpoint).Bool("OtherEndpoint", hea.OtherEndpoint).Msg("endpoint refused the call without running it")
+		fwd.log.Info().Str("Endpoint", lea.Endpoint.ID).Int("Status", ans.Status).Str("Fault", info.FaultyEndpoint).Bool("OtherEndpoint", info.OtherEndpoint).Msg("endpoint refused the call without running it")
 		return NotRun{}
 	case impliesNotRun(ans.Status):
-		return run.sendFailure(ctx, lea, errors.New("endpoint answered "+http.StatusText(ans.Status)+" without the header that says that the call has not run"))
-	case !hea.HasProof:
-		return run.sendFailure(ctx, lea, errors.New("answer carries no proof that the endpoint produced it"))
+		return fwd.sendFailure(ctx, lea, errors.New("endpoint answered "+http.StatusText(ans.Status)+" without the header that says that the call has not run"))
+	case !info.HasProof:
+		return fwd.sendFailure(ctx, lea, errors.New("answer carries no proof that the endpoint produced it"))
 	case ans.Status == http.StatusOK && isStream(ans.Header):
-		return run.stream(ctx, lea, ans, watch)
+		return fwd.stream(ctx, lea, ans, watch)
 	}
-	if err := run.keepAnswer(ans); err != nil {
-		return run.sendFailure(ctx, lea, err)
+	if err := fwd.bufferAnswer(ans); err != nil {
+		return fwd.sendFailure(ctx, lea, err)
 	}
 	if ans.Status >= http.StatusInternalServerError {
 		return Answered{Status: ans.Status}
@@ -163,23 +171,23 @@
 	return Whole{}
 }
 
-// keepAnswer reads an answer completely, within the memory budget for bodies.
-func (run *run) keepAnswer(ans *exchanger.Answer) error {
-	bod := receiver.NewBody(io.NopCloser(ans.Body), run.Bodies, ans.Length, maxAnswerBytes)
+// bufferAnswer reads an answer completely, within the memory budget for bodies.
+func (fwd *forwarding) bufferAnswer(ans *exchanger.Answer) error {
+	bod := receiver.NewBody(io.NopCloser(ans.Body), fwd.Bodies, ans.Length, maxAnswerBytes)
 	buf, err := receiver.ReadBody(bod, maxAnswerBytes)
 	if err != nil {
 		bod.Release()
 		return err
 	}
-	run.releaseAnswer()
-	run.answer, run.answerBody = answer{ans.Status, ans.Header, buf}, bod
+	fwd.releaseAnswer()
+	fwd.answer, fwd.answerBody = bufferedAnswer{ans.Status, ans.Header, buf}, bod
 	return nil
 }
 
-func (run *run) releaseAnswer() {
-	if run.answerBody != nil {
-		run.answerBody.Release()
-		run.answerBody = nil
+func (fwd *forwarding) releaseAnswer() {
+	if fwd.answerBody != nil {
+		fwd.answerBody.Release()
+		fwd.answerBody = nil
 	}
 }
 
@@ -199,62 +207,62 @@
 }
 
 // stream forwards the events of a stream as they arrive.
-func (run *run) stream(ctx context.Context, lea Lease, ans *exchanger.Answer, watch *stallWatch) Outcome {
+func (fwd *forwarding) stream(ctx context.Context, lea Lease, ans *exchanger.Answer, watch *stallWatch) Outcome {
 	var buf []byte
-	ctl := http.NewResponseController(run.wri)
+	ctl := http.NewResponseController(fwd.wri)
 	first, repeated := true, 0
 	for {
 		eve, err := readEvent(ans.Body, buf)
 		switch {
 		case errors.Is(err, io.EOF):
-			run.writeHead(ans)
+			fwd.writeHead(ans)
 			return Whole{}
 		case err != nil:
-			return run.sendFailure(ctx, lea, err)
+			return fwd.sendFailure(ctx, lea, err)
 		}
 		buf = eve.raw
 		if first {
 			first = false
 			lea.ReportFirstEvent()
-			run.log.Info().Str("Endpoint", lea.Endpoint.ID).Dur("AfterMs", run.Clock().Sub(run.arrived)).Dur("ExpectedMs", lea.ExpectedFirstEvent).Msg("stream began")
+			fwd.log.Info().Str("Endpoint", lea.Endpoint.ID).Dur("AfterMs", fwd.Clock().Sub(fwd.arrived)).Dur("ExpectedMs", lea.ExpectedFirstEvent).Msg("stream began")
 		}
-		if !follows(eve.id, run.lastEvent) {
+		if !follows(eve.id, fwd.lastEvent) {
 			// Repeated events do not count as progress: a faulty endpoint may repeat
 			// them without end.
 			if repeated++; repeated > maxRepeatedEvents {
-				return run.sendFailure(ctx, lea, errRepeatedEvents)
+				return fwd.sendFailure(ctx, lea, errRepeatedEvents)
 			}
 			continue
 		}
 		watch.eventReceived()
-		run.writeHead(ans)
-		if _, err := run.wri.Write(eve.raw); err != nil {
+		fwd.writeHead(ans)
+		if _, err := fwd.wri.Write(eve.raw); err != nil {
 			return CallerDisconnected{}
 		}
 		if err := ctl.Flush(); err != nil {
 			return CallerDisconnected{}
 		}
-		run.recordForwarded(eve)
+		fwd.recordForwarded(eve)
 	}
 }
 
 // recordForwarded records an event that was sent to the caller.
-func (run *run) recordForwarded(eve event) {
-	run.mu.Lock()
-	defer run.mu.Unlock()
-	run.state.Events++
-	run.lastEventAt = run.Clock()
+func (fwd *forwarding) recordForwarded(eve event) {
+	fwd.mu.Lock()
+	defer fwd.mu.Unlock()
+	fwd.state.Events++
+	fwd.lastEventAt = fwd.Clock()
 	if eve.id != "" {
-		run.lastEvent = eve.id
+		fwd.lastEvent = eve.id
 	}
 }
 
 // writeHead writes the head of a stream before its first event, with the headers of the
-// first endpoint that sent one.
-func (run *run) writeHead(ans *exchanger.Answer) {
-	if run.state.Events > 0 {
+// first endpoint that sent an event.
+func (fwd *forwarding) writeHead(ans *exchanger.Answer) {
+	if fwd.state.Events > 0 {
 		return
 	}
-	run.copyHeader(ans.Header)
-	run.wri.WriteHeader(ans.Status)
+	fwd.copyHeader(ans.Header)
+	fwd.wri.WriteHeader(ans.Status)
 }
--- a/request/relayer/silence.go
+++ b/request/relayer/silence.go
@@ -11,7 +11,7 @@
 // have failed or may be busy with other requests, so the send is cancelled only once
 // another endpoint is available for the call.
 type stallWatch struct {
-	run    *run
+	fwd    *forwarding
 	lease  Lease
 	cancel context.CancelCauseFunc
 
@@ -23,12 +23,12 @@
 	stopped bool
 }
 
-// watchStall starts a watch on a send with the context ctx, which cancel ends.
-func (run *run) watchStall(ctx context.Context, lea Lease, cancel context.CancelCauseFunc) *stallWatch {
-	watch := &stallWatch{run: run, lease: lea, cancel: cancel}
+// watchStall starts to watch a send. cancel cancels ctx, the context of the send.
+func (fwd *forwarding) watchStall(ctx context.Context, lea Lease, cancel context.CancelCauseFunc) *stallWatch {
+	watch := &stallWatch{fwd: fwd, lease: lea, cancel: cancel}
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
-	watch.timer = time.AfterFunc(run.firstEventLimit(lea, run.Clock()), func() { watch.findReplacement(ctx) })
+	watch.timer = time.AfterFunc(fwd.stallLimit(lea, fwd.Clock()), func() { watch.findReplacement(ctx) })
 	return watch
 }
 
@@ -37,7 +37,7 @@
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
 	watch.events++
-	watch.timer.Reset(watch.run.pauseLimit())
+	watch.timer.Reset(watch.fwd.pauseLimit())
 }
 
 func (watch *stallWatch) stop() {
@@ -49,34 +49,34 @@
 
 // findReplacement requests another endpoint and cancels the send if it gets one.
 func (watch *stallWatch) findReplacement(ctx context.Context) {
-	run, id, now := watch.run, watch.lease.Endpoint.ID, watch.run.Clock()
-	before, over := watch.state()
-	if over {
+	fwd, id, now := watch.fwd, watch.lease.Endpoint.ID, watch.fwd.Clock()
+	events, stopped := watch.snapshot()
+	if stopped {
 		return
 	}
-	if !run.takeResend(now) {
-		watch.retryLater(before)
+	if !fwd.takeRetry(now) {
+		watch.retryLater(events)
 		return
 	}
-	lea, err := run.place(ctx, append(slices.Clone(run.excluded), id))
+	lea, err := fwd.place(ctx, append(slices.Clone(fwd.excluded), id))
 	if err != nil {
-		run.log.Info().Str("Endpoint", id).Err(err).Dur("LookMs", run.Clock().Sub(now)).Msg("endpoint stalled and no other endpoint is available; still waiting")
-		watch.retryLater(before)
+		fwd.log.Info().Str("Endpoint", id).Err(err).Dur("LookMs", fwd.Clock().Sub(now)).Msg("endpoint stalled and no other endpoint is available; waiting for it and searching again later")
+		watch.retryLater(events)
 		return
 	}
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
-	if watch.stopped || watch.events != before {
+	if watch.stopped || watch.events != events {
 		lea.Release()
 		return
 	}
-	run.log.Info().Str("Endpoint", id).Str("Next", lea.Endpoint.ID).Dur("LookMs", run.Clock().Sub(now)).Msg("endpoint stalled; resending the call to another endpoint")
-	run.replacement = &lea
+	fwd.log.Info().Str("Endpoint", id).Str("Next", lea.Endpoint.ID).Dur("LookMs", fwd.Clock().Sub(now)).Msg("endpoint stalled; resending the call to another endpoint")
+	fwd.replacement = &lea
 	watch.stopped = true
 	watch.cancel(errStalled)
 }
 
-func (watch *stallWatch) state() (events int, over bool) {
+func (watch *stallWatch) snapshot() (events int, stopped bool) {
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
 	return watch.events, watch.stopped
@@ -91,12 +91,13 @@
 	}
 }
 
-// takeResend reports whether the call may be sent once more, and counts the resend.
-func (run *run) takeResend(now time.Time) bool {
-	run.mu.Lock()
-	sta := run.state
-	run.mu.Unlock()
-	return run.route.Reruns() && sta.mayResend(SendLimits{
-		Route: run.route, Left: run.deadline.Sub(now), TakeRetry: func() bool { return run.RetryBudget.Take(run.pool.Name, now) },
+// takeRetry takes a retry from the budget if the call may be sent to another endpoint.
+// It returns false if the call may not, or if no retry is left.
+func (fwd *forwarding) takeRetry(now time.Time) bool {
+	fwd.mu.Lock()
+	sta := fwd.state
+	fwd.mu.Unlock()
+	return fwd.route.Reruns() && sta.mayResend(SendLimits{
+		Route: fwd.route, Left: fwd.deadline.Sub(now), TakeRetry: func() bool { return fwd.RetryBudget.Take(fwd.pool.Name, now) },
 	})
 }
