--- a/request/placer/group.go
+++ b/request/placer/group.go
@@ -11,8 +11,9 @@
 // have to end before the memory is free.
 const GroupFill = 0.75
 
-// group reserves the engines with the most free memory: as few of them as hold the
-// prompt with at most GroupFill of each. The prompt is split in proportion to their
+// group decides on a prompt that no single engine can hold. It takes the engines with
+// the most free memory, as few as hold the prompt with at most GroupFill of the total
+// memory of each, or else with all of it. The prompt is split in proportion to their
 // memory.
 func group(need int64, req Request, vie View) Decision {
 	var candidates []*Endpoint
@@ -44,25 +45,26 @@
 	return pla
 }
 
-// Split divides need over the first engines of a list, given their memories. It uses as
-// few engines as hold the prompt with at most GroupFill of each, or else as few as hold
-// it with all of their memory. It returns nil if all engines together cannot hold the
-// prompt.
+// Split divides need, in tokens, among the first engines of a list with the given
+// memories, in tokens. It uses as few engines as hold the prompt with at most GroupFill
+// of each, or else as few as hold it with all of their memory. It returns nil if all
+// engines together cannot hold the prompt.
 func Split(need int64, memories []int64) []int64 {
 	for _, fill := range []float64{GroupFill, 1} {
 		var sum int64
 		for i, memory := range memories {
 			sum += int64(float64(memory) * fill)
 			if sum >= need {
-				return shares(need, sum, memories[:i+1], fill)
+				return splitInProportion(need, sum, memories[:i+1], fill)
 			}
 		}
 	}
 	return nil
 }
 
-// shares splits need in proportion to the memories, rounded up within each memory.
-func shares(need, sum int64, memories []int64, fill float64) []int64 {
+// splitInProportion splits need in proportion to the memories, rounded up, with at most
+// fill of each memory. sum is the total of these maxima.
+func splitInProportion(need, sum int64, memories []int64, fill float64) []int64 {
 	parts := make([]int64, len(memories))
 	left := need
 	for i, memory := range memories {
--- a/request/placer/mix.go
+++ b/request/placer/mix.go
@@ -7,6 +7,7 @@
 )
 
 const (
+	// mixBuckets is the number of buckets of a Mix.
 	mixBuckets = 24
 	// mixHalfLife is the time in which the weight of a past request halves.
 	mixHalfLife = 30 * time.Second
@@ -17,8 +18,9 @@
 // Mix is a histogram of recent requests by prompt length, weighted by their tokens, in
 // buckets of powers of two. It is an immutable value; its zero value is empty.
 type Mix struct {
-	work [mixBuckets]float64
-	at   time.Time
+	// weights holds the tokens of each bucket, decayed until decayedAt.
+	weights   [mixBuckets]float64
+	decayedAt time.Time
 }
 
 func bucketOf(tokens int64) int {
@@ -27,14 +29,14 @@
 
 // WithRequest returns the mix after one more request.
 func (mix Mix) WithRequest(tokens int64, now time.Time) Mix {
-	if elapsed := now.Sub(mix.at); !mix.at.IsZero() && elapsed > 0 {
+	if elapsed := now.Sub(mix.decayedAt); !mix.decayedAt.IsZero() && elapsed > 0 {
 		decay := math.Exp2(-elapsed.Seconds() / mixHalfLife.Seconds())
-		for i := range mix.work {
-			mix.work[i] *= decay
+		for i := range mix.weights {
+			mix.weights[i] *= decay
 		}
 	}
-	mix.at = now
-	mix.work[bucketOf(tokens)] += float64(tokens)
+	mix.decayedAt = now
+	mix.weights[bucketOf(tokens)] += float64(tokens)
 	return mix
 }
 
@@ -44,26 +46,27 @@
 func (mix Mix) class(tokens int64) int {
 	var total, before float64
 	bucket := bucketOf(tokens)
-	for i, work := range mix.work {
-		total += work
+	for i, weight := range mix.weights {
+		total += weight
 		if i < bucket {
-			before += work
+			before += weight
 		}
 	}
 	if total == 0 {
 		return 0
 	}
-	mid := before + mix.work[bucket]/2
+	mid := before + mix.weights[bucket]/2
 	return min(classCount-1, int(mid/total*classCount))
 }
 
-// longShare returns the share of recent tokens in prompts of at least the given length.
-func (mix Mix) longShare(tokens int64) float64 {
+// longShare returns the share of recent tokens that are in the bucket of minTokens or a
+// higher one.
+func (mix Mix) longShare(minTokens int64) float64 {
 	var total, long float64
-	for i, work := range mix.work {
-		total += work
-		if i >= bucketOf(tokens) {
-			long += work
+	for i, weight := range mix.weights {
+		total += weight
+		if i >= bucketOf(minTokens) {
+			long += weight
 		}
 	}
 	if total == 0 {
--- a/request/placer/placer.go
+++ b/request/placer/placer.go
@@ -74,8 +74,8 @@
 	// OutstandingTokens counts the prompt tokens of those requests that are not yet
 	// prefilled.
 	OutstandingTokens int64
-	// RecentTokens is the part of OutstandingTokens that the load report is too old to
-	// include.
+	// RecentTokens is the part of OutstandingTokens that was dispatched after the load
+	// report was taken.
 	RecentTokens int64
 	// PrefillRate is in tokens a second.
 	PrefillRate float64
@@ -96,7 +96,7 @@
 	// Mix is the distribution of recent prompt lengths, for PolicyClasses and
 	// PolicyReservation.
 	Mix Mix
-	// LongShare is the share of the pool's engines that is reserved for long prompts; 0
+	// LongShare is the share of the pool's engines that is dedicated to long prompts; 0
 	// stands for the share of recent tokens in long prompts.
 	LongShare float64
 	// MaxOutstanding bounds the requests on one endpoint; 0 stands for no bound.
@@ -122,7 +122,8 @@
 // PlaceGroup reserves memory on several engines that serve the prompt together.
 type PlaceGroup struct{ Parts []Part }
 
-// Wait holds the request until an event or the given time.
+// Wait holds the request until the state of the pool changes, but at most until the
+// given time. Decide does not return it.
 type Wait struct{ Until time.Time }
 
 // Refuse refuses the request.
@@ -140,10 +141,10 @@
 // Decide returns the placement of a request by a policy.
 func Decide(pol Policy, req Request, vie View, now time.Time, ran *rand.Rand) Decision {
 	fit := fitOf(req, vie)
-	if !fit.any && fit.full {
+	if !fit.usable && fit.full {
 		return Refuse{Code: "pool_full", Message: "every endpoint of the pool has all the requests that it may have", RetryAfter: time.Second}
 	}
-	if !fit.any {
+	if !fit.usable {
 		return Refuse{Code: "no_endpoint", Message: "no endpoint of the pool can take the request", RetryAfter: time.Second}
 	}
 	if need := req.Need(); !fit.unbounded && need > fit.memory {
@@ -192,16 +193,20 @@
 
 // poolFit describes the endpoints that can serve a request.
 type poolFit struct {
-	any bool
+	// usable says that an endpoint can serve the request now, apart from its memory.
+	usable bool
 	// full says that an endpoint could serve the request but has reached
 	// MaxOutstanding.
-	full      bool
+	full bool
+	// unbounded says that a usable endpoint has no memory limit, as plain services;
+	// memory is the largest memory of a usable endpoint, in tokens.
 	unbounded bool
 	memory    int64
 }
 
-// fitOf stops at the first endpoint that holds the request, so it scans all endpoints
-// only for a prompt that needs a group.
+// fitOf describes the endpoints of a view that can serve a request now. It stops at the
+// first endpoint with enough memory for the request, so it scans all endpoints only for
+// a prompt that needs a group, or if none can serve the request.
 func fitOf(req Request, vie View) poolFit {
 	var fit poolFit
 	for i := range vie.Endpoints {
@@ -213,7 +218,7 @@
 			fit.full = true
 			continue
 		}
-		fit.any = true
+		fit.usable = true
 		fit.memory = max(fit.memory, end.MemoryTokens)
 		fit.unbounded = end.MemoryTokens == 0
 		if fit.unbounded || fit.memory >= req.Need() {
--- a/request/placer/placer_test.go
+++ b/request/placer/placer_test.go
@@ -84,7 +84,7 @@
 		edit func(vie *View)
 		want Decision
 	}{
-		{"only live", Request{Model: "pedal-model"}, func(vie *View) { vie.Endpoints[0].Leaving = true }, Place{Endpoint: "engine-1"}},
+		{"leaving endpoint", Request{Model: "pedal-model"}, func(vie *View) { vie.Endpoints[0].Leaving = true }, Place{Endpoint: "engine-1"}},
 		{"excluded", Request{Model: "pedal-model", Excluded: []string{"engine-1"}}, func(*View) {}, Place{Endpoint: "engine-0"}},
 		{"unknown model", Request{Model: "other"}, func(*View) {}, Refuse{Code: "no_endpoint", Message: "no endpoint of the pool can take the request", RetryAfter: time.Second}},
 		{"no endpoints", Request{}, func(vie *View) { vie.Endpoints = nil }, Refuse{Code: "no_endpoint", Message: "no endpoint of the pool can take the request", RetryAfter: time.Second}},
@@ -123,5 +123,5 @@
 	mix = mix.WithRequest(90_000, epoch).WithRequest(150_000, epoch)
 	require.Equal(t, 0, mix.class(1000))
 	require.Equal(t, 2, mix.class(150_000))
-	require.InDelta(t, 0.727, mix.longShare(longTokens(View{})), 0.001)
+	require.InDelta(t, 0.727, mix.longShare(minLongTokens(View{})), 0.001)
 }
