--- a/request/executor/call.go
+++ b/request/executor/call.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// maxClaimBudget bounds the time for the claim, which also gets at most the
-	// fraction 1/claimShare of the time left.
-	maxClaimBudget = 5 * time.Second
-	claimShare     = 2
+	// maxClaimTimeout bounds the time for the claim, as does the time left divided by
+	// claimDivisor.
+	maxClaimTimeout = 5 * time.Second
+	claimDivisor    = 2
 	// maxOutcomeBytes bounds the body that is recorded with an outcome.
 	maxOutcomeBytes = 4 << 10
 )
@@ -33,41 +33,41 @@
 
 // Call forwards a call to a plain service.
 func (exe *Executor) Call(ctx context.Context, wri http.ResponseWriter, htr *http.Request, mat *matcher.Matcher) {
-	req, err := exe.begin(wri, mat, htr.Header)
+	req, err := exe.authenticate(wri, mat, htr.Header)
 	if err == nil {
-		err = exe.route(&req, mat, matcher.Query{Kind: parser.PoolService, Team: req.team.Name, Path: htr.URL.Path}, htr.Header)
+		err = exe.resolveRoute(&req, mat, matcher.Query{Kind: parser.PoolService, Team: req.team.Name, Path: htr.URL.Path}, htr.Header)
 	}
 	if err != nil {
-		responder.WriteProblem(wri, withoutClaim(problemOf(err), htr.Header))
+		responder.WriteProblem(wri, unclaimedRefusal(problemOf(err), htr.Header))
 		return
 	}
-	bod, err := receiver.ReadBody(htr.Body, exe.MaxBodyBytes)
+	body, err := receiver.ReadBody(htr.Body, exe.MaxBodyBytes)
 	if err != nil {
-		responder.WriteProblem(wri, withoutClaim(problemOf(err), htr.Header))
+		responder.WriteProblem(wri, unclaimedRefusal(problemOf(err), htr.Header))
 		return
 	}
 	ctx, cancel := context.WithDeadline(ctx, req.deadline)
 	defer cancel()
 	cal := &call{request: req, service: invoker.ServiceCall{
-		Method: htr.Method, Path: htr.URL.RequestURI(), Header: forwardedHeaders(htr.Header), Body: bod,
+		Method: htr.Method, Path: htr.URL.RequestURI(), Header: forwardedHeaders(htr.Header), Body: body,
 		Key: htr.Header.Get(receiver.KeyHeader), Once: !req.route.Repeatable,
 	}}
-	done, ref := exe.admit(ctx, cal.placement(), cal.team, cal.pool)
+	release, ref := exe.admit(ctx, cal.placement(), cal.team, cal.pool)
 	if ref != nil {
-		responder.WriteProblem(wri, withoutClaim(refusal(*ref), htr.Header))
+		responder.WriteProblem(wri, unclaimedRefusal(refusal(*ref), htr.Header))
 		return
 	}
 	if req.route.Repeatable {
-		defer done()
-		exe.repeatable(ctx, cal)
+		defer release()
+		exe.runRepeatable(ctx, cal)
 		return
 	}
-	exe.once(ctx, cal, htr.Header.Get(receiver.KeyTimeHeader), done)
+	exe.runOnce(ctx, cal, htr.Header.Get(receiver.KeyTimeHeader), release)
 }
 
-// withoutClaim adjusts a refusal that is sent before the claim was read. If the caller
+// unclaimedRefusal adjusts a refusal of a call that was not claimed. If the caller
 // supplied the key, an earlier call with that key may have run.
-func withoutClaim(pro responder.Problem, hea http.Header) responder.Problem {
+func unclaimedRefusal(pro responder.Problem, hea http.Header) responder.Problem {
 	if hea.Get(receiver.KeyHeader) != "" {
 		pro.Ran = invoker.Unknown
 	}
@@ -89,8 +89,8 @@
 	return placer.Request{ID: cal.id, Team: cal.team.Name, Pool: cal.pool.Name, Priority: cal.route.Priority, Deadline: cal.deadline}
 }
 
-// send dispatches a call to the endpoint of a lease.
-func (exe *Executor) send(ctx context.Context, cal *call, lea Lease) (claimer.Event, error) {
+// dispatchCall sends a call to the endpoint of a lease.
+func (exe *Executor) dispatchCall(ctx context.Context, cal *call, lea Lease) (claimer.Event, error) {
 	ctx, spa := exe.Tracer.Start(ctx, "service")
 	defer spa.End()
 	rep, err := exe.Invoker.Call(ctx, lea.Address, cal.service)
--- a/request/executor/executor.go
+++ b/request/executor/executor.go
@@ -41,8 +41,8 @@
 	// token. It returns false if no engine is available. It must be called at most
 	// once. A nil FindTarget means that the request cannot move.
 	FindTarget func(ctx context.Context) (Target, bool)
-	// Report reports to the allocator whether the endpoint served the request or failed
-	// it; nil if no report is needed.
+	// Report notifies the allocator whether the endpoint served the request (healthy)
+	// or failed it; nil if the allocator needs no report.
 	Report func(healthy bool, now time.Time)
 }
 
@@ -57,10 +57,10 @@
 	Endpoint string
 	Address  string
 	// Done notifies the allocator that the move has ended: the request either runs on
-	// the target alone, or stays on its engine. It is idempotent and never nil.
+	// the target alone, or stays on its engine. moved says which. It is idempotent and
+	// never nil.
 	Done func(moved bool)
-	// Report reports to the allocator whether the endpoint works; nil if no report is
-	// needed.
+	// Report is as in Lease, for the target.
 	Report func(healthy bool, now time.Time)
 }
 
@@ -81,14 +81,15 @@
 type Claims interface {
 	// Commit commits a change. It returns when ctx ends, even if the result is unknown.
 	Commit(ctx context.Context, com *messenger.ClaimCommit) *messenger.ClaimResult
-	// Settle retries a change in the background and closes the channel when the
-	// retries end.
+	// Settle commits a change in the background, with retries, and closes the channel
+	// when the change is committed or given up.
 	Settle(com *messenger.ClaimCommit) <-chan struct{}
 }
 
-// Admitter decides whether a request is admitted to the host.
+// Admitter decides whether a request is admitted to the host. The caller of Admit calls
+// release when an admitted request has ended.
 type Admitter interface {
-	Admit(req placer.Request, tea parser.Team, poo parser.Pool, now time.Time) (done func(), ref *placer.Refuse)
+	Admit(req placer.Request, tea parser.Team, poo parser.Pool, now time.Time) (release func(), ref *placer.Refuse)
 }
 
 // Executor executes the requests of one host.
@@ -138,8 +139,8 @@
 	exe.running[id] = att
 }
 
-// Attempt returns the newest attempt of a request, and whether this host still works on
-// the request.
+// Attempt returns the newest attempt of a request, and whether the request is in
+// progress on this host.
 func (exe *Executor) Attempt(id string) (int, bool) {
 	exe.mu.Lock()
 	defer exe.mu.Unlock()
@@ -162,7 +163,8 @@
 	writer   http.ResponseWriter
 }
 
-func (exe *Executor) begin(wri http.ResponseWriter, mat *matcher.Matcher, hea http.Header) (request, error) {
+// authenticate gives a request its ID and finds the team of its key.
+func (exe *Executor) authenticate(wri http.ResponseWriter, mat *matcher.Matcher, hea http.Header) (request, error) {
 	req := request{id: uuid.Must(uuid.NewV7()).String(), arrived: exe.Clock(), writer: wri}
 	wri.Header().Set(responder.RequestIDHeader, req.id)
 	key, err := receiver.BearerKey(hea)
@@ -177,7 +179,8 @@
 	return req, nil
 }
 
-func (exe *Executor) route(req *request, mat *matcher.Matcher, que matcher.Query, hea http.Header) error {
+// resolveRoute finds the route and the pool of a request, and sets its deadline.
+func (exe *Executor) resolveRoute(req *request, mat *matcher.Matcher, que matcher.Query, hea http.Header) error {
 	rou, poo, ok := mat.Route(que)
 	if !ok && que.Model != "" {
 		return &receiver.BadRequestError{Status: http.StatusNotFound, Code: "model_not_found", Param: "model", Message: "no route takes model " + que.Model + " for this team and prompt length"}
--- a/request/executor/generate.go
+++ b/request/executor/generate.go
@@ -24,7 +24,7 @@
 // cancelTimeout bounds one cancellation on an engine.
 const cancelTimeout = time.Second
 
-// generation is the state of one prompt.
+// generation is the state of one prompt that is being answered.
 type generation struct {
 	request
 	prompt    receiver.Prompt
@@ -32,8 +32,8 @@
 	assembler assembler.Assembler
 	answer    *responder.Answer
 	blocks    []uint64
-	// lease is set while the request has an endpoint, stream while it has a dispatch
-	// there.
+	// lease is set while the request has an endpoint, stream while a dispatch to that
+	// endpoint is open.
 	lease    *Lease
 	stream   *invoker.Stream
 	progress progress
@@ -45,7 +45,7 @@
 
 // Generate answers a prompt.
 func (exe *Executor) Generate(ctx context.Context, wri http.ResponseWriter, htr *http.Request, mat *matcher.Matcher, chat bool) {
-	req, err := exe.begin(wri, mat, htr.Header)
+	req, err := exe.authenticate(wri, mat, htr.Header)
 	if err != nil {
 		responder.WriteProblem(wri, problemOf(err))
 		return
@@ -55,7 +55,7 @@
 		wri.Header().Set(responder.IgnoredHeader, strings.Join(pro.Ignored, ", "))
 	}
 	if err == nil {
-		err = exe.route(&req, mat, matcher.Query{Kind: parser.PoolEngine, Model: pro.Model, Team: req.team.Name, Path: htr.URL.Path, PromptTokens: pro.Tokens}, htr.Header)
+		err = exe.resolveRoute(&req, mat, matcher.Query{Kind: parser.PoolEngine, Model: pro.Model, Team: req.team.Name, Path: htr.URL.Path, PromptTokens: pro.Tokens}, htr.Header)
 	}
 	if err != nil {
 		responder.WriteProblem(wri, problemOf(err))
@@ -79,12 +79,12 @@
 }
 
 func (exe *Executor) generate(ctx context.Context, gen *generation) {
-	done, ref := exe.admit(ctx, gen.placement(), gen.team, gen.pool)
+	release, ref := exe.admit(ctx, gen.placement(), gen.team, gen.pool)
 	if ref != nil {
 		gen.answer.Fail(refusal(*ref), exe.Clock())
 		return
 	}
-	defer done()
+	defer release()
 	defer exe.track(gen.id)()
 	exe.RetryBudget.Earn(exe.Clock())
 	for {
@@ -126,19 +126,20 @@
 func (exe *Executor) perform(ctx context.Context, gen *generation, act attempter.Action) bool {
 	switch act := act.(type) {
 	case attempter.Stay:
+		// The progress limit begins again.
 		gen.progress.at = exe.Clock()
 		return false
 	case attempter.Resume:
 		gen.closeStream()
 		return false
 	case attempter.Dispatch:
-		exe.drop(ctx, gen)
+		exe.endDispatch(ctx, gen)
 		pause(ctx, act.After)
 		return false
 	case attempter.Fail:
 		gen.answer.Fail(responder.Problem{Status: StatusOf(act.Code), Code: act.Code, Message: act.Message, Ran: act.Ran, RetryAfter: act.RetryAfter}, exe.Clock())
 	}
-	exe.drop(ctx, gen)
+	exe.endDispatch(ctx, gen)
 	return true
 }
 
@@ -173,7 +174,7 @@
 	ctx, spa := exe.Tracer.Start(ctx, "engine", trace.WithAttributes(attribute.String("Endpoint", gen.lease.Endpoint)))
 	defer spa.End()
 	if gen.stream == nil {
-		if err := exe.open(ctx, gen); err != nil {
+		if err := exe.openStream(ctx, gen); err != nil {
 			return exe.failureEvent(ctx, gen, err)
 		}
 	}
@@ -189,12 +190,12 @@
 	}
 }
 
-func (exe *Executor) open(ctx context.Context, gen *generation) error {
+func (exe *Executor) openStream(ctx context.Context, gen *generation) error {
 	gen.state = gen.state.WithAttempt()
 	exe.setAttempt(gen.id, gen.state.Attempt)
 	gen.assembler = gen.assembler.WithAttempt(gen.state.Attempt)
 	gen.progress = progress{at: exe.Clock()}
-	stream, err := exe.Invoker.Generate(ctx, gen.lease.Address, exe.dispatch(gen))
+	stream, err := exe.Invoker.Generate(ctx, gen.lease.Address, exe.generateRequest(gen))
 	if err != nil {
 		return err
 	}
@@ -202,8 +203,8 @@
 	return nil
 }
 
-// dispatch returns the message that dispatches the newest attempt.
-func (exe *Executor) dispatch(gen *generation) invoker.GenerateRequest {
+// generateRequest returns the message that dispatches the newest attempt.
+func (exe *Executor) generateRequest(gen *generation) invoker.GenerateRequest {
 	return invoker.GenerateRequest{
 		RequestID: gen.id, Attempt: gen.state.Attempt, Owner: exe.Owner, Model: gen.prompt.Model,
 		Prompt: gen.prompt.Text, PromptTokens: gen.prompt.Tokens, MaxTokens: gen.prompt.MaxTokens, Seed: gen.prompt.Seed,
@@ -220,9 +221,10 @@
 	gen.stream = nil
 }
 
-// drop ends the current dispatch and releases the endpoint. The cancellation on the
-// engine runs in the background, so that it does not delay the answer to the caller.
-func (exe *Executor) drop(ctx context.Context, gen *generation) {
+// endDispatch ends the current dispatch and releases the endpoint. The cancellation on
+// the engine runs in the background, so that it does not delay the answer to the
+// caller.
+func (exe *Executor) endDispatch(ctx context.Context, gen *generation) {
 	gen.closeStream()
 	exe.endMove(gen)
 	lea := gen.lease
--- a/request/executor/move.go
+++ b/request/executor/move.go
@@ -19,7 +19,8 @@
 // exportSuffix distinguishes the ID of a request's export from that of the request.
 const exportSuffix = "-export"
 
-// move moves one answer to another engine while the relay continues.
+// move is the state of the move of one answer to another engine, while the relay from
+// the source continues.
 type move struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -30,23 +31,23 @@
 	request invoker.GenerateRequest
 	untrack func()
 	// compareReady signals the relay to compare the tokens. It is closed when the move
-	// is aborted.
+	// ends without a comparison.
 	compareReady chan mover.Action
 	background   sync.WaitGroup
 
 	mu    sync.Mutex
 	state mover.State
-	// first is the index of the first of texts, the tokens that the caller received
-	// since the move began.
-	first int64
-	texts []string
+	// texts holds the tokens that the caller received since the move began; firstIndex
+	// is the index of texts[0].
+	firstIndex int64
+	texts      []string
 
 	// The background goroutine sets the fields below before it signals compareReady:
 	// the target, its stream, the tokens read from the stream, their assembler, and the
 	// time until which the target may catch up.
 	target          Target
 	stream          *invoker.Stream
-	caughtUp        []invoker.Token
+	targetTokens    []invoker.Token
 	targetAssembler assembler.Assembler
 	catchUpDeadline time.Time
 }
@@ -65,7 +66,7 @@
 func (mov *move) nextIndex() int64 {
 	mov.mu.Lock()
 	defer mov.mu.Unlock()
-	return mov.first + int64(len(mov.texts))
+	return mov.firstIndex + int64(len(mov.texts))
 }
 
 // advanceMove begins a move after the first token, or takes the next step of a move in
@@ -81,18 +82,18 @@
 
 func (exe *Executor) pollMove(gen *generation) {
 	select {
-	case _, ok := <-gen.move.compareReady:
-		exe.compare(gen, ok)
+	case _, ready := <-gen.move.compareReady:
+		exe.compareAndSwitch(gen, ready)
 	default:
 	}
 }
 
-// beginMove requests a target in the background if a move is worth while. The dispatch
+// beginMove requests a target in the background if a move is worthwhile. The dispatch
 // to the target gets its attempt number here. Until the switch, Attempt still returns
-// the number of the first dispatch, so that the other hosts do not treat that dispatch
-// as abandoned.
+// the number of the dispatch to the source, so that other hosts do not treat that
+// dispatch as abandoned.
 func (exe *Executor) beginMove(ctx context.Context, gen *generation) {
-	mov := &move{source: *gen.lease, first: gen.assembler.Next, compareReady: make(chan mover.Action, 1)}
+	mov := &move{source: *gen.lease, firstIndex: gen.assembler.Next, compareReady: make(chan mover.Action, 1)}
 	gen.lease.FindTarget = nil
 	if len(gen.lease.Group) > 0 {
 		return
@@ -103,7 +104,7 @@
 		return
 	}
 	gen.state = gen.state.WithMove()
-	mov.request = exe.dispatch(gen)
+	mov.request = exe.generateRequest(gen)
 	ctx, mov.span = exe.Tracer.Start(ctx, "move")
 	mov.ctx, mov.cancel = context.WithCancel(ctx)
 	mov.untrack = exe.track(gen.id + exportSuffix)
@@ -111,8 +112,8 @@
 	mov.background.Go(func() { exe.runMove(gen, mov, act) })
 }
 
-// remaining returns what is left of the answer. The relay changes the generation
-// concurrently, so this must not read fields that the relay writes.
+// remaining returns what is left of the answer and of the time. The relay changes the
+// generation concurrently, so remaining must not read fields that the relay writes.
 func (exe *Executor) remaining(gen *generation, mov *move) mover.Remaining {
 	return mover.Remaining{Tokens: gen.prompt.MaxTokens - mov.nextIndex(), Time: gen.deadline.Sub(exe.Clock())}
 }
@@ -190,14 +191,14 @@
 	return nil
 }
 
-var errNotCaughtUp = eris.New("target engine did not catch up with the source")
+var errNotCaughtUp = eris.New("target engine did not get ahead of the caller in time or ended its answer")
 
 // catchUp reads the target's stream until the target is ahead of the caller.
 func (exe *Executor) catchUp(gen *generation, mov *move) error {
 	if err := exe.openTarget(gen, mov); err != nil {
 		return err
 	}
-	for len(mov.caughtUp) < mover.MinCaughtUpTokens || mov.targetAssembler.Next <= mov.nextIndex() {
+	for len(mov.targetTokens) < mover.MinCaughtUpTokens || mov.targetAssembler.Next <= mov.nextIndex() {
 		left := mov.catchUpDeadline.Sub(exe.Clock())
 		if left <= 0 {
 			return errNotCaughtUp
@@ -247,7 +248,7 @@
 	mov.targetAssembler = ass
 	switch ver {
 	case assembler.Deliver:
-		mov.caughtUp = append(mov.caughtUp, tok)
+		mov.targetTokens = append(mov.targetTokens, tok)
 		return nil
 	case assembler.Drop:
 		return nil
@@ -256,12 +257,13 @@
 	}
 }
 
-// compare switches to the target if both engines generated the same tokens, and reports
-// whether it did. A target with other tokens would continue an answer that differs from
-// the one that the caller has begun to receive.
-func (exe *Executor) compare(gen *generation, ok bool) bool {
+// compareAndSwitch switches to the target if both engines generated the same tokens,
+// and reports whether it did. ready is false if the move ended without a comparison. A
+// target with other tokens would continue an answer that differs from the one that the
+// caller has begun to receive.
+func (exe *Executor) compareAndSwitch(gen *generation, ready bool) bool {
 	mov := gen.move
-	if !ok {
+	if !ready {
 		gen.move = nil
 		return false
 	}
@@ -280,17 +282,17 @@
 	}
 }
 
-// compareTokens compares the target's tokens with those that the caller received, and
-// also returns the number of the latter.
+// compareTokens compares the target's tokens with the tokens that the caller received,
+// and returns how many of the target's tokens the caller already has.
 func (mov *move) compareTokens() (int, mover.Event) {
 	mov.mu.Lock()
 	defer mov.mu.Unlock()
-	received := mov.texts[mov.caughtUp[0].Index-mov.first:]
-	if len(received) > len(mov.caughtUp) {
+	received := mov.texts[mov.targetTokens[0].Index-mov.firstIndex:]
+	if len(received) > len(mov.targetTokens) {
 		return 0, mover.Behind{}
 	}
 	for i, text := range received {
-		if mov.caughtUp[i].Text != text {
+		if mov.targetTokens[i].Text != text {
 			return 0, mover.Failed{}
 		}
 	}
@@ -302,7 +304,7 @@
 	old := gen.stream
 	gen.moved = true
 	gen.stream = mov.stream
-	gen.stream.Unread(mov.caughtUp[shared:])
+	gen.stream.Unread(mov.targetTokens[shared:])
 	gen.lease.Endpoint = mov.target.Endpoint
 	gen.lease.Address = mov.target.Address
 	gen.lease.Report = mov.target.Report
@@ -331,7 +333,8 @@
 
 // cleanUpMove frees what an aborted move holds.
 func (exe *Executor) cleanUpMove(id string, mov *move, abort mover.Abort) {
-	// A call still in progress could take effect after its cancellation.
+	// A request of the background goroutine to an engine could take effect after the
+	// cancellations below, so wait for that goroutine.
 	mov.background.Wait()
 	if mov.stream != nil {
 		mov.stream.Close()
@@ -366,7 +369,7 @@
 }
 
 // tryTakeOver continues on the target when the source has failed, provided that the
-// target already has the request.
+// target already has the request, and reports whether it did.
 func (exe *Executor) tryTakeOver(gen *generation, eve attempter.Event) bool {
 	mov := gen.move
 	if mov == nil || !isEngineFailure(eve) {
@@ -378,7 +381,7 @@
 	}
 	for gen.move != nil {
 		_, ok := <-mov.compareReady
-		if exe.compare(gen, ok) {
+		if exe.compareAndSwitch(gen, ok) {
 			gen.state = gen.state.WithExcluded(mov.source.Endpoint)
 			exe.counters().movesRescued.Inc(1)
 			return true
--- a/request/executor/move_test.go
+++ b/request/executor/move_test.go
@@ -20,27 +20,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// movingAllocator leases the source engine and offers the target for a move.
+// movingAllocator leases the source engine and offers the target for a move. doneCode
+// sums the calls of Done: 11 for Done(true), 1 for Done(false).
 type movingAllocator struct {
 	source, target string
-	done           atomic.Int64
+	doneCode       atomic.Int64
 }
 
 func (mov *movingAllocator) Acquire(context.Context, placer.Request, parser.Pool) (executor.Lease, error) {
 	offer := func(context.Context) (executor.Target, bool) {
 		return executor.Target{Endpoint: "target", Address: mov.target, Done: func(moved bool) {
 			if moved {
-				mov.done.Add(10)
+				mov.doneCode.Add(10)
 			}
-			mov.done.Add(1)
+			mov.doneCode.Add(1)
 		}}, true
 	}
 	return executor.Lease{Endpoint: "source", Address: mov.source, Release: func() {}, Prefilled: func() {}, FindTarget: offer}, nil
 }
 
-// startGenerator starts an engine. It calls seen with the path of each request, and
-// aborts the connection if seen returns true.
-func startGenerator(t *testing.T, step time.Duration, seen func(eng *generator.Generator, path string) bool) (*generator.Generator, *httptest.Server) {
+// startGenerator starts an engine. It calls abort with the path of each request, and
+// aborts the connection if abort returns true.
+func startGenerator(t *testing.T, step time.Duration, abort func(eng *generator.Generator, path string) bool) (*generator.Generator, *httptest.Server) {
 	t.Helper()
 	eng := generator.New(generator.Settings{
 		Models: []string{"m"}, MemoryTokens: 400_000, MaxBatch: 64, PrefillRate: 200_000, ChunkTokens: 4096, Step: step,
@@ -49,7 +50,7 @@
 	stop := make(chan struct{})
 	go eng.Run(stop)
 	ser := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
-		if seen(eng, htr.URL.Path) {
+		if abort(eng, htr.URL.Path) {
 			panic(http.ErrAbortHandler)
 		}
 		eng.Handler().ServeHTTP(wri, htr)
@@ -58,16 +59,17 @@
 	return eng, ser
 }
 
-// TestMove lets each step of a move fail once. The answer must be complete and neither
-// engine may keep memory. The outcome is 11 if the request moved and 1 if it stayed.
+// TestMove lets each step of a move fail once. The answer must be complete, and neither
+// engine may keep memory. doneCode must be 11 if the request moved and 1 if it stayed:
+// any other sum means that Done was not called exactly once.
 func TestMove(t *testing.T) {
 	tests := []struct {
-		name    string
-		blocks  int
-		step    time.Duration
-		source  string
-		target  string
-		outcome int64
+		name     string
+		blocks   int
+		step     time.Duration
+		source   string
+		target   string
+		doneCode int64
 	}{
 		{"moves", 3, time.Millisecond, "", "", 11},
 		{"moves a prompt without blocks", 0, time.Millisecond, "", "", 11},
@@ -75,15 +77,15 @@
 		{"import fails", 3, time.Millisecond, "", "/v1/kv/import", 1},
 		{"export can't be fetched", 3, time.Millisecond, "/v1/kv/fetch", "", 1},
 		{"dispatch fails", 3, time.Millisecond, "", "/v1/generate", 1},
-		{"stays behind", 3, 30 * time.Millisecond, "", "", 1},
+		{"target too slow", 3, 30 * time.Millisecond, "", "", 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			breaks := func(failingPath string) func(*generator.Generator, string) bool {
+			abortOn := func(failingPath string) func(*generator.Generator, string) bool {
 				return func(_ *generator.Generator, path string) bool { return path == failingPath }
 			}
-			_, src := startGenerator(t, 10*time.Millisecond, breaks(tt.source))
-			_, tar := startGenerator(t, tt.step, breaks(tt.target))
+			_, src := startGenerator(t, 10*time.Millisecond, abortOn(tt.source))
+			_, tar := startGenerator(t, tt.step, abortOn(tt.target))
 			alloc := &movingAllocator{source: src.Listener.Addr().String(), target: tar.Listener.Addr().String()}
 			pro := strings.Repeat("word", 1024*tt.blocks) + "?"
 			exe, bod := generatePrompt(t, alloc, pro, 120)
@@ -94,7 +96,7 @@
 			require.Contains(t, bod, want.String())
 			require.NotContains(t, bod, `"cached_tokens":3072`)
 			exe.WaitForCleanup()
-			require.Equal(t, tt.outcome, alloc.done.Load())
+			require.Equal(t, tt.doneCode, alloc.doneCode.Load())
 			_, running := exe.Attempt("")
 			require.False(t, running)
 			requireEmpty(t, src.URL)
@@ -121,18 +123,18 @@
 		require.Contains(t, bod, generator.TokenText("Why?", 0, i))
 	}
 	exe.WaitForCleanup()
-	require.Equal(t, int64(1), alloc.done.Load())
+	require.Equal(t, int64(1), alloc.doneCode.Load())
 	requireEmpty(t, tar.URL)
 }
 
-// TestMoveTakesOver lets the source fail when the target receives the request. The
-// allocator has no other engine, so only the move can save the answer.
-func TestMoveTakesOver(t *testing.T) {
-	var dead atomic.Bool
-	_, src := startGenerator(t, 10*time.Millisecond, func(*generator.Generator, string) bool { return dead.Load() })
+// TestTargetTakesOver guards against a lost answer when the source fails during a move:
+// here, once the target receives the request. The allocator has no other engine.
+func TestTargetTakesOver(t *testing.T) {
+	var sourceFailed atomic.Bool
+	_, src := startGenerator(t, 10*time.Millisecond, func(*generator.Generator, string) bool { return sourceFailed.Load() })
 	_, tar := startGenerator(t, 10*time.Millisecond, func(_ *generator.Generator, path string) bool {
 		if path == "/v1/generate" {
-			dead.Store(true)
+			sourceFailed.Store(true)
 			src.CloseClientConnections()
 		}
 		return false
@@ -141,7 +143,7 @@
 	exe, bod := generatePrompt(t, alloc, "Why?", 120)
 	require.NotContains(t, bod, "error")
 	exe.WaitForCleanup()
-	require.Equal(t, int64(11), alloc.done.Load())
+	require.Equal(t, int64(11), alloc.doneCode.Load())
 	requireEmpty(t, tar.URL)
 }
 
--- a/request/executor/once.go
+++ b/request/executor/once.go
@@ -19,12 +19,15 @@
 	// recordWait bounds how long an answer waits until its outcome is recorded, or a
 	// refusal until its claim is released.
 	recordWait = 100 * time.Millisecond
-	// The answer at the time limit is sent earlier by 1/answerMarginShare of the limit,
-	// at most maxAnswerMargin, so that it reaches the caller in time.
-	answerMarginShare = 10
-	maxAnswerMargin   = 50 * time.Millisecond
-	keySkew           = time.Minute
-	digestBytes       = 16
+	// The answer at the time limit is sent before the limit, so that it reaches the
+	// caller in time: earlier by the time left divided by answerMarginDivisor, at most
+	// by maxAnswerMargin.
+	answerMarginDivisor = 10
+	maxAnswerMargin     = 50 * time.Millisecond
+	// keySkew is how far the time of a key may lie ahead of the host's clock.
+	keySkew = time.Minute
+	// digestBytes is the length of the body digest in a claim.
+	digestBytes = 16
 )
 
 // claimedCall is a call that runs under a claim. It continues when the caller
@@ -44,13 +47,13 @@
 // whose callers have disconnected.
 func (exe *Executor) CallsInProgress() int { return int(exe.claimedCalls.Load()) }
 
-// once runs a call under a claim and answers within the time limit.
-func (exe *Executor) once(ctx context.Context, cal *call, stamp string, done func()) {
+// runOnce runs a call under a claim and answers within the time limit.
+func (exe *Executor) runOnce(ctx context.Context, cal *call, keyTimeText string, release func()) {
 	key := claimer.NewKey(cal.arrived)
 	if cal.service.Key != "" {
-		supplied, fai := claimer.ParseKey(cal.service.Key, stamp, cal.arrived, keySkew)
+		supplied, fai := claimer.ParseKey(cal.service.Key, keyTimeText, cal.arrived, keySkew)
 		if fai != nil {
-			done()
+			release()
 			cal.fail(*fai)
 			return
 		}
@@ -65,7 +68,7 @@
 	exe.claimedCalls.Add(1)
 	go func() {
 		defer exe.claimedCalls.Add(-1)
-		defer done()
+		defer release()
 		cla.run(context.WithoutCancel(ctx))
 	}()
 	cal.answer(cla.await())
@@ -76,7 +79,7 @@
 func (cla *claimedCall) await() claimer.Action {
 	now := cla.executor.Clock()
 	left := cla.deadline.Sub(now)
-	timer := time.NewTimer(left - min(left/answerMarginShare, maxAnswerMargin))
+	timer := time.NewTimer(left - min(left/answerMarginDivisor, maxAnswerMargin))
 	defer timer.Stop()
 	select {
 	case act := <-cla.end:
@@ -86,7 +89,7 @@
 	act := cla.next(claimer.Expired{})
 	switch act := act.(type) {
 	case claimer.Release:
-		cla.executor.Claims.Settle(cla.step(messenger.ClaimCommit_STEP_RELEASE))
+		cla.executor.Claims.Settle(cla.commitOf(messenger.ClaimCommit_STEP_RELEASE))
 		return act.Fail
 	case claimer.Stop:
 		// The call ended in the meantime.
@@ -110,7 +113,8 @@
 	return cla.state.Excluded
 }
 
-// run carries out the decisions on a call.
+// run claims the call, carries out the decisions on it and sends the final action to
+// end.
 func (cla *claimedCall) run(ctx context.Context) {
 	var lea Lease
 	eve := cla.claim(ctx)
@@ -125,11 +129,11 @@
 			eve = cla.dispatch(ctx, lea)
 			lea.Release()
 		case claimer.Record:
-			cla.settle(cla.finish(act.Reply))
+			cla.settle(cla.finishCommit(act.Reply))
 			cla.end <- act
 			return
 		case claimer.Release:
-			cla.settle(cla.step(messenger.ClaimCommit_STEP_RELEASE))
+			cla.settle(cla.commitOf(messenger.ClaimCommit_STEP_RELEASE))
 			cla.end <- act.Fail
 			return
 		case claimer.Stop:
@@ -161,26 +165,26 @@
 func (cla *claimedCall) dispatch(ctx context.Context, lea Lease) claimer.Event {
 	ctx, stop := context.WithDeadline(ctx, cla.deadline.Add(lateAnswerTime))
 	defer stop()
-	eve, _ := cla.executor.send(ctx, cla.call, lea)
+	eve, _ := cla.executor.dispatchCall(ctx, cla.call, lea)
 	return eve
 }
 
 func (cla *claimedCall) claim(ctx context.Context) claimer.Event {
 	left := cla.deadline.Sub(cla.executor.Clock())
-	ctx, stop := context.WithTimeout(ctx, min(left/claimShare, maxClaimBudget))
+	ctx, stop := context.WithTimeout(ctx, min(left/claimDivisor, maxClaimTimeout))
 	defer stop()
 	res := cla.executor.Claims.Commit(ctx, cla.commit)
 	return claimer.Claimed{State: res.GetState(), Outcome: res.GetOutcome(), Message: res.GetMessage(), Left: cla.deadline.Sub(cla.executor.Clock())}
 }
 
-// settle commits a change of the claim and waits up to recordWait for it, but not past
-// the time limit.
+// settle commits a change of the claim and waits for it up to recordWait, and at most
+// for the time left divided by claimDivisor.
 func (cla *claimedCall) settle(com *messenger.ClaimCommit) {
 	left := cla.deadline.Sub(cla.executor.Clock())
 	done := cla.executor.Claims.Settle(com)
 	select {
 	case <-done:
-	case <-time.After(min(left/claimShare, recordWait)):
+	case <-time.After(min(left/claimDivisor, recordWait)):
 	}
 }
 
@@ -194,18 +198,18 @@
 	}
 }
 
-func (cla *claimedCall) finish(rep invoker.ServiceReply) *messenger.ClaimCommit {
+func (cla *claimedCall) finishCommit(rep invoker.ServiceReply) *messenger.ClaimCommit {
 	out := &messenger.Outcome{Status: int32(rep.Status), ContentType: rep.Header.Get("Content-Type"), Body: rep.Body}
 	if len(out.GetBody()) > maxOutcomeBytes {
 		out.Body = nil
 		out.Truncated = true
 	}
-	com := cla.step(messenger.ClaimCommit_STEP_FINISH)
+	com := cla.commitOf(messenger.ClaimCommit_STEP_FINISH)
 	com.Outcome = out
 	return com
 }
 
-func (cla *claimedCall) step(ste messenger.ClaimCommit_Step) *messenger.ClaimCommit {
+func (cla *claimedCall) commitOf(ste messenger.ClaimCommit_Step) *messenger.ClaimCommit {
 	return &messenger.ClaimCommit{
 		Step: ste, Key: cla.commit.GetKey(), BodyDigest: cla.commit.GetBodyDigest(), Host: cla.commit.GetHost(),
 		Incarnation: cla.commit.GetIncarnation(), Nonce: cla.commit.GetNonce(), KeyTimeMs: cla.commit.GetKeyTimeMs(),
--- a/request/executor/once_test.go
+++ b/request/executor/once_test.go
@@ -121,8 +121,8 @@
 		ran     invoker.Execution
 		settled messenger.ClaimCommit_Step
 	}{
-		{"store hangs, made key", true, "", invoker.NotRun, messenger.ClaimCommit_STEP_RELEASE},
-		{"store hangs, own key", true, newKey(), invoker.Unknown, messenger.ClaimCommit_STEP_RELEASE},
+		{"store hangs, generated key", true, "", invoker.NotRun, messenger.ClaimCommit_STEP_RELEASE},
+		{"store hangs, caller's key", true, newKey(), invoker.Unknown, messenger.ClaimCommit_STEP_RELEASE},
 		{"service is slow", false, newKey(), invoker.Unknown, messenger.ClaimCommit_STEP_FINISH},
 	}
 	for _, tt := range tests {
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestWaitsForHolder calls with a key that another call holds for a while, or beyond
-// the time limit.
+// TestWaitsForHolder guards against a refusal of a repeat whose holder is about to end,
+// and against an answer after the time limit.
 func TestWaitsForHolder(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -155,8 +155,8 @@
 		ran    invoker.Execution
 	}{
 		{"holder finishes", 1, messenger.ClaimResult_STATE_FINISHED, http.StatusAccepted, invoker.Ran},
-		{"holder gives back", 1, messenger.ClaimResult_STATE_COMMITTED, http.StatusOK, invoker.Ran},
-		{"holder goes on", math.MaxInt, 0, http.StatusConflict, invoker.Unknown},
+		{"holder releases", 1, messenger.ClaimResult_STATE_COMMITTED, http.StatusOK, invoker.Ran},
+		{"holder outlasts the time limit", math.MaxInt, 0, http.StatusConflict, invoker.Unknown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -171,9 +171,9 @@
 	}
 }
 
-// TestGoesOnWithoutCaller checks that a call is completed when its caller disconnects
-// while the service works.
-func TestGoesOnWithoutCaller(t *testing.T) {
+// TestContinuesWithoutCaller guards against a call without a recorded outcome because
+// its caller disconnected while the service was running the call.
+func TestContinuesWithoutCaller(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
 	ser := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		leave()
@@ -230,9 +230,8 @@
 	require.Equal(t, calls, requests)
 }
 
-// TestRefusesUnclaimed checks that a call refused before its claim was read is not
-// reported as not run if the caller supplied the key: an earlier call may have used the
-// key.
+// TestRefusesUnclaimed checks that a refused call that was not claimed is not reported
+// as not run if the caller supplied the key: an earlier call may have used the key.
 func TestRefusesUnclaimed(t *testing.T) {
 	exe := newExecutor("127.0.0.1:1", &claimsStub{})
 	exe.MaxBodyBytes = 1
--- a/request/executor/relay.go
+++ b/request/executor/relay.go
@@ -23,7 +23,9 @@
 	errCallerWrite = eris.New("writing the answer to the caller failed")
 )
 
-// progress is the last progress that an engine reported on a dispatch.
+// progress is the last progress that an engine reported on a dispatch. at is its time,
+// prefilled counts prompt tokens, and ahead counts the sequences scheduled before the
+// request's.
 type progress struct {
 	at        time.Time
 	prefilled int64
@@ -32,9 +34,9 @@
 
 // counters are the metrics of the executor, looked up once.
 type counters struct {
-	tokens, dropped, untrusted, stalled, silent, slow, resumed, cancelsFailed, usage      tally.Counter
-	prompt, cached                                                                        tally.Counter
-	movesStarted, movesDone, movesRescued, exportsFailed, hedges, hedgesWon, hedgesDenied tally.Counter
+	tokens, dropped, untrusted, stalled, silentStreams, slowCallers, resumed, cancelsFailed, usageMismatched tally.Counter
+	promptTokens, cachedTokens                                                                               tally.Counter
+	movesStarted, movesDone, movesRescued, exportsFailed, hedges, hedgesWon, hedgesDenied                    tally.Counter
 }
 
 func (exe *Executor) counters() *counters {
@@ -42,9 +44,9 @@
 		exe.counterSet = counters{
 			tokens: exe.Scope.Counter("tokens"), dropped: exe.Scope.Counter("tokens_dropped"),
 			untrusted: exe.Scope.Counter("streams_untrusted"), stalled: exe.Scope.Counter("streams_stalled"),
-			silent: exe.Scope.Counter("streams_silent"), slow: exe.Scope.Counter("callers_slow"),
+			silentStreams: exe.Scope.Counter("streams_silent"), slowCallers: exe.Scope.Counter("callers_slow"),
 			resumed: exe.Scope.Counter("attempts_resumed"), cancelsFailed: exe.Scope.Counter("cancels_failed"),
-			usage: exe.Scope.Counter("usage_mismatched"), prompt: exe.Scope.Counter("prompt_tokens"), cached: exe.Scope.Counter("cached_tokens"),
+			usageMismatched: exe.Scope.Counter("usage_mismatched"), promptTokens: exe.Scope.Counter("prompt_tokens"), cachedTokens: exe.Scope.Counter("cached_tokens"),
 			movesStarted: exe.Scope.Counter("moves_started"), movesDone: exe.Scope.Counter("moves_done"),
 			movesRescued: exe.Scope.Counter("moves_rescued"), exportsFailed: exe.Scope.Counter("export_releases_failed"),
 			hedges: exe.Scope.Counter("hedges"), hedgesWon: exe.Scope.Counter("hedges_won"),
@@ -159,12 +161,12 @@
 	return errComplete
 }
 
-// checkedUsage replaces implausible counts of the engine by the host's own. The number
-// of cached tokens of a moved answer is unknown, so it is reported as 0 and not counted
-// in the metrics.
+// checkedUsage replaces implausible counts of the engine: the prompt tokens by the
+// host's count, the cached tokens by 0. The number of cached tokens of a moved answer
+// is unknown, so it is reported as 0 and not counted in the metrics.
 func (exe *Executor) checkedUsage(gen *generation, fin invoker.Finish) invoker.Finish {
 	if fin.PromptTokens != gen.prompt.Tokens || fin.CachedTokens < 0 || fin.CachedTokens > fin.PromptTokens {
-		exe.counters().usage.Inc(1)
+		exe.counters().usageMismatched.Inc(1)
 		fin.PromptTokens = gen.prompt.Tokens
 		fin.CachedTokens = 0
 	}
@@ -173,8 +175,8 @@
 		fin.CachedTokens = 0
 		return fin
 	}
-	exe.counters().prompt.Inc(fin.PromptTokens)
-	exe.counters().cached.Inc(fin.CachedTokens)
+	exe.counters().promptTokens.Inc(fin.PromptTokens)
+	exe.counters().cachedTokens.Inc(fin.CachedTokens)
 	return fin
 }
 
@@ -199,11 +201,12 @@
 
 // failureEvent returns the event for a dispatch that ended without a complete answer.
 func (exe *Executor) failureEvent(ctx context.Context, gen *generation, err error) attempter.Event {
-	// A failed write also ends the context, so the write errors are checked first.
+	// A failed write also ends ctx, so the cases of write errors come before that of
+	// ctx.
 	end := gen.lease.Endpoint
 	switch {
 	case eris.Is(err, responder.ErrSlowCaller):
-		exe.counters().slow.Inc(1)
+		exe.counters().slowCallers.Inc(1)
 		return attempter.Gone{}
 	case eris.Is(err, errCallerWrite):
 		return attempter.Gone{}
@@ -224,7 +227,7 @@
 		gen.lease.report(false, exe.Clock())
 	}
 	if eris.Is(err, invoker.ErrSilent) {
-		exe.counters().silent.Inc(1)
+		exe.counters().silentStreams.Inc(1)
 		exe.Invoker.Condemn(gen.lease.Address)
 	}
 	return eve
--- a/request/executor/relay_bench_test.go
+++ b/request/executor/relay_bench_test.go
@@ -35,8 +35,8 @@
 	return executor.Lease{Endpoint: "engine-0", Address: all.address, Release: func() {}, Prefilled: func() {}}, nil
 }
 
-// writeTokens streams an answer, with a flush after every token if each is set.
-func writeTokens(wri http.ResponseWriter, req invoker.GenerateRequest, each bool) {
+// writeTokens streams an answer, with a flush after every token if flushEach is set.
+func writeTokens(wri http.ResponseWriter, req invoker.GenerateRequest, flushEach bool) {
 	hea := wri.Header()
 	hea.Set("Content-Type", "text/event-stream")
 	hea.Set("Engine-Request-Id", req.RequestID)
@@ -48,7 +48,7 @@
 	var buf bytes.Buffer
 	for i := range req.MaxTokens {
 		fmt.Fprintf(&buf, "event: Token\ndata: {\"RequestID\":%q,\"Attempt\":%d,\"Index\":%d,\"Text\":\" t1234\"}\n\n", req.RequestID, req.Attempt, i)
-		if each || buf.Len() > 16<<10 {
+		if flushEach || buf.Len() > 16<<10 {
 			_, _ = wri.Write(buf.Bytes())
 			_ = con.Flush()
 			buf.Reset()
@@ -58,11 +58,11 @@
 	_, _ = wri.Write(buf.Bytes())
 }
 
-func startEngine(b *testing.B, each bool) string {
+func startEngine(b *testing.B, flushEach bool) string {
 	ser := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
 		var req invoker.GenerateRequest
 		_ = json.NewDecoder(htr.Body).Decode(&req)
-		writeTokens(wri, req, each)
+		writeTokens(wri, req, flushEach)
 	}))
 	b.Cleanup(ser.Close)
 	return strings.TrimPrefix(ser.URL, "http://")
@@ -102,12 +102,12 @@
 // callers share the processors, so run it with -cpu 1 for the rate of one core.
 func BenchmarkRelay(b *testing.B) {
 	for _, tt := range []struct {
-		name string
-		each bool
+		name      string
+		flushEach bool
 	}{{"batched", false}, {"flushed", true}} {
 		b.Run(tt.name, func(b *testing.B) {
 			const streams, tokens = 64, 2000
-			url := startHost(b, startEngine(b, tt.each))
+			url := startHost(b, startEngine(b, tt.flushEach))
 			for b.Loop() {
 				var wg sync.WaitGroup
 				for range streams {
--- a/request/executor/repeat.go
+++ b/request/executor/repeat.go
@@ -10,7 +10,8 @@
 	"hemlockpin/request/responder"
 )
 
-// maxLatencyPools bounds the pools whose latencies are kept.
+// maxLatencyPools bounds the pools whose latencies are kept; beyond it, the latencies
+// of all pools are discarded.
 const maxLatencyPools = 1024
 
 // repeatableCall is the state of a call that may run more than once.
@@ -21,7 +22,7 @@
 	startedAt time.Time
 	// results receives the result of each dispatch.
 	results chan dispatchResult
-	// reply is the first complete answer; problem says why no endpoint was available.
+	// reply is the first complete answer; problem is the last refusal of a placement.
 	reply   invoker.ServiceReply
 	problem responder.Problem
 }
@@ -32,8 +33,8 @@
 	hedge bool
 }
 
-// repeatable runs a call that may run more than once.
-func (exe *Executor) repeatable(ctx context.Context, cal *call) {
+// runRepeatable runs a call that may run more than once.
+func (exe *Executor) runRepeatable(ctx context.Context, cal *call) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	now := exe.Clock()
@@ -109,7 +110,7 @@
 	}
 	go func() {
 		defer lea.Release()
-		eve, _ := exe.send(ctx, rep.call, lea)
+		eve, _ := exe.dispatchCall(ctx, rep.call, lea)
 		rep.results <- dispatchResult{eve, hedge}
 	}()
 	return hedger.Placed{Endpoint: lea.Endpoint}
@@ -129,8 +130,8 @@
 func (exe *Executor) resultEvent(ctx context.Context, rep *repeatableCall, res dispatchResult) hedger.Event {
 	if eve, ok := res.event.(claimer.Replied); ok {
 		now := exe.Clock()
-		// If the hedge answered first, this is a lower bound for the latency of the
-		// first dispatch.
+		// If the hedge answered first, the time since the start is a lower bound for
+		// the latency of the first dispatch.
 		rep.latencies.Observe(now.Sub(rep.startedAt), now)
 		if res.hedge {
 			exe.counters().hedgesWon.Inc(1)
--- a/request/executor/repeat_test.go
+++ b/request/executor/repeat_test.go
@@ -72,8 +72,8 @@
 	return rec
 }
 
-// TestHedges calls two services that delay some calls at different times. Repeatable
-// calls must be hedged within the budget, other calls never.
+// TestHedges guards against hedges beyond the budget, and against a second run of calls
+// that are not repeatable. Each of the two services delays some calls.
 func TestHedges(t *testing.T) {
 	for _, tt := range []struct {
 		repeatable bool
@@ -85,7 +85,7 @@
 	} {
 		t.Run(fmt.Sprint(tt.repeatable), func(t *testing.T) {
 			address, count := startSlowService(t, 25, 20*time.Millisecond)
-			otherAddress, more := startSlowService(t, 39, 20*time.Millisecond)
+			otherAddress, otherCount := startSlowService(t, 39, 20*time.Millisecond)
 			alloc := &roundRobin{addresses: []string{address, otherAddress}}
 			exe := newExecutor("", &claimsStub{})
 			exe.Allocator = alloc
@@ -95,7 +95,7 @@
 			for range tt.calls {
 				require.Equal(t, string(invoker.Ran), callSlots(exe, tablesOf(tt.repeatable)).Header().Get("Hemlockpin-Run"))
 			}
-			extra := float64(count.Load() + more.Load() - tt.calls)
+			extra := float64(count.Load() + otherCount.Load() - tt.calls)
 			require.LessOrEqual(t, extra, tt.most+budgeter.FloorRate*time.Since(start).Seconds())
 			require.Eventually(t, func() bool { return alloc.open.Load() == 0 }, waitTimeout, time.Millisecond)
 			if tt.repeatable {
--- a/request/executor/resume_test.go
+++ b/request/executor/resume_test.go
@@ -58,16 +58,16 @@
 	return executor.Lease{}, &executor.RefusedError{Refuse: placer.Refuse{Code: "no_endpoint"}}
 }
 
-// TestLeaveEngineThatBreaksEveryStream checks that an engine which aborts every stream
-// after some tokens is left after its second attempt, however many tokens the caller
-// has received.
-func TestLeaveEngineThatBreaksEveryStream(t *testing.T) {
+// TestExcludeEngineThatBreaksEveryStream checks that an engine which aborts every
+// stream after some tokens is excluded after its second attempt, however many tokens
+// the caller has received.
+func TestExcludeEngineThatBreaksEveryStream(t *testing.T) {
 	badEngine := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
 		var req invoker.GenerateRequest
 		if htr.URL.Path != "/v1/generate" || json.NewDecoder(htr.Body).Decode(&req) != nil {
 			return
 		}
-		writeSome(wri, req, req.StartIndex, req.StartIndex+1)
+		writeTokenRange(wri, req, req.StartIndex, req.StartIndex+1)
 	}))
 	t.Cleanup(badEngine.Close)
 	goodEngine := httptest.NewServer(http.HandlerFunc(func(wri http.ResponseWriter, htr *http.Request) {
@@ -75,7 +75,7 @@
 		if htr.URL.Path != "/v1/generate" || json.NewDecoder(htr.Body).Decode(&req) != nil {
 			return
 		}
-		writeSome(wri, req, req.StartIndex, req.MaxTokens)
+		writeTokenRange(wri, req, req.StartIndex, req.MaxTokens)
 		fmt.Fprintf(wri, "event: Finish\ndata: {\"RequestID\":%q,\"Attempt\":%d,\"Reason\":\"length\",\"PromptTokens\":%d,\"CompletionTokens\":%d}\n\n", req.RequestID, req.Attempt, req.PromptTokens, req.MaxTokens)
 	}))
 	t.Cleanup(goodEngine.Close)
@@ -83,8 +83,8 @@
 	require.Contains(t, text, "t0 t1 t2 t3 t4 t5 t6 t7 t8 t9 t10 t11 t12 t13 t14 t15 t16 t17 t18 t19")
 }
 
-// writeSome streams the tokens with the indexes from (inclusive) to (exclusive).
-func writeSome(wri http.ResponseWriter, req invoker.GenerateRequest, from, to int64) {
+// writeTokenRange streams the tokens with the indexes from (inclusive) to (exclusive).
+func writeTokenRange(wri http.ResponseWriter, req invoker.GenerateRequest, from, to int64) {
 	hea := wri.Header()
 	hea.Set("Content-Type", "text/event-stream")
 	hea.Set("Engine-Request-Id", req.RequestID)
--- a/request/executor/trace.go
+++ b/request/executor/trace.go
@@ -10,12 +10,12 @@
 )
 
 // admit requests admission within a trace span.
-func (exe *Executor) admit(ctx context.Context, req placer.Request, tea parser.Team, poo parser.Pool) (done func(), ref *placer.Refuse) {
+func (exe *Executor) admit(ctx context.Context, req placer.Request, tea parser.Team, poo parser.Pool) (release func(), ref *placer.Refuse) {
 	_, spa := exe.Tracer.Start(ctx, "admission")
 	defer spa.End()
-	done, ref = exe.Admitter.Admit(req, tea, poo, exe.Clock())
+	release, ref = exe.Admitter.Admit(req, tea, poo, exe.Clock())
 	if ref != nil {
 		spa.SetAttributes(attribute.String("Refused", ref.Code))
 	}
-	return done, ref
+	return release, ref
 }
