--- a/request/admitter/admitter.go
+++ b/request/admitter/admitter.go
@@ -13,9 +13,9 @@
 const CodeTeamLimit = "team_limit"
 
 // Limiter enforces the teams' rates. If a request exceeds its team's rate, Take returns
-// the time after which to try again.
+// false and the time after which to try again.
 type Limiter interface {
-	Take(tea parser.Team, tokens int64, now time.Time) (retry time.Duration, ok bool)
+	Take(tea parser.Team, tokens int64, now time.Time) (retryAfter time.Duration, ok bool)
 }
 
 // Admitter limits the requests in progress on one host, and enforces the rates of their
@@ -30,9 +30,9 @@
 	inProgress int
 }
 
-// Admit admits or refuses a request. The caller of Admit calls done when an admitted
-// request has ended; done is idempotent.
-func (adm *Admitter) Admit(req placer.Request, tea parser.Team, _ parser.Pool, now time.Time) (done func(), ref *placer.Refuse) {
+// Admit admits or refuses a request. The caller of Admit calls release when an admitted
+// request has ended; release is idempotent.
+func (adm *Admitter) Admit(req placer.Request, tea parser.Team, _ parser.Pool, now time.Time) (release func(), ref *placer.Refuse) {
 	adm.mu.Lock()
 	defer adm.mu.Unlock()
 	if adm.MaxRequests > 0 && adm.inProgress >= adm.MaxRequests {
--- a/request/admitter/admitter_test.go
+++ b/request/admitter/admitter_test.go
@@ -34,19 +34,19 @@
 			adm.Limiter = &fixedLimiter{int64(rate)}
 		}
 		out := ""
-		var dones []func()
+		var releases []func()
 		for range calls {
-			done, ref := adm.Admit(placer.Request{PromptTokens: int64(tokens)}, parser.Team{}, parser.Pool{}, time.Time{})
+			release, ref := adm.Admit(placer.Request{PromptTokens: int64(tokens)}, parser.Team{}, parser.Pool{}, time.Time{})
 			if ref != nil {
 				out += ref.Code + " after " + ref.RetryAfter.String() + "\n"
 				continue
 			}
 			out += "admitted\n"
-			dones = append(dones, done)
+			releases = append(releases, release)
 		}
-		for _, done := range dones {
-			done()
-			done()
+		for _, release := range releases {
+			release()
+			release()
 		}
 		require.Zero(t, adm.InProgress())
 		return out
