--- a/request/assembler/assembler.go
+++ b/request/assembler/assembler.go
@@ -1,6 +1,6 @@
-// Package assembler puts the tokens of one request in order, whatever attempt they come
-// from. It drops tokens that are late or duplicate, and detects events of other
-// requests.
+// Package assembler checks that the tokens of one answer arrive complete and in order
+// across its attempts. It drops duplicates and the tokens of other attempts, and
+// detects gaps and events of other requests.
 package assembler
 
 import "hemlockpin/connection/invoker"
@@ -44,7 +44,8 @@
 // Assembler is the state of one answer. It is an immutable value.
 type Assembler struct {
 	RequestID string
-	// Attempt is the current dispatch; events of other attempts are dropped.
+	// Attempt is the number of the current dispatch; events of other attempts are
+	// dropped.
 	Attempt int
 	// Next is the index of the next expected token.
 	Next int64
