--- a/request/attempter/attempter.go
+++ b/request/attempter/attempter.go
@@ -11,15 +11,19 @@
 )
 
 const (
-	// MaxAttempts bounds the dispatches of one request.
+	// MaxAttempts bounds the dispatches of one request, not counting moves.
 	MaxAttempts = 8
 	// MaxRounds bounds how often a request returns to endpoints that have failed it.
 	MaxRounds = 3
-	// MinBudget is the least time left for which a dispatch is worth while.
+	// MinBudget is the least time left for which a dispatch is worthwhile.
 	MinBudget = 5 * time.Millisecond
 
-	roundPause       = 100 * time.Millisecond
-	maxGroupPause    = 2 * time.Second
+	// roundPause is the pause before excluded endpoints are used again, and, before it
+	// is varied by Jitter, the first pause after a refused group; maxGroupPause bounds
+	// the latter.
+	roundPause    = 100 * time.Millisecond
+	maxGroupPause = 2 * time.Second
+	// minProgressLimit and maxProgressLimit bound ProgressLimit.
 	minProgressLimit = time.Second
 	maxProgressLimit = 20 * time.Second
 	// An engine may use 1/progressDivisor of the time left without progress, so that
@@ -30,14 +34,14 @@
 // State is the state of one request. It is an immutable value.
 type State struct {
 	Deadline time.Time
-	// Attempt numbers the dispatches so far. Moves counts the dispatches among them
-	// that were made to move the answer.
+	// Attempt is the number of the newest dispatch; the first is 1. Moves counts the
+	// dispatches that were made to move the answer.
 	Attempt int
 	Moves   int
 	// Delivered counts the tokens sent to the caller.
 	Delivered int64
-	// Ran says whether an endpoint may have run the request: the worst case of all
-	// dispatches.
+	// Ran says whether an endpoint may have run the request: the most that any dispatch
+	// did, in the order NotRun, Unknown, Ran.
 	Ran invoker.Execution
 	// Excluded lists the endpoints that failed the request.
 	Excluded []string
@@ -91,7 +95,7 @@
 func (Expired) event() {}
 
 // Action is what to do next: Dispatch, Resume, Stay, Abandon or Fail. Every action but
-// Stay ends the current dispatch, which is cancelled on the engine.
+// Stay ends the current dispatch. All but Resume also cancel it on the engine.
 type Action interface{ action() }
 
 // Dispatch places the request again after a pause; the answer continues at the next
@@ -129,15 +133,15 @@
 	return sta
 }
 
-// WithMove returns the state after a second dispatch was begun to move the answer. It
-// does not count against MaxAttempts, which limits failures.
+// WithMove returns the state after a dispatch to the target of a move was begun. That
+// dispatch does not count against MaxAttempts, which limits failures.
 func (sta State) WithMove() State {
 	sta.Attempt++
 	sta.Moves++
 	return sta
 }
 
-// WithSwitch returns the state after the second dispatch replaced the first.
+// WithSwitch returns the state after the target of a move replaced the source.
 func (sta State) WithSwitch() State {
 	sta.Resumed = false
 	return sta
@@ -154,8 +158,8 @@
 func (sta State) exhausted() bool { return sta.Attempt-sta.Moves >= MaxAttempts }
 
 // WithDelivered returns the state after a token was sent to the caller. It does not
-// reset Resumed: an endpoint that aborts every stream after some tokens would use all
-// attempts.
+// reset Resumed; otherwise an endpoint that aborts every stream after some tokens would
+// use all attempts.
 func (sta State) WithDelivered(delivered int64) State {
 	sta.Delivered = delivered
 	sta.Ran = invoker.Ran
@@ -165,11 +169,12 @@
 func (sta State) withFailure(end string, ran invoker.Execution) State {
 	sta.Excluded = append(slices.Clip(sta.Excluded), end)
 	sta.Resumed = false
-	sta.Ran = worseOf(sta.Ran, ran)
+	sta.Ran = maxExecution(sta.Ran, ran)
 	return sta
 }
 
-func worseOf(a, b invoker.Execution) invoker.Execution {
+// maxExecution returns the greater of two values in the order NotRun, Unknown, Ran.
+func maxExecution(a, b invoker.Execution) invoker.Execution {
 	for _, exe := range []invoker.Execution{invoker.Ran, invoker.Unknown} {
 		if a == exe || b == exe {
 			return exe
@@ -183,7 +188,8 @@
 	return max(minProgressLimit, min(maxProgressLimit, sta.Deadline.Sub(now)/progressDivisor))
 }
 
-// Next decides on an event. A retry is spent only if one is available.
+// Next decides on an event. retry says whether a retry is available; an action that
+// spends a retry is chosen only then.
 func (sta State) Next(eve Event, retry bool, now time.Time) (State, Action) {
 	switch eve := eve.(type) {
 	case Refused:
@@ -226,7 +232,7 @@
 func (sta State) afterFailure(fai Failed, retry bool, now time.Time) (State, Action) {
 	if sta.mayResume(fai, retry, now) {
 		sta.Resumed = true
-		sta.Ran = worseOf(sta.Ran, fai.Ran)
+		sta.Ran = maxExecution(sta.Ran, fai.Ran)
 		return sta, Resume{}
 	}
 	sta = sta.withFailure(fai.Endpoint, fai.Ran)
@@ -243,8 +249,8 @@
 	return sta, Dispatch{}
 }
 
-// mayResume reports whether the connection failed rather than the engine, and the
-// endpoint was not already resumed without success.
+// mayResume reports whether to resume on the same endpoint: only the connection failed,
+// this is the first resumption there, and a retry, an attempt and time are left.
 func (sta State) mayResume(fai Failed, retry bool, now time.Time) bool {
 	return fai.Connection && !fai.Permanent && !sta.Resumed && retry && !sta.exhausted() && sta.left(now) >= MinBudget
 }
@@ -265,7 +271,7 @@
 
 func (sta State) ran() invoker.Execution {
 	if sta.Pending {
-		return worseOf(sta.Ran, invoker.Unknown)
+		return maxExecution(sta.Ran, invoker.Unknown)
 	}
-	return worseOf(sta.Ran, invoker.NotRun)
+	return maxExecution(sta.Ran, invoker.NotRun)
 }
