--- a/request/budgeter/budgeter.go
+++ b/request/budgeter/budgeter.go
@@ -1,5 +1,6 @@
 // Package budgeter limits the retries of a host to a share of its requests, so that
-// retries do not multiply the load when many endpoints fail.
+// retries do not multiply the load when many endpoints fail. Budget does so for one
+// host, Quota for each pool and all hosts together.
 package budgeter
 
 import (
@@ -12,13 +13,14 @@
 	Share = 0.2
 	// FloorRate is the number of retries a second that a host earns without requests.
 	FloorRate = 1.0
-	// Burst is the maximum number of retries that a host can save. It covers the
+	// Burst is the maximum number of retries that a host can accumulate. It covers the
 	// streams that break when one engine fails.
 	Burst = 128.0
-	// MinBurst is the number of retries that a host can save even if all other hosts
-	// have none left.
+	// MinBurst is the number of retries that a host can accumulate even if all other
+	// hosts have none left.
 	MinBurst = 16.0
-	// MaxFleetAge is the age from which the digests of other hosts are ignored.
+	// MaxFleetAge is the age from which the summary of other hosts' digests is ignored.
+	// Peers keeps a digest for half of that time.
 	MaxFleetAge = 10 * time.Second
 )
 
@@ -42,11 +44,11 @@
 	return Fleet{Left: sum / Burst / float64(len(digests)), AsOf: at}
 }
 
-// burst returns the maximum number of retries that the host can save. The fewer retries
-// the other hosts have left, the lower it is, so that the fleet's total stays bounded.
-// Without recent digests each host uses its own Burst. So n hosts together exceed the
-// retries earned by requests and time by at most n times Burst, and by at most n times
-// MinBurst once they know that no retries are left.
+// burst returns the maximum number of retries that the host can accumulate. The fewer
+// retries the other hosts have left, the lower it is, so that the fleet's total stays
+// bounded. Without recent digests each host uses its own Burst. So n hosts together
+// exceed the retries earned by requests and time by at most n times Burst, and by at
+// most n times MinBurst once their digests show that no retries are left.
 func (fle Fleet) burst(now time.Time) float64 {
 	staleness := min(1, max(0, now.Sub(fle.AsOf).Seconds()/MaxFleetAge.Seconds()))
 	return max(MinBurst, Burst*(fle.Left+(1-fle.Left)*staleness))
@@ -54,11 +56,11 @@
 
 // Budget is the retry budget of one host. Its zero value is a full budget.
 type Budget struct {
-	mu     sync.Mutex
-	spent  float64
-	at     time.Time
-	counts Digest
-	fleet  Fleet
+	mu         sync.Mutex
+	spent      float64
+	refilledAt time.Time
+	counts     Digest
+	fleet      Fleet
 }
 
 // Digest is a summary of a host's budget.
@@ -66,7 +68,7 @@
 	Requests int64
 	Retries  int64
 	Denied   int64
-	// Available is the number of retries left.
+	// Available is Burst less the retries spent.
 	Available float64
 }
 
@@ -109,9 +111,9 @@
 }
 
 // take spends one retry within a share of the burst. The caller holds the lock.
-func (bud *Budget) take(part float64, now time.Time) bool {
+func (bud *Budget) take(share float64, now time.Time) bool {
 	bud.refill(now)
-	if bud.spent+1 > part*bud.fleet.burst(now) {
+	if bud.spent+1 > share*bud.fleet.burst(now) {
 		return false
 	}
 	bud.spent++
@@ -127,7 +129,7 @@
 	bud.counts.Retries--
 }
 
-// Digest returns the counts so far.
+// Digest returns a summary of the budget.
 func (bud *Budget) Digest(now time.Time) Digest {
 	bud.mu.Lock()
 	defer bud.mu.Unlock()
@@ -138,10 +140,10 @@
 }
 
 func (bud *Budget) refill(now time.Time) {
-	if elapsed := now.Sub(bud.at); elapsed > 0 {
-		if !bud.at.IsZero() {
+	if elapsed := now.Sub(bud.refilledAt); elapsed > 0 {
+		if !bud.refilledAt.IsZero() {
 			bud.spent = max(0, bud.spent-elapsed.Seconds()*FloorRate)
 		}
-		bud.at = now
+		bud.refilledAt = now
 	}
 }
--- a/request/budgeter/budgeter_test.go
+++ b/request/budgeter/budgeter_test.go
@@ -62,8 +62,8 @@
 	})
 }
 
-// TestFleet checks the burst when the other hosts have no retries left, and when that
-// information is out of date.
+// TestFleet checks the burst when the other hosts have no retries left, and when the
+// digests that show it are out of date.
 func TestFleet(t *testing.T) {
 	var bud Budget
 	require.Equal(t, 10, take(&bud, 10, start))
--- a/request/budgeter/peers.go
+++ b/request/budgeter/peers.go
@@ -17,7 +17,7 @@
 
 type peerDigest struct {
 	Digest
-	at time.Time
+	receivedAt time.Time
 }
 
 // Record stores the digest of a host and returns the summary of all recent digests.
@@ -35,8 +35,8 @@
 	digests := make([]Digest, 0, len(pee.digests))
 	for _, rec := range pee.digests {
 		digests = append(digests, rec.Digest)
-		if rec.at.Before(oldest) {
-			oldest = rec.at
+		if rec.receivedAt.Before(oldest) {
+			oldest = rec.receivedAt
 		}
 	}
 	return NewFleet(digests, oldest)
@@ -45,7 +45,7 @@
 // evict removes digests older than half of MaxFleetAge. The caller holds the lock.
 func (pee *Peers) evict(now time.Time) {
 	for host, rec := range pee.digests {
-		if now.Sub(rec.at) >= MaxFleetAge/2 {
+		if now.Sub(rec.receivedAt) >= MaxFleetAge/2 {
 			delete(pee.digests, host)
 		}
 	}
--- a/request/budgeter/quota.go
+++ b/request/budgeter/quota.go
@@ -10,11 +10,11 @@
 	// steps.
 	quotaParts = 10
 	// slackShare is the share of the slack that the hosts use. The rest compensates for
-	// hosts that this host does not know of.
+	// hosts missing from Hosts.
 	slackShare = 0.7
 )
 
-// QuotaLimits limit the repeats of the calls to a pool by all hosts together: in each
+// QuotaLimits limit the resends of the calls to a pool by all hosts together: in each
 // window, to Ratio times the calls plus Slack.
 type QuotaLimits struct {
 	Ratio  float64
@@ -22,7 +22,7 @@
 	Window time.Duration
 }
 
-// Quota is a host's part of the repeats that all hosts may send: a share of its own
+// Quota is a host's part of the resends that all hosts may make: a share of its own
 // calls and an equal part of the slack. Limits and Hosts must be set.
 type Quota struct {
 	Limits QuotaLimits
@@ -36,11 +36,12 @@
 	base time.Time
 }
 
-// poolCounts counts the calls and the repeats of one pool by parts of the window.
+// poolCounts counts the calls and the resends of one pool by parts of the window. part
+// is the number of the current part since the base of the quota.
 type poolCounts struct {
 	calls   [quotaParts]int
-	repeats [quotaParts]int
-	at      int64
+	resends [quotaParts]int
+	part    int64
 }
 
 // SetLimits changes the limits.
@@ -55,19 +56,19 @@
 	quo.mu.Lock()
 	defer quo.mu.Unlock()
 	counts := quo.countsOf(pool, now)
-	counts.calls[counts.at%quotaParts]++
+	counts.calls[counts.part%quotaParts]++
 }
 
-// Take reports whether a call to a pool may be repeated, and counts the repeat.
+// Take takes a resend of a call to a pool. It returns false if none is left.
 func (quo *Quota) Take(pool string, now time.Time) bool {
 	quo.mu.Lock()
 	defer quo.mu.Unlock()
 	counts := quo.countsOf(pool, now)
 	limit := quo.Limits.Ratio*float64(sum(counts.calls)) + slackShare*quo.Limits.Slack/float64(max(1, quo.Hosts()))
-	if float64(sum(counts.repeats)+1) > limit {
+	if float64(sum(counts.resends)+1) > limit {
 		return false
 	}
-	counts.repeats[counts.at%quotaParts]++
+	counts.resends[counts.part%quotaParts]++
 	return true
 }
 
@@ -86,18 +87,18 @@
 		quo.counts = map[string]*poolCounts{}
 		quo.base = now
 	}
-	at := int64(max(0, now.Sub(quo.base)) / max(1, quo.Limits.Window/quotaParts))
+	part := int64(max(0, now.Sub(quo.base)) / max(1, quo.Limits.Window/quotaParts))
 	counts := quo.counts[pool]
 	if counts == nil {
-		counts = &poolCounts{at: at}
+		counts = &poolCounts{part: part}
 		quo.counts[pool] = counts
 	}
-	if at-counts.at >= quotaParts {
-		*counts = poolCounts{at: at}
+	if part-counts.part >= quotaParts {
+		*counts = poolCounts{part: part}
 	}
-	for counts.at < at {
-		counts.at++
-		counts.calls[counts.at%quotaParts], counts.repeats[counts.at%quotaParts] = 0, 0
+	for counts.part < part {
+		counts.part++
+		counts.calls[counts.part%quotaParts], counts.resends[counts.part%quotaParts] = 0, 0
 	}
 	return counts
 }
--- a/request/budgeter/quota_test.go
+++ b/request/budgeter/quota_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestQuotaFleet lets every call of many hosts fail: the repeats of all hosts together
+// TestQuotaFleet lets every call of many hosts fail: the resends of all hosts together
 // must not exceed the limits in any window.
 func TestQuotaFleet(t *testing.T) {
 	const hosts, calls = 20, 40
@@ -17,7 +17,7 @@
 		quos = append(quos, &Quota{Limits: limits, Hosts: func() int { return hosts }})
 	}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	type step struct{ calls, repeats int }
+	type step struct{ calls, resends int }
 	var steps []step
 	for range 300 {
 		var current step
@@ -26,7 +26,7 @@
 				quo.Earn("p", now)
 				current.calls++
 				if quo.Take("p", now) {
-					current.repeats++
+					current.resends++
 				}
 			}
 		}
@@ -37,10 +37,10 @@
 		var sum step
 		for _, current := range steps[start : start+100] {
 			sum.calls += current.calls
-			sum.repeats += current.repeats
+			sum.resends += current.resends
 		}
-		require.LessOrEqual(t, float64(sum.repeats), limits.Ratio*float64(sum.calls)+limits.Slack)
-		require.Positive(t, sum.repeats)
+		require.LessOrEqual(t, float64(sum.resends), limits.Ratio*float64(sum.calls)+limits.Slack)
+		require.Positive(t, sum.resends)
 	}
 }
 
