--- a/request/claimer/claimer.go
+++ b/request/claimer/claimer.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// MaxDispatches bounds the endpoints attempted as long as none has received the
-	// call.
+	// MaxDispatches bounds the dispatches of a call that no endpoint has received.
 	MaxDispatches = 3
-	retryAfter    = time.Second
+	// retryAfter is the Retry-After of refusals that may pass.
+	retryAfter = time.Second
 	// Pauses between the claims of a call whose key another call holds.
 	minHeldPause = 100 * time.Millisecond
 	maxHeldPause = time.Second
-	// minHeldPauses is the number of pauses for which time must be left to wait on.
+	// minHeldPauses is how many pauses must fit into the time left for a call to keep
+	// waiting.
 	minHeldPauses = 2
 	// maxDoublings bounds the shift so that it does not overflow; minHeldPause doubled
 	// four times exceeds maxHeldPause.
@@ -98,8 +99,8 @@
 // Stop.
 type Action interface{ action() }
 
-// Await retries the claim after a pause, since another call holds the key and may end
-// in the meantime.
+// Await retries the claim after a pause, since another call holds the key; that call
+// may end during the pause.
 type Await struct{ Pause time.Duration }
 
 // Place requests an endpoint.
@@ -196,8 +197,8 @@
 	return sta, Stop{}
 }
 
-// ranWithoutClaim returns what is known about the execution of a call that does not
-// hold its claim. An earlier call may have run with a key supplied by the caller.
+// ranWithoutClaim returns what is known about the execution of a call without a
+// committed claim: with a key of the caller, an earlier call may have run.
 func (sta State) ranWithoutClaim() invoker.Execution {
 	if sta.KeyFromCaller {
 		return invoker.Unknown
@@ -205,8 +206,9 @@
 	return invoker.NotRun
 }
 
-// failNotRun fails a call that holds its claim and has reached no endpoint. While it
-// holds the claim, no other call with the key can run, and no earlier call has.
+// failNotRun returns the Fail of a call that holds its claim and has reached no
+// endpoint. A committed claim shows that no earlier call with the key has run, and no
+// other call can run meanwhile.
 func failNotRun(status int, code, message string) Fail {
 	return Fail{Status: status, Code: code, Message: message, Ran: invoker.NotRun, RetryAfter: retryAfter}
 }
--- a/request/claimer/claimer_test.go
+++ b/request/claimer/claimer_test.go
@@ -53,9 +53,10 @@
 	}
 }
 
-// TestDecisions applies scripts of events to a call with a key supplied by the caller
-// and to a call with a generated key.
-func TestDecisions(t *testing.T) {
+// TestNext guards against a second run of the call and against NotRun for a call that
+// may have run. It applies scripts of events to a call with a key supplied by the
+// caller and to a call with a generated key.
+func TestNext(t *testing.T) {
 	datadriven.RunTest(t, "testdata/decisions", func(t *testing.T, dat *datadriven.TestData) string {
 		var bui strings.Builder
 		var states [2]State
@@ -81,7 +82,7 @@
 func TestParseKey(t *testing.T) {
 	// A UUID of version 7 with the time now.
 	const recentKey = "01a24048-2680-7000-8000-000000000001"
-	tests := []struct{ name, key, stamp, code string }{
+	tests := []struct{ name, key, keyTimeText, code string }{
 		{"uuid", recentKey, "", ""},
 		{"uuid ignores the header", recentKey, "2020-01-01T00:00:00Z", ""},
 		{"opaque with time", "order-7", "2026-12-04T08:59:00Z", ""},
@@ -95,7 +96,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			key, fai := ParseKey(tt.key, tt.stamp, now, time.Minute)
+			key, fai := ParseKey(tt.key, tt.keyTimeText, now, time.Minute)
 			if tt.code != "" {
 				require.NotNil(t, fai)
 				require.Equal(t, tt.code, fai.Code)
@@ -108,7 +109,7 @@
 			require.WithinDuration(t, now, key.Time, time.Minute)
 		})
 	}
-	made := NewKey(now)
-	require.False(t, made.FromCaller)
-	require.Equal(t, now, made.Time)
+	generated := NewKey(now)
+	require.False(t, generated.FromCaller)
+	require.Equal(t, now, generated.Time)
 }
--- a/request/claimer/key.go
+++ b/request/claimer/key.go
@@ -13,6 +13,7 @@
 	// MaxKeyBytes bounds an idempotency key.
 	MaxKeyBytes = 200
 
+	// uuidTimeVersion is the version of UUIDs that contain their time.
 	uuidTimeVersion = 7
 )
 
@@ -38,18 +39,18 @@
 // contains its time; any other key needs a time in RFC 3339 format. ParseKey returns a
 // Fail for an invalid key. Such a call does not run, but an earlier call may have used
 // the same key with a valid time.
-func ParseKey(text, stamp string, now time.Time, skew time.Duration) (Key, *Fail) {
+func ParseKey(text, keyTimeText string, now time.Time, skew time.Duration) (Key, *Fail) {
 	if !ValidKey(text) {
 		return Key{}, badKey("idempotency_key_invalid", "the key must be 1 to 200 printable ASCII characters", invoker.NotRun)
 	}
 	key := Key{Text: text, FromCaller: true}
 	keyTime, ok := uuidTime(text)
 	if !ok {
-		if stamp == "" {
+		if keyTimeText == "" {
 			return Key{}, badKey("idempotency_key_time_missing", "the key must be a UUID of version 7 or come with Idempotency-Key-Time", invoker.Unknown)
 		}
 		var err error
-		keyTime, err = time.Parse(time.RFC3339, stamp)
+		keyTime, err = time.Parse(time.RFC3339, keyTimeText)
 		if err != nil {
 			return Key{}, badKey("idempotency_key_time_invalid", "Idempotency-Key-Time must be a time as in RFC 3339", invoker.Unknown)
 		}
