--- a/request/hedger/hedger.go
+++ b/request/hedger/hedger.go
@@ -1,6 +1,6 @@
-// Package hedger decides how a call that may run more than once is sent. It is sent
-// again when an endpoint fails, and hedged when the first dispatch takes longer than 95
-// % of recent calls. The first complete answer is used.
+// Package hedger decides how a call that may run more than once is sent. The call is
+// sent again when an endpoint fails, and hedged when the first dispatch takes longer
+// than 95 % of recent calls. The first complete answer is used.
 package hedger
 
 import (
@@ -22,8 +22,8 @@
 	Hedged bool
 	// Excluded lists the endpoints that failed the call or have it now.
 	Excluded []string
-	// Ran says whether an endpoint may have run the call: the worst case of all failed
-	// dispatches.
+	// Ran is Unknown once a dispatch that failed, or was in flight when the call
+	// expired, may have run the call; it is empty until then.
 	Ran invoker.Execution
 }
 
@@ -84,7 +84,8 @@
 func (Deliver) action()  {}
 func (Fail) action()     {}
 
-// Next decides on an event. A retry is spent only if one is available.
+// Next decides on an event. retry says whether a retry is available; an action that
+// spends a retry is chosen only then.
 func (sta State) Next(eve Event, retry bool) (State, Action) {
 	switch eve := eve.(type) {
 	case Began:
--- a/request/hedger/hedger_test.go
+++ b/request/hedger/hedger_test.go
@@ -12,9 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCalls runs scripts of events; a retry is available for the events that end with a
-// plus.
-func TestCalls(t *testing.T) {
+// TestNext guards against dispatches beyond the budget and against NotRun for a call
+// that may have run. It runs scripts of events; a retry is available for the events
+// that end with a plus.
+func TestNext(t *testing.T) {
 	datadriven.RunTest(t, "testdata/calls", func(t *testing.T, dat *datadriven.TestData) string {
 		var sta State
 		var out strings.Builder
--- a/request/hedger/times.go
+++ b/request/hedger/times.go
@@ -10,7 +10,8 @@
 	// hedgeQuantile is the quantile of the recent latencies after which a call is
 	// hedged.
 	hedgeQuantile = 0.95
-	// minWeight is the total weight of recent calls from which the histogram is used.
+	// minWeight is the total weight of the recent calls below which calls are not
+	// hedged.
 	minWeight = 20
 	// halfLife is the age at which the weight of a call has halved.
 	halfLife = 30 * time.Second
@@ -18,6 +19,8 @@
 	// itself.
 	minDelay = 2 * time.Millisecond
 
+	// The histogram has bucketCount buckets. firstBucket is the upper limit of the
+	// first; each further limit is bucketRatio times the one before.
 	bucketCount = 80
 	bucketRatio = 1.15
 	firstBucket = time.Millisecond
@@ -26,10 +29,10 @@
 // Latencies is a histogram of the recent latencies of the calls of a pool. Its zero
 // value is empty.
 type Latencies struct {
-	mu     sync.Mutex
-	counts [bucketCount]float64
-	total  float64
-	at     time.Time
+	mu        sync.Mutex
+	counts    [bucketCount]float64
+	total     float64
+	decayedAt time.Time
 }
 
 // Observe adds the latency of one call.
@@ -61,7 +64,7 @@
 
 // decay reduces the weight of old calls. The caller holds the lock.
 func (lat *Latencies) decay(now time.Time) {
-	elapsed := now.Sub(lat.at)
+	elapsed := now.Sub(lat.decayedAt)
 	if elapsed < time.Second {
 		return
 	}
@@ -70,7 +73,7 @@
 		lat.counts[i] *= factor
 	}
 	lat.total *= factor
-	lat.at = now
+	lat.decayedAt = now
 }
 
 func bucketOf(latency time.Duration) int {
