--- a/request/mover/mover.go
+++ b/request/mover/mover.go
@@ -1,18 +1,18 @@
 // Package mover decides, step by step, how an answer begun on one engine, the source,
-// continues on another, the target. An answer never depends on its move: the source
-// generates it until the target has the same tokens and at least one more.
+// continues on another, the target. A failed move does not affect the answer: the
+// source generates it until the target has the same tokens and at least one more.
 package mover
 
 import "time"
 
 const (
-	// MinTime is the least time left for which a move is worth while.
+	// MinTime is the least time left for which a move is worthwhile.
 	MinTime = time.Second
 	// CatchUpLimit bounds the time for which both engines generate the same answer.
 	CatchUpLimit = time.Second
-	// MinCaughtUpTokens is the number of tokens that the target must generate. The
-	// first token alone shows only how long the request was queued, not the decode
-	// rate.
+	// MinCaughtUpTokens is the number of tokens that the target must generate before
+	// the switch. The time of the first token shows only how long the request was
+	// queued, not the decode rate.
 	MinCaughtUpTokens = 2
 	// StepLimit bounds each of the steps before the dispatch to the target.
 	StepLimit = 5 * time.Second
@@ -31,9 +31,13 @@
 
 // Steps, in their order.
 const (
+	// Idle means that the move has not begun.
 	Idle Step = iota
+	// Requesting means that a target with memory for the answer is sought.
 	Requesting
+	// Exporting means that the source is to keep the prompt's blocks.
 	Exporting
+	// Importing means that the target fetches the blocks.
 	Importing
 	// CatchingUp means that both engines generate.
 	CatchingUp
@@ -46,8 +50,8 @@
 
 var stepNames = [...]string{"Idle", "Ask", "Export", "Import", "CatchUp", "Switch", "Over"}
 
-// String returns the name of the step, as the metric moves_failed and the spans have
-// it.
+// String returns the name of the step, as in the label step of the metric moves_failed
+// and the span attribute Step.
 func (ste Step) String() string { return stepNames[ste] }
 
 // State is the state of one move. It is an immutable value; the zero value is a move
@@ -60,7 +64,8 @@
 	Blocks int
 }
 
-// Remaining is what is left of an answer.
+// Remaining holds the tokens left until the limit of an answer, and the time left until
+// its deadline.
 type Remaining struct {
 	Tokens int64
 	Time   time.Duration
@@ -243,8 +248,8 @@
 	}
 }
 
-// worthWhile reports whether the rest of the answer takes minGainFactor times as long
-// as its transfer.
+// worthWhile reports whether the rest of the answer takes at least minGainFactor times
+// as long as the transfer of the prompt, and at least MinTime is left.
 func (sta State) worthWhile(rem Remaining) bool {
 	answerTime := time.Duration(rem.Tokens) * stepTime
 	return rem.Time >= MinTime && answerTime >= minGainFactor*sta.transferTime()
