--- a/process/allocator/health.go
+++ b/process/allocator/health.go
@@ -62,8 +62,8 @@
 // the endpoint that it moves to, to the ejector. It returns err unchanged.
 func (all *Allocator) withReports(lea executor.Lease, err error) (executor.Lease, error) {
 	lea.Report = all.reporter(lea.Endpoint)
-	if move := lea.Move; move != nil {
-		lea.Move = func(ctx context.Context) (executor.Target, bool) {
+	if move := lea.FindTarget; move != nil {
+		lea.FindTarget = func(ctx context.Context) (executor.Target, bool) {
 			tar, ok := move(ctx)
 			tar.Report = all.reporter(tar.Endpoint)
 			return tar, ok
--- a/process/allocator/move.go
+++ b/process/allocator/move.go
@@ -18,7 +18,7 @@
 // withMove sets the lease's Move, which requests from the scheduler an engine that
 // decodes the rest of the answer.
 func (all *Allocator) withMove(lea executor.Lease, hos host, cell, grantID string) executor.Lease {
-	lea.Move = func(ctx context.Context) (executor.Target, bool) {
+	lea.FindTarget = func(ctx context.Context) (executor.Target, bool) {
 		mov, ok := all.Cells.move(ctx, hos, cell, grantID)
 		if !ok {
 			return executor.Target{}, false
--- a/process/assigner/assigner_test.go
+++ b/process/assigner/assigner_test.go
@@ -168,7 +168,7 @@
 
 func placementRequest(id string, tokens int64) relayer.PlacementRequest {
 	now := time.Now()
-	return relayer.PlacementRequest{ID: id, Pool: "llm", PromptTokens: tokens, MaxTokens: 1000, Arrived: now, Objective: 3 * time.Second, Pause: time.Second, Deadline: now.Add(15 * time.Second)}
+	return relayer.PlacementRequest{ID: id, Pool: "llm", PromptTokens: tokens, MaxTokens: 1000, WaitingSince: now, Objective: 3 * time.Second, PauseObjective: time.Second, Deadline: now.Add(15 * time.Second)}
 }
 
 // TestSinglePlanner places calls from several hosts. A single host must plan all calls:
@@ -273,7 +273,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 1, fle.granted(cans[0].id))
 	require.Zero(t, fle.granted(cans[1].id), "the relaying host has no plan of its own")
-	lea.End()
+	lea.Release()
 	require.Eventually(t, func() bool { return fle.granted(cans[0].id) == 0 }, 3*time.Second, 5*time.Millisecond)
 }
 
@@ -291,7 +291,7 @@
 	for _, id := range []string{self, cans[1].id} {
 		fle.hosts[id].suspect(cans[0].id, errors.New("connection refused"))
 	}
-	lea.End()
+	lea.Release()
 	time.Sleep(300 * time.Millisecond)
 	fle.mu.Lock()
 	defer fle.mu.Unlock()
@@ -307,12 +307,12 @@
 	ass := fle.assigner(self, &reserver{})
 	lea, err := ass.Place(t.Context(), placementRequest("1", 140_000))
 	require.NoError(t, err)
-	lea.Began()
+	lea.ReportFirstEvent()
 	fle.leaving[cans[0].id] = true
 	fle.hosts[self].Announce(time.Now())
 	require.Eventually(t, func() bool { return fle.granted(cans[1].id) == 1 }, time.Second, 5*time.Millisecond)
 	fle.hosts[self].Announce(time.Now())
-	lea.End()
+	lea.Release()
 	require.Eventually(t, func() bool { return fle.granted(cans[1].id) == 0 }, time.Second, 5*time.Millisecond)
 	require.Empty(t, fle.hosts[self].grants)
 }
@@ -350,7 +350,7 @@
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, len(lea.Helpers), 2)
 	require.GreaterOrEqual(t, res.count(), 2)
-	lea.End()
+	lea.Release()
 	require.Eventually(t, func() bool { return res.count() == 0 }, 5*time.Second, time.Millisecond)
 	res.refuses = "10.0.0.2:1"
 	_, err = ass.Place(t.Context(), placementRequest("2", 800_000))
@@ -392,16 +392,16 @@
 	second, err := ass.Place(t.Context(), relayer.PlacementRequest{Pool: "desk"})
 	require.NoError(t, err)
 	require.NotEqual(t, "d1", second.Endpoint.ID, "endpoints with fewer calls come next")
-	first.End()
-	first.End()
+	first.Release()
+	first.Release()
 	require.Len(t, ass.activeCalls, 1)
-	second.Failed("")
-	second.End()
+	second.ReportFailure("")
+	second.Release()
 	for range 20 {
 		lea, err := ass.Place(t.Context(), relayer.PlacementRequest{Pool: "desk"})
 		require.NoError(t, err)
 		require.NotEqual(t, second.Endpoint.ID, lea.Endpoint.ID, "an endpoint that has just failed is avoided")
-		lea.End()
+		lea.Release()
 	}
 	_, err = ass.Place(t.Context(), relayer.PlacementRequest{Pool: "desk", Excluded: []string{"d1", "d2", "d3"}})
 	var ref *relayer.RefusedError
--- a/process/journaler/world_test.go
+++ b/process/journaler/world_test.go
@@ -69,7 +69,7 @@
 }
 
 func (sim *simulation) newCall(host string, faults ...*injectedFault) *simCall {
-	return &simCall{sim: sim, host: host, faults: faults, state: claimer.State{CallerKey: true}}
+	return &simCall{sim: sim, host: host, faults: faults, state: claimer.State{KeyFromCaller: true}}
 }
 
 // dependency returns what a step depends on and what an outage at it makes unavailable.
@@ -239,7 +239,7 @@
 	cal.before(fault)
 	cal.after(fault)
 	if fault == "down" {
-		return claimer.NoEndpoint{Message: "none"}
+		return claimer.Refused{Message: "none"}
 	}
 	return claimer.Placed{}
 }
--- a/request/assembler/assembler.go
+++ b/request/assembler/assembler.go
@@ -1,6 +1,6 @@
-// Package assembler puts the tokens of one request in order, whatever attempt they come
-// from. It drops tokens that are late or duplicate, and detects events of other
-// requests.
+// Package assembler checks that the tokens of one answer arrive complete and in order
+// across its attempts. It drops duplicates and the tokens of other attempts, and
+// detects gaps and events of other requests.
 package assembler
 
 import "hemlockpin/connection/invoker"
@@ -25,8 +25,9 @@
 	Excess
 	// Complete means that the answer has ended and is complete.
 	Complete
-	// Short means that the end of the stream does not match the received tokens.
-	Short
+	// Mismatch means that the end of the stream does not match the received tokens, or
+	// that its reason is unknown.
+	Mismatch
 )
 
 var verdictNames = [...]string{"Deliver", "Drop", "Foreign", "Gap", "Excess", "Complete", "Short"}
@@ -43,7 +44,8 @@
 // Assembler is the state of one answer. It is an immutable value.
 type Assembler struct {
 	RequestID string
-	// Attempt is the current dispatch; events of other attempts are dropped.
+	// Attempt is the number of the current dispatch; events of other attempts are
+	// dropped.
 	Attempt int
 	// Next is the index of the next expected token.
 	Next int64
@@ -83,11 +85,11 @@
 	case fin.Attempt != ass.Attempt:
 		return Drop
 	case fin.CompletionTokens != ass.Next:
-		return Short
+		return Mismatch
 	case fin.Reason == reasonLength && ass.Next != ass.MaxTokens:
-		return Short
+		return Mismatch
 	case fin.Reason != reasonLength && fin.Reason != reasonStop:
-		return Short
+		return Mismatch
 	}
 	return Complete
 }
--- a/request/executor/repeat.go
+++ b/request/executor/repeat.go
@@ -10,7 +10,8 @@
 	"hemlockpin/request/responder"
 )
 
-// maxLatencyPools bounds the pools whose latencies are kept.
+// maxLatencyPools bounds the pools whose latencies are kept; beyond it, the latencies
+// of all pools are discarded.
 const maxLatencyPools = 1024
 
 // repeatableCall is the state of a call that may run more than once.
@@ -21,7 +22,7 @@
 	startedAt time.Time
 	// results receives the result of each dispatch.
 	results chan dispatchResult
-	// reply is the first complete answer; problem says why no endpoint was available.
+	// reply is the first complete answer; problem is the last refusal of a placement.
 	reply   invoker.ServiceReply
 	problem responder.Problem
 }
@@ -32,12 +33,12 @@
 	hedge bool
 }
 
-// repeatable runs a call that may run more than once.
-func (exe *Executor) repeatable(ctx context.Context, cal *call) {
+// runRepeatable runs a call that may run more than once.
+func (exe *Executor) runRepeatable(ctx context.Context, cal *call) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	now := exe.Clock()
-	exe.Retries.Earn(now)
+	exe.RetryBudget.Earn(now)
 	rep := &repeatableCall{call: cal, latencies: exe.latenciesOf(cal.pool.Name), startedAt: now, results: make(chan dispatchResult, hedger.MaxDispatches)}
 	var hedgeTimer <-chan time.Time
 	if delay, ok := rep.latencies.Delay(now); ok {
@@ -69,18 +70,18 @@
 	now := exe.Clock()
 	retry := false
 	switch eve.(type) {
-	case hedger.Waited:
-		retry = exe.Retries.TakeSpare(now)
+	case hedger.DelayPassed:
+		retry = exe.RetryBudget.TakeSpare(now)
 	case hedger.Failed:
-		retry = exe.Retries.Take(now)
+		retry = exe.RetryBudget.Take(now)
 	}
 	sta, act := rep.state.Next(eve, retry)
 	rep.state = sta
 	dis, ok := act.(hedger.Dispatch)
 	if retry && !ok {
-		exe.Retries.Return()
+		exe.RetryBudget.Return()
 	}
-	if _, waited := eve.(hedger.Waited); waited {
+	if _, waited := eve.(hedger.DelayPassed); waited {
 		exe.countHedge(dis, retry)
 	}
 	return act
@@ -102,14 +103,14 @@
 	lea, err := exe.Allocator.Acquire(ctx, req, rep.pool)
 	if err != nil {
 		if hedge {
-			exe.Retries.Return()
+			exe.RetryBudget.Return()
 		}
 		rep.problem = problemOf(err)
-		return hedger.Unplaced{Code: rep.problem.Code, Message: rep.problem.Message}
+		return hedger.Refused{Code: rep.problem.Code, Message: rep.problem.Message}
 	}
 	go func() {
 		defer lea.Release()
-		eve, _ := exe.send(ctx, rep.call, lea)
+		eve, _ := exe.dispatchCall(ctx, rep.call, lea)
 		rep.results <- dispatchResult{eve, hedge}
 	}()
 	return hedger.Placed{Endpoint: lea.Endpoint}
@@ -120,7 +121,7 @@
 	case res := <-rep.results:
 		return exe.resultEvent(ctx, rep, res)
 	case <-hedgeTimer:
-		return hedger.Waited{}
+		return hedger.DelayPassed{}
 	case <-ctx.Done():
 		return hedger.Expired{}
 	}
@@ -129,8 +130,8 @@
 func (exe *Executor) resultEvent(ctx context.Context, rep *repeatableCall, res dispatchResult) hedger.Event {
 	if eve, ok := res.event.(claimer.Replied); ok {
 		now := exe.Clock()
-		// If the hedge answered first, this is a lower bound for the latency of the
-		// first dispatch.
+		// If the hedge answered first, the time since the start is a lower bound for
+		// the latency of the first dispatch.
 		rep.latencies.Observe(now.Sub(rep.startedAt), now)
 		if res.hedge {
 			exe.counters().hedgesWon.Inc(1)
--- a/request/hedger/hedger.go
+++ b/request/hedger/hedger.go
@@ -1,6 +1,6 @@
-// Package hedger decides how a call that may run more than once is sent. It is sent
-// again when an endpoint fails, and hedged when the first dispatch takes longer than 95
-// % of recent calls. The first complete answer is used.
+// Package hedger decides how a call that may run more than once is sent. The call is
+// sent again when an endpoint fails, and hedged when the first dispatch takes longer
+// than 95 % of recent calls. The first complete answer is used.
 package hedger
 
 import (
@@ -22,12 +22,12 @@
 	Hedged bool
 	// Excluded lists the endpoints that failed the call or have it now.
 	Excluded []string
-	// Ran says whether an endpoint may have run the call: the worst case of all failed
-	// dispatches.
+	// Ran is Unknown once a dispatch that failed, or was in flight when the call
+	// expired, may have run the call; it is empty until then.
 	Ran invoker.Execution
 }
 
-// Event is a step of a call: Began, Placed, Waited, Replied, Failed, Unplaced or
+// Event is a step of a call: Began, Placed, DelayPassed, Replied, Failed, Refused or
 // Expired.
 type Event interface{ event() }
 
@@ -37,8 +37,8 @@
 // Placed reports the endpoint of the requested dispatch.
 type Placed struct{ Endpoint string }
 
-// Waited reports that the first dispatch has taken longer than the hedging delay.
-type Waited struct{}
+// DelayPassed reports that the first dispatch has taken longer than the hedging delay.
+type DelayPassed struct{}
 
 // Replied reports a complete answer.
 type Replied struct{}
@@ -46,19 +46,19 @@
 // Failed reports that a dispatch ended without a complete answer.
 type Failed struct{ Ran invoker.Execution }
 
-// Unplaced reports that no endpoint was available for a dispatch.
-type Unplaced struct{ Code, Message string }
+// Refused reports that no endpoint was available for a dispatch.
+type Refused struct{ Code, Message string }
 
 // Expired reports that the time limit has passed or the caller has disconnected.
 type Expired struct{}
 
-func (Began) event()    {}
-func (Placed) event()   {}
-func (Waited) event()   {}
-func (Replied) event()  {}
-func (Failed) event()   {}
-func (Unplaced) event() {}
-func (Expired) event()  {}
+func (Began) event()       {}
+func (Placed) event()      {}
+func (DelayPassed) event() {}
+func (Replied) event()     {}
+func (Failed) event()      {}
+func (Refused) event()     {}
+func (Expired) event()     {}
 
 // Action is what to do next: Dispatch, Wait, Deliver or Fail. Deliver and Fail end the
 // call and cancel the dispatches in flight.
@@ -84,7 +84,8 @@
 func (Deliver) action()  {}
 func (Fail) action()     {}
 
-// Next decides on an event. A retry is spent only if one is available.
+// Next decides on an event. retry says whether a retry is available; an action that
+// spends a retry is chosen only then.
 func (sta State) Next(eve Event, retry bool) (State, Action) {
 	switch eve := eve.(type) {
 	case Began:
@@ -94,13 +95,13 @@
 		sta.InFlight++
 		sta.Excluded = append(slices.Clip(sta.Excluded), eve.Endpoint)
 		return sta, Wait{}
-	case Waited:
+	case DelayPassed:
 		return sta.afterDelay(retry)
 	case Replied:
 		return sta, Deliver{}
 	case Failed:
 		return sta.afterFailure(eve, retry)
-	case Unplaced:
+	case Refused:
 		if sta.InFlight > 0 {
 			return sta, Wait{}
 		}
--- a/request/hedger/hedger_test.go
+++ b/request/hedger/hedger_test.go
@@ -12,9 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCalls runs scripts of events; a retry is available for the events that end with a
-// plus.
-func TestCalls(t *testing.T) {
+// TestNext guards against dispatches beyond the budget and against NotRun for a call
+// that may have run. It runs scripts of events; a retry is available for the events
+// that end with a plus.
+func TestNext(t *testing.T) {
 	datadriven.RunTest(t, "testdata/calls", func(t *testing.T, dat *datadriven.TestData) string {
 		var sta State
 		var out strings.Builder
@@ -22,8 +23,8 @@
 			line, retry := strings.CutSuffix(strings.TrimSpace(line), " +")
 			name, arg, _ := strings.Cut(line, " ")
 			eve := map[string]Event{
-				"began": Began{}, "placed": Placed{Endpoint: arg}, "waited": Waited{}, "replied": Replied{},
-				"failed": Failed{Ran: invoker.Execution(arg)}, "unplaced": Unplaced{Code: "no_endpoint"}, "expired": Expired{},
+				"began": Began{}, "placed": Placed{Endpoint: arg}, "waited": DelayPassed{}, "replied": Replied{},
+				"failed": Failed{Ran: invoker.Execution(arg)}, "unplaced": Refused{Code: "no_endpoint"}, "expired": Expired{},
 			}[name]
 			require.NotNil(t, eve, line)
 			var act Action
--- a/request/mover/mover.go
+++ b/request/mover/mover.go
@@ -1,18 +1,18 @@
 // Package mover decides, step by step, how an answer begun on one engine, the source,
-// continues on another, the target. An answer never depends on its move: the source
-// generates it until the target has the same tokens and at least one more.
+// continues on another, the target. A failed move does not affect the answer: the
+// source generates it until the target has the same tokens and at least one more.
 package mover
 
 import "time"
 
 const (
-	// MinTime is the least time left for which a move is worth while.
+	// MinTime is the least time left for which a move is worthwhile.
 	MinTime = time.Second
 	// CatchUpLimit bounds the time for which both engines generate the same answer.
 	CatchUpLimit = time.Second
-	// MinCaughtUpTokens is the number of tokens that the target must generate. The
-	// first token alone shows only how long the request was queued, not the decode
-	// rate.
+	// MinCaughtUpTokens is the number of tokens that the target must generate before
+	// the switch. The time of the first token shows only how long the request was
+	// queued, not the decode rate.
 	MinCaughtUpTokens = 2
 	// StepLimit bounds each of the steps before the dispatch to the target.
 	StepLimit = 5 * time.Second
@@ -31,22 +31,27 @@
 
 // Steps, in their order.
 const (
+	// Idle means that the move has not begun.
 	Idle Step = iota
-	Asking
+	// Requesting means that a target with memory for the answer is sought.
+	Requesting
+	// Exporting means that the source is to keep the prompt's blocks.
 	Exporting
+	// Importing means that the target fetches the blocks.
 	Importing
 	// CatchingUp means that both engines generate.
 	CatchingUp
-	// Caught means that the target is ahead of the source.
-	Caught
+	// Comparing means that the target is ahead of the caller, and its tokens are to be
+	// compared.
+	Comparing
 	// Over means that the move has ended, whether completed or aborted.
 	Over
 )
 
 var stepNames = [...]string{"Idle", "Ask", "Export", "Import", "CatchUp", "Switch", "Over"}
 
-// String returns the name of the step, as the metric moves_failed and the spans have
-// it.
+// String returns the name of the step, as in the label step of the metric moves_failed
+// and the span attribute Step.
 func (ste Step) String() string { return stepNames[ste] }
 
 // State is the state of one move. It is an immutable value; the zero value is a move
@@ -59,7 +64,8 @@
 	Blocks int
 }
 
-// Remaining is what is left of an answer.
+// Remaining holds the tokens left until the limit of an answer, and the time left until
+// its deadline.
 type Remaining struct {
 	Tokens int64
 	Time   time.Duration
@@ -176,11 +182,11 @@
 	case Imported:
 		return sta.afterImported(eve.Remaining)
 	case CaughtUp:
-		return sta.advance(CatchingUp, Caught, Compare{})
+		return sta.advance(CatchingUp, Comparing, Compare{})
 	case Behind:
-		return sta.advance(Caught, CatchingUp, CatchUp{})
+		return sta.advance(Comparing, CatchingUp, CatchUp{})
 	case Agreed:
-		return sta.advance(Caught, Over, Switch{Export: sta.Blocks > 0})
+		return sta.advance(Comparing, Over, Switch{Export: sta.Blocks > 0})
 	case SourceFailed:
 		return sta.afterSourceFailure()
 	case Failed, Ended:
@@ -203,15 +209,15 @@
 		sta.Step = Over
 		return sta, Nothing{}
 	}
-	return sta.advance(Idle, Asking, Ask{})
+	return sta.advance(Idle, Requesting, Ask{})
 }
 
 // afterOffered skips the transfer if the prompt is shorter than one block.
 func (sta State) afterOffered() (State, Action) {
 	if sta.Blocks == 0 {
-		return sta.advance(Asking, CatchingUp, CatchUp{})
+		return sta.advance(Requesting, CatchingUp, CatchUp{})
 	}
-	return sta.advance(Asking, Exporting, Export{})
+	return sta.advance(Requesting, Exporting, Export{})
 }
 
 func (sta State) afterImported(rem Remaining) (State, Action) {
@@ -223,7 +229,7 @@
 
 // afterSourceFailure waits for the target only if the target already has the request.
 func (sta State) afterSourceFailure() (State, Action) {
-	if sta.Step == CatchingUp || sta.Step == Caught {
+	if sta.Step == CatchingUp || sta.Step == Comparing {
 		return sta, Await{}
 	}
 	return sta.abort()
@@ -238,12 +244,12 @@
 		return sta, Nothing{}
 	}
 	return sta, Abort{
-		At: at, Target: at >= Asking, Export: at >= Exporting && sta.Blocks > 0, Dispatch: at >= CatchingUp,
+		At: at, Target: at >= Requesting, Export: at >= Exporting && sta.Blocks > 0, Dispatch: at >= CatchingUp,
 	}
 }
 
-// worthWhile reports whether the rest of the answer takes minGainFactor times as long
-// as its transfer.
+// worthWhile reports whether the rest of the answer takes at least minGainFactor times
+// as long as the transfer of the prompt, and at least MinTime is left.
 func (sta State) worthWhile(rem Remaining) bool {
 	answerTime := time.Duration(rem.Tokens) * stepTime
 	return rem.Time >= MinTime && answerTime >= minGainFactor*sta.transferTime()
