--- a/internal/streammatrix/matrix_test.go
+++ b/internal/streammatrix/matrix_test.go
@@ -24,35 +24,36 @@
 	}
 )
 
-// check returns what is wrong with an ended request, whatever befell it.
+// check returns the guarantee that an ended request violates. The guarantees hold
+// under every fault.
 func (req *request) check() error {
-	for ind, tok := range req.tokens {
-		if tok != int64(ind) {
-			return fmt.Errorf("the caller has token %d at %d", tok, ind)
+	for i, tok := range req.tokens {
+		if tok != int64(i) {
+			return fmt.Errorf("the caller received token %d at position %d", tok, i)
 		}
 	}
 	if req.outcome == "whole" && len(req.tokens) != answerTokens {
-		return fmt.Errorf("whole with %d tokens", len(req.tokens))
+		return fmt.Errorf("complete with %d tokens", len(req.tokens))
 	}
-	if lef := req.held(); len(lef) > 0 {
-		return fmt.Errorf("memory is left on %v", lef)
+	if left := req.enginesInUse(); len(left) > 0 {
+		return fmt.Errorf("memory was not freed on %v", left)
 	}
-	if len(req.robbed) > 0 {
-		return fmt.Errorf("a live request lost memory on %v", req.robbed)
+	if len(req.wronglyFreed) > 0 {
+		return fmt.Errorf("memory of a live request was freed on %v", req.wronglyFreed)
 	}
 	for _, eng := range req.engines {
 		if eng.ran && req.fail.Ran == invoker.NotRun {
-			return fmt.Errorf("told as not run, but %s ran it", eng.id)
+			return fmt.Errorf("reported as not run, but %s ran it", eng.id)
 		}
 	}
-	// A frozen host can't answer before it wakes.
-	if late := req.endedAt.Sub(req.state.Deadline); late > 2*time.Second && req.wakes.IsZero() {
+	// A frozen host can't answer before it resumes.
+	if late := req.endedAt.Sub(req.state.Deadline); late > 2*time.Second && req.hostFrozenUntil.IsZero() {
 		return fmt.Errorf("ended %s after the deadline", late)
 	}
 	return nil
 }
 
-func (req *request) cell() string {
+func (req *request) runCell() string {
 	req.run()
 	if err := req.check(); err != nil {
 		return "VIOLATION: " + err.Error()
@@ -60,77 +61,78 @@
 	return req.outcome
 }
 
-// TestMatrix runs each cell of step and fault with its trace, and all pairs of
-// faults at a step with their outcomes.
+// TestMatrix compares each cell, a step and a fault, with its recorded trace. For
+// each pair of faults at a step it compares the outcome.
 func TestMatrix(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, dat *datadriven.TestData) string {
-			var ste, fau string
-			dat.ScanArgs(t, "step", &ste)
+			var step, fault string
+			dat.ScanArgs(t, "step", &step)
 			if dat.Cmd == "pairs" {
-				return pairs(ste)
+				return pairs(step)
 			}
-			dat.ScanArgs(t, "fault", &fau)
+			dat.ScanArgs(t, "fault", &fault)
 			if dat.Cmd == "move" {
-				return newMoving(ste, fau).cell()
+				return newMove(step, fault).runCell()
 			}
-			req := newRequest(ste, fau)
-			out := req.cell()
-			require.True(t, req.struck, "the fault did not strike")
+			req := newRequest(step, fault)
+			out := req.runCell()
+			require.True(t, req.injected, "the fault was not injected")
 			return strings.Join(append(req.trace, "= "+out), "\n")
 		})
 	})
 }
 
 func pairs(step string) string {
-	var lins []string
-	for ind, one := range faults {
-		for _, two := range faults[ind+1:] {
-			lins = append(lins, fmt.Sprintf("%s + %s: %s", one, two, newRequest(step, one, two).cell()))
+	var lines []string
+	for i, first := range faults {
+		for _, second := range faults[i+1:] {
+			lines = append(lines, fmt.Sprintf("%s + %s: %s", first, second, newRequest(step, first, second).runCell()))
 		}
 	}
-	return strings.Join(lins, "\n")
+	return strings.Join(lines, "\n")
 }
 
-// TestMatrixIsComplete proves that no cell is missing and none has a violation.
+// TestMatrixIsComplete checks that the recorded traces cover all steps, faults and
+// pairs of faults, and contain no violation.
 func TestMatrixIsComplete(t *testing.T) {
-	for _, ste := range steps {
-		buf, err := os.ReadFile("testdata/" + ste)
+	for _, step := range steps {
+		buf, err := os.ReadFile("testdata/" + step)
 		require.NoError(t, err)
 		txt := string(buf)
 		require.NotContains(t, txt, "VIOLATION")
-		require.Equal(t, len(faults), strings.Count(txt, "cell step="+ste+" fault="))
-		for ind, one := range faults {
-			require.Contains(t, txt, fmt.Sprintf("cell step=%s fault=%s\n", ste, one))
-			for _, two := range faults[ind+1:] {
-				require.Contains(t, txt, fmt.Sprintf("\n%s + %s: ", one, two))
+		require.Equal(t, len(faults), strings.Count(txt, "cell step="+step+" fault="))
+		for i, first := range faults {
+			require.Contains(t, txt, fmt.Sprintf("cell step=%s fault=%s\n", step, first))
+			for _, second := range faults[i+1:] {
+				require.Contains(t, txt, fmt.Sprintf("\n%s + %s: ", first, second))
 			}
 		}
 	}
 }
 
-// TestMovesAreComplete proves the same for the steps of a move.
+// TestMovesAreComplete checks the same for the steps and faults of a move.
 func TestMovesAreComplete(t *testing.T) {
 	buf, err := os.ReadFile("testdata/move")
 	require.NoError(t, err)
 	require.NotContains(t, string(buf), "VIOLATION")
-	for ste := mover.Asking; ste <= mover.Over; ste++ {
-		for _, fau := range moveFaults {
-			require.Contains(t, string(buf), fmt.Sprintf("move step=%s fault=%s\n", ste, fau))
+	for step := mover.Asking; step <= mover.Over; step++ {
+		for _, fault := range moveFaults {
+			require.Contains(t, string(buf), fmt.Sprintf("move step=%s fault=%s\n", step, fault))
 		}
 	}
 }
 
-// TestHistories strikes several faults at random steps.
+// TestHistories injects random sets of up to five faults at a random step.
 func TestHistories(t *testing.T) {
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
 		require.NoError(t, flag.Set("rapid.seed", "20261204"))
 		require.NoError(t, flag.Set("rapid.checks", "5000"))
 	}
 	rapid.Check(t, func(rap *rapid.T) {
-		ste := rapid.SampledFrom(steps).Draw(rap, "step")
-		faus := rapid.SliceOfN(rapid.SampledFrom(faults), 1, 5).Draw(rap, "faults")
-		req := newRequest(ste, faus...)
+		step := rapid.SampledFrom(steps).Draw(rap, "step")
+		faults := rapid.SliceOfN(rapid.SampledFrom(faults), 1, 5).Draw(rap, "faults")
+		req := newRequest(step, faults...)
 		req.run()
 		if err := req.check(); err != nil {
 			rap.Fatalf("%v\n%s", err, strings.Join(req.trace, "\n"))
--- a/internal/streammatrix/move_test.go
+++ b/internal/streammatrix/move_test.go
@@ -21,155 +21,156 @@
 	"cancel-lost", "deadline", "caller-gone", "answer-ends", "host-dies", "host-frozen",
 }
 
-// moving is a request whose answer moves from engine-0 to engine-1.
-type moving struct {
-	*world
+// move is a request whose generation moves from engine-0 to engine-1.
+type move struct {
+	*simulation
 	step, fault string
 	state       mover.State
 	request     attempter.State
 	assembler   assembler.Assembler
 	source      *engine
 	target      *engine
-	second      int
-	told        []string
-	ended       string
+	newAttempt  int
+	reports     []string
+	outcome     string
 }
 
-func newMoving(step, fault string) *moving {
-	wor := newWorld()
-	wor.inProgress = true
-	mov := &moving{
-		world: wor, step: step, fault: fault, state: mover.State{PromptTokens: 4096, Blocks: 4},
+func newMove(step, fault string) *move {
+	sim := newSimulation()
+	sim.inProgress = true
+	mov := &move{
+		simulation: sim, step: step, fault: fault, state: mover.State{PromptTokens: 4096, Blocks: 4},
 		request:   attempter.State{Deadline: epoch.Add(timeLimit)}.WithAttempt(),
 		assembler: assembler.Assembler{RequestID: "request", Attempt: 1, MaxTokens: moveTokens},
-		source:    wor.engines[0], target: wor.engines[1],
+		source:    sim.engines[0], target: sim.engines[1],
 	}
 	mov.attempt = 1
-	mov.source.sequence = &sequence{request: "request", attempt: 1, owner: wor.owner, since: wor.now}
+	mov.source.sequence = &sequence{request: "request", attempt: 1, owner: sim.owner, since: sim.now}
 	return mov
 }
 
-// cell returns the trace of one fault at one step, with its end.
-func (mov *moving) cell() string {
-	mov.deliver(1)
-	act := mov.next(mover.Began{Remaining: mov.rest()})
+// runCell runs the move with its fault and returns the trace and the outcome.
+func (mov *move) runCell() string {
+	mov.deliverTokens(1)
+	act := mov.next(mover.Began{Remaining: mov.remaining()})
 	mov.request = mov.request.WithMove()
-	mov.second = mov.request.Attempt
-	for over := false; !over && mov.ended == ""; {
-		act, over = mov.carry(act)
+	mov.newAttempt = mov.request.Attempt
+	for over := false; !over && mov.outcome == ""; {
+		act, over = mov.perform(act)
 	}
 	mov.finish()
 	mov.inProgress = false
-	mov.pass(settleTime)
+	mov.advance(settleTime)
 	return strings.Join(append(mov.trace, "= "+mov.verdict()), "\n")
 }
 
-func (mov *moving) verdict() string {
-	switch lef := mov.held(); {
-	case len(lef) > 0:
-		return fmt.Sprintf("VIOLATION: memory is left on %v", lef)
-	case len(mov.robbed) > 0:
-		return fmt.Sprintf("VIOLATION: a live request lost memory on %v", mov.robbed)
-	case len(mov.told) > 1 || len(mov.told) == 0 && !mov.hostDead:
-		return fmt.Sprintf("VIOLATION: the cell was told %v", mov.told)
-	case mov.ended == "" && mov.assembler.Next != moveTokens:
-		return fmt.Sprintf("VIOLATION: %d tokens", mov.assembler.Next)
-	case mov.ended == "":
-		mov.ended = "whole"
+func (mov *move) verdict() string {
+	switch left := mov.enginesInUse(); {
+	case len(left) > 0:
+		return fmt.Sprintf("VIOLATION: memory was not freed on %v", left)
+	case len(mov.wronglyFreed) > 0:
+		return fmt.Sprintf("VIOLATION: memory of a live request was freed on %v", mov.wronglyFreed)
+	case len(mov.reports) > 1 || len(mov.reports) == 0 && !mov.hostDead:
+		return fmt.Sprintf("VIOLATION: the cell received the reports %v", mov.reports)
+	case mov.outcome == "" && mov.assembler.Next != moveTokens:
+		return fmt.Sprintf("VIOLATION: complete with %d tokens", mov.assembler.Next)
+	case mov.outcome == "":
+		mov.outcome = "whole"
 	}
-	return mov.ended + " " + strings.Join(mov.told, "")
+	return mov.outcome + " " + strings.Join(mov.reports, "")
 }
 
-func (mov *moving) rest() mover.Remaining {
+func (mov *move) remaining() mover.Remaining {
 	return mover.Remaining{Tokens: moveTokens - mov.assembler.Next, Time: mov.request.Deadline.Sub(mov.now)}
 }
 
-func (mov *moving) next(eve mover.Event) mover.Action {
+func (mov *move) next(eve mover.Event) mover.Action {
 	sta, act := mov.state.Next(eve)
 	mov.state = sta
-	mov.note("%s -> %s", name(eve), name(act))
+	mov.tracef("%s -> %s", typeName(eve), typeName(act))
 	if abo, ok := act.(mover.Abort); ok {
-		mov.abandon(abo)
+		mov.abort(abo)
 	}
 	return act
 }
 
-// strike returns the event by which the request itself learns of the fault.
-func (mov *moving) strike() mover.Event {
+// inject injects the fault when the move reaches its step. It returns the event by
+// which the request notices the fault at once; nil if there is none.
+func (mov *move) inject() mover.Event {
 	if mov.state.Step.String() != mov.step || mov.fault == "" {
 		return nil
 	}
-	fau := mov.fault
+	fault := mov.fault
 	mov.fault = ""
-	mov.note("strike %s", fau)
-	switch fau {
+	mov.tracef("strike %s", fault)
+	switch fault {
 	case "source-dies":
 		mov.source.die()
 		return mover.SourceFailed{}
 	case "source-freezes":
-		mov.source.frozen = mov.now.Add(frozenTime)
+		mov.source.frozenUntil = mov.now.Add(frozenTime)
 		return mover.SourceFailed{}
 	case "target-dies":
 		mov.target.die()
 	case "target-freezes":
-		mov.target.frozen = mov.now.Add(frozenTime)
+		mov.target.frozenUntil = mov.now.Add(frozenTime)
 	case "cancel-lost":
 		mov.cancelLost = true
 	case "host-dies":
 		mov.hostDead = true
-		mov.ended = "host gone"
+		mov.outcome = "host gone"
 	case "host-frozen":
-		mov.wakes = mov.now.Add(2 * timeLimit)
-		mov.pass(2 * timeLimit)
-		mov.ended = "failed time_limit"
+		mov.hostFrozenUntil = mov.now.Add(2 * timeLimit)
+		mov.advance(2 * timeLimit)
+		mov.outcome = "failed time_limit"
 		return mover.Ended{}
 	case "deadline", "caller-gone", "answer-ends":
-		mov.ended = fau
+		mov.outcome = fault
 		return mover.Ended{}
 	default:
-		mov.fault = fau + " struck"
+		mov.fault = fault + " struck"
 	}
 	return nil
 }
 
-// carry does one action while the first engine goes on, and reports the end of
-// the move.
-func (mov *moving) carry(act mover.Action) (mover.Action, bool) {
+// perform carries out one action while the source engine goes on generating. It
+// returns the next action and whether the move is over.
+func (mov *move) perform(act mover.Action) (mover.Action, bool) {
 	swi, switched := act.(mover.Switch)
-	if eve := mov.strike(); eve != nil && !switched {
-		if now := mov.next(eve); name(now) != "Await" {
-			return now, true
+	if eve := mov.inject(); eve != nil && !switched {
+		if next := mov.next(eve); typeName(next) != "Await" {
+			return next, true
 		}
 	}
 	if mov.hostDead {
 		return act, true
 	}
-	mov.pass(callTime)
+	mov.advance(callTime)
 	switch act.(type) {
 	case mover.Switch:
-		mov.leave(swi)
+		mov.completeSwitch(swi)
 		return act, true
 	case mover.Abort, mover.Nothing:
 		return act, true
 	}
-	return mov.next(mov.do(act)), false
+	return mov.next(mov.execute(act)), false
 }
 
-func (mov *moving) do(act mover.Action) mover.Event {
+func (mov *move) execute(act mover.Action) mover.Event {
 	switch act.(type) {
 	case mover.Ask:
 		return mover.Offered{}
 	case mover.Export:
 		mov.exporting = true
-		mov.current = exportID
+		mov.holdID = exportID
 		mov.source.holds[exportID] = invoker.Sequence{ID: exportID, Owner: mov.owner, Kind: "Export"}
 		mov.source.heldAt[exportID] = mov.now
 		return mover.Exported{}
 	case mover.Import:
-		if !mov.reaches(mov.target) || !mov.reaches(mov.source) || mov.fault == "target-full struck" {
+		if !mov.reachable(mov.target) || !mov.reachable(mov.source) || mov.fault == "target-full struck" {
 			return mover.Failed{}
 		}
-		return mover.Imported{Remaining: mov.rest()}
+		return mover.Imported{Remaining: mov.remaining()}
 	case mover.CatchUp:
 		return mov.catchUp()
 	default:
@@ -177,22 +178,22 @@
 	}
 }
 
-func (mov *moving) reaches(eng *engine) bool { return !eng.dead && !eng.silent(mov.now) }
+func (mov *move) reachable(eng *engine) bool { return !eng.dead && !eng.unresponsive(mov.now) }
 
-func (mov *moving) catchUp() mover.Event {
-	if !mov.reaches(mov.target) || mov.fault == "target-full struck" {
+func (mov *move) catchUp() mover.Event {
+	if !mov.reachable(mov.target) || mov.fault == "target-full struck" {
 		return mover.Failed{}
 	}
-	mov.target.sequence = &sequence{request: "request", attempt: mov.second, owner: mov.owner, since: mov.now}
+	mov.target.sequence = &sequence{request: "request", attempt: mov.newAttempt, owner: mov.owner, since: mov.now}
 	if mov.fault == "slow struck" {
-		mov.deliver(5)
-		mov.pass(mover.CatchUpLimit)
+		mov.deliverTokens(5)
+		mov.advance(mover.CatchUpLimit)
 		return mover.Failed{}
 	}
 	return mover.CaughtUp{}
 }
 
-func (mov *moving) compare() mover.Event {
+func (mov *move) compare() mover.Event {
 	switch mov.fault {
 	case "diverges struck":
 		return mover.Failed{}
@@ -203,74 +204,74 @@
 	return mover.Agreed{}
 }
 
-// deliver passes tokens of the current dispatch on.
-func (mov *moving) deliver(cou int64) {
-	for range cou {
-		ass, ver := mov.assembler.Token(invoker.Token{RequestID: "request", Attempt: mov.assembler.Attempt, Index: mov.assembler.Next})
-		mov.assembler = ass
+// deliverTokens relays tokens of the current attempt to the caller.
+func (mov *move) deliverTokens(n int64) {
+	for range n {
+		asm, ver := mov.assembler.Token(invoker.Token{RequestID: "request", Attempt: mov.assembler.Attempt, Index: mov.assembler.Next})
+		mov.assembler = asm
 		if ver != assembler.Deliver {
-			mov.note("VIOLATION: %s", ver)
+			mov.tracef("VIOLATION: %s", ver)
 		}
 	}
 }
 
-func (mov *moving) leave(act mover.Switch) {
+func (mov *move) completeSwitch(act mover.Switch) {
 	mov.request = mov.request.WithSwitch()
-	mov.assembler = mov.assembler.WithAttempt(mov.second)
-	mov.attempt = mov.second
-	mov.cancel(mov.source, mov.second-1)
+	mov.assembler = mov.assembler.WithAttempt(mov.newAttempt)
+	mov.attempt = mov.newAttempt
+	mov.cancel(mov.source, mov.newAttempt-1)
 	if act.Export {
 		mov.releaseExport()
 	}
 	mov.source = mov.target
-	mov.told = append(mov.told, "moved")
+	mov.reports = append(mov.reports, "moved")
 }
 
-func (mov *moving) abandon(abo mover.Abort) {
+func (mov *move) abort(abo mover.Abort) {
 	if abo.Dispatch {
-		mov.cancel(mov.target, mov.second)
+		mov.cancel(mov.target, mov.newAttempt)
 	}
 	if abo.Export {
 		mov.releaseExport()
 	}
 	if abo.Target {
-		mov.told = append(mov.told, "stayed")
+		mov.reports = append(mov.reports, "stayed")
 	}
 }
 
-func (mov *moving) cancel(eng *engine, att int) {
-	if !mov.cancelLost && mov.reaches(eng) {
+func (mov *move) cancel(eng *engine, att int) {
+	if !mov.cancelLost && mov.reachable(eng) {
 		eng.free(invoker.Free{Kind: "Running", RequestID: "request", Attempt: att, Owner: mov.owner})
 	}
 }
 
-func (mov *moving) releaseExport() {
+func (mov *move) releaseExport() {
 	mov.exporting = false
-	mov.current = ""
-	if !mov.cancelLost && mov.reaches(mov.engines[0]) {
+	mov.holdID = ""
+	if !mov.cancelLost && mov.reachable(mov.engines[0]) {
 		delete(mov.engines[0].holds, exportID)
 	}
 }
 
-// finish lets the engine that has the request answer to the end; if it has
-// failed, the request is dispatched elsewhere.
-func (mov *moving) finish() {
+// finish lets the engine that runs the request generate the rest of the answer. If
+// that engine has failed, the request is dispatched to another one.
+func (mov *move) finish() {
 	if mov.hostDead {
 		return
 	}
-	mov.pass(time.Second)
-	if mov.ended == "" && !mov.reaches(mov.source) {
+	mov.advance(time.Second)
+	if mov.outcome == "" && !mov.reachable(mov.source) {
 		sta, act := mov.request.Next(attempter.Failed{Endpoint: mov.source.id}, true, mov.now)
 		mov.request = sta.WithAttempt()
-		mov.note("Failed -> %s", name(act))
+		mov.tracef("Failed -> %s", typeName(act))
 		mov.cancel(mov.source, mov.request.Attempt)
 		mov.source = mov.engines[2]
 		mov.attempt = mov.request.Attempt
 		mov.assembler = mov.assembler.WithAttempt(mov.attempt)
 	}
-	if mov.ended == "" {
-		mov.deliver(moveTokens - mov.assembler.Next)
+	if mov.outcome == "" {
+		mov.deliverTokens(moveTokens - mov.assembler.Next)
 	}
-	// An answer that ends whole leaves nothing to cancel.
+	// The engine frees a sequence that is complete, so there is nothing to cancel.
 	mov.source.sequence = nil
 }
--- a/internal/streammatrix/request_test.go
+++ b/internal/streammatrix/request_test.go
@@ -11,73 +11,73 @@
 	"hemlockpin/request/attempter"
 )
 
-// request carries the decisions out as the executor does.
+// request carries out the decisions on a request as the executor does.
 type request struct {
-	*world
-	step      string
-	faults    []string
-	struck    bool
-	armed     []string
-	state     attempter.State
-	assembler assembler.Assembler
-	group     []invoker.Part
-	stream    bool
-	// silentStream marks a connection that has lost its way.
-	silentStream bool
-	tokens       []int64
-	outcome      string
-	fail         attempter.Fail
-	endedAt      time.Time
+	*simulation
+	step          string
+	faults        []string
+	injected      bool
+	pendingFaults []string
+	state         attempter.State
+	assembler     assembler.Assembler
+	group         []invoker.Part
+	stream        bool
+	// streamStalled is set if the connection no longer delivers data.
+	streamStalled bool
+	tokens        []int64
+	outcome       string
+	fail          attempter.Fail
+	endedAt       time.Time
 }
 
 func newRequest(step string, faults ...string) *request {
-	wor := newWorld()
-	wor.inProgress = true
+	sim := newSimulation()
+	sim.inProgress = true
 	return &request{
-		world: wor, step: step, faults: faults,
+		simulation: sim, step: step, faults: faults,
 		state:     attempter.State{Deadline: epoch.Add(timeLimit), Jitter: 0.5},
 		assembler: assembler.Assembler{RequestID: "request", MaxTokens: answerTokens},
 	}
 }
 
-// at strikes the faults when the request first reaches their step.
-func (req *request) at(step string) {
-	if step != req.step || req.struck {
+// injectAt injects the faults when the request first reaches their step.
+func (req *request) injectAt(step string) {
+	if step != req.step || req.injected {
 		return
 	}
-	req.struck = true
-	for _, fau := range req.faults {
-		req.note("strike %s", fau)
-		req.strike(fau)
+	req.injected = true
+	for _, fault := range req.faults {
+		req.tracef("strike %s", fault)
+		req.inject(fault)
 	}
 }
 
-func (req *request) strike(fault string) {
+func (req *request) inject(fault string) {
 	lead := req.leader()
 	switch fault {
 	case "engine-dies":
 		lead.die()
 	case "engine-freezes":
-		lead.frozen = req.now.Add(frozenTime)
+		lead.frozenUntil = req.now.Add(frozenTime)
 	case "connection-silent":
-		req.silentStream = req.stream
+		req.streamStalled = req.stream
 	case "one-way-cut":
-		lead.deaf = req.now.Add(frozenTime)
+		lead.answersLostUntil = req.now.Add(frozenTime)
 	case "cancel-lost":
 		req.cancelLost = true
 	case "host-dies":
 		req.hostDead = true
 	case "host-frozen":
-		req.wakes = req.now.Add(2 * timeLimit)
-		req.pass(2 * timeLimit)
+		req.hostFrozenUntil = req.now.Add(2 * timeLimit)
+		req.advance(2 * timeLimit)
 	case "member-lost":
 		if len(req.group) > 1 {
 			req.engine(req.group[1].Endpoint).die()
 		}
 	case "deadline":
-		req.pass(max(0, req.state.Deadline.Sub(req.now)))
+		req.advance(max(0, req.state.Deadline.Sub(req.now)))
 	default:
-		req.armed = append(req.armed, fault)
+		req.pendingFaults = append(req.pendingFaults, fault)
 	}
 }
 
@@ -88,7 +88,8 @@
 	return req.engine("engine-0")
 }
 
-// run ends with the outcome and the memory settled.
+// run processes the request to its outcome, then gives the reclaimers time to free
+// all memory.
 func (req *request) run() {
 	for req.outcome == "" && !req.hostDead {
 		eve := req.attemptOnce()
@@ -107,20 +108,20 @@
 	}
 	req.endedAt = req.now
 	req.inProgress = false
-	req.pass(settleTime)
+	req.advance(settleTime)
 }
 
 func (req *request) decide(eve attempter.Event) {
 	sta, act := req.state.Next(eve, true, req.now)
 	req.state = sta
-	req.note("%s -> %s", name(eve), name(act))
+	req.tracef("%s -> %s", typeName(eve), typeName(act))
 	switch act := act.(type) {
 	case attempter.Resume:
 		req.stream = false
 	case attempter.Dispatch:
 		req.cancel()
 		req.release()
-		req.pass(act.After)
+		req.advance(act.After)
 	case attempter.Fail:
 		req.outcome = "failed " + act.Code + " " + string(act.Ran)
 		req.fail = act
@@ -133,7 +134,7 @@
 	}
 }
 
-func name(val any) string {
+func typeName(val any) string {
 	out := fmt.Sprintf("%T", val)
 	out = out[slices.Index([]byte(out), '.')+1:]
 	switch val := val.(type) {
@@ -158,70 +159,70 @@
 			return eve
 		}
 	}
-	for _, ste := range []string{"queue", "prefill"} {
-		req.at(ste)
-		if eve := req.read(); eve != nil {
+	for _, step := range []string{"queue", "prefill"} {
+		req.injectAt(step)
+		if eve := req.awaitEvent(); eve != nil {
 			return eve
 		}
 	}
 	for {
-		if eve, done := req.next(); eve != nil || done {
+		if eve, done := req.relayEvent(); eve != nil || done {
 			return eve
 		}
 	}
 }
 
-// place reserves the first two engines that live and were not excluded.
+// place reserves memory on the first two engines that are alive and not excluded.
 func (req *request) place() attempter.Event {
-	var pars []invoker.Part
+	var parts []invoker.Part
 	id := fmt.Sprintf("reservation-%d-%d", req.attempt, len(req.trace))
 	for _, eng := range req.engines {
-		if !slices.Contains(req.state.Excluded, eng.id) && len(pars) < 2 && !eng.dead {
-			pars = append(pars, invoker.Part{Endpoint: eng.id, Tokens: shareTokens, ReservationID: id})
+		if !slices.Contains(req.state.Excluded, eng.id) && len(parts) < 2 && !eng.dead {
+			parts = append(parts, invoker.Part{Endpoint: eng.id, Tokens: shareTokens, ReservationID: id})
 		}
 	}
-	if len(pars) < 2 {
+	if len(parts) < 2 {
 		return attempter.Refused{Code: "no_endpoint"}
 	}
-	req.current = id
-	sta, act := grouper.New(pars, req.state.Deadline).Next(grouper.Started{}, req.now)
+	req.holdID = id
+	sta, act := grouper.New(parts, req.state.Deadline).Next(grouper.Started{}, req.now)
 	for {
-		switch one := act.(type) {
+		switch next := act.(type) {
 		case grouper.Complete:
-			req.group = pars
+			req.group = parts
 			return nil
 		case grouper.GiveUp:
-			for _, par := range one.Release {
+			for _, par := range next.Release {
 				req.releasePart(par)
 			}
 			return attempter.Refused{Code: "group_unavailable"}
 		case grouper.Reserve:
-			req.at("place")
+			req.injectAt("place")
 			if req.hostDead {
 				return nil
 			}
-			sta, act = sta.Next(req.reserve(one), req.now)
+			sta, act = sta.Next(req.reserve(next), req.now)
 		}
 	}
 }
 
 func (req *request) reserve(res grouper.Reserve) grouper.Event {
 	eng := req.engine(res.Part.Endpoint)
-	req.pass(callTime)
+	req.advance(callTime)
 	if !req.now.Before(req.state.Deadline) {
 		return grouper.Expired{}
 	}
 	if eng.dead {
 		return grouper.Denied{}
 	}
-	if !req.now.Before(eng.frozen) {
+	if !req.now.Before(eng.frozenUntil) {
 		eng.holds[res.Part.ReservationID] = invoker.Sequence{
 			ID: res.Part.ReservationID, RequestID: "request", Owner: req.owner, Tokens: res.Part.Tokens, Kind: "Reservation",
 		}
 		eng.heldAt[res.Part.ReservationID] = req.now
 	}
-	if eng.silent(req.now) {
-		req.pass(time.Second)
+	if eng.unresponsive(req.now) {
+		req.advance(time.Second)
 		return grouper.NoAnswer{}
 	}
 	return grouper.Granted{}
@@ -231,21 +232,21 @@
 	req.state = req.state.WithAttempt()
 	req.attempt = req.state.Attempt
 	req.assembler = req.assembler.WithAttempt(req.attempt)
-	req.silentStream = false
-	req.at("connect")
+	req.streamStalled = false
+	req.injectAt("connect")
 	if req.hostDead {
 		return nil
 	}
-	req.pass(callTime)
+	req.advance(callTime)
 	lead := req.leader()
 	if lead.dead {
 		return attempter.Failed{Endpoint: lead.id, Ran: invoker.NotRun}
 	}
-	if !req.now.Before(lead.frozen) {
-		lead.begin(req)
+	if !req.now.Before(lead.frozenUntil) {
+		lead.startSequence(req)
 	}
-	if lead.silent(req.now) {
-		return req.silence(invoker.Unknown)
+	if lead.unresponsive(req.now) {
+		return req.awaitTimeout(invoker.Unknown)
 	}
 	if lead.sequence == nil {
 		return attempter.Failed{Endpoint: lead.id, Ran: invoker.NotRun}
@@ -254,9 +255,9 @@
 	return nil
 }
 
-// begin starts or resumes the sequence, if the reservation is held.
-func (eng *engine) begin(req *request) {
-	if _, held := eng.holds[req.current]; !held {
+// startSequence starts or resumes the sequence if the engine holds the reservation.
+func (eng *engine) startSequence(req *request) {
+	if _, held := eng.holds[req.holdID]; !held {
 		return
 	}
 	eng.ran = true
@@ -267,14 +268,15 @@
 	eng.sequence = &sequence{request: "request", attempt: req.attempt, next: req.assembler.Next, owner: req.owner, since: req.now}
 }
 
-func (req *request) silence(ran invoker.Execution) attempter.Event {
-	req.pass(invoker.EventTimeout)
+func (req *request) awaitTimeout(ran invoker.Execution) attempter.Event {
+	req.advance(invoker.EventTimeout)
 	return attempter.Failed{Endpoint: req.leader().id, Ran: ran, Connection: true}
 }
 
-// read fails where the stream does not bring the next event.
-func (req *request) read() attempter.Event {
-	req.pass(callTime)
+// awaitEvent returns the failure that prevents the next event of the stream; nil if
+// the event arrives.
+func (req *request) awaitEvent() attempter.Event {
+	req.advance(callTime)
 	lead := req.leader()
 	ran := invoker.Unknown
 	if len(req.tokens) > 0 {
@@ -287,8 +289,8 @@
 		return attempter.Expired{}
 	case lead.dead:
 		return attempter.Failed{Endpoint: lead.id, Ran: ran, Connection: true}
-	case req.silentStream || lead.silent(req.now):
-		return req.silence(ran)
+	case req.streamStalled || lead.unresponsive(req.now):
+		return req.awaitTimeout(ran)
 	case lead.sequence == nil:
 		return attempter.Failed{Endpoint: lead.id, Ran: ran, Connection: true}
 	case len(req.group) > 1 && req.engine(req.group[1].Endpoint).dead:
@@ -297,39 +299,39 @@
 	return nil
 }
 
-// next relays one event; done reports the end of the request.
-func (req *request) next() (eve attempter.Event, done bool) {
+// relayEvent relays one event of the stream; done reports the end of the request.
+func (req *request) relayEvent() (eve attempter.Event, done bool) {
 	seq := req.leader().sequence
 	if seq != nil && seq.next == 3 {
-		req.at("decode")
-		if req.step == "cancel" && !req.struck {
+		req.injectAt("decode")
+		if req.step == "cancel" && !req.injected {
 			return attempter.Gone{}, false
 		}
 	}
 	if seq != nil && seq.next == answerTokens {
-		req.at("finish")
+		req.injectAt("finish")
 	}
-	if eve := req.read(); eve != nil || req.hostDead {
+	if eve := req.awaitEvent(); eve != nil || req.hostDead {
 		return eve, req.hostDead
 	}
-	if seq = req.leader().sequence; req.assembler.Next == answerTokens || req.take("early-finish") {
+	if seq = req.leader().sequence; req.assembler.Next == answerTokens || req.consumeFault("early-finish") {
 		return req.finish(invoker.Finish{RequestID: req.id(), Attempt: req.attempt, Reason: "length", CompletionTokens: req.assembler.Next})
 	}
 	tok := invoker.Token{RequestID: req.id(), Attempt: req.attempt, Index: req.assembler.Next}
-	if req.take("gap") {
+	if req.consumeFault("gap") {
 		tok.Index++
 	}
 	toks := []invoker.Token{tok}
-	if req.take("doubled") {
+	if req.consumeFault("doubled") {
 		toks = append(toks, tok)
 	}
-	if req.take("late") {
+	if req.consumeFault("late") {
 		old := tok
 		old.Attempt--
 		toks = append([]invoker.Token{old}, toks...)
 	}
 	for _, tok := range toks {
-		if !req.token(tok) {
+		if !req.relayToken(tok) {
 			return attempter.Failed{Endpoint: req.leader().id, Ran: invoker.Unknown}, false
 		}
 	}
@@ -338,35 +340,36 @@
 }
 
 func (req *request) id() string {
-	if req.take("crossed") {
+	if req.consumeFault("crossed") {
 		return "another"
 	}
 	return "request"
 }
 
-// take uses up a fault of the stream.
-func (req *request) take(fault string) bool {
-	ind := slices.Index(req.armed, fault)
-	if ind < 0 {
+// consumeFault removes a pending fault of the stream and reports whether there was
+// one.
+func (req *request) consumeFault(fault string) bool {
+	i := slices.Index(req.pendingFaults, fault)
+	if i < 0 {
 		return false
 	}
-	req.armed = slices.Delete(req.armed, ind, ind+1)
+	req.pendingFaults = slices.Delete(req.pendingFaults, i, i+1)
 	return true
 }
 
-func (req *request) token(tok invoker.Token) bool {
-	ass, ver := req.assembler.Token(tok)
-	req.assembler = ass
+func (req *request) relayToken(tok invoker.Token) bool {
+	asm, ver := req.assembler.Token(tok)
+	req.assembler = asm
 	switch ver {
 	case assembler.Deliver:
 		req.tokens = append(req.tokens, tok.Index)
-		req.state = req.state.WithDelivered(ass.Next)
+		req.state = req.state.WithDelivered(asm.Next)
 		return true
 	case assembler.Drop:
-		req.note("drop")
+		req.tracef("drop")
 		return true
 	default:
-		req.note("untrusted %s", ver)
+		req.tracef("untrusted %s", ver)
 		return false
 	}
 }
@@ -374,24 +377,24 @@
 func (req *request) finish(fin invoker.Finish) (attempter.Event, bool) {
 	ver := req.assembler.Finish(fin)
 	if ver != assembler.Complete {
-		req.note("untrusted %s", ver)
+		req.tracef("untrusted %s", ver)
 		return attempter.Failed{Endpoint: req.leader().id, Ran: invoker.Unknown}, false
 	}
 	req.outcome = "whole"
 	req.leader().sequence = nil
-	req.at("release")
+	req.injectAt("release")
 	req.release()
 	return nil, true
 }
 
 func (req *request) cancel() {
-	req.at("cancel")
+	req.injectAt("cancel")
 	req.stream = false
 	if len(req.group) == 0 || req.cancelLost || req.hostDead {
 		return
 	}
 	lead := req.leader()
-	if lead.dead || req.now.Before(lead.frozen) {
+	if lead.dead || req.now.Before(lead.frozenUntil) {
 		return
 	}
 	lead.free(invoker.Free{Kind: "Running", RequestID: "request", Attempt: req.attempt, Owner: req.owner})
@@ -406,7 +409,7 @@
 
 func (req *request) releasePart(par invoker.Part) {
 	eng := req.engine(par.Endpoint)
-	if req.cancelLost || req.hostDead || eng.dead || req.now.Before(eng.frozen) {
+	if req.cancelLost || req.hostDead || eng.dead || req.now.Before(eng.frozenUntil) {
 		return
 	}
 	eng.free(invoker.Free{Kind: "Reservation", ID: par.ReservationID, Owner: req.owner})
--- a/internal/streammatrix/world_test.go
+++ b/internal/streammatrix/world_test.go
@@ -1,5 +1,6 @@
-// Package streammatrix_test drives the decisions on prompts, groups of engines
-// and their memory through every fault at every step, in virtual time.
+// Package streammatrix_test simulates a request in virtual time and injects every
+// fault at every step. It runs the real decisions on attempts, on groups of engines,
+// on moves and on reclaimed memory against modelled engines.
 package streammatrix_test
 
 import (
@@ -13,18 +14,18 @@
 )
 
 const (
-	answerTokens = 6
-	shareTokens  = 1000
-	timeLimit    = 10 * time.Second
-	callTime     = 10 * time.Millisecond
-	frozenTime   = 6 * time.Second
-	reclaimEvery = 2 * time.Second
-	settleTime   = 90 * time.Second
+	answerTokens    = 6
+	shareTokens     = 1000
+	timeLimit       = 10 * time.Second
+	callTime        = 10 * time.Millisecond
+	frozenTime      = 6 * time.Second
+	reclaimInterval = 2 * time.Second
+	settleTime      = 90 * time.Second
 )
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// sequence is a generation on a modelled engine.
+// sequence is a running generation on a modelled engine.
 type sequence struct {
 	request string
 	attempt int
@@ -33,20 +34,22 @@
 	since   time.Time
 }
 
-// engine is a modelled engine: what it holds, and whether it answers.
+// engine models an engine: the memory that it holds, and whether it answers.
 type engine struct {
-	id       string
-	dead     bool
-	frozen   time.Time
-	deaf     time.Time
-	holds    map[string]invoker.Sequence
-	heldAt   map[string]time.Time
-	sequence *sequence
-	// ran marks an engine that has begun any sequence.
+	id               string
+	dead             bool
+	frozenUntil      time.Time
+	answersLostUntil time.Time
+	holds            map[string]invoker.Sequence
+	heldAt           map[string]time.Time
+	sequence         *sequence
+	// ran is set once the engine has started a sequence.
 	ran bool
 }
 
-func (eng *engine) silent(now time.Time) bool { return now.Before(eng.frozen) || now.Before(eng.deaf) }
+func (eng *engine) unresponsive(now time.Time) bool {
+	return now.Before(eng.frozenUntil) || now.Before(eng.answersLostUntil)
+}
 
 func (eng *engine) die() {
 	eng.dead = true
@@ -54,14 +57,14 @@
 	eng.sequence = nil
 }
 
-// report lists the holders of memory as the engine would.
+// report returns the sequences that hold memory, as the engine would report them.
 func (eng *engine) report(now time.Time) []invoker.Sequence {
 	var out []invoker.Sequence
-	for id, hol := range eng.holds {
-		hol.AgeMs = now.Sub(eng.heldAt[id]).Milliseconds()
-		hol.IdleMs = hol.AgeMs
-		hol.ExpiresMs = epoch.Add(timeLimit).Sub(now).Milliseconds()
-		out = append(out, hol)
+	for id, held := range eng.holds {
+		held.AgeMs = now.Sub(eng.heldAt[id]).Milliseconds()
+		held.IdleMs = held.AgeMs
+		held.ExpiresMs = epoch.Add(timeLimit).Sub(now).Milliseconds()
+		out = append(out, held)
 	}
 	if seq := eng.sequence; seq != nil {
 		age := now.Sub(seq.since).Milliseconds()
@@ -70,12 +73,12 @@
 			ExpiresMs: epoch.Add(timeLimit).Sub(now).Milliseconds(),
 		})
 	}
-	sort.Slice(out, func(one, two int) bool { return out[one].ID < out[two].ID })
+	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
 	return out
 }
 
 func (eng *engine) free(fre invoker.Free) {
-	if hol, ok := eng.holds[fre.ID]; ok && hol.Owner == fre.Owner {
+	if held, ok := eng.holds[fre.ID]; ok && held.Owner == fre.Owner {
 		delete(eng.holds, fre.ID)
 	}
 	if seq := eng.sequence; seq != nil && fre.ID == "" && seq.owner == fre.Owner && seq.attempt <= fre.Attempt {
@@ -83,131 +86,133 @@
 	}
 }
 
-// world is the fleet around one request.
-type world struct {
+// simulation is the fleet around one request.
+type simulation struct {
 	now     time.Time
 	engines []*engine
 	owner   invoker.Owner
-	// hostDead and hostFrozen describe the owner's process; wakes is when a
-	// frozen one goes on.
-	hostDead   bool
-	wakes      time.Time
-	inProgress bool
-	// exporting is set while the owner needs its export.
-	exporting  bool
-	attempt    int
-	current    string
-	cancelLost bool
-	reclaimers []*reclaimer.Reclaimer
-	reclaimAt  time.Time
-	trace      []string
-	robbed     []string
-}
-
-func newWorld() *world {
-	wor := &world{now: epoch, owner: invoker.Owner{Host: "host-a", Incarnation: 7}, reclaimAt: epoch.Add(reclaimEvery)}
-	for ind := range 5 {
-		wor.engines = append(wor.engines, &engine{
-			id: fmt.Sprintf("engine-%d", ind), holds: map[string]invoker.Sequence{}, heldAt: map[string]time.Time{},
+	// hostDead is set once the owner's process has been killed;
+	// hostFrozenUntil is when the frozen process resumes.
+	hostDead        bool
+	hostFrozenUntil time.Time
+	inProgress      bool
+	// exporting is set while the owner needs the exported memory.
+	exporting    bool
+	attempt      int
+	holdID       string
+	cancelLost   bool
+	reclaimers   []*reclaimer.Reclaimer
+	reclaimAt    time.Time
+	trace        []string
+	wronglyFreed []string
+}
+
+func newSimulation() *simulation {
+	sim := &simulation{now: epoch, owner: invoker.Owner{Host: "host-a", Incarnation: 7}, reclaimAt: epoch.Add(reclaimInterval)}
+	for i := range 5 {
+		sim.engines = append(sim.engines, &engine{
+			id: fmt.Sprintf("engine-%d", i), holds: map[string]invoker.Sequence{}, heldAt: map[string]time.Time{},
 		})
 	}
-	wor.reclaimers = []*reclaimer.Reclaimer{{Self: wor.owner}, {Self: invoker.Owner{Host: "host-b", Incarnation: 3}}}
-	return wor
+	sim.reclaimers = []*reclaimer.Reclaimer{{Self: sim.owner}, {Self: invoker.Owner{Host: "host-b", Incarnation: 3}}}
+	return sim
 }
 
-func (wor *world) note(format string, args ...any) {
-	wor.trace = append(wor.trace, fmt.Sprintf(format, args...))
+func (sim *simulation) tracef(format string, args ...any) {
+	sim.trace = append(sim.trace, fmt.Sprintf(format, args...))
 }
 
-func (wor *world) engine(id string) *engine {
-	ind := slices.IndexFunc(wor.engines, func(eng *engine) bool { return eng.id == id })
-	return wor.engines[ind]
+func (sim *simulation) engine(id string) *engine {
+	i := slices.IndexFunc(sim.engines, func(eng *engine) bool { return eng.id == id })
+	return sim.engines[i]
 }
 
-// pass lets time go by with the reclaimers at work.
-func (wor *world) pass(dur time.Duration) {
-	end := wor.now.Add(dur)
-	for !wor.reclaimAt.After(end) {
-		wor.now = wor.reclaimAt
-		wor.reclaim()
-		wor.reclaimAt = wor.reclaimAt.Add(reclaimEvery)
+// advance moves the virtual time on and runs the reclaimers at their interval.
+func (sim *simulation) advance(duration time.Duration) {
+	end := sim.now.Add(duration)
+	for !sim.reclaimAt.After(end) {
+		sim.now = sim.reclaimAt
+		sim.reclaim()
+		sim.reclaimAt = sim.reclaimAt.Add(reclaimInterval)
 	}
-	wor.now = end
+	sim.now = end
 }
 
-func (wor *world) hostFrozen() bool { return wor.now.Before(wor.wakes) }
+func (sim *simulation) hostFrozen() bool { return sim.now.Before(sim.hostFrozenUntil) }
 
-func (wor *world) reclaim() {
-	for ind, rec := range wor.reclaimers {
-		if ind == 0 && (wor.hostDead || wor.hostFrozen()) {
+func (sim *simulation) reclaim() {
+	for i, rec := range sim.reclaimers {
+		if i == 0 && (sim.hostDead || sim.hostFrozen()) {
 			continue
 		}
-		for _, eng := range wor.engines {
-			if eng.dead || eng.silent(wor.now) {
+		for _, eng := range sim.engines {
+			if eng.dead || eng.unresponsive(sim.now) {
 				continue
 			}
-			rep := reclaimer.Report{Endpoint: eng.id, Load: invoker.Load{Sequences: eng.report(wor.now)}, At: wor.now}
-			for _, act := range rec.Decide(rep, wor, wor, wor.now) {
-				wor.carryOut(eng, act)
+			rep := reclaimer.Report{Endpoint: eng.id, Load: invoker.Load{Sequences: eng.report(sim.now)}, At: sim.now}
+			for _, act := range rec.Decide(rep, sim, sim, sim.now) {
+				sim.applyReclaim(eng, act)
 			}
 		}
 	}
 }
 
-func (wor *world) carryOut(eng *engine, act reclaimer.Action) {
+func (sim *simulation) applyReclaim(eng *engine, act reclaimer.Action) {
 	switch act := act.(type) {
 	case reclaimer.Free:
-		wor.drop(eng, act)
+		sim.freeReclaimed(eng, act)
 	case reclaimer.Query:
-		if wor.hostFrozen() || wor.hostDead {
+		if sim.hostFrozen() || sim.hostDead {
 			return
 		}
-		ans := reclaimer.Answer{Incarnation: wor.owner.Incarnation, Known: map[string]int{}}
-		if wor.inProgress {
-			ans.Known["request"] = wor.attempt
+		ans := reclaimer.Answer{Incarnation: sim.owner.Incarnation, Known: map[string]int{}}
+		if sim.inProgress {
+			ans.Known["request"] = sim.attempt
 		}
-		if wor.exporting {
+		if sim.exporting {
 			ans.Known[exportID] = 0
 		}
 		for _, fre := range reclaimer.ResolveQuery(act, ans) {
-			wor.drop(eng, fre)
+			sim.freeReclaimed(eng, fre)
 		}
 	}
 }
 
-func (wor *world) drop(eng *engine, fre reclaimer.Free) {
-	if wor.inProgress && !wor.hostDead && wor.now.Before(epoch.Add(timeLimit)) {
-		if fre.Free.ID == wor.current && fre.Free.ID != "" || fre.Free.ID == "" && fre.Free.Attempt == wor.attempt {
-			wor.robbed = append(wor.robbed, eng.id)
+func (sim *simulation) freeReclaimed(eng *engine, fre reclaimer.Free) {
+	if sim.inProgress && !sim.hostDead && sim.now.Before(epoch.Add(timeLimit)) {
+		if fre.Free.ID == sim.holdID && fre.Free.ID != "" || fre.Free.ID == "" && fre.Free.Attempt == sim.attempt {
+			sim.wronglyFreed = append(sim.wronglyFreed, eng.id)
 		}
 	}
 	eng.free(fre.Free)
-	wor.note("reclaim %s: %s", fre.Free.Kind, fre.Reason)
+	sim.tracef("reclaim %s: %s", fre.Free.Kind, fre.Reason)
 }
 
-// Incarnation is what host-b knows: a dead host restarts three seconds later.
-func (wor *world) Incarnation(string) (uint64, bool) {
-	if wor.hostDead {
-		return wor.owner.Incarnation + 1, true
+// Incarnation implements the view of host-b: the owner counts as restarted as soon
+// as it is dead.
+func (sim *simulation) Incarnation(string) (uint64, bool) {
+	if sim.hostDead {
+		return sim.owner.Incarnation + 1, true
 	}
-	return wor.owner.Incarnation, true
+	return sim.owner.Incarnation, true
 }
 
-// DeadSince takes nobody for dead.
-func (wor *world) DeadSince(string) (time.Time, bool) { return time.Time{}, false }
+// DeadSince reports no host as dead.
+func (sim *simulation) DeadSince(string) (time.Time, bool) { return time.Time{}, false }
 
-// Attempt is what the owner itself knows.
-func (wor *world) Attempt(id string) (int, bool) {
+// Attempt returns the owner's current attempt of a request, or whether it still
+// needs the export.
+func (sim *simulation) Attempt(id string) (int, bool) {
 	if id == exportID {
-		return 0, wor.exporting
+		return 0, sim.exporting
 	}
-	return wor.attempt, wor.inProgress
+	return sim.attempt, sim.inProgress
 }
 
-// held lists what is left on the engines that live.
-func (wor *world) held() []string {
+// enginesInUse returns the IDs of the live engines that hold memory.
+func (sim *simulation) enginesInUse() []string {
 	var out []string
-	for _, eng := range wor.engines {
+	for _, eng := range sim.engines {
 		if !eng.dead && (len(eng.holds) > 0 || eng.sequence != nil) {
 			out = append(out, eng.id)
 		}
