--- a/internal/docproof/docs_test.go
+++ b/internal/docproof/docs_test.go
@@ -1,4 +1,5 @@
-// Package docproof keeps the pages equal to the program where they would drift.
+// Package docproof checks that the documentation agrees with the code: examples,
+// metrics, error codes, commands and links.
 package docproof
 
 import (
@@ -38,7 +39,7 @@
 	return out
 }
 
-// source joins the product's code.
+// source returns the code of the product, without tests, as one string.
 func source(t *testing.T) string {
 	t.Helper()
 	var bui strings.Builder
@@ -55,7 +56,8 @@
 	return bui.String()
 }
 
-// TestExamples holds the examples of the library's page to the compiled ones.
+// TestExamples checks that docs/LIBRARY.md quotes the compiled examples word for
+// word.
 func TestExamples(t *testing.T) {
 	page := read(t, "docs/LIBRARY.md")
 	for _, name := range []string{"examples/placing/main.go", "examples/claiming/main.go"} {
@@ -63,7 +65,7 @@
 	}
 }
 
-// TestMetrics looks for every metric that a page names.
+// TestMetrics checks that every metric named on a page occurs in the code.
 func TestMetrics(t *testing.T) {
 	code := source(t)
 	re := regexp.MustCompile("`hemlockpin_([a-z_]+)")
@@ -74,7 +76,7 @@
 	}
 }
 
-// TestCodes looks for every error code of the callers' page.
+// TestCodes checks that every error code in docs/CALLERS.md occurs in the code.
 func TestCodes(t *testing.T) {
 	code := source(t)
 	_, errors, ok := strings.Cut(read(t, "docs/CALLERS.md"), "## Errors")
@@ -85,7 +87,7 @@
 	}
 }
 
-// TestCommands asks hemlockpin for the help of every command that a page shows.
+// TestCommands checks that hemlockpin has every command shown on a page.
 func TestCommands(t *testing.T) {
 	bin, err := testkit.Build()
 	require.NoError(t, err)
@@ -104,7 +106,7 @@
 	require.NotEmpty(t, done)
 }
 
-// TestLinks looks for every file that a page links to.
+// TestLinks checks that every file to which a page links exists.
 func TestLinks(t *testing.T) {
 	re := regexp.MustCompile(`\]\(([^)#:]+)\)`)
 	for _, page := range pages(t) {
