--- a/examples/claiming/main.go
+++ b/examples/claiming/main.go
@@ -1,5 +1,5 @@
-// Command claiming embeds the journal of claims without the daemon: two callers
-// use one key, and only one of them may run the call.
+// Command claiming uses the claim journal as a library, without the daemon: two
+// hosts claim a call under the same key, and only the first of them may run it.
 package main
 
 import (
@@ -13,14 +13,14 @@
 	"hemlockpin/process/journaler"
 )
 
-// memory is an object store with conditional writes. A real one is shared by
-// all hosts and outlives them.
+// memory is an object store with conditional writes. In production the store is
+// shared by all hosts and keeps its objects when they restart.
 type memory struct {
 	mu      sync.Mutex
 	objects map[string]persister.Object
 }
 
-// Get reads an object.
+// Get returns an object, or ErrNotFound.
 func (mem *memory) Get(_ context.Context, path string) (persister.Object, error) {
 	mem.mu.Lock()
 	defer mem.mu.Unlock()
@@ -31,7 +31,8 @@
 	return obj, nil
 }
 
-// Put writes an object if its version is still the given one.
+// Put writes an object if its version has not changed since it was read, and
+// returns the new version. Otherwise it returns ErrConflict.
 func (mem *memory) Put(_ context.Context, obj persister.Object) (uint64, error) {
 	mem.mu.Lock()
 	defer mem.mu.Unlock()
--- a/examples/placing/main.go
+++ b/examples/placing/main.go
@@ -1,5 +1,5 @@
-// Command placing embeds routing and placement without the daemon: it finds the
-// route and the pool of a request and chooses an endpoint.
+// Command placing uses routing and placement as a library, without the daemon: it
+// finds the route and the pool of a request and chooses an endpoint.
 package main
 
 import (
@@ -32,8 +32,8 @@
 	rou, poo, ok := mat.Route(matcher.Query{Kind: parser.PoolEngine, Model: "pedal-model", Team: "tailors", PromptTokens: 1200})
 	fmt.Println(ok, rou.Name, poo.Name)
 
-	// The present time and the random source are arguments of the decision, so
-	// that it can be replayed.
+	// The current time and the random source are arguments of the decision, so
+	// that it is reproducible.
 	now := time.Unix(0, 0)
 	vie := placer.View{Endpoints: []placer.Endpoint{
 		{ID: "engine-0", Models: []string{"pedal-model"}, ReportedAt: now, MemoryTokens: 500_000, QueuedTokens: 90_000, PrefillRate: 100_000},
