--- a/internal/orderproof/orderproof_test.go
+++ b/internal/orderproof/orderproof_test.go
@@ -1,5 +1,5 @@
-// Package orderproof_test proves with real processes that orders to engines are
-// carried out once and in the order of their leases.
+// Package orderproof_test checks with real processes that an engine carries out
+// each order once, and orders of several hosts in the order of their leases.
 package orderproof_test
 
 import (
@@ -24,7 +24,8 @@
 
 const (
 	orderTime = 20 * time.Second
-	// takeTime is what a host needs to take over a lease that was not given back.
+	// takeOverTime is the time after which another host can acquire a lease
+	// that its holder has not released.
 	takeOverTime = leaser.Term + leaser.Margin
 )
 
@@ -41,7 +42,8 @@
 	return fle
 }
 
-// order asks a host to load a version. Without an answer the effect is unknown.
+// order sends a host the order to load a version on the engine. Without a response
+// the effect is Unknown.
 func order(ctx context.Context, host *testkit.Process, id, version string) server.OrderReply {
 	reply := server.OrderReply{ID: id, End: orderer.End{Effect: orderer.Unknown}}
 	buf, _ := json.Marshal(server.OrderRequest{
@@ -113,7 +115,9 @@
 	}
 }
 
-// frozen freezes a host that gives an order until another has given its own.
+// holderFrozen freezes a host while it issues an order, and resumes it after another
+// host has issued one. The engine must carry out both in the order of their leases,
+// or not the first one if it was reported as NotApplied.
 func holderFrozen(t *testing.T, fle *testkit.Fleet) {
 	first := make(chan server.OrderReply, 1)
 	go func() { first <- order(context.Background(), fle.Hosts[0], "frozen-first", "a") }()
@@ -128,7 +132,7 @@
 	switch firstReply.Effect {
 	case orderer.Applied:
 		require.Contains(t, cfg.Orders, "frozen-first")
-		require.NotEqual(t, firstReply.Fence, second.Fence, "one lease for two hosts")
+		require.NotEqual(t, firstReply.Fence, second.Fence, "two hosts must not have the same lease")
 		require.Equal(t, firstReply.Fence < second.Fence, slices.Index(cfg.Orders, "frozen-first") < slices.Index(cfg.Orders, "frozen-second"), "carried out in the order of the leases")
 	case orderer.NotApplied:
 		require.NotContains(t, cfg.Orders, "frozen-first")
@@ -136,15 +140,17 @@
 	t.Logf("first %s under fence %d, second %s under fence %d, orders %v", firstReply.Effect, firstReply.Fence, second.Effect, second.Fence, cfg.Orders)
 }
 
-// holder returns the host that holds the lease of the engine, if any.
+// leaseHolder returns the ID of the host that holds the lease for orders to the
+// engine; empty if there is none.
 func leaseHolder(t *testing.T, fle *testkit.Fleet) string {
 	var lease leaser.Lease
 	_ = testkit.GetJSON(t.Context(), "http://"+fle.Platform.Address+"/v1/objects/leases/orders-engine-0", &lease)
 	return lease.Host
 }
 
-// killed kills a host that holds the lease; another takes it in time. The engine
-// is frozen until then, so that the first order can't end before.
+// holderKilled kills the host that holds the lease. Another host must acquire it
+// within takeOverTime and issue its order. The engine is frozen until the host is
+// killed, so that the first order can't be carried out before.
 func holderKilled(t *testing.T, fle *testkit.Fleet) {
 	require.NoError(t, fle.Engines[0].Freeze())
 	go order(context.Background(), fle.Hosts[2], "killed-first", "c")
