--- a/internal/placementproof/limits_test.go
+++ b/internal/placementproof/limits_test.go
@@ -1,4 +1,5 @@
-// Package placementproof proves limits and scheduling with real processes.
+// Package placementproof checks the rate limits of teams and the scheduling of
+// prompts with real processes.
 package placementproof
 
 import (
@@ -37,8 +38,8 @@
 	return fle
 }
 
-// prompt sends a prompt and returns the status, the code of an error, the run
-// header and the retry header.
+// sendPrompt sends a prompt and returns the status, the error code, the execution
+// and the Retry-After header of the response.
 func sendPrompt(ctx context.Context, host *testkit.Process, key string, tokens, answer int) (status int, code, ran, retry string, err error) {
 	body, err := json.Marshal(struct {
 		Model     string `json:"model"`
@@ -68,8 +69,9 @@
 	return res.StatusCode, out.Error.Code, res.Header.Get("Hemlockpin-Run"), res.Header.Get("Retry-After"), err
 }
 
-// TestTeamRateOverHosts sends ten times a team's rate to all hosts. What is
-// admitted stays within the stated bound, and the other team is not limited.
+// TestTeamRateOverHosts sends ten times a team's rate, evenly over all hosts. The
+// admitted tokens must stay within the documented bound, and the other team must
+// not be limited.
 func TestTeamRateOverHosts(t *testing.T) {
 	const (
 		rate   = 4000
@@ -124,8 +126,8 @@
 	require.Equal(t, http.StatusOK, status, code)
 }
 
-// TestSchedulerDies kills and freezes hosts while prompts run. Each prompt on a
-// host that lives is answered whole, whichever host schedules the cell.
+// TestSchedulerDies freezes and kills each host in turn, and so also the one that
+// schedules the cell. The other hosts must answer all prompts.
 func TestSchedulerDies(t *testing.T) {
 	fle := startFleet(t, testkit.Plan{Hosts: 4, Engines: 3, Tables: testkit.SampleTables()})
 	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
@@ -151,7 +153,7 @@
 	}
 	waitForMembers(t, fle)
 	requireAnswered(fle.Hosts)
-	// Every host is once the one that is gone, so that the scheduler is too.
+	// Each host fails once, so the scheduler is among them.
 	for i, host := range fle.Hosts {
 		var rest []*testkit.Process
 		rest = append(append(rest, fle.Hosts[:i]...), fle.Hosts[i+1:]...)
@@ -166,8 +168,8 @@
 	requireAnswered(fle.Hosts[:1])
 }
 
-// awaitMembers waits until every host counts every other as alive, so that all
-// turn to the same scheduler.
+// waitForMembers waits until every host's view has all other hosts as alive. Then
+// all of them choose the same scheduler.
 func waitForMembers(t *testing.T, fle *testkit.Fleet) {
 	t.Helper()
 	require.NoError(t, testkit.Poll(t.Context(), 30*time.Second, func() bool {
