--- a/internal/traceproof/trace_test.go
+++ b/internal/traceproof/trace_test.go
@@ -1,5 +1,5 @@
-// Package traceproof checks that the spans of a request form one whole tree
-// over processes.
+// Package traceproof checks that the spans that several processes export for a
+// request form one tree.
 package traceproof
 
 import (
@@ -23,7 +23,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// exportTime is the batch interval of the exporter with room for a busy machine.
+// exportTime bounds the wait for exported spans. It is far longer than the export
+// interval, because the machine may be busy.
 const exportTime = 30 * time.Second
 
 const callerSpan = "00f067aa0ba902b7"
@@ -33,13 +34,13 @@
 	attributes       map[string]string
 }
 
-// sink stands in for a collector.
+// spanCollector is an OTLP collector that keeps the spans of each trace in memory.
 type spanCollector struct {
 	mu    sync.Mutex
 	spans map[string][]span
 }
 
-// ServeHTTP takes an OTLP export.
+// ServeHTTP receives an OTLP export.
 func (col *spanCollector) ServeHTTP(wri http.ResponseWriter, htr *http.Request) {
 	buf, err := io.ReadAll(htr.Body)
 	var req collector.ExportTraceServiceRequest
@@ -63,7 +64,7 @@
 	}
 }
 
-// root returns attributes of the span that the caller's span is parent of.
+// root returns the given attributes of the spans whose parent is the caller's span.
 func (col *spanCollector) root(trace string, names ...string) []string {
 	col.mu.Lock()
 	defer col.mu.Unlock()
@@ -78,7 +79,8 @@
 	return out
 }
 
-// tree prints the spans under a parent, children in the order of their names.
+// tree returns the spans of a trace as indented lines, siblings sorted by name, and
+// the number of spans that are not below the caller's span.
 func (col *spanCollector) tree(trace string) string {
 	col.mu.Lock()
 	defer col.mu.Unlock()
@@ -101,7 +103,7 @@
 	return bui.String()
 }
 
-// post sends a request and returns the identifier that the host gave it.
+// post sends a request and returns the request ID that the host assigned.
 func post(t *testing.T, url, trace, body string) string {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url, bytes.NewBufferString(body))
@@ -120,8 +122,8 @@
 
 func traceID(n int) string { return fmt.Sprintf("4bf92f3577b34da6a3ce929d0e0e%04d", n) }
 
-// TestTree sends prompts and bookings whose callers trace them, and reads the
-// spans back from the collector.
+// TestTree sends prompts and bookings with the caller's trace context, and checks
+// the spans that the hosts export.
 func TestTree(t *testing.T) {
 	// The exporter of the hosts reads its interval, in milliseconds, from here.
 	t.Setenv("OTEL_BSP_SCHEDULE_DELAY", "200")
@@ -161,8 +163,8 @@
 		requireTree(t, col, booking, "call\n  admission\n  claim\n  placement\n  service\n")
 		traces = append(traces, prompt, booking)
 	}
-	// One prompt in three goes to a scheduler on its own host at most. The spans
-	// of the other hosts come with their own exports.
+	// At most one of the three hosts schedules locally; the other two call a peer.
+	// The peer exports its spans separately, so they may arrive later.
 	require.NoError(t, testkit.Poll(t.Context(), exportTime, func() bool {
 		peers := 0
 		for _, trace := range traces {
@@ -172,8 +174,8 @@
 	}))
 }
 
-// requireTree compares the tree without the calls between hosts, which depend
-// on who schedules and writes.
+// requireTree waits until the tree of a trace is as wanted. It leaves out the calls
+// between hosts, which depend on the host that schedules or writes the claim.
 func requireTree(t *testing.T, col *spanCollector, trace, want string) {
 	t.Helper()
 	var got string
