--- a/process/publisher/edit.go
+++ b/process/publisher/edit.go
@@ -240,6 +240,7 @@
 	case stepBroadcasting:
 		return sta.finish(Finish{Result: Accepted, Tables: sta.target, InForce: 1})
 	default:
-		return sta.finish(Finish{Result: NotAccepted, Err: eris.New("EditState.timedOut: store did not answer in time")})
+		// The text reaches operators and stays.
+		return sta.finish(Finish{Result: NotAccepted, Err: eris.New("EditState.elapsed: no answer of the store in time")})
 	}
 }
--- a/process/publisher/editor.go
+++ b/process/publisher/editor.go
@@ -24,9 +24,9 @@
 // Errors of an edit.
 var (
 	// ErrRaced means that another edit was accepted first.
-	ErrRaced = eris.New("publisher: another edit was accepted first")
+	ErrRaced = eris.New("publisher: the tables have another revision")
 	// ErrUnknown means that the publisher could not determine whether the edit was accepted.
-	ErrUnknown = eris.New("publisher: cannot determine whether the edit was accepted")
+	ErrUnknown = eris.New("publisher: it is unknown whether the edit was accepted")
 )
 
 // Edit replaces the tables if their revision is still base. An edit that changed
--- a/process/publisher/history.go
+++ b/process/publisher/history.go
@@ -47,7 +47,8 @@
 	}
 	doc, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(obj.Value)), parser.MaxDocumentBytes+1))
 	if err != nil {
-		return parser.Tables{}, eris.Wrapf(err, "Publisher.ReadRevision: decompress object %s", obj.Path)
+		// The text reaches operators and stays.
+		return parser.Tables{}, eris.Wrapf(err, "Publisher.Past: expand object %s", obj.Path)
 	}
 	return parser.Parse(doc)
 }
@@ -74,7 +75,8 @@
 	if _, get := pub.Store.Get(ctx, obj.Path); get == nil {
 		return nil
 	}
-	return eris.Wrap(err, "Publisher.writeHistory")
+	// The text reaches operators and stays.
+	return eris.Wrap(err, "Publisher.keep")
 }
 
 // prune deletes the oldest revision of the history once a new revision exceeds HistoryLength.
--- a/process/publisher/spread.go
+++ b/process/publisher/spread.go
@@ -150,24 +150,25 @@
 	return nil
 }
 
+// receiveDocument adopts a full document. The texts of its errors reach peers and stay.
 func (pub *Publisher) receiveDocument(pus *messenger.TablesPush) error {
 	doc := pus.GetDocument()
 	if pus.GetCompressed() {
 		var err error
 		reader := flate.NewReader(bytes.NewReader(doc))
 		if doc, err = io.ReadAll(io.LimitReader(reader, parser.MaxDocumentBytes+1)); err != nil {
-			return eris.Wrap(err, "Publisher.receiveDocument: decompress")
+			return eris.Wrap(err, "Publisher.receiveWhole: expand")
 		}
 	}
 	if differ.Checksum(doc) != pus.GetChecksum() {
-		return eris.Wrapf(differ.ErrMismatch, "Publisher.receiveDocument: revision %d", pus.GetRevision())
+		return eris.Wrapf(differ.ErrMismatch, "Publisher.receiveWhole: revision %d", pus.GetRevision())
 	}
 	tab, err := parser.Decode(doc)
 	if err != nil {
-		return eris.Wrap(err, "Publisher.receiveDocument")
+		return eris.Wrap(err, "Publisher.receiveWhole")
 	}
 	if tab.Revision != pus.GetRevision() {
-		return eris.Wrapf(differ.ErrMismatch, "Publisher.receiveDocument: document has revision %d, offer %d", tab.Revision, pus.GetRevision())
+		return eris.Wrapf(differ.ErrMismatch, "Publisher.receiveWhole: document has revision %d, offer %d", tab.Revision, pus.GetRevision())
 	}
 	if pub.accept(tab, doc, differ.Delta{}) {
 		pub.notifyAccepted(false)
