--- a/process/planner/runner.go
+++ b/process/planner/runner.go
@@ -328,11 +328,11 @@
 		case Assign:
 			id = act.ID
 			pp.log.Info().Str("RequestID", id).Str("Pool", pp.pool).Strs("Endpoints", act.endpoints()).
-				Dur("FirstMs", act.First).Dur("WaitedMs", act.Waited).Int("Waiting", pp.plan.Waiting()).Int("Granted", pp.plan.Granted()).Msg("engines granted to request")
+				Dur("FirstMs", act.First).Dur("WaitedMs", act.Waited).Int("Waiting", pp.plan.Waiting()).Int("Granted", pp.plan.Granted()).Msg("plan granted")
 		case Refuse:
 			id = act.ID
 			pp.log.Warn().Str("RequestID", id).Str("Pool", pp.pool).Str("Code", act.Code).Dur("RetryAfterMs", act.RetryAfter).
-				Int("Waiting", pp.plan.Waiting()).Int("Granted", pp.plan.Granted()).Msg("request refused by plan; caller may retry after a time")
+				Int("Waiting", pp.plan.Waiting()).Int("Granted", pp.plan.Granted()).Msg("plan refused")
 		}
 		if decision := pp.waiters[id]; decision != nil {
 			delete(pp.waiters, id)
