--- a/process/assigner/planners.go
+++ b/process/assigner/planners.go
@@ -160,7 +160,7 @@
 		}
 		if ctx.Err() != nil {
 			pla.notify(hos, req.Pool, planner.Ended{ID: planReq.ID})
-			return nil, eris.Wrapf(ctx.Err(), "Planners.requestPlan: planner %s", hos.id)
+			return nil, eris.Wrapf(ctx.Err(), "Planners.ask: planner %s", hos.id)
 		}
 		pla.suspect(hos.id, err)
 		pla.Announce(pla.Clock())
