--- a/process/allocator/cells.go
+++ b/process/allocator/cells.go
@@ -55,8 +55,8 @@
 // scheduler of the cell answered, or the cell has no live engine.
 var errNoScheduler = eris.New("allocator: no scheduler of the cell answered")
 
-// HostClient calls another host: it sends a message and returns the reply.
-type HostClient interface {
+// PeerClient sends a message to another host and returns its reply.
+type PeerClient interface {
 	Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
 
@@ -69,7 +69,7 @@
 	Region      string
 	// Entries returns the platform's list of hosts and endpoints.
 	Entries   func() []persister.Entry
-	Client    HostClient
+	Peers     PeerClient
 	Scheduler *scheduler.Scheduler
 	// OtherRegions has the digests of cells in other regions.
 	OtherRegions overflower.Digests
--- a/process/allocator/cells_test.go
+++ b/process/allocator/cells_test.go
@@ -28,13 +28,13 @@
 	return &messenger.Envelope{Body: &messenger.Envelope_Grant{Grant: gra}}, nil
 }
 
-func newCells(hosts int, client HostClient) *Cells {
+func newCells(hosts int, peers PeerClient) *Cells {
 	var ents []persister.Entry
 	for i := range hosts {
 		id := fmt.Sprintf("h%d", i)
 		ents = append(ents, persister.Entry{ID: id, Kind: persister.KindHost, Address: id})
 	}
-	return &Cells{Self: "self", Entries: func() []persister.Entry { return ents }, Client: client, Scope: tally.NoopScope}
+	return &Cells{Self: "self", Entries: func() []persister.Entry { return ents }, Peers: peers, Scope: tally.NoopScope}
 }
 
 // cellWithCandidates returns a cell whose first two candidates are the given hosts.
--- a/process/allocator/move.go
+++ b/process/allocator/move.go
@@ -60,7 +60,7 @@
 func (cel *Cells) callMove(ctx context.Context, hos host, cell, grantID string) (*messenger.Grant, error) {
 	ctx, stop := context.WithTimeout(ctx, moveTimeout)
 	defer stop()
-	env, err := cel.Client.Call(ctx, hos.address, &messenger.Envelope{Body: &messenger.Envelope_GrantRequest{
+	env, err := cel.Peers.Call(ctx, hos.address, &messenger.Envelope{Body: &messenger.Envelope_GrantRequest{
 		GrantRequest: &messenger.GrantRequest{Cell: cell, AskId: grantID, Move: true},
 	}})
 	if err != nil {
--- a/process/allocator/overflow_test.go
+++ b/process/allocator/overflow_test.go
@@ -40,7 +40,7 @@
 			}
 			cel := &Cells{
 				Self: "self", Region: "near", Entries: func() []persister.Entry { return ents },
-				Client: grantReplies{"far": tt.reply, "near": {Endpoint: "near-engine"}}, Scope: tally.NoopScope,
+				Peers: grantReplies{"far": tt.reply, "near": {Endpoint: "near-engine"}}, Scope: tally.NoopScope,
 			}
 			all := &Allocator{Cells: cel}
 			req := placer.Request{ID: "r", Deadline: now.Add(time.Minute)}
--- a/process/allocator/remote.go
+++ b/process/allocator/remote.go
@@ -83,7 +83,7 @@
 	stop := context.AfterFunc(ctx, cancel)
 	defer stop()
 	req := cellReq.Request
-	env, err := cel.Client.Call(callCtx, hos.address, &messenger.Envelope{Body: &messenger.Envelope_GrantRequest{GrantRequest: &messenger.GrantRequest{
+	env, err := cel.Peers.Call(callCtx, hos.address, &messenger.Envelope{Body: &messenger.Envelope_GrantRequest{GrantRequest: &messenger.GrantRequest{
 		RequestId: req.ID, Host: cellReq.Host, Incarnation: cellReq.Incarnation, Pool: pool, Team: req.Team, Model: req.Model,
 		PromptTokens: req.PromptTokens, MaxTokens: req.MaxTokens, Priority: int32(req.Priority),
 		BudgetMs: time.Until(req.Deadline).Milliseconds(), PrefixHashes: req.Prefix, Excluded: req.Excluded,
@@ -229,7 +229,7 @@
 			ctx, stop := context.WithTimeout(ctx, noticeTimeout)
 			defer stop()
 			env := &messenger.Envelope{Body: &messenger.Envelope_GrantNotices{GrantNotices: &messenger.GrantNotices{Notices: notices}}}
-			if _, err := cel.Client.Call(ctx, address, env); err != nil {
+			if _, err := cel.Peers.Call(ctx, address, env); err != nil {
 				cel.Scope.Counter("grant_notices_lost").Inc(int64(len(notices)))
 			}
 		}()
--- a/process/assigner/assigner_test.go
+++ b/process/assigner/assigner_test.go
@@ -109,7 +109,7 @@
 			Pool: pool, Clock: time.Now, Log: zerolog.Nop(), Scope: tally.NoopScope,
 		}
 		fle.hosts[per.ID] = &Planners{
-			Self: per.ID, Incarnation: 1, Address: per.ID, Leaving: func() bool { return fle.leaving[per.ID] }, Caller: link{fle, per.ID}, Runner: run, Clock: time.Now, Log: zerolog.Nop(),
+			Self: per.ID, Incarnation: 1, Address: per.ID, Leaving: func() bool { return fle.leaving[per.ID] }, Peers: link{fle, per.ID}, Runner: run, Clock: time.Now, Log: zerolog.Nop(),
 			Live: func(time.Time) []gossiper.Peer {
 				var out []gossiper.Peer
 				for _, other := range pers {
--- a/process/assigner/planners.go
+++ b/process/assigner/planners.go
@@ -59,8 +59,8 @@
 	noticeTimeout = time.Second
 )
 
-// PeerCaller sends a message to another host and returns its reply.
-type PeerCaller interface {
+// PeerClient sends a message to another host and returns its reply.
+type PeerClient interface {
 	Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
 
@@ -77,7 +77,7 @@
 	// not become a planner.
 	Live    func(now time.Time) []gossiper.Peer
 	Leaving func() bool
-	Caller  PeerCaller
+	Peers   PeerClient
 	Runner  *planner.Runner
 	Clock   func() time.Time
 	Log     zerolog.Logger
@@ -224,7 +224,7 @@
 	defer cancel()
 	stop := context.AfterFunc(ctx, cancel)
 	defer stop()
-	env, err := pla.Caller.Call(callCtx, hos.address, &messenger.Envelope{Body: &messenger.Envelope_PlanRequest{PlanRequest: req}})
+	env, err := pla.Peers.Call(callCtx, hos.address, &messenger.Envelope{Body: &messenger.Envelope_PlanRequest{PlanRequest: req}})
 	if err != nil {
 		return nil, eris.Wrapf(err, "Planners.call: planner %s", hos.id)
 	}
@@ -322,7 +322,7 @@
 func (pla *Planners) forwardNotices(address string, notices *messenger.PlanNotices) {
 	ctx, stop := context.WithTimeout(context.Background(), noticeTimeout)
 	defer stop()
-	if _, err := pla.Caller.Call(ctx, address, &messenger.Envelope{Body: &messenger.Envelope_PlanNotices{PlanNotices: notices}}); err != nil {
+	if _, err := pla.Peers.Call(ctx, address, &messenger.Envelope{Body: &messenger.Envelope_PlanNotices{PlanNotices: notices}}); err != nil {
 		pla.Log.Warn().Str("Peer", address).Int("Notices", len(notices.GetNotices())).Err(err).Msg("plan notices could not be delivered; the planner relies on engine reports and deadlines")
 	}
 }
@@ -356,7 +356,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), noticeTimeout)
 	defer stop()
 	env := &messenger.Envelope{Body: &messenger.Envelope_PlanNotices{PlanNotices: &messenger.PlanNotices{Pool: des.pool, Notices: notices}}}
-	_, err := pla.Caller.Call(ctx, des.address, env)
+	_, err := pla.Peers.Call(ctx, des.address, env)
 	if err == nil {
 		return
 	}
@@ -373,7 +373,7 @@
 		ctx, stop := context.WithTimeout(context.Background(), noticeTimeout)
 		defer stop()
 		env := &messenger.Envelope{Body: &messenger.Envelope_PlanNotices{PlanNotices: &messenger.PlanNotices{Pool: des.pool, Notices: notices, For: des.address}}}
-		if _, err := pla.Caller.Call(ctx, via.address, env); err != nil {
+		if _, err := pla.Peers.Call(ctx, via.address, env); err != nil {
 			pla.Log.Warn().Str("Peer", via.id).Int("Notices", len(notices)).Err(err).Msg("plan notices could not be delivered; the planner relies on engine reports and deadlines")
 		}
 		return
--- a/process/forwarder/forwarder.go
+++ b/process/forwarder/forwarder.go
@@ -117,7 +117,7 @@
 		Loader: pla.EngineClient, Engines: fwd.engines, Pool: fwd.pool, Interval: set.LoadInterval, Clock: time.Now, Log: log, Scope: fwd.scope,
 	}
 	fwd.planners = &assigner.Planners{
-		Self: set.HostID, Incarnation: incarnation, Address: set.PeerListen, CapacityMilli: capacityMilli(set), Live: fwd.gossiper.Live, Leaving: fwd.draining.Load, Caller: fwd.multiplexer,
+		Self: set.HostID, Incarnation: incarnation, Address: set.PeerListen, CapacityMilli: capacityMilli(set), Live: fwd.gossiper.Live, Leaving: fwd.draining.Load, Peers: fwd.multiplexer,
 		Runner: fwd.planRunner, Clock: time.Now, Log: log,
 	}
 	fwd.retryBudget = &budgeter.Quota{
--- a/process/journaler/journaler.go
+++ b/process/journaler/journaler.go
@@ -38,8 +38,8 @@
 	Put(ctx context.Context, obj persister.Object) (uint64, error)
 }
 
-// PeerCaller sends envelopes to other hosts and returns their replies.
-type PeerCaller interface {
+// PeerClient sends a message to another host and returns its reply.
+type PeerClient interface {
 	Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
 
@@ -50,7 +50,7 @@
 	// Without Members or Peers the host writes all shards itself.
 	Self    Member
 	Members Members
-	Peers   PeerCaller
+	Peers   PeerClient
 	// Clock returns the present time; the system's clock is used if it is nil.
 	Clock func() time.Time
 	Scope tally.Scope
--- a/process/server/schedule.go
+++ b/process/server/schedule.go
@@ -35,7 +35,7 @@
 	}
 	ser.cells = &allocator.Cells{
 		Self: ser.Settings.HostID, Incarnation: ser.Incarnation, Region: ser.Settings.Region,
-		Entries: ser.liveHostEntries, Client: tracedPeers{ser.multiplexer}, Scheduler: ser.scheduler, Scope: ser.scope,
+		Entries: ser.liveHostEntries, Peers: tracedPeers{ser.multiplexer}, Scheduler: ser.scheduler, Scope: ser.scope,
 	}
 	if all.Policy == placer.PolicyCell {
 		ser.watcher.PollLimit = cellPollLimit
--- a/process/server/trace.go
+++ b/process/server/trace.go
@@ -56,26 +56,26 @@
 	}
 }
 
-// peerCaller sends a message to another host.
-type peerCaller interface {
+// peerClient sends a message to another host and returns its reply.
+type peerClient interface {
 	Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
 
 // tracedPeers creates a span for each call to a peer that is part of a request's trace,
 // and propagates the trace to the peer.
-type tracedPeers struct{ peerCaller }
+type tracedPeers struct{ peerClient }
 
 // Call sends env within a span.
 func (per tracedPeers) Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error) {
 	if !trace.SpanContextFromContext(ctx).IsValid() {
-		return per.peerCaller.Call(ctx, address, env)
+		return per.peerClient.Call(ctx, address, env)
 	}
 	ctx, spa := otel.Tracer(tracerName).Start(ctx, "peer call", trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.String("Peer", address), attribute.String("Message", messageName(env))))
 	car := propagation.MapCarrier{}
 	otel.GetTextMapPropagator().Inject(ctx, car)
 	env.TraceParent = car[traceParent]
-	rep, err := per.peerCaller.Call(ctx, address, env)
+	rep, err := per.peerClient.Call(ctx, address, env)
 	endSpan(spa, err)
 	return rep, err
 }
