--- a/internal/streammatrix/request_test.go
+++ b/internal/streammatrix/request_test.go
@@ -210,7 +210,7 @@
 	eng := req.engine(res.Part.Endpoint)
 	req.advance(callTime)
 	if !req.now.Before(req.state.Deadline) {
-		return grouper.Expired{}
+		return grouper.RequestEnded{}
 	}
 	if eng.dead {
 		return grouper.Denied{}
--- a/internal/streammatrix/world_test.go
+++ b/internal/streammatrix/world_test.go
@@ -165,12 +165,12 @@
 		if sim.hostFrozen() || sim.hostDead {
 			return
 		}
-		ans := reclaimer.Answer{Incarnation: sim.owner.Incarnation, Known: map[string]int{}}
+		ans := reclaimer.Answer{Incarnation: sim.owner.Incarnation, InProgress: map[string]int{}}
 		if sim.inProgress {
-			ans.Known["request"] = sim.attempt
+			ans.InProgress["request"] = sim.attempt
 		}
 		if sim.exporting {
-			ans.Known[exportID] = 0
+			ans.InProgress[exportID] = 0
 		}
 		for _, fre := range reclaimer.ResolveQuery(act, ans) {
 			sim.freeReclaimed(eng, fre)
@@ -180,12 +180,12 @@
 
 func (sim *simulation) freeReclaimed(eng *engine, fre reclaimer.Free) {
 	if sim.inProgress && !sim.hostDead && sim.now.Before(epoch.Add(timeLimit)) {
-		if fre.Free.ID == sim.holdID && fre.Free.ID != "" || fre.Free.ID == "" && fre.Free.Attempt == sim.attempt {
+		if fre.Holding.ID == sim.holdID && fre.Holding.ID != "" || fre.Holding.ID == "" && fre.Holding.Attempt == sim.attempt {
 			sim.wronglyFreed = append(sim.wronglyFreed, eng.id)
 		}
 	}
-	eng.free(fre.Free)
-	sim.tracef("reclaim %s: %s", fre.Free.Kind, fre.Reason)
+	eng.free(fre.Holding)
+	sim.tracef("reclaim %s: %s", fre.Holding.Kind, fre.Reason)
 }
 
 // Incarnation implements the view of host-b: the owner counts as restarted as soon
--- a/process/grouper/grouper.go
+++ b/process/grouper/grouper.go
@@ -34,7 +34,8 @@
 	Deadline time.Time
 }
 
-// Event is an event of a reservation: Started, Granted, Denied, NoAnswer or Expired.
+// Event is an event of a reservation: Started, Granted, Denied, NoAnswer or
+// RequestEnded.
 type Event interface{ event() }
 
 // Started starts the reservation with the first part.
@@ -49,14 +50,14 @@
 // NoAnswer reports that it is not known whether the engine reserved the next part.
 type NoAnswer struct{ Message string }
 
-// Expired reports that the request has ended.
-type Expired struct{}
+// RequestEnded reports that the request has ended.
+type RequestEnded struct{}
 
-func (Started) event()  {}
-func (Granted) event()  {}
-func (Denied) event()   {}
-func (NoAnswer) event() {}
-func (Expired) event()  {}
+func (Started) event()      {}
+func (Granted) event()      {}
+func (Denied) event()       {}
+func (NoAnswer) event()     {}
+func (RequestEnded) event() {}
 
 // Action is what to do next: Reserve, Complete or GiveUp.
 type Action interface{ action() }
@@ -100,7 +101,7 @@
 		return sta.giveUp(sta.Held, false, eve.Message)
 	case NoAnswer:
 		return sta.giveUp(sta.Held+1, true, eve.Message)
-	case Expired:
+	case RequestEnded:
 		// A reservation that is under way may still be granted.
 		held := min(sta.Held+1, len(sta.Parts))
 		return State{Parts: sta.Parts, Deadline: sta.Deadline}, GiveUp{Release: sta.Parts[:held], Message: "the request has ended"}
--- a/process/grouper/grouper_test.go
+++ b/process/grouper/grouper_test.go
@@ -86,7 +86,7 @@
 		name string
 		eve  Event
 		want int
-	}{{"denied", Denied{}, 1}, {"lost", NoAnswer{}, 2}, {"expired", Expired{}, 2}}
+	}{{"denied", Denied{}, 1}, {"lost", NoAnswer{}, 2}, {"expired", RequestEnded{}, 2}}
 	for _, tt := range tts {
 		t.Run(tt.name, func(t *testing.T) {
 			sta := New([]invoker.Part{{Endpoint: "c"}, {Endpoint: "a"}, {Endpoint: "b"}}, epoch.Add(time.Minute))
--- a/process/grouper/runner.go
+++ b/process/grouper/runner.go
@@ -87,7 +87,7 @@
 	case err == nil:
 		return Granted{}
 	case ctx.Err() != nil:
-		return Expired{}
+		return RequestEnded{}
 	case errors.As(err, &invokerErr) && invokerErr.Ran == invoker.NotRun:
 		return Denied{Message: err.Error()}
 	default:
--- a/process/journaler/batch.go
+++ b/process/journaler/batch.go
@@ -43,15 +43,15 @@
 
 // Loaded reports the content that was read.
 type Loaded struct {
-	Shard   *Shard
-	Version uint64
+	Shard *Shard
+	Seq   uint64
 }
 
 // LoadFailed reports a read that failed.
 type LoadFailed struct{ Message string }
 
 // Stored reports a write that took effect.
-type Stored struct{ Version uint64 }
+type Stored struct{ Seq uint64 }
 
 // Conflicted reports that another writer wrote first, so that the write had no effect.
 type Conflicted struct{}
@@ -80,10 +80,11 @@
 // Load reads the log, after a pause if Pause is set.
 type Load struct{ Pause bool }
 
-// Store writes the change on condition that the log of the shard ends at the version.
+// Store appends Delta to the log on condition that Seq is the number of its newest
+// entry.
 type Store struct {
-	Delta   Delta
-	Version uint64
+	Delta Delta
+	Seq   uint64
 }
 
 // Answer ends the batch with a result for each change.
@@ -102,11 +103,11 @@
 		}
 		return bat.evaluate(now)
 	case Loaded:
-		bat.shard, bat.version = eve.Shard, eve.Version
+		bat.shard, bat.version = eve.Shard, eve.Seq
 		bat.loaded, bat.readInBatch = true, true
 		return bat.evaluate(now)
 	case Stored:
-		bat.version = eve.Version
+		bat.version = eve.Seq
 		return bat, Answer{bat.results}
 	case LoadFailed:
 		return bat.reload(eve.Message, true)
@@ -128,7 +129,7 @@
 	case changed:
 		bat.results = results
 		bat.loaded = false
-		return bat, Store{Delta: del, Version: bat.version}
+		return bat, Store{Delta: del, Seq: bat.version}
 	case bat.readInBatch:
 		return bat, Answer{results}
 	default:
--- a/process/journaler/bench_test.go
+++ b/process/journaler/bench_test.go
@@ -121,6 +121,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		Writers(7, live, live[40])
+		WriterHosts(7, live, live[40])
 	}
 }
--- a/process/journaler/journaler.go
+++ b/process/journaler/journaler.go
@@ -154,7 +154,7 @@
 	defer jou.mu.Unlock()
 	rou := &jou.routes[shard]
 	if rou.writers == nil || now.Sub(rou.at) > routeLifetime {
-		*rou = route{at: now, writers: Writers(shard, jou.candidates(now), jou.Self)}
+		*rou = route{at: now, writers: WriterHosts(shard, jou.candidates(now), jou.Self)}
 	}
 	return rou.writers
 }
--- a/process/journaler/route.go
+++ b/process/journaler/route.go
@@ -31,9 +31,10 @@
 // ShardOf returns the shard of a key.
 func ShardOf(key string) uint32 { return uint32(xxhash.Sum64String(key) % Shards) }
 
-// Writers returns the hosts to try as writers of a shard, best first, by rendezvous
-// hashing. The last is self, since any host may write a shard.
-func Writers(shard uint32, live []Member, self Member) []Member {
+// WriterHosts returns the hosts to try as writers of a shard, by descending rendezvous
+// score: at most maxForwards hosts with a higher score than self, then self, since any
+// host may write a shard.
+func WriterHosts(shard uint32, live []Member, self Member) []Member {
 	out := make([]Member, 0, maxForwards+1)
 	var scores [maxForwards]uint64
 	prefix := strconv.FormatUint(uint64(shard), 10) + "/"
--- a/process/journaler/settle.go
+++ b/process/journaler/settle.go
@@ -17,8 +17,8 @@
 	maxSettleBackoff = 10 * time.Second
 )
 
-// Pending returns the number of changes that are being committed in the background.
-func (jou *Journal) Pending() int { return int(jou.retrying.Load()) }
+// Settling returns the number of changes that are being committed in the background.
+func (jou *Journal) Settling() int { return int(jou.retrying.Load()) }
 
 // Settle commits a FINISH or RELEASE in the background and retries it until it succeeds
 // or Retention has passed. The channel is closed at the end. If maxRetrying changes are
--- a/process/journaler/shard_test.go
+++ b/process/journaler/shard_test.go
@@ -198,10 +198,10 @@
 	}
 	owned := map[string]int{}
 	for sha := range uint32(Shards) {
-		best := Writers(sha, live, live[0])[0]
+		best := WriterHosts(sha, live, live[0])[0]
 		owned[best.ID]++
 		for _, self := range live {
-			writers := Writers(sha, live, self)
+			writers := WriterHosts(sha, live, self)
 			require.Equal(t, best, writers[0], "all hosts choose the same writer")
 			require.Equal(t, self, writers[len(writers)-1])
 			require.LessOrEqual(t, len(writers), maxForwards+1)
@@ -211,7 +211,7 @@
 				continue
 			}
 			rest := append(slices.Clone(live[:i]), live[i+1:]...)
-			require.Equal(t, best, Writers(sha, rest, rest[0])[0])
+			require.Equal(t, best, WriterHosts(sha, rest, rest[0])[0])
 		}
 	}
 	require.Greater(t, len(owned), 14, "shards are spread over hosts")
--- a/process/journaler/world_test.go
+++ b/process/journaler/world_test.go
@@ -367,7 +367,7 @@
 	fault := cal.nextFault(step)
 	cal.before(fault)
 	put := func() bool {
-		if sto.Version != sim.version {
+		if sto.Seq != sim.version {
 			return false
 		}
 		sim.write(sto.Delta)
--- a/process/journaler/writer.go
+++ b/process/journaler/writer.go
@@ -241,11 +241,11 @@
 	if err := wri.log.load(ctx); err != nil {
 		return LoadFailed{eris.Wrapf(err, "writer.load: %s", wri.log.path).Error()}
 	}
-	return Loaded{Shard: &wri.log.shard, Version: wri.log.seq}
+	return Loaded{Shard: &wri.log.shard, Seq: wri.log.seq}
 }
 
 func (wri *writer) store(ctx context.Context, sto Store) Event {
-	if !wri.log.loaded() || sto.Version != wri.log.seq {
+	if !wri.log.loaded() || sto.Seq != wri.log.seq {
 		return Conflicted{}
 	}
 	ctx, stop := context.WithTimeout(ctx, storeTimeout)
--- a/process/leaser/holder.go
+++ b/process/leaser/holder.go
@@ -38,10 +38,10 @@
 	return hol.Clock()
 }
 
-// Acquire waits until the lease is held, or renews a held one. The fencing number in Hold
-// changes if the lease ended in between. Acquire fails if ctx ends before the lease is
-// held.
-func (hol *Holder) Acquire(ctx context.Context) (Hold, error) {
+// Acquire waits until the lease is held or, if it is held already, extends it once half
+// of its term has passed. The fencing number in Held differs from the previous one if
+// the lease ended in between. Acquire fails if ctx ends before the lease is held.
+func (hol *Holder) Acquire(ctx context.Context) (Held, error) {
 	if hol.state.Nonce == "" {
 		hol.state = State{Host: hol.Host, Nonce: uuid.NewString()}
 	}
@@ -50,17 +50,17 @@
 		sta, act := hol.state.Next(eve, hol.now())
 		hol.state = sta
 		if ctx.Err() != nil {
-			return Hold{}, eris.Wrapf(ctx.Err(), "Holder.Acquire: lease %s held by %s", hol.Name, sta.lease.Host)
+			return Held{}, eris.Wrapf(ctx.Err(), "Holder.Acquire: lease %s held by %s", hol.Name, sta.lease.Host)
 		}
 		switch act := act.(type) {
-		case Hold:
+		case Held:
 			return act, nil
 		case Load:
 			eve = hol.load(ctx, act)
 		case Store:
 			eve = hol.write(ctx, act)
 		default:
-			return Hold{}, eris.Errorf("Holder.Acquire: lease %s: unexpected action %T", hol.Name, act)
+			return Held{}, eris.Errorf("Holder.Acquire: lease %s: unexpected action %T", hol.Name, act)
 		}
 	}
 }
--- a/process/leaser/leaser.go
+++ b/process/leaser/leaser.go
@@ -86,7 +86,8 @@
 func (WriteUnknown) event()     {}
 func (ReleaseRequested) event() {}
 
-// Action is what to do next: Load, Store, Hold or Stop.
+// Action is what to do next: Load or Store, or the end of the event's handling: Held or
+// Done.
 type Action interface{ action() }
 
 // Load reads the object at time At or later.
@@ -98,19 +99,19 @@
 	Version uint64
 }
 
-// Hold reports that the lease is held until Until.
-type Hold struct {
+// Held reports that the lease is held until Until.
+type Held struct {
 	Fence uint64
 	Until time.Time
 }
 
-// Stop reports that nothing remains to be done.
-type Stop struct{}
+// Done reports that nothing remains to be done.
+type Done struct{}
 
 func (Load) action()  {}
 func (Store) action() {}
-func (Hold) action()  {}
-func (Stop) action()  {}
+func (Held) action()  {}
+func (Done) action()  {}
 
 const (
 	// pollInterval is the time between two reads of a lease that another host holds.
@@ -140,7 +141,7 @@
 	case ReleaseRequested:
 		return sta.release()
 	default:
-		return sta, Stop{}
+		return sta, Done{}
 	}
 }
 
@@ -195,13 +196,13 @@
 
 func (sta State) hold() (State, Action) {
 	sta.until = sta.writeSent.Add(Term)
-	return sta, Hold{Fence: sta.lease.Fence, Until: sta.until}
+	return sta, Held{Fence: sta.lease.Fence, Until: sta.until}
 }
 
 // release releases the lease if the object still has the nonce of this acquirer.
 func (sta State) release() (State, Action) {
 	if !sta.loaded || sta.lease.Nonce != sta.Nonce {
-		return sta, Stop{}
+		return sta, Done{}
 	}
 	sta.loaded = false
 	return sta, Store{Lease: Lease{Fence: sta.lease.Fence}, Version: sta.version}
--- a/process/orderer/matrix_test.go
+++ b/process/orderer/matrix_test.go
@@ -289,7 +289,7 @@
 			return Expired{}
 		}
 		switch act := att.leaseNext(eve).(type) {
-		case leaser.Hold:
+		case leaser.Held:
 			return Leased(act)
 		case leaser.Load:
 			att.sim.advance(max(0, act.At.Sub(att.sim.now)))
--- a/process/reclaimer/reclaimer.go
+++ b/process/reclaimer/reclaimer.go
@@ -93,7 +93,7 @@
 type Free struct {
 	Endpoint string
 	Address  string
-	Free     invoker.Free
+	Holding  invoker.Free
 	Reason   Reason
 	Tokens   int64
 }
@@ -112,8 +112,9 @@
 type Answer struct {
 	// Incarnation is the incarnation of the process that answered.
 	Incarnation uint64
-	// Known maps the requests in progress to the numbers of their newest attempts.
-	Known map[string]int
+	// InProgress maps the IDs of those queried requests that are in progress to the
+	// numbers of their newest attempts.
+	InProgress map[string]int
 }
 
 // Reclaimer decides which holdings to free and which owners to query. Self must be set.
@@ -146,7 +147,7 @@
 func freeOf(rep Report, seq invoker.Sequence) Free {
 	return Free{
 		Endpoint: rep.Endpoint, Address: rep.Address, Tokens: seq.Tokens,
-		Free: invoker.Free{Kind: seq.Kind, ID: seq.ID, RequestID: seq.RequestID, Attempt: seq.Attempt, Owner: seq.Owner},
+		Holding: invoker.Free{Kind: seq.Kind, ID: seq.ID, RequestID: seq.RequestID, Attempt: seq.Attempt, Owner: seq.Owner},
 	}
 }
 
@@ -220,7 +221,7 @@
 }
 
 func (rec *Reclaimer) addToQuery(queries map[invoker.Owner]*Query, fre Free, now time.Time) {
-	owner := fre.Free.Owner
+	owner := fre.Holding.Owner
 	if queries[owner] == nil {
 		queries[owner] = &Query{Host: owner.Host, Incarnation: owner.Incarnation}
 	}
@@ -261,7 +262,7 @@
 func ResolveQuery(que Query, ans Answer) []Free {
 	var out []Free
 	for _, fre := range que.Holdings {
-		attempt, known := ans.Known[requestKey(fre.Free.RequestID, fre.Free.ID)]
+		attempt, known := ans.InProgress[requestKey(fre.Holding.RequestID, fre.Holding.ID)]
 		switch {
 		case ans.Incarnation < que.Incarnation:
 			continue
@@ -269,7 +270,7 @@
 			fre.Reason = Replaced
 		case !known:
 			fre.Reason = Disowned
-		case fre.Free.Attempt > 0 && fre.Free.Attempt < attempt:
+		case fre.Holding.Attempt > 0 && fre.Holding.Attempt < attempt:
 			fre.Reason = Abandoned
 		default:
 			continue
--- a/process/reclaimer/reclaimer_test.go
+++ b/process/reclaimer/reclaimer_test.go
@@ -88,11 +88,11 @@
 func formatAction(act Action) string {
 	switch act := act.(type) {
 	case Free:
-		return fmt.Sprintf("free %s %s/%d: %s", act.Free.Kind, act.Free.RequestID, act.Free.Attempt, act.Reason)
+		return fmt.Sprintf("free %s %s/%d: %s", act.Holding.Kind, act.Holding.RequestID, act.Holding.Attempt, act.Reason)
 	case Query:
 		var ids []string
 		for _, fre := range act.Holdings {
-			ids = append(ids, fre.Free.RequestID)
+			ids = append(ids, fre.Holding.RequestID)
 		}
 		return fmt.Sprintf("ask %s/%d about %s", act.Host, act.Incarnation, strings.Join(ids, " "))
 	}
@@ -101,9 +101,9 @@
 
 func TestResolveQuery(t *testing.T) {
 	que := Query{Host: "host-b", Incarnation: 3, Holdings: []Free{
-		{Free: invoker.Free{RequestID: "old", Attempt: 1}},
-		{Free: invoker.Free{RequestID: "new", Attempt: 2}},
-		{Free: invoker.Free{RequestID: "gone", Attempt: 1}},
+		{Holding: invoker.Free{RequestID: "old", Attempt: 1}},
+		{Holding: invoker.Free{RequestID: "new", Attempt: 2}},
+		{Holding: invoker.Free{RequestID: "gone", Attempt: 1}},
 	}}
 	known := map[string]int{"old": 2, "new": 2}
 	tts := []struct {
@@ -116,7 +116,7 @@
 	}
 	for _, tt := range tts {
 		var got []Reason
-		for _, fre := range ResolveQuery(que, Answer{Incarnation: tt.incarnation, Known: known}) {
+		for _, fre := range ResolveQuery(que, Answer{Incarnation: tt.incarnation, InProgress: known}) {
 			got = append(got, fre.Reason)
 		}
 		require.Equal(t, tt.want, got)
--- a/process/reclaimer/runner.go
+++ b/process/reclaimer/runner.go
@@ -142,7 +142,7 @@
 }
 
 func (run *Runner) free(ctx context.Context, fre Free) {
-	if err := run.Invoker.Free(ctx, fre.Address, fre.Free); err != nil {
+	if err := run.Invoker.Free(ctx, fre.Address, fre.Holding); err != nil {
 		run.Scope.Counter("reclaim_frees_failed").Inc(1)
 		return
 	}
@@ -154,7 +154,7 @@
 func (run *Runner) query(ctx context.Context, que Query) (Answer, error) {
 	msg := &messenger.OwnerQuery{Incarnation: que.Incarnation}
 	for _, fre := range que.Holdings {
-		msg.Requests = append(msg.Requests, requestKey(fre.Free.RequestID, fre.Free.ID))
+		msg.Requests = append(msg.Requests, requestKey(fre.Holding.RequestID, fre.Holding.ID))
 	}
 	rep, err := run.Call(ctx, que.Host, &messenger.Envelope{Body: &messenger.Envelope_OwnerQuery{OwnerQuery: msg}})
 	if err != nil {
@@ -164,9 +164,9 @@
 	if reply == nil {
 		return Answer{}, eris.Errorf("Runner.query: host %s: unexpected reply", que.Host)
 	}
-	ans := Answer{Incarnation: reply.GetIncarnation(), Known: map[string]int{}}
+	ans := Answer{Incarnation: reply.GetIncarnation(), InProgress: map[string]int{}}
 	for _, req := range reply.GetKnown() {
-		ans.Known[req.GetId()] = int(req.GetAttempt())
+		ans.InProgress[req.GetId()] = int(req.GetAttempt())
 	}
 	return ans, nil
 }
--- a/process/server/drain.go
+++ b/process/server/drain.go
@@ -75,5 +75,5 @@
 // backgroundWork counts the claimed calls in progress, also those whose callers have
 // disconnected, and the outcomes that are not yet recorded in the journal.
 func (ser *Server) backgroundWork() int {
-	return ser.executor.CallsInProgress() + ser.journal.Pending()
+	return ser.executor.CallsInProgress() + ser.journal.Settling()
 }
