--- a/process/leaser/holder.go
+++ b/process/leaser/holder.go
@@ -11,6 +11,7 @@
 	"github.com/rotisserie/eris"
 )
 
+// storeTimeout bounds one call to the store.
 const storeTimeout = 2 * time.Second
 
 // ObjectStore is the part of the platform's object API that leases use.
@@ -58,20 +59,20 @@
 		case Load:
 			eve = hol.load(ctx, act)
 		case Store:
-			eve = hol.write(ctx, act)
+			eve = hol.store(ctx, act)
 		default:
 			return Held{}, eris.Errorf("Holder.Acquire: lease %s: unexpected action %T", hol.Name, act)
 		}
 	}
 }
 
-// Release releases the lease with one write. If the write fails, other hosts can acquire
-// the lease after Term and Margin.
+// Release releases the lease with one write. If the write fails, other hosts can
+// acquire the lease once its object has not changed for Term and Margin.
 func (hol *Holder) Release(ctx context.Context) {
 	sta, act := hol.state.Next(ReleaseRequested{}, hol.now())
 	hol.state = sta
 	if sto, ok := act.(Store); ok {
-		hol.write(ctx, sto)
+		hol.store(ctx, sto)
 	}
 }
 
@@ -99,7 +100,7 @@
 	return Loaded{Lease: lea, Version: obj.Version}
 }
 
-func (hol *Holder) write(ctx context.Context, sto Store) Event {
+func (hol *Holder) store(ctx context.Context, sto Store) Event {
 	value, err := json.Marshal(sto.Lease)
 	if err != nil {
 		return WriteUnknown{err.Error()}
--- a/process/leaser/leaser.go
+++ b/process/leaser/leaser.go
@@ -1,14 +1,15 @@
-// Package leaser grants exclusive leases with fencing numbers through conditional writes
-// of the platform's object API.
+// Package leaser acquires exclusive leases with fencing numbers through conditional
+// writes of the platform's object API.
 //
-// A lease object is never deleted, so its fencing number only grows. The object contains
-// no times: a host that wants a lease held by another waits until it has seen the same
-// version for Term and Margin by its own clock, and a holder counts the term from before
-// it sent its write. The clocks of hosts need not agree.
+// A lease object is never deleted, so its fencing number only grows. The object
+// contains no times: a host that wants a lease held by another waits until it has seen
+// the same version for Term and Margin by its own clock, and a holder counts the term
+// from the time just before it sends its write. The clocks of hosts need not agree.
 //
-// A lease does not stop a holder that is paused after it has checked the time and before
-// it acts. Whoever receives the action must refuse it, by the fencing number or by
-// another condition, where it must not happen.
+// A lease does not stop a holder that is paused after it has checked the time and
+// before it acts. So the receiver of an action must itself refuse an action that
+// arrives after the lease ended, by the fencing number or by another condition, if that
+// action must not happen.
 package leaser
 
 import "time"
@@ -24,16 +25,18 @@
 
 // Lease is the value of a lease object. It is an immutable value.
 type Lease struct {
-	// Fence grows by one with each acquisition.
+	// Fence is the fencing number. It grows by one with each acquisition.
 	Fence uint64
 	// Nonce identifies the acquisition; it is empty if the lease was released.
 	Nonce string
 	Host  string
-	// Renewal counts the renewals of the acquisition.
+	// Renewal counts the renewals of the acquisition, so that each write differs from
+	// the last one.
 	Renewal uint64
 }
 
-// State is the state of one acquirer of a lease. It is an immutable value.
+// State is one host's state of acquiring, holding and releasing a lease. It is an
+// immutable value.
 type State struct {
 	Host  string
 	Nonce string
@@ -46,7 +49,7 @@
 	// writeSent is when the last write was sent, and written the lease in it.
 	writeSent time.Time
 	written   Lease
-	// until is when the held lease ends; it is zero if the lease is not held.
+	// until is the end of the term as of the last Held; it is zero before the first.
 	until time.Time
 }
 
@@ -54,16 +57,16 @@
 // Conflicted, WriteUnknown or ReleaseRequested.
 type Event interface{ event() }
 
-// AcquireRequested requests the lease, or a later end of a held one.
+// AcquireRequested requests the lease, or the renewal of a held lease.
 type AcquireRequested struct{}
 
-// Loaded reports the object that was read; version 0 stands for an absent one.
+// Loaded reports the object that was read; version 0 stands for an absent object.
 type Loaded struct {
 	Lease   Lease
 	Version uint64
 }
 
-// LoadFailed reports a read that failed.
+// LoadFailed reports a read that failed. Next does not use Message.
 type LoadFailed struct{ Message string }
 
 // Stored reports a write that took effect.
@@ -72,7 +75,8 @@
 // Conflicted reports a write that had no effect because the object has another version.
 type Conflicted struct{}
 
-// WriteUnknown reports a write of which it is not known whether it took effect.
+// WriteUnknown reports a write of which it is not known whether it took effect. Next
+// does not use Message.
 type WriteUnknown struct{ Message string }
 
 // ReleaseRequested requests that the lease be released.
@@ -90,7 +94,7 @@
 // Done.
 type Action interface{ action() }
 
-// Load reads the object at time At or later.
+// Load reads the object, not before At.
 type Load struct{ At time.Time }
 
 // Store writes the lease on condition that the object has the version.
@@ -159,13 +163,15 @@
 	case !sta.loaded:
 		return sta, Load{now}
 	case sta.lease.Nonce == sta.Nonce && sta.lease == sta.written:
-		// A write without an answer took effect, or the lease is held already.
+		// The last write took effect, so the lease is held unless its term has passed.
 		return sta.keepOrRenew(now)
 	case sta.lease.Nonce == sta.Nonce:
-		// An older write of this acquirer is in force; its time is not known.
-		return sta.store(Lease{Fence: sta.lease.Fence + 1, Nonce: sta.Nonce, Host: sta.Host}, now)
+		// The object holds an older write of this host, whose sending time is not known
+		// any more. The lease is acquired anew, so that the start of its term is known.
+		return sta.storeLease(Lease{Fence: sta.lease.Fence + 1, Nonce: sta.Nonce, Host: sta.Host}, now)
 	case sta.lease.Nonce == "" || !now.Before(sta.versionSeen.Add(Term+Margin)):
-		return sta.store(Lease{Fence: sta.lease.Fence + 1, Nonce: sta.Nonce, Host: sta.Host}, now)
+		// The lease was released, or its object has not changed for Term and Margin.
+		return sta.storeLease(Lease{Fence: sta.lease.Fence + 1, Nonce: sta.Nonce, Host: sta.Host}, now)
 	default:
 		return sta, Load{now.Add(pollInterval)}
 	}
@@ -182,13 +188,13 @@
 	case now.Before(end):
 		renewed := sta.lease
 		renewed.Renewal++
-		return sta.store(renewed, now)
+		return sta.storeLease(renewed, now)
 	default:
-		return sta.store(Lease{Fence: sta.lease.Fence + 1, Nonce: sta.Nonce, Host: sta.Host}, now)
+		return sta.storeLease(Lease{Fence: sta.lease.Fence + 1, Nonce: sta.Nonce, Host: sta.Host}, now)
 	}
 }
 
-func (sta State) store(lea Lease, now time.Time) (State, Action) {
+func (sta State) storeLease(lea Lease, now time.Time) (State, Action) {
 	sta.written = lea
 	sta.writeSent = now
 	return sta, Store{Lease: lea, Version: sta.version}
@@ -199,7 +205,8 @@
 	return sta, Held{Fence: sta.lease.Fence, Until: sta.until}
 }
 
-// release releases the lease if the object still has the nonce of this acquirer.
+// release releases the lease if the object, as last read or written, has the nonce of
+// this State.
 func (sta State) release() (State, Action) {
 	if !sta.loaded || sta.lease.Nonce != sta.Nonce {
 		return sta, Done{}
