--- a/process/grouper/grouper.go
+++ b/process/grouper/grouper.go
@@ -1,12 +1,13 @@
 // Package grouper reserves memory on a group of engines that together hold one long
 // prompt: on all of them or on none.
 //
-// Engines are reserved in the order of their names, whatever the order in the plan, and a
-// host that waits for one holds only engines with smaller names. So hosts that compete
-// for the same engines cannot deadlock. An engine keeps the memory that becomes free for
-// the reservation that has waited longest, so that short prompts do not delay a long one
-// for ever. The wait is bounded; after it all parts are released, so that a long prompt
-// does not delay short ones for ever either.
+// Engines are reserved in the order of their names, whatever the order in the plan, and
+// a host that waits for memory of an engine holds memory only of engines whose names
+// sort before it. So hosts that compete for the same engines cannot deadlock. An engine
+// keeps the memory that becomes free for the reservation that has waited longest, so
+// that short prompts do not delay a long one for ever. The wait for an engine is
+// bounded; when it ends without a reservation, all parts are released, so that a long
+// prompt does not delay short ones for ever either.
 package grouper
 
 import (
@@ -50,7 +51,8 @@
 // NoAnswer reports that it is not known whether the engine reserved the next part.
 type NoAnswer struct{ Message string }
 
-// RequestEnded reports that the request has ended.
+// RequestEnded reports that the request has ended, by its deadline or because its
+// caller disconnected.
 type RequestEnded struct{}
 
 func (Started) event()      {}
@@ -71,9 +73,9 @@
 // Complete ends the reservation with all parts held.
 type Complete struct{}
 
-// GiveUp releases the parts in Release and ends the reservation with none held. Engine is
-// the one that did not reserve its part; it is empty if the request has ended. NoAnswer
-// reports that the engine did not answer.
+// GiveUp releases the parts in Release and ends the reservation with none held. Engine
+// is the engine that did not reserve its part; it is empty if the request has ended.
+// NoAnswer reports that it is not known whether the engine reserved its part.
 type GiveUp struct {
 	Release  []invoker.Part
 	Engine   string
@@ -85,7 +87,8 @@
 func (Complete) action() {}
 func (GiveUp) action()   {}
 
-// New returns the initial state for the parts of a plan.
+// New returns the initial state of a reservation of the parts of a plan, sorted by the
+// names of their engines.
 func New(pars []invoker.Part, deadline time.Time) State {
 	pars = slices.Clone(pars)
 	slices.SortFunc(pars, func(par, other invoker.Part) int { return cmp.Compare(par.Endpoint, other.Endpoint) })
@@ -102,7 +105,7 @@
 	case NoAnswer:
 		return sta.giveUp(sta.Held+1, true, eve.Message)
 	case RequestEnded:
-		// A reservation that is under way may still be granted.
+		// The engine of the next part may still grant it.
 		held := min(sta.Held+1, len(sta.Parts))
 		return State{Parts: sta.Parts, Deadline: sta.Deadline}, GiveUp{Release: sta.Parts[:held], Message: "the request has ended"}
 	}
--- a/process/grouper/grouper_test.go
+++ b/process/grouper/grouper_test.go
@@ -22,20 +22,21 @@
 	done    bool
 }
 
-// TestReservationsDoNotDeadlock lets reservations compete for engines without any
-// time-out. As long as one is unfinished, one must be able to proceed: a reservation that
-// holds all its parts ends, and the waiting ones hold engines in the order of the names.
+// TestReservationsDoNotDeadlock lets reservations compete for the memory of engines
+// without any timeout. As long as a reservation is unfinished, at least one reservation
+// must be able to proceed: a reservation that holds all its parts ends, and the waiting
+// reservations hold parts in the order of the names of their engines.
 func TestReservationsDoNotDeadlock(t *testing.T) {
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
 		require.NoError(t, flag.Set("rapid.seed", "20261204"))
 	}
 	rapid.Check(t, func(rt *rapid.T) {
-		free := map[string]int64{}
+		freeTokens := map[string]int64{}
 		var names []string
 		for i := range rapid.IntRange(2, 5).Draw(rt, "engines") {
 			name := fmt.Sprintf("engine-%d", i)
 			names = append(names, name)
-			free[name] = 100
+			freeTokens[name] = 100
 		}
 		var ress []*reservation
 		for range rapid.IntRange(2, 6).Draw(rt, "racers") {
@@ -46,24 +47,24 @@
 			ress = append(ress, &reservation{state: New(pars, epoch.Add(time.Minute))})
 		}
 		for slices.ContainsFunc(ress, func(res *reservation) bool { return !res.done }) {
-			ready := slices.DeleteFunc(slices.Clone(ress), func(res *reservation) bool { return res.done || !res.canProceed(free) })
-			require.NotEmpty(rt, ready, "all wait")
-			rapid.SampledFrom(ready).Draw(rt, "turn").step(free)
+			ready := slices.DeleteFunc(slices.Clone(ress), func(res *reservation) bool { return res.done || !res.canProceed(freeTokens) })
+			require.NotEmpty(rt, ready, "deadlock: all unfinished reservations wait for memory")
+			rapid.SampledFrom(ready).Draw(rt, "turn").step(freeTokens)
 		}
-		for _, left := range free {
-			require.Equal(rt, int64(100), left)
+		for _, tokens := range freeTokens {
+			require.Equal(rt, int64(100), tokens)
 		}
 	})
 }
 
-func (res *reservation) canProceed(free map[string]int64) bool {
-	return res.pending == nil || free[res.pending.Part.Endpoint] >= res.pending.Part.Tokens
+func (res *reservation) canProceed(freeTokens map[string]int64) bool {
+	return res.pending == nil || freeTokens[res.pending.Part.Endpoint] >= res.pending.Part.Tokens
 }
 
-func (res *reservation) step(free map[string]int64) {
+func (res *reservation) step(freeTokens map[string]int64) {
 	var eve Event = Started{}
 	if res.pending != nil {
-		free[res.pending.Part.Endpoint] -= res.pending.Part.Tokens
+		freeTokens[res.pending.Part.Endpoint] -= res.pending.Part.Tokens
 		eve = Granted{}
 	}
 	sta, act := res.state.Next(eve, epoch)
@@ -74,7 +75,7 @@
 	case Complete:
 		res.done = true
 		for _, par := range sta.Parts {
-			free[par.Endpoint] += par.Tokens
+			freeTokens[par.Endpoint] += par.Tokens
 		}
 	}
 }
--- a/process/grouper/runner.go
+++ b/process/grouper/runner.go
@@ -14,15 +14,18 @@
 )
 
 const (
-	callTimeout    = time.Second
+	// callTimeout bounds a call to an engine, in addition to the wait for memory.
+	callTimeout = time.Second
+	// releaseTimeout bounds the release of all parts.
 	releaseTimeout = time.Second
 )
 
-// UnavailableError reports a group that cannot be reserved now. No part is held.
+// UnavailableError reports a group that cannot be reserved now. All parts were
+// released; the reclaimer later frees parts whose engines did not answer.
 type UnavailableError struct {
 	// Engine is the engine that did not reserve its part.
 	Engine string
-	// NoAnswer reports that the engine did not answer.
+	// NoAnswer reports that it is not known whether the engine reserved its part.
 	NoAnswer bool
 	Message  string
 }
@@ -47,10 +50,10 @@
 	Release func()
 }
 
-// Reserve reserves all parts of a plan. If that fails it returns an UnavailableError, or
-// the error of ctx if the request has ended, and holds no part. Each call uses a new
-// reservation ID, so that a delayed release of an earlier reservation cannot release this
-// one.
+// Reserve reserves all parts of a plan. If that fails it returns an UnavailableError,
+// or the error of ctx if the request has ended, after it has released all parts. Each
+// call uses a new reservation ID, so that a delayed release of an earlier reservation
+// cannot release this one.
 func (run *Runner) Reserve(ctx context.Context, req placer.Request, plan []placer.Part, now time.Time) (Group, error) {
 	id := req.ID + "." + uuid.NewString()
 	var pars []invoker.Part
@@ -95,14 +98,14 @@
 	}
 }
 
-// release releases parts concurrently. The reclaimer frees those whose engine did not
-// answer.
+// release releases parts concurrently. The reclaimer later frees parts whose engines
+// did not answer.
 func (run *Runner) release(ctx context.Context, pars []invoker.Part) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer stop()
-	var gro sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, par := range pars {
-		gro.Go(func() { _ = run.Invoker.Release(ctx, par.Address, par.ReservationID) })
+		wg.Go(func() { _ = run.Invoker.Release(ctx, par.Address, par.ReservationID) })
 	}
-	gro.Wait()
+	wg.Wait()
 }
