--- a/process/limiter/exchanger.go
+++ b/process/limiter/exchanger.go
@@ -14,15 +14,16 @@
 
 const (
 	// teamGroups is the number of groups of teams. Each group has one host that
-	// coordinates its shares. The number bounds the messages of a host, whatever the
-	// number of teams.
-	teamGroups  = 8
+	// coordinates its shares. It bounds the reports that a host sends in an exchange,
+	// whatever the number of teams.
+	teamGroups = 8
+	// callTimeout bounds one report to a coordinator.
 	callTimeout = time.Second
 	// hostCountInterval is the interval at which the live hosts are counted.
 	hostCountInterval = 250 * time.Millisecond
 )
 
-// Host is another host that can be a coordinator.
+// Host is a live host other than this host.
 type Host struct {
 	ID      string
 	Address string
@@ -35,7 +36,7 @@
 	Incarnation uint64
 	Limiter     *Limiter
 	Coordinator *Coordinator
-	// Live returns the other hosts that requests can be sent to.
+	// Live returns the other live hosts.
 	Live func() []Host
 	Call func(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
@@ -74,14 +75,14 @@
 	defer wg.Wait()
 	for group, dems := range groups {
 		if len(dems) > 0 {
-			wg.Go(func() { exc.reportDemands(ctx, coordinatorOf(group, exc.Self, hosts), dems, now) })
+			wg.Go(func() { exc.reportDemands(ctx, coordinatorAddress(group, exc.Self, hosts), dems, now) })
 		}
 	}
 }
 
-// coordinatorOf returns the address of the host that coordinates a group; it is empty for
-// this host.
-func coordinatorOf(group int, self string, hosts []Host) string {
+// coordinatorAddress returns the address of the host that coordinates a group; it is
+// empty for this host.
+func coordinatorAddress(group int, self string, hosts []Host) string {
 	ids := []string{self}
 	addresses := map[string]string{}
 	for _, host := range hosts {
@@ -101,6 +102,7 @@
 	rep, err := exc.Call(ctx, address, &messenger.Envelope{Body: &messenger.Envelope_DemandReport{DemandReport: &messenger.DemandReport{
 		Host: exc.Self, Incarnation: exc.Incarnation, Demands: demandMessages(dems),
 	}}})
+	// Without a reply the shares stay valid until ShareLife has passed.
 	if err == nil {
 		exc.Limiter.SetShares(sharesOf(rep.GetDemandReply().GetShares()), now)
 	}
--- a/process/limiter/exchanger_test.go
+++ b/process/limiter/exchanger_test.go
@@ -13,8 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestUnresponsiveCoordinatorsCostOneTimeout checks that an exchange takes one time-out
-// in all if no coordinator answers, so that shares from the others do not expire.
+// TestUnresponsiveCoordinatorsCostOneTimeout checks that an exchange takes one timeout
+// in all if no coordinator answers, so that the shares from coordinators that answer do
+// not expire meanwhile.
 func TestUnresponsiveCoordinatorsCostOneTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		exc := &Exchanger{
--- a/process/limiter/limiter.go
+++ b/process/limiter/limiter.go
@@ -2,11 +2,11 @@
 // requests at its share of a team's rate. Coordinators assign the shares by the demands
 // that hosts report; no request waits for another host.
 //
-// The shares that are valid at a time sum up to at most one. A host without a valid share
-// uses 1/N of the rate, and every host has a tenth of that in addition to its share, so
-// that a team can start to send there. So what N hosts admit for a team in a time T stays
-// below Rate x (1.1 x T + Burst + ShareLife) + N requests; Fleet.Bound adds what faults
-// let through.
+// The shares that are valid at a time sum up to at most one. A host without a valid
+// share uses 1/N of the rate, and a host with a valid share admits a tenth of 1/N in
+// addition, so that a team can start to send requests there. So what N hosts admit for
+// a team in a time T stays below Rate x (1.1 x T + Burst + ShareLife) plus the tokens
+// of N requests; Fleet.Bound also bounds what is admitted under faults.
 package limiter
 
 import (
@@ -20,15 +20,17 @@
 const (
 	// Interval is the time between two exchanges with the coordinators.
 	Interval = 2 * time.Second
-	// Burst is the time for which a team can save up unused rate.
+	// Burst bounds the tokens in a bucket to those that the rate provides in this time.
 	Burst = 2 * time.Second
 	// ShareLife is the time for which a share is valid.
 	ShareLife = 3 * Interval
 	// demandPeriod is the time over which a host averages a team's demand.
 	demandPeriod = 4 * time.Second
-	// baseShare is the part of 1/N that a host has in addition to its share.
+	// baseShare is the fraction of the equal share 1/N that a host with a share has in
+	// addition.
 	baseShare = 0.1
-	// assumedHosts is the number of hosts to assume until it is known.
+	// assumedHosts is the number of hosts that is assumed until SetHosts is called, so
+	// that a host without a count admits little.
 	assumedHosts = 1000
 	// idleTimeout is the time after which an idle team is dropped, provided that its
 	// bucket is full.
@@ -52,25 +54,27 @@
 
 // Limiter limits the teams' rates on one host. Its zero value is ready.
 type Limiter struct {
-	mu    sync.Mutex
-	hosts int
-	teams map[string]*bucket
+	mu      sync.Mutex
+	hosts   int
+	buckets map[string]*bucket
 }
 
 // bucket is a token bucket. One request may bring its level below zero.
 type bucket struct {
-	rate     float64
-	level    float64
-	demand   float64
-	advanced time.Time
-	used     time.Time
+	rate float64
+	// level is in tokens.
+	level float64
+	// demand is in tokens a second.
+	demand     float64
+	advancedAt time.Time
+	usedAt     time.Time
 	// share is the fraction that the last exchange assigned, at time sharedAt.
 	share    float64
 	sharedAt time.Time
 }
 
-// Take takes tokens of a team's rate. If the host's share is used up, it returns false
-// and the time after which to retry.
+// Take takes tokens of a team's rate. While the host's bucket of the team is empty, it
+// returns false and the time after which to retry.
 func (lim *Limiter) Take(tea parser.Team, tokens int64, now time.Time) (time.Duration, bool) {
 	if tea.TokensPerSecond <= 0 {
 		return 0, true
@@ -80,7 +84,7 @@
 	buc := lim.bucketOf(tea, now)
 	buc.advance(lim.hosts, now)
 	buc.demand += float64(tokens) / demandPeriod.Seconds()
-	buc.used = now
+	buc.usedAt = now
 	if buc.level <= 0 {
 		wait := time.Duration(-buc.level / buc.localRate(lim.hosts, now) * float64(time.Second))
 		return min(maxRetryAfter, max(minRetryAfter, wait)), false
@@ -90,14 +94,14 @@
 }
 
 func (lim *Limiter) bucketOf(tea parser.Team, now time.Time) *bucket {
-	if lim.teams == nil {
-		lim.teams = map[string]*bucket{}
+	if lim.buckets == nil {
+		lim.buckets = map[string]*bucket{}
 	}
-	buc := lim.teams[tea.Name]
+	buc := lim.buckets[tea.Name]
 	if buc == nil {
-		buc = &bucket{rate: tea.TokensPerSecond, advanced: now}
+		buc = &bucket{rate: tea.TokensPerSecond, advancedAt: now}
 		buc.level = buc.localRate(lim.hosts, now) * Burst.Seconds()
-		lim.teams[tea.Name] = buc
+		lim.buckets[tea.Name] = buc
 	}
 	buc.rate = tea.TokensPerSecond
 	return buc
@@ -116,14 +120,14 @@
 }
 
 func (buc *bucket) advance(hosts int, now time.Time) {
-	elapsed := now.Sub(buc.advanced)
+	elapsed := now.Sub(buc.advancedAt)
 	if elapsed <= 0 {
 		return
 	}
 	rate := buc.localRate(hosts, now)
 	buc.level = math.Min(buc.level+rate*elapsed.Seconds(), rate*Burst.Seconds())
 	buc.demand *= math.Exp(-elapsed.Seconds() / demandPeriod.Seconds())
-	buc.advanced = now
+	buc.advancedAt = now
 }
 
 // full reports whether the bucket has as many tokens as a new one would have.
@@ -131,16 +135,16 @@
 	return buc.level >= buc.localRate(hosts, now)*Burst.Seconds()
 }
 
-// Demands returns the demand of each team in use or whose bucket is not full, and drops
-// the other teams.
+// Demands returns the demands of the teams, and drops the teams that sent no request
+// for idleTimeout and whose bucket is full.
 func (lim *Limiter) Demands(now time.Time) []Demand {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	var dems []Demand
-	for name, buc := range lim.teams {
+	for name, buc := range lim.buckets {
 		buc.advance(lim.hosts, now)
-		if now.Sub(buc.used) > idleTimeout && buc.full(lim.hosts, now) {
-			delete(lim.teams, name)
+		if now.Sub(buc.usedAt) > idleTimeout && buc.full(lim.hosts, now) {
+			delete(lim.buckets, name)
 			continue
 		}
 		dems = append(dems, Demand{name, buc.demand})
@@ -160,7 +164,7 @@
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	for _, sha := range shas {
-		buc := lim.teams[sha.Team]
+		buc := lim.buckets[sha.Team]
 		if buc == nil {
 			continue
 		}
--- a/process/limiter/limiter_test.go
+++ b/process/limiter/limiter_test.go
@@ -23,8 +23,11 @@
 	now          time.Time
 	limiters     []*Limiter
 	coordinators []*Coordinator
-	lostPercent  int
-	// lostRepliesPercent is the part of the replies that is lost, in per cent.
+	// lostExchangesPercent is the part of the exchanges that is lost as a whole, in per
+	// cent.
+	lostExchangesPercent int
+	// lostRepliesPercent is the part of the replies that is lost after the coordinator
+	// has recorded the demands, in per cent.
 	lostRepliesPercent int
 	withoutCoordinator int
 	coordinatorLosses  int
@@ -34,7 +37,8 @@
 	steps              int
 }
 
-// TestLimits runs the scenarios of the data files. Each phase offers a team's requests to
+// TestLimits checks that hosts do not admit more than Fleet.Bound when exchanges,
+// coordinators and hosts fail. Each phase of a data file offers a team's requests to
 // the hosts and prints what was admitted, relative to the team's rate.
 func TestLimits(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
@@ -93,14 +97,14 @@
 func (sim *simulation) offer(t *testing.T, dat *datadriven.TestData) string {
 	from, count, seconds := intArg(t, dat, "from"), intArg(t, dat, "hosts"), intArg(t, dat, "seconds")
 	load := sim.team.TokensPerSecond * float64(intArg(t, dat, "percent")) / 100
-	sim.lostPercent = intArg(t, dat, "lost-percent")
+	sim.lostExchangesPercent = intArg(t, dat, "lost-percent")
 	sim.lostRepliesPercent = intArg(t, dat, "lost-replies-percent")
-	moveSeconds := intArg(t, dat, "jump-seconds")
+	jumpSeconds := intArg(t, dat, "jump-seconds")
 	var admitted, due float64
 	start := sim.now
 	for range time.Duration(seconds) * time.Second / simulationStep {
 		for due += load * simulationStep.Seconds(); due >= requestTokens; due -= requestTokens {
-			if _, ok := sim.limiters[(from+sim.moves(start, moveSeconds)*count+sim.rnd.IntN(count))%len(sim.limiters)].Take(sim.team, requestTokens, sim.now); ok {
+			if _, ok := sim.limiters[(from+sim.jumps(start, jumpSeconds)*count+sim.rnd.IntN(count))%len(sim.limiters)].Take(sim.team, requestTokens, sim.now); ok {
 				admitted += requestTokens
 			}
 		}
@@ -127,15 +131,15 @@
 }
 
 // checkBound checks what was admitted against the bound.
-func (sim *simulation) checkBound(t *testing.T, admitted float64, start time.Time, largest int64) string {
+func (sim *simulation) checkBound(t *testing.T, admitted float64, start time.Time, largestRequest int64) string {
 	rate, period := sim.team.TokensPerSecond, sim.now.Sub(start)
-	bound := Fleet{Hosts: len(sim.limiters), WithoutCoordinator: sim.withoutCoordinator, Partitions: len(sim.coordinators), Restarts: sim.restarts, CoordinatorLosses: sim.coordinatorLosses}.Bound(rate, period, largest)
-	require.LessOrEqual(t, admitted, bound, "bound of admission")
+	bound := Fleet{Hosts: len(sim.limiters), WithoutCoordinator: sim.withoutCoordinator, Partitions: len(sim.coordinators), Restarts: sim.restarts, CoordinatorLosses: sim.coordinatorLosses}.Bound(rate, period, largestRequest)
+	require.LessOrEqual(t, admitted, bound, "the hosts admitted more tokens than Fleet.Bound")
 	return fmt.Sprintf("%.1f of the rate\n", admitted/(rate*period.Seconds()))
 }
 
-// moves returns how often the load has moved on to other hosts.
-func (sim *simulation) moves(start time.Time, seconds int) int {
+// jumps returns how often the load has moved on to other hosts.
+func (sim *simulation) jumps(start time.Time, seconds int) int {
 	if seconds == 0 {
 		return 0
 	}
@@ -147,7 +151,7 @@
 	sim.steps++
 	period := int(Interval / simulationStep)
 	for i, lim := range sim.limiters {
-		if sim.steps%period != i*period/len(sim.limiters) || i < sim.withoutCoordinator || sim.rnd.IntN(100) < sim.lostPercent {
+		if sim.steps%period != i*period/len(sim.limiters) || i < sim.withoutCoordinator || sim.rnd.IntN(100) < sim.lostExchangesPercent {
 			continue
 		}
 		dems := lim.Demands(sim.now)
