--- a/process/overflower/digests.go
+++ b/process/overflower/digests.go
@@ -13,12 +13,13 @@
 const (
 	// AnnounceInterval is the time between two digests of a cell.
 	AnnounceInterval = 2 * time.Second
-	// minAgeDifference is how much newer than the stored digest another must be to
-	// replace it. It is above the error in a digest's age that the transport causes.
+	// minAgeDifference is how much newer than the stored digest a received digest must
+	// be to replace it. Smaller differences can result from the error in a digest's age
+	// that the transport causes.
 	minAgeDifference = AnnounceInterval / 2
 	// maxPerHeartbeat bounds the digests in one heartbeat.
 	maxPerHeartbeat = 8
-	// maxSends bounds how often a host sends a digest to other hosts.
+	// maxSends bounds the heartbeats in which a host sends a digest.
 	maxSends = 12
 	// refusalPause is how long a cell is not chosen after it refused a request.
 	refusalPause = time.Second
@@ -35,6 +36,7 @@
 
 type entry struct {
 	Digest
+	// sends is the number of heartbeats that carried the digest.
 	sends int
 }
 
@@ -46,8 +48,8 @@
 	unresponsiveAt map[string]time.Time
 }
 
-// Record stores a digest if it is newer by minAgeDifference than the stored one of its
-// cell, or the first, and reports whether it did.
+// Record stores a digest if its cell has no stored digest or one that is older by at
+// least minAgeDifference, and reports whether the digest was stored.
 func (digs *Digests) Record(dig Digest) bool {
 	digs.mu.Lock()
 	defer digs.mu.Unlock()
@@ -84,20 +86,20 @@
 
 // Choose returns the digest of a cell in another region that meets the requirements, if
 // there is one.
-func (digs *Digests) Choose(reqs Requirements, now time.Time) (Digest, bool) {
-	return Choose(digs.available(now), reqs, now, rand.IntN)
+func (digs *Digests) Choose(rqs Requirements, now time.Time) (Digest, bool) {
+	return Choose(digs.available(now), rqs, now, rand.IntN)
 }
 
-// available returns the digests without those of cells that refused and of regions that
-// did not answer a short time ago.
+// available returns the digests without those of cells that refused a request within
+// refusalPause and of regions whose scheduler did not answer within unresponsivePause.
 func (digs *Digests) available(now time.Time) []Digest {
 	digs.mu.Lock()
 	defer digs.mu.Unlock()
 	digs.dropOld(now)
 	out := make([]Digest, 0, len(digs.known))
-	for key, dig := range digs.known {
+	for key, ent := range digs.known {
 		if now.Sub(digs.refusedAt[key]) >= refusalPause && now.Sub(digs.unresponsiveAt[key.region]) >= unresponsivePause {
-			out = append(out, dig.Digest)
+			out = append(out, ent.Digest)
 		}
 	}
 	return out
@@ -117,10 +119,11 @@
 	return count
 }
 
-// dropOld removes old digests. The caller holds the lock.
+// dropOld removes the digests older than maxDigestAge, with the refusals of their
+// cells. digs.mu must be held.
 func (digs *Digests) dropOld(now time.Time) {
-	for key, dig := range digs.known {
-		if now.Sub(dig.At) > maxDigestAge {
+	for key, ent := range digs.known {
+		if now.Sub(ent.At) > maxDigestAge {
 			delete(digs.known, key)
 			delete(digs.refusedAt, key)
 		}
@@ -133,25 +136,25 @@
 	digs.mu.Lock()
 	defer digs.mu.Unlock()
 	digs.dropOld(now)
-	var fit []entry
-	for _, dig := range digs.known {
-		if dig.Region != region && dig.sends < maxSends {
-			fit = append(fit, dig)
+	var due []entry
+	for _, ent := range digs.known {
+		if ent.Region != region && ent.sends < maxSends {
+			due = append(due, ent)
 		}
 	}
-	slices.SortFunc(fit, func(ent, other entry) int {
+	slices.SortFunc(due, func(ent, other entry) int {
 		return cmp.Or(cmp.Compare(ent.sends, other.sends), other.At.Compare(ent.At))
 	})
 	var out []*messenger.CellDigest
-	for _, dig := range fit[:min(len(fit), maxPerHeartbeat)] {
-		dig.sends++
-		digs.known[cellKey{dig.Region, dig.Pool, dig.Number}] = dig
-		out = append(out, dig.toMessage(now))
+	for _, ent := range due[:min(len(due), maxPerHeartbeat)] {
+		ent.sends++
+		digs.known[cellKey{ent.Region, ent.Pool, ent.Number}] = ent
+		out = append(out, ent.toMessage(now))
 	}
 	return out
 }
 
-// Merge stores the digests that a peer sent.
+// Merge stores the digests of a heartbeat that are valid and new enough.
 func (digs *Digests) Merge(msgs []*messenger.CellDigest, now time.Time) {
 	for _, msg := range msgs {
 		dig := Digest{
--- a/process/overflower/overflower.go
+++ b/process/overflower/overflower.go
@@ -1,10 +1,11 @@
 // Package overflower decides which cell of another region takes a request that the host's
 // own region cannot serve in time.
 //
-// The scheduler of a cell summarises its capacity in a digest. Heartbeats carry the
-// digests, those sent least often and the newest first and only a few each, so that their
-// cost does not grow with the fleet. A request goes to another region at most once: a
-// scheduler never passes a request on.
+// The scheduler of a cell summarises its capacity in a digest. A heartbeat carries at
+// most maxPerHeartbeat digests: those sent least often first and, among digests sent
+// equally often, the newest first. So the cost of heartbeats does not grow with the
+// fleet. A request goes to another region at most once: a scheduler never forwards a
+// request to another region.
 package overflower
 
 import (
@@ -18,15 +19,16 @@
 	// maxWaitShare is the share of a request's remaining time that the expected wait in
 	// another region may take.
 	maxWaitShare = 0.25
-	// ageWeight is the share of a digest's age that counts as additional wait, since the
+	// ageShare is the share of a digest's age that counts as additional wait, since the
 	// state of the cell may have changed.
-	ageWeight = 0.02
+	ageShare = 0.02
 )
 
 // Digest is the capacity of a cell.
 type Digest struct {
 	Region string
 	Pool   string
+	// Number is the number of the cell in its pool and region, from 0 to Cells-1.
 	Number int
 	// Cells is the number of cells of the pool in the region.
 	Cells   int
@@ -46,54 +48,54 @@
 	OwnRegion string
 	// AllowsRegion reports whether cells of a region may be chosen.
 	AllowsRegion func(region string) bool
-	// TimeLeft is the remaining time of the request.
+	// TimeLeft is the time until the request's deadline.
 	TimeLeft time.Duration
 }
 
-// Choose returns a digest that meets the requirements, if there is one. It draws two at
-// random in proportion to their engines and takes the one with the lower cost, so that
-// hosts with the same digests do not all choose the same cell. draw returns a number from
-// 0 to below-1.
-func Choose(digs []Digest, reqs Requirements, now time.Time, draw func(below int) int) (Digest, bool) {
-	fit := slices.DeleteFunc(slices.Clone(digs), func(dig Digest) bool { return !reqs.fits(dig, now) })
+// Choose returns a digest that meets the requirements, if there is one. It draws two
+// digests at random, each with a probability in proportion to its engines, and returns
+// the digest with the lower cost, so that hosts with the same digests do not all choose
+// the same cell. draw returns a number from 0 to below-1.
+func Choose(available []Digest, rqs Requirements, now time.Time, draw func(below int) int) (Digest, bool) {
+	candidates := slices.DeleteFunc(slices.Clone(available), func(dig Digest) bool { return !rqs.fits(dig, now) })
 	var engines int
-	for _, dig := range fit {
+	for _, dig := range candidates {
 		engines += dig.Engines
 	}
 	if engines == 0 {
 		return Digest{}, false
 	}
-	first, second := digestAt(fit, draw(engines)), digestAt(fit, draw(engines))
+	first, second := digestAt(candidates, draw(engines)), digestAt(candidates, draw(engines))
 	if second.cost(now) < first.cost(now) {
 		return second, true
 	}
 	return first, true
 }
 
-func (reqs Requirements) fits(dig Digest, now time.Time) bool {
+func (rqs Requirements) fits(dig Digest, now time.Time) bool {
 	switch {
-	case dig.Pool != reqs.Pool, dig.Region == reqs.OwnRegion, !reqs.AllowsRegion(dig.Region):
+	case dig.Pool != rqs.Pool, dig.Region == rqs.OwnRegion, !rqs.AllowsRegion(dig.Region):
 		return false
 	case dig.Full, now.Sub(dig.At) > maxDigestAge:
 		return false
 	default:
-		return dig.Wait.Seconds() <= maxWaitShare*reqs.TimeLeft.Seconds()
+		return dig.Wait.Seconds() <= maxWaitShare*rqs.TimeLeft.Seconds()
 	}
 }
 
-// cost is the expected wait and a share of the digest's age.
+// cost returns the expected wait plus ageShare of the digest's age.
 func (dig Digest) cost(now time.Time) time.Duration {
-	return dig.Wait + time.Duration(ageWeight*float64(now.Sub(dig.At)))
+	return dig.Wait + time.Duration(ageShare*float64(now.Sub(dig.At)))
 }
 
 // digestAt returns the digest at position n when each digest occupies as many positions
 // as it has engines.
-func digestAt(digs []Digest, n int) Digest {
-	for _, dig := range digs {
+func digestAt(candidates []Digest, n int) Digest {
+	for _, dig := range candidates {
 		if n < dig.Engines {
 			return dig
 		}
 		n -= dig.Engines
 	}
-	return digs[len(digs)-1]
+	return candidates[len(candidates)-1]
 }
--- a/process/overflower/overflower_test.go
+++ b/process/overflower/overflower_test.go
@@ -14,10 +14,12 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// TestChoose runs the cases of a data file for a host of region "own". A line is either a
-// digest (region, number, engines, wait, age, and "full" if the cell is full) or a step:
-// refused, silent, or choose with the remaining time and the time passed since the epoch.
-// The output lists the cells that may be chosen.
+// TestChoose checks that no request goes to its own region, to a full, refusing or
+// unresponsive cell, or to a cell whose wait is too long. It runs the cases of a data
+// file for a host of region "own". A line is either a digest (region, number, engines,
+// wait, age, and "full" if the cell is full) or a step: refused, silent, or choose with
+// the remaining time and the time passed since the epoch. The output lists the cells
+// that may be chosen; both draws are equal, so that costs do not matter.
 func TestChoose(t *testing.T) {
 	datadriven.RunTest(t, "testdata/choose", func(t *testing.T, dat *datadriven.TestData) string {
 		var digs Digests
@@ -31,19 +33,19 @@
 			case "silent":
 				digs.RecordUnresponsive(fields[1], epoch)
 			case "choose":
-				reqs := Requirements{Pool: "p", OwnRegion: "own", TimeLeft: duration(t, fields[1]), AllowsRegion: func(region string) bool {
+				rqs := Requirements{Pool: "p", OwnRegion: "own", TimeLeft: parseDuration(t, fields[1]), AllowsRegion: func(region string) bool {
 					return len(allowed) == 0 || allowed[0].Key == region
 				}}
-				now := epoch.Add(duration(t, fields[2]))
+				now := epoch.Add(parseDuration(t, fields[2]))
 				chosen := map[string]bool{}
 				for draw := range 16 {
-					if dig, ok := Choose(digs.available(now), reqs, now, func(below int) int { return draw % below }); ok {
+					if dig, ok := Choose(digs.available(now), rqs, now, func(below int) int { return draw % below }); ok {
 						chosen[fmt.Sprintf("%s/%d", dig.Region, dig.Number)] = true
 					}
 				}
 				out.WriteString(fmt.Sprint("may choose ", chosen) + "\n")
 			default:
-				dig := Digest{Region: fields[0], Pool: "p", Cells: 2, Wait: duration(t, fields[3]), At: epoch.Add(-duration(t, fields[4])), Full: len(fields) > 5}
+				dig := Digest{Region: fields[0], Pool: "p", Cells: 2, Wait: parseDuration(t, fields[3]), At: epoch.Add(-parseDuration(t, fields[4])), Full: len(fields) > 5}
 				_, err := fmt.Sscan(fields[1]+" "+fields[2], &dig.Number, &dig.Engines)
 				require.NoError(t, err)
 				digs.Merge([]*messenger.CellDigest{dig.toMessage(epoch)}, epoch)
@@ -53,7 +55,7 @@
 	})
 }
 
-func duration(t *testing.T, text string) time.Duration {
+func parseDuration(t *testing.T, text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	require.NoError(t, err)
 	return d
