--- a/process/reclaimer/reclaimer.go
+++ b/process/reclaimer/reclaimer.go
@@ -1,7 +1,7 @@
 // Package reclaimer frees memory of engines that is held for requests that no host
 // works on any more. Every holding (a sequence, a reservation or an export) names its
-// owner: a host, the incarnation of its process, and a request. A holding is freed only
-// if
+// owner: a host, the incarnation of its process, and a request. An engine reports each
+// holding as an invoker.Sequence, whatever its kind. A holding is freed only if
 //
 //   - the owner's process is known to have been replaced,
 //   - for DeadGrace, the membership has listed the owner as dead and the platform has
@@ -10,8 +10,8 @@
 //   - the request's deadline passed more than ExpiryMargin ago.
 //
 // An unresponsive or paused owner keeps its holdings until ExpiryMargin after the
-// request's deadline. An order to free names owner and attempt, so that an engine never
-// drops newer work.
+// request's deadline. A request to free memory names owner and attempt, so that an
+// engine never frees the memory of a newer attempt.
 package reclaimer
 
 import (
@@ -28,35 +28,40 @@
 	DeadGrace = 15 * time.Second
 	// ExpiryMargin is how long after its deadline a request may still hold memory.
 	ExpiryMargin = 5 * time.Second
-	// MinAge is the age below which a holding is never freed. It covers the delay of
-	// the engines' reports.
+	// MinAge is the age below which no holding is freed or queried about. It covers the
+	// delay of the engines' reports.
 	MinAge = 2 * time.Second
 
 	// queryInterval is the minimum time between two queries about the same holding.
 	queryInterval = 5 * time.Second
-	// suspectIdle is how long a sequence may make no progress before its owner is
-	// queried.
-	suspectIdle = 5 * time.Second
-	// suspectReservationIdle is the same for a reservation or an export.
-	suspectReservationIdle = 10 * time.Second
-	// maxHoldings bounds the holdings in one query.
-	maxHoldings = 256
-	// queryRetention is how long the time of a query is kept.
+	// sequenceIdleLimit is how long a running or queued request may make no progress
+	// before its owner is queried.
+	sequenceIdleLimit = 5 * time.Second
+	// reservationIdleLimit is how long a reservation or an export may be unused before
+	// its owner is queried.
+	reservationIdleLimit = 10 * time.Second
+	// maxQueryHoldings bounds the holdings in one query. Further holdings wait for a
+	// later report.
+	maxQueryHoldings = 256
+	// queryRetention is how long queriedAt keeps a holding after the last query about
+	// it.
 	queryRetention = 10 * time.Minute
 )
 
 // Members provides the state of hosts according to the membership.
 type Members interface {
-	// Incarnation returns the newest known incarnation of a host.
+	// Incarnation returns the newest known incarnation of a host, and false if none is
+	// known.
 	Incarnation(host string) (uint64, bool)
-	// DeadSince returns the time since which a host has been both dead according to
-	// the membership and absent from the platform's list.
+	// DeadSince returns the time since which a host has been both dead according to the
+	// membership and absent from the platform's list, and false if it is not.
 	DeadSince(host string) (time.Time, bool)
 }
 
 // LocalRequests provides the requests that this host works on.
 type LocalRequests interface {
-	// Attempt returns the newest attempt of a request in progress.
+	// Attempt returns the number of the newest attempt of a request, and false if the
+	// request is not in progress on this host.
 	Attempt(id string) (int, bool)
 }
 
@@ -93,16 +98,18 @@
 type Free struct {
 	Endpoint string
 	Address  string
-	Holding  invoker.Free
-	Reason   Reason
-	Tokens   int64
+	// Holding names the holding, its owner and its attempt.
+	Holding invoker.Free
+	Reason  Reason
+	Tokens  int64
 }
 
-// Query asks an owner which of the requests it still works on.
+// Query queries an owner about holdings: which of their requests are still in progress.
 type Query struct {
 	Host        string
 	Incarnation uint64
-	Holdings    []Free
+	// Holdings are the actions that would free the holdings, without reasons.
+	Holdings []Free
 }
 
 func (Free) action()  {}
@@ -119,7 +126,9 @@
 
 // Reclaimer decides which holdings to free and which owners to query. Self must be set.
 type Reclaimer struct {
-	Self      invoker.Owner
+	Self invoker.Owner
+	// queriedAt is when each holding was last queried about. Tokens is zero in its
+	// keys, since the tokens of a holding change.
 	queriedAt map[Free]time.Time
 }
 
@@ -182,7 +191,7 @@
 
 // localReason returns the reason to free a holding that this host owns.
 func localReason(seq invoker.Sequence, loc LocalRequests) Reason {
-	attempt, ok := loc.Attempt(requestKey(seq.RequestID, seq.ID))
+	attempt, ok := loc.Attempt(workID(seq.RequestID, seq.ID))
 	switch {
 	case !ok:
 		return Disowned
@@ -193,24 +202,26 @@
 	}
 }
 
-// requestKey returns the identifier under which the owner of a holding knows it: the
+// workID returns the identifier under which the owner of a holding lists its work: the
 // request ID, or the holding's own ID if it has no request.
-func requestKey(request, id string) string {
-	if request == "" {
-		return id
+func workID(requestID, holdingID string) string {
+	if requestID == "" {
+		return holdingID
 	}
-	return request
+	return requestID
 }
 
-// shouldQuery reports whether a holding appears unused, so that its owner should be
-// queried, and was not queried about within queryInterval.
+// shouldQuery reports whether to query the owner of a holding: another process owns it,
+// it is not younger than MinAge, it is detached or was idle for too long, and no query
+// about it was made within queryInterval.
 func (rec *Reclaimer) shouldQuery(fre Free, seq invoker.Sequence, now time.Time) bool {
 	if seq.Owner == rec.Self || time.Duration(seq.AgeMs)*time.Millisecond < MinAge {
 		return false
 	}
-	limit := suspectIdle
+	limit := sequenceIdleLimit
+	// Only reservations and exports have IDs of their own.
 	if seq.ID != "" {
-		limit = suspectReservationIdle
+		limit = reservationIdleLimit
 	}
 	if !seq.Detached && time.Duration(seq.IdleMs)*time.Millisecond < limit {
 		return false
@@ -226,7 +237,7 @@
 		queries[owner] = &Query{Host: owner.Host, Incarnation: owner.Incarnation}
 	}
 	que := queries[owner]
-	if len(que.Holdings) >= maxHoldings {
+	if len(que.Holdings) >= maxQueryHoldings {
 		return
 	}
 	que.Holdings = append(que.Holdings, fre)
@@ -256,13 +267,13 @@
 	return out
 }
 
-// ResolveQuery returns the holdings of a query that can be freed according to the answer.
-// An answer of an older process than the owner says nothing about it; an answer of a
-// newer process proves that the owner was replaced.
+// ResolveQuery returns the holdings of a query that can be freed according to the
+// answer. An answer of an older process than the owner frees nothing; an answer of a
+// newer process shows that the owner was replaced.
 func ResolveQuery(que Query, ans Answer) []Free {
 	var out []Free
 	for _, fre := range que.Holdings {
-		attempt, known := ans.InProgress[requestKey(fre.Holding.RequestID, fre.Holding.ID)]
+		attempt, known := ans.InProgress[workID(fre.Holding.RequestID, fre.Holding.ID)]
 		switch {
 		case ans.Incarnation < que.Incarnation:
 			continue
--- a/process/reclaimer/reclaimer_test.go
+++ b/process/reclaimer/reclaimer_test.go
@@ -16,9 +16,9 @@
 
 // fixture implements Members and LocalRequests.
 type fixture struct {
-	incarnations map[string]uint64
-	dead         map[string]time.Time
-	own          map[string]int
+	incarnations  map[string]uint64
+	dead          map[string]time.Time
+	localAttempts map[string]int
 }
 
 func (fix fixture) Incarnation(host string) (uint64, bool) {
@@ -32,7 +32,7 @@
 }
 
 func (fix fixture) Attempt(id string) (int, bool) {
-	attempt, ok := fix.own[id]
+	attempt, ok := fix.localAttempts[id]
 	return attempt, ok
 }
 
@@ -52,8 +52,9 @@
 	return seq
 }
 
-// TestDecide runs the cases of a data file: the state of the hosts as known to host-a,
-// incarnation 5, and an engine's report.
+// TestDecide checks that memory is freed only if its owner can no longer use it. A case
+// has the state of the hosts in the view of host-a, incarnation 5, and an engine's
+// report.
 func TestDecide(t *testing.T) {
 	datadriven.RunTest(t, "testdata/decide", func(t *testing.T, dat *datadriven.TestData) string {
 		fix := newFixture()
@@ -66,7 +67,7 @@
 			case "dead":
 				fix.dead[arg.Vals[0]] = now.Add(-time.Duration(n) * time.Second)
 			case "own":
-				fix.own[arg.Vals[0]] = n
+				fix.localAttempts[arg.Vals[0]] = n
 			}
 		}
 		rep := Report{Endpoint: "engine-0", At: now}
@@ -99,6 +100,8 @@
 	return ""
 }
 
+// TestResolveQuery checks that the answer of an older process than the owner frees
+// nothing, and that the answer of a newer process frees all holdings of the owner.
 func TestResolveQuery(t *testing.T) {
 	que := Query{Host: "host-b", Incarnation: 3, Holdings: []Free{
 		{Holding: invoker.Free{RequestID: "old", Attempt: 1}},
@@ -110,6 +113,7 @@
 		incarnation uint64
 		want        []Reason
 	}{
+		// An older process, the owner itself and a newer process.
 		{2, nil},
 		{3, []Reason{Abandoned, Disowned}},
 		{4, []Reason{Replaced, Replaced, Replaced}},
--- a/process/reclaimer/runner.go
+++ b/process/reclaimer/runner.go
@@ -13,6 +13,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
+// callTimeout bounds the reading of a report, a free, and a query together with the
+// frees that follow from it.
 const callTimeout = time.Second
 
 // Engine is one engine of the platform's list.
@@ -40,9 +42,9 @@
 }
 
 // Run reads the engines' reports until ctx ends.
-func (run *Runner) Run(ctx context.Context, every time.Duration) {
+func (run *Runner) Run(ctx context.Context, interval time.Duration) {
 	run.reclaimer.Self = run.Self
-	tic := time.NewTicker(every)
+	tic := time.NewTicker(interval)
 	defer tic.Stop()
 	for {
 		select {
@@ -55,8 +57,9 @@
 }
 
 // Assignment assigns engines to hosts by rendezvous hashing: if a host is removed, its
-// engines are spread over the other hosts, and no other engine changes hosts. Two hosts
-// whose views of the live hosts differ may both check an engine.
+// engines are spread over the other hosts, and no other engine changes hosts. While the
+// views of the live hosts differ, two hosts may both check an engine, or no host may
+// check it.
 type Assignment struct {
 	hosts  []string
 	hashes []uint64
@@ -94,14 +97,14 @@
 func (run *Runner) checkEngines(ctx context.Context, now time.Time) {
 	asn := NewAssignment(append(run.LiveHosts(now), run.Self.Host))
 	reps := make(chan Report)
-	var gro sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, eng := range run.Engines() {
 		if asn.HostOf(eng.ID) == run.Self.Host {
-			gro.Go(func() { run.readReport(ctx, eng, reps) })
+			wg.Go(func() { run.readReport(ctx, eng, reps) })
 		}
 	}
 	go func() {
-		gro.Wait()
+		wg.Wait()
 		close(reps)
 	}()
 	for rep := range reps {
@@ -114,7 +117,7 @@
 func (run *Runner) readReport(ctx context.Context, eng Engine, reps chan<- Report) {
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
-	loa, err := run.Invoker.Suspects(ctx, eng.Address, suspectIdle)
+	loa, err := run.Invoker.Suspects(ctx, eng.Address, sequenceIdleLimit)
 	if err != nil {
 		run.Scope.Counter("reclaim_reports_failed").Inc(1)
 		return
@@ -154,15 +157,15 @@
 func (run *Runner) query(ctx context.Context, que Query) (Answer, error) {
 	msg := &messenger.OwnerQuery{Incarnation: que.Incarnation}
 	for _, fre := range que.Holdings {
-		msg.Requests = append(msg.Requests, requestKey(fre.Holding.RequestID, fre.Holding.ID))
+		msg.Requests = append(msg.Requests, workID(fre.Holding.RequestID, fre.Holding.ID))
 	}
-	rep, err := run.Call(ctx, que.Host, &messenger.Envelope{Body: &messenger.Envelope_OwnerQuery{OwnerQuery: msg}})
+	env, err := run.Call(ctx, que.Host, &messenger.Envelope{Body: &messenger.Envelope_OwnerQuery{OwnerQuery: msg}})
 	if err != nil {
 		return Answer{}, eris.Wrapf(err, "Runner.query: host %s", que.Host)
 	}
-	reply := rep.GetOwnerAnswer()
+	reply := env.GetOwnerAnswer()
 	if reply == nil {
-		return Answer{}, eris.Errorf("Runner.query: host %s: unexpected reply", que.Host)
+		return Answer{}, eris.Errorf("Runner.query: host %s: reply has no OwnerAnswer", que.Host)
 	}
 	ans := Answer{Incarnation: reply.GetIncarnation(), InProgress: map[string]int{}}
 	for _, req := range reply.GetKnown() {
