--- a/process/journaler/batch.go
+++ b/process/journaler/batch.go
@@ -6,19 +6,22 @@
 	"hemlockpin/connection/messenger"
 )
 
-// Batch decides how the waiting changes of one shard are written with one conditional
-// write. It is an immutable value, apart from the shard that it reads, and does no input
-// or output.
+// Batch decides how the queued changes of one shard are written with one conditional
+// write. It is an immutable value, apart from the shard that it reads, and does no
+// input or output.
 //
-// A result is returned only after a conditional write of the batch succeeded or a read
-// that began after the start of the batch confirmed it. After a write without an answer
-// the log is read again; the nonces show whether the write took effect.
+// A definite result is returned only after a conditional write of the batch took effect
+// or a read that began after the start of the batch confirmed the result. If the time
+// for the batch passes first, all results are NOT_COMMITTED or UNKNOWN. After a write
+// without an answer the log is read again; the nonces show whether the write took
+// effect.
 type Batch struct {
 	Changes []*messenger.ClaimCommit
 
-	shard   *Shard
-	version uint64
-	// loaded reports that shard is the content of the log at version.
+	shard *Shard
+	seq   uint64
+	// loaded reports that shard is the content of the log at seq. It is false while a
+	// write is in progress.
 	loaded bool
 	// readInBatch reports that shard was read after the start of the batch.
 	readInBatch bool
@@ -29,10 +32,11 @@
 	lastError     string
 }
 
-// NewBatch returns a batch with the writer's cached content of the shard. version is the
-// number of entries in its log; known reports whether the cached content is valid.
-func NewBatch(changes []*messenger.ClaimCommit, sha *Shard, version uint64, known bool) Batch {
-	return Batch{Changes: changes, shard: sha, version: version, loaded: known}
+// NewBatch returns a batch with the writer's cached content of the shard. seq is the
+// number of the newest entry in the shard's log; loaded reports whether the cached
+// content is valid.
+func NewBatch(changes []*messenger.ClaimCommit, sha *Shard, seq uint64, loaded bool) Batch {
+	return Batch{Changes: changes, shard: sha, seq: seq, loaded: loaded}
 }
 
 // Event is an event of a batch.
@@ -56,7 +60,8 @@
 // Conflicted reports that another writer wrote first, so that the write had no effect.
 type Conflicted struct{}
 
-// Refused reports a write that certainly had no effect.
+// Refused reports a write that had no effect, for another reason than a conflict. The
+// batch tries again.
 type Refused struct{ Message string }
 
 // WriteUnknown reports a write of which it is not known whether it took effect.
@@ -103,11 +108,11 @@
 		}
 		return bat.evaluate(now)
 	case Loaded:
-		bat.shard, bat.version = eve.Shard, eve.Seq
+		bat.shard, bat.seq = eve.Shard, eve.Seq
 		bat.loaded, bat.readInBatch = true, true
 		return bat.evaluate(now)
 	case Stored:
-		bat.version = eve.Seq
+		bat.seq = eve.Seq
 		return bat, Answer{bat.results}
 	case LoadFailed:
 		return bat.reload(eve.Message, true)
@@ -129,11 +134,12 @@
 	case changed:
 		bat.results = results
 		bat.loaded = false
-		return bat, Store{Delta: del, Seq: bat.version}
+		return bat, Store{Delta: del, Seq: bat.seq}
 	case bat.readInBatch:
 		return bat, Answer{results}
 	default:
-		// The cached content may be out of date, so it does not suffice to refuse.
+		// The cached content may be out of date, so the log is read before the changes
+		// are refused.
 		return bat, Load{}
 	}
 }
@@ -146,7 +152,7 @@
 	return bat, Load{Pause: pause}
 }
 
-// expired returns the results if the time for the batch has passed: NOT_COMMITTED if no
+// expired returns the results of a batch whose time has passed: NOT_COMMITTED if no
 // write can have taken effect, and UNKNOWN otherwise.
 func (bat Batch) expired() []*messenger.ClaimResult {
 	sta := messenger.ClaimResult_STATE_NOT_COMMITTED
--- a/process/journaler/bench_test.go
+++ b/process/journaler/bench_test.go
@@ -46,7 +46,7 @@
 // BenchmarkCommit compares one write for each claim with one write for all waiting
 // claims.
 func BenchmarkCommit(b *testing.B) {
-	for _, batch := range []int{1, maxBatch} {
+	for _, batch := range []int{1, maxBatchChanges} {
 		b.Run(fmt.Sprintf("batch=%d", batch), func(b *testing.B) {
 			sto := &countingStore{ObjectStore: benchStore(b)}
 			jou := &Journal{Store: sto, batchLimit: batch}
@@ -57,7 +57,7 @@
 					jou.writers[i].limiter = rate.NewLimiter(rate.Inf, 1)
 				}
 			}
-			var n, done atomic.Int64
+			var n, committed atomic.Int64
 			b.SetParallelism(200)
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
@@ -65,14 +65,14 @@
 					com := &messenger.ClaimCommit{Key: "team/" + key, BodyDigest: make([]byte, 16), Host: "host-000", Nonce: key, KeyTimeMs: time.Now().UnixMilli()}
 					ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 					if jou.Commit(ctx, com).GetState() == messenger.ClaimResult_STATE_COMMITTED {
-						done.Add(1)
+						committed.Add(1)
 					}
 					stop()
 				}
 			})
-			b.ReportMetric(float64(done.Load())/b.Elapsed().Seconds(), "claims/s")
-			b.ReportMetric(float64(int64(b.N)-done.Load()), "failed")
-			b.ReportMetric(float64(sto.bytes.Load())/float64(done.Load()), "written-B/claim")
+			b.ReportMetric(float64(committed.Load())/b.Elapsed().Seconds(), "claims/s")
+			b.ReportMetric(float64(int64(b.N)-committed.Load()), "failed")
+			b.ReportMetric(float64(sto.bytes.Load())/float64(committed.Load()), "written-B/claim")
 			b.ReportMetric(float64(sto.writes.Load())/b.Elapsed().Seconds(), "writes/s")
 		})
 	}
@@ -85,7 +85,7 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		sha := clone(b, filled(b, count))
+		sha := clone(b, shardWithFinished(b, count))
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		value, err := segment{delta: Delta{claims: sha.claims}}.encode()
--- a/process/journaler/claim.go
+++ b/process/journaler/claim.go
@@ -8,7 +8,9 @@
 	finishReserveBytes = 16
 	// maxContentTypeBytes bounds the recorded content type.
 	maxContentTypeBytes = 128
-	claimOverheadBytes  = 32
+	// claimOverheadBytes bounds the encoded size of the tags, lengths and numbers of a
+	// claim.
+	claimOverheadBytes = 32
 )
 
 // ClaimState is the state of a claim.
@@ -22,20 +24,24 @@
 	ClaimReleased
 )
 
-// Claim is the claim of a key. It is an immutable value apart from its segment. A
-// finished claim has neither host nor nonce, since its key cannot be claimed, finished or
+// Claim records which host runs the call with a key, or the outcome of the call. It is
+// immutable apart from segment and, until the claim is in a shard, Outcome. A finished
+// claim has neither host nor nonce, since its key cannot be claimed, finished or
 // released any more.
 type Claim struct {
-	Key        string
+	Key string
+	// BodyDigest is the digest of the call's body; repeats must have the same digest.
 	BodyDigest string
 	Host       string
-	Nonce      string
-	KeyTimeMs  int64
-	Outcome    *messenger.Outcome
-	State      ClaimState
+	// Nonce identifies the attempt to claim the key.
+	Nonce string
+	// KeyTimeMs is the time of the key, in Unix milliseconds.
+	KeyTimeMs int64
+	Outcome   *messenger.Outcome
+	State     ClaimState
 
-	// segment is the newest segment that contains the claim in its present state; 0 means
-	// that only entries after the segments contain it.
+	// segment is the newest segment that contains the claim in its present state; 0
+	// means that only entries after the newest segment contain it.
 	segment uint64
 }
 
@@ -61,7 +67,8 @@
 	return len(cla.Outcome.GetContentType()) + len(cla.Outcome.GetBody())
 }
 
-// slot returns the key under which a shard stores the claim.
+// slot returns the index of the claim in Shard.claims: its key or, for a released
+// claim, its key and nonce.
 func (cla *Claim) slot() string {
 	if cla.State == ClaimReleased {
 		return releasedSlot(cla.Key, cla.Nonce)
@@ -81,16 +88,17 @@
 	return updated
 }
 
-// withoutBody returns the claim with its outcome truncated if that has a body.
+// withoutBody returns the claim without the body of its outcome.
 func (cla *Claim) withoutBody() *Claim {
 	if len(cla.Outcome.GetBody()) == 0 {
 		return cla
 	}
-	out := *cla
-	out.Outcome = truncated(cla.Outcome)
-	return &out
+	updated := *cla
+	updated.Outcome = truncated(cla.Outcome)
+	return &updated
 }
 
+// truncated returns an outcome with the status only.
 func truncated(out *messenger.Outcome) *messenger.Outcome {
 	return &messenger.Outcome{Status: out.GetStatus(), Truncated: true}
 }
--- a/process/journaler/draft.go
+++ b/process/journaler/draft.go
@@ -11,6 +11,7 @@
 type overlay struct {
 	shard *Shard
 	delta Delta
+	// bytes is an upper bound of the encoded size of the shard with the delta.
 	bytes int
 	// bodyBytes is the part of bytes that is freed if all bodies are dropped.
 	bodyBytes int
@@ -39,6 +40,7 @@
 	}
 }
 
+// put stores a claim in its slot, in place of the present claim.
 func (ovl *overlay) put(cla *Claim) {
 	ovl.remove(cla.slot())
 	if cla.KeyTimeMs <= ovl.delta.bodilessMs {
@@ -49,6 +51,7 @@
 	ovl.bodyBytes += cla.bodySize()
 }
 
+// remove removes the claim in a slot, if there is one.
 func (ovl *overlay) remove(slot string) {
 	cla := ovl.claimAt(slot)
 	if cla == nil {
@@ -63,11 +66,12 @@
 	return ovl.claimAt(releasedSlot(com.GetKey(), com.GetNonce())) != nil
 }
 
-// dropExpired drops the claims older than Retention and MaxClockSkew, whole seconds at a
-// time.
+// dropExpired drops the claims whose key times are older than Retention plus
+// MaxClockSkew, a second's claims at a time.
 func (ovl *overlay) dropExpired(now time.Time) {
-	limit := now.Add(-Retention - MaxClockSkew).UnixMilli()
-	for _, unixSecond := range ovl.shard.secondsUntil(limit - millisPerSecond) {
+	oldestMs := now.Add(-Retention - MaxClockSkew).UnixMilli()
+	// The last second may contain claims that are not old enough.
+	for _, unixSecond := range ovl.shard.secondsUntil(oldestMs - millisPerSecond) {
 		second := ovl.shard.seconds[unixSecond]
 		ovl.delta.forgottenMs = max(ovl.delta.forgottenMs, second.newestMs)
 		ovl.bytes -= second.bytes
@@ -75,6 +79,8 @@
 	}
 }
 
+// apply applies a change to the overlay and returns its result and whether the log must
+// be written.
 func (ovl *overlay) apply(com *messenger.ClaimCommit, now time.Time) (*messenger.ClaimResult, bool) {
 	switch com.GetStep() {
 	case messenger.ClaimCommit_STEP_FINISH:
@@ -86,6 +92,7 @@
 	}
 }
 
+// claim applies a CLAIM and returns the same as apply.
 func (ovl *overlay) claim(com *messenger.ClaimCommit, now time.Time) (*messenger.ClaimResult, bool) {
 	if ovl.isReleased(com) {
 		return result(messenger.ClaimResult_STATE_RELEASED), false
@@ -93,12 +100,13 @@
 	old := ovl.claimAt(com.GetKey())
 	switch {
 	case old == nil:
-		return ovl.claimFree(com, now)
+		return ovl.claimUnclaimed(com, now)
 	case old.BodyDigest != string(com.GetBodyDigest()):
 		return result(messenger.ClaimResult_STATE_CONFLICT), false
 	case old.KeyTimeMs != com.GetKeyTimeMs():
-		// A repeat with another time could arrive after its claim was dropped and run
-		// the call again, so it is refused even if the outcome is known.
+		// A repeat with another key time could be accepted after the claim of the first
+		// call was dropped, and run the call again, so it is refused even if the
+		// outcome is known.
 		return &messenger.ClaimResult{State: messenger.ClaimResult_STATE_HELD, Message: "the key was used with another time"}, false
 	case old.State == ClaimFinished:
 		return &messenger.ClaimResult{State: messenger.ClaimResult_STATE_FINISHED, Outcome: old.Outcome}, false
@@ -109,8 +117,9 @@
 	}
 }
 
-// claimFree commits a claim of a key that is not claimed.
-func (ovl *overlay) claimFree(com *messenger.ClaimCommit, now time.Time) (*messenger.ClaimResult, bool) {
+// claimUnclaimed claims an unclaimed key, unless the key time is too old or the shard
+// is full.
+func (ovl *overlay) claimUnclaimed(com *messenger.ClaimCommit, now time.Time) (*messenger.ClaimResult, bool) {
 	if com.GetKeyTimeMs() <= ovl.delta.forgottenMs || com.GetKeyTimeMs() < now.Add(-Retention).UnixMilli() {
 		return result(messenger.ClaimResult_STATE_EXPIRED), false
 	}
@@ -122,6 +131,7 @@
 	return result(messenger.ClaimResult_STATE_COMMITTED), true
 }
 
+// finish applies a FINISH and returns the same as apply.
 func (ovl *overlay) finish(com *messenger.ClaimCommit) (*messenger.ClaimResult, bool) {
 	old := ovl.claimAt(com.GetKey())
 	switch {
@@ -143,33 +153,34 @@
 	return result(messenger.ClaimResult_STATE_FINISHED), true
 }
 
-// release releases a claim. It records an absent claim as released, too, so that a
-// delayed commit of the claim has no effect.
+// release applies a RELEASE and returns the same as apply. A claim that was not
+// committed is recorded as released, too, so that a delayed commit of the claim has no
+// effect.
 func (ovl *overlay) release(com *messenger.ClaimCommit) (*messenger.ClaimResult, bool) {
 	res := result(messenger.ClaimResult_STATE_RELEASED)
 	old := ovl.claimAt(com.GetKey())
 	if ovl.isReleased(com) || old != nil && old.State == ClaimFinished {
 		return res, false
 	}
-	own := old != nil && old.Nonce == com.GetNonce()
-	if own {
+	held := old != nil && old.Nonce == com.GetNonce()
+	if held {
 		ovl.remove(com.GetKey())
 	}
 	cla := newClaim(com, ClaimReleased)
 	if com.GetKeyTimeMs() <= ovl.delta.forgottenMs || !ovl.makeRoom(cla.size()) {
-		return res, own
+		return res, held
 	}
 	ovl.put(cla)
 	return res, true
 }
 
-// makeRoom drops recorded bodies if necessary to add a number of bytes, and reports
-// whether they fit.
-func (ovl *overlay) makeRoom(more int) bool {
-	if ovl.bytes+more > MaxShardBytes {
+// makeRoom drops recorded bodies if a claim of a size would not fit otherwise, and
+// reports whether it fits.
+func (ovl *overlay) makeRoom(size int) bool {
+	if ovl.bytes+size > MaxShardBytes {
 		ovl.dropBodies()
 	}
-	return ovl.bytes+more <= MaxShardBytes
+	return ovl.bytes+size <= MaxShardBytes
 }
 
 // dropBodies drops the bodies of the oldest recorded outcomes, whole seconds at a time,
@@ -190,6 +201,7 @@
 		ovl.bytes -= second.bodyBytes
 		ovl.bodyBytes -= second.bodyBytes
 	}
+	// Claims of this batch are not in the shard's seconds.
 	for slot, cla := range ovl.delta.claims {
 		if cla == nil || cla.KeyTimeMs > ovl.delta.bodilessMs || len(cla.Outcome.GetBody()) == 0 {
 			continue
--- a/process/journaler/encode.go
+++ b/process/journaler/encode.go
@@ -13,7 +13,7 @@
 
 var errFormat = eris.New("journaler: the store holds claims in another format; end the hosts that write it and wait until its claims are past the retention, then remove its objects")
 
-// entry is an entry of the log: the change by one commit.
+// entry is an entry of a shard's log: the delta of one batch.
 type entry struct {
 	seq   uint64
 	delta Delta
@@ -33,9 +33,10 @@
 	return entry{seq: rec.GetSeq(), delta: newDelta(rec.GetChange(), rec.GetRemoved())}, nil
 }
 
-// segment combines the changes of several entries.
+// segment combines the deltas of several entries.
 type segment struct {
-	number  uint64
+	number uint64
+	// through is the number of the last entry that the segment covers.
 	through uint64
 	delta   Delta
 }
@@ -54,8 +55,8 @@
 	return segment{number: rec.GetNumber(), through: rec.GetThrough(), delta: newDelta(rec.GetChange(), rec.GetRemoved())}, nil
 }
 
-// head lists the segments that a reader needs: those from first on. Segments after last
-// can exist.
+// head holds the numbers of the oldest segment that a reader needs and of the newest
+// segment when the head was written; newer segments can exist.
 type head struct {
 	first uint64
 	last  uint64
@@ -77,7 +78,8 @@
 	return head{first: rec.GetFirst(), last: rec.GetLast()}, nil
 }
 
-// record returns the claims to store and the slots that are removed.
+// record returns the encoded form of a delta: a record with its times and claims, and
+// the removed slots.
 func (del Delta) record() (*ShardRecord, []string) {
 	rec := &ShardRecord{ForgottenMs: del.forgottenMs, BodilessMs: del.bodilessMs, Claims: make([]*ClaimRecord, 0, len(del.claims))}
 	var removed []string
@@ -130,6 +132,8 @@
 	return []byte(nonce)
 }
 
+// unpackNonce is the inverse of packNonce. No nonce other than a UUID may have 16
+// bytes.
 func unpackNonce(raw []byte) string {
 	if len(raw) != len(uuid.UUID{}) {
 		return string(raw)
--- a/process/journaler/history_test.go
+++ b/process/journaler/history_test.go
@@ -27,11 +27,12 @@
 	historyCalls  = 6
 	historyKeys   = 2
 	// A small ring is overwritten many times during one history.
-	historyRing  = 3
-	commitBudget = 300 * time.Millisecond
+	historyRingSize = 3
+	commitBudget    = 300 * time.Millisecond
 )
 
-// faultyStore keeps objects in memory and fails at random.
+// faultyStore keeps objects in memory and at random refuses, loses, delays or does not
+// confirm writes.
 type faultyStore struct {
 	mu      sync.Mutex
 	rnd     *rand.Rand
@@ -199,7 +200,7 @@
 	operations []porcupine.Operation
 }
 
-func (his *history) commit(jou *Journal, client int, input claimInput) messenger.ClaimResult_State {
+func (his *history) commit(jou *Journal, clientID int, input claimInput) messenger.ClaimResult_State {
 	start := time.Since(his.start).Nanoseconds()
 	ctx, stop := context.WithTimeout(context.Background(), commitBudget)
 	defer stop()
@@ -211,15 +212,15 @@
 	}
 	his.mu.Lock()
 	defer his.mu.Unlock()
-	his.operations = append(his.operations, porcupine.Operation{ClientId: client, Input: input, Output: output, Call: start, Return: end})
+	his.operations = append(his.operations, porcupine.Operation{ClientId: clientID, Input: input, Output: output, Call: start, Return: end})
 	return output
 }
 
-// client claims keys and finishes or releases its claims.
-func (his *history) client(jou *Journal, client int, rnd *rand.Rand) {
+// runClient claims keys and finishes or releases its claims.
+func (his *history) runClient(jou *Journal, clientID int, rnd *rand.Rand) {
 	for call := range historyCalls {
-		input := claimInput{key: fmt.Sprintf("key%d", rnd.IntN(historyKeys)), nonce: fmt.Sprintf("n%d-%d", client, call)}
-		sta := his.commit(jou, client, input)
+		input := claimInput{key: fmt.Sprintf("key%d", rnd.IntN(historyKeys)), nonce: fmt.Sprintf("n%d-%d", clientID, call)}
+		sta := his.commit(jou, clientID, input)
 		if sta != messenger.ClaimResult_STATE_COMMITTED && sta != messenger.ClaimResult_STATE_UNKNOWN {
 			continue
 		}
@@ -227,7 +228,7 @@
 		if sta == messenger.ClaimResult_STATE_COMMITTED && rnd.IntN(6) == 0 {
 			input.step = messenger.ClaimCommit_STEP_FINISH
 		}
-		his.commit(jou, client, input)
+		his.commit(jou, clientID, input)
 	}
 }
 
@@ -237,7 +238,7 @@
 	pee := &faultyPeers{rnd: rand.New(rand.NewPCG(seed, 2)), journals: map[string]*Journal{}}
 	for host := range historyHosts {
 		id := fmt.Sprintf("host-%d", host)
-		jou := &Journal{Store: sto, Self: Member{ID: id}, Peers: pee, Members: pee, Clock: func() time.Time { return epoch }, ring: historyRing}
+		jou := &Journal{Store: sto, Self: Member{ID: id}, Peers: pee, Members: pee, Clock: func() time.Time { return epoch }, ringSize: historyRingSize}
 		for i := range jou.writers {
 			jou.writers[i] = newWriter(jou, uint32(i))
 			jou.writers[i].limiter = rate.NewLimiter(rate.Inf, 1)
@@ -245,19 +246,20 @@
 		pee.journals[id] = jou
 	}
 	his := &history{start: time.Now()}
-	var gro sync.WaitGroup
-	for client := range 2 * historyHosts {
-		jou := pee.journals[fmt.Sprintf("host-%d", client%historyHosts)]
-		gro.Go(func() { his.client(jou, client, rand.New(rand.NewPCG(seed, uint64(10+client)))) })
+	var wg sync.WaitGroup
+	for clientID := range 2 * historyHosts {
+		jou := pee.journals[fmt.Sprintf("host-%d", clientID%historyHosts)]
+		wg.Go(func() { his.runClient(jou, clientID, rand.New(rand.NewPCG(seed, uint64(10+clientID)))) })
 	}
-	gro.Wait()
+	wg.Wait()
 	pee.waitForWriters()
 	sto.delayed.Wait()
 	return his.operations
 }
 
-// TestHistories checks random concurrent histories for linearizability.
-func TestHistories(t *testing.T) {
+// TestHistoriesAreLinearizable checks random concurrent histories. Two hosts must never
+// hold the claim of a key at the same time, even if the store and forwards fail.
+func TestHistoriesAreLinearizable(t *testing.T) {
 	require.NoError(t, flag.Set("rapid.seed", historySeed))
 	require.NoError(t, flag.Set("rapid.checks", historyChecks))
 	require.NoError(t, flag.Set("rapid.nofailfile", "true"))
--- a/process/journaler/load_test.go
+++ b/process/journaler/load_test.go
@@ -23,12 +23,13 @@
 	targetCallsPerShard = (targetCalls + Shards - 1) / Shards
 	loadDuration        = Retention + 3*MaxClockSkew
 	tickInterval        = time.Second / WritesPerShard
-	// callTicks is how long a call takes.
+	// callTicks is the duration of a call, in ticks.
 	callTicks = 4
-	// targetWrites is the share of the store's writes that claims may use, in writes a
-	// second.
-	targetWrites = 256
-	// At most 1/segmentWritesDivisor of the writes may be for segments and heads.
+	// maxClaimWrites is the number of the store's writes a second that the claims of
+	// all shards may use.
+	maxClaimWrites = 256
+	// At most 1/segmentWritesDivisor of the ticks may have no batch because segments
+	// and heads used up the rate.
 	segmentWritesDivisor = 8
 	// maxTakeoverReads bounds the reads of a new writer.
 	maxTakeoverReads = 160
@@ -49,50 +50,53 @@
 	return wri
 }
 
-// run starts calls at a rate and finishes them, until claims are dropped as fast as new
-// ones are made. It skips a tick if the rate limit of writes does not allow a batch.
-func (loa *loader) run(t testing.TB, calls int) *writer {
+// run starts calls at a rate and finishes them for loadDuration, after which claims are
+// dropped as fast as new claims are made. It skips a tick if the rate limit of writes
+// does not allow a batch.
+func (loa *loader) run(t testing.TB, callsPerSecond int) *writer {
 	wri := loa.newWriter()
-	var wais []*waiter
+	var pens []*pendingChange
 	running := make([][]*messenger.ClaimCommit, callTicks)
 	n := 0
 	for ; loa.now.Before(epoch.Add(loadDuration)); loa.now = loa.now.Add(tickInterval) {
 		loa.ticks++
 		var started []*messenger.ClaimCommit
-		for ; n*WritesPerShard < calls*int(loa.ticks); n++ {
+		for ; n*WritesPerShard < callsPerSecond*int(loa.ticks); n++ {
 			commits := finishedClaim(n, 64)
 			commits[0].KeyTimeMs = loa.now.UnixMilli()
 			started = append(started, commits[1])
-			wais = append(wais, &waiter{com: commits[0], deadline: time.Now().Add(time.Minute)})
+			pens = append(pens, &pendingChange{com: commits[0], deadline: time.Now().Add(time.Minute)})
 		}
 		for _, finish := range running[0] {
-			wais = append(wais, &waiter{com: finish, deadline: time.Now().Add(time.Minute)})
+			pens = append(pens, &pendingChange{com: finish, deadline: time.Now().Add(time.Minute)})
 		}
 		running = append(running[1:], started)
 		if loa.store.writes.Load() >= loa.ticks {
 			loa.skippedTicks++
 			continue
 		}
-		for i, res := range wri.commitBatch(wais) {
-			sta := messenger.ClaimResult_STATE_COMMITTED + messenger.ClaimResult_State(wais[i].com.GetStep())
-			require.Contains(t, []messenger.ClaimResult_State{sta, messenger.ClaimResult_STATE_FINISHED}, res.GetState())
+		for i, res := range wri.commitBatch(pens) {
+			// A claim must be COMMITTED.
+			want := messenger.ClaimResult_STATE_COMMITTED + messenger.ClaimResult_State(pens[i].com.GetStep())
+			require.Contains(t, []messenger.ClaimResult_State{want, messenger.ClaimResult_STATE_FINISHED}, res.GetState())
 		}
-		wais = nil
+		pens = nil
 		wri.compact()
 	}
 	return wri
 }
 
-// TestFullLoad checks the writes, the sizes and the reads of a successor when one shard
-// has its part of the target load for longer than the retention.
+// TestFullLoad checks that one shard under its part of the target load for longer than
+// the retention stays within its writes, that no value exceeds the store's limit, and
+// that a new writer reads the log with few reads.
 func TestFullLoad(t *testing.T) {
 	loa := &loader{now: epoch, store: &countingStore{ObjectStore: faultlessStore{newLogSimulation(t)}}}
 	wri := loa.run(t, targetCallsPerShard)
 	sto := loa.store
-	require.LessOrEqual(t, sto.writes.Load(), loa.ticks, "all shards write %d objects a second", targetWrites)
+	require.LessOrEqual(t, sto.writes.Load(), loa.ticks, "with this many writes, all shards exceed %d writes a second", maxClaimWrites)
 	require.LessOrEqual(t, loa.skippedTicks*segmentWritesDivisor, loa.ticks)
 	require.LessOrEqual(t, sto.maxValueBytes.Load(), int64(persister.MaxValueBytes))
-	require.LessOrEqual(t, wri.log.lastSegment-wri.log.oldestNeeded(), uint64(ringSegments))
+	require.LessOrEqual(t, wri.log.lastSegment-wri.log.oldestNeeded(), uint64(segmentObjects))
 	readsBefore := sto.reads.Load()
 	successor := loa.newWriter()
 	require.NoError(t, successor.log.load(t.Context()))
--- a/process/journaler/log.go
+++ b/process/journaler/log.go
@@ -12,12 +12,14 @@
 )
 
 const (
-	// ringEntries is the number of entry objects of a shard. Entry n is stored in object
-	// n modulo ringEntries.
-	ringEntries = 256
-	// ringSegments is the number of segment objects of a shard, used in the same way.
-	ringSegments = 64
-	// maxLoadAttempts bounds the attempts to load a log while other writers write it.
+	// entryObjects is the number of entry objects of a shard. Entry n is stored in
+	// object n modulo entryObjects.
+	entryObjects = 256
+	// segmentObjects is the number of segment objects of a shard. Segment n is stored
+	// in object n modulo segmentObjects.
+	segmentObjects = 64
+	// maxLoadAttempts bounds the attempts to load a log whose objects other writers
+	// overwrite during the load.
 	maxLoadAttempts = 3
 	// maxEntryReads and maxSegmentReads bound the objects that are read concurrently.
 	maxEntryReads   = 16
@@ -31,22 +33,24 @@
 
 // shardLog is one writer's copy of the log of a shard.
 //
-// A commit writes one entry, which holds only the changes of that commit, into the next
+// A batch writes one entry, which holds only the delta of that batch, into the next
 // object of a ring. The write is conditional on the version of the object's previous
-// entry, so that each entry has only one writer, and a writer that was paused cannot
-// write an entry whose number is already taken.
+// entry, so that only one writer can write an entry with a given number, even if
+// another writer was paused in the meantime.
 //
-// Segments are a second log of the same kind: segment n combines the entries after those
-// of segment n-1. Any writer may write it; the first write succeeds. An entry is
-// overwritten only when a segment covers it, and a segment only when the head says that
-// its claims are in later segments or were dropped. Readers start with the head; an
-// outdated head costs more reads but loses no claims. Objects are never deleted.
+// Segments are a second log of the same kind: segment n combines the entries after
+// those of segment n-1. Any writer may write a segment; only the first write succeeds.
+// An entry is overwritten only after a segment covers it, and a segment only after the
+// head no longer lists it, since its claims are in later segments or were dropped.
+// Readers start with the head; an outdated head costs more reads but loses no claims.
+// Objects are never deleted.
 type shardLog struct {
 	store ObjectStore
 	path  string
-	// ring and segmentRing are the numbers of entry objects and segment objects.
-	ring        uint64
-	segmentRing uint64
+	// entryObjects and segmentObjects are the numbers of entry objects and segment
+	// objects.
+	entryObjects   uint64
+	segmentObjects uint64
 
 	shard Shard
 	// seq is the number of the newest entry that is applied to shard.
@@ -58,11 +62,11 @@
 	// head and headVersion are the last known content and version of the head object.
 	head        head
 	headVersion uint64
-	// lastSegment is the number of the newest segment, coveredThrough that of the last
-	// entry that it covers.
+	// lastSegment is the number of the newest segment that was read or written, and
+	// coveredThrough the number of the last entry that this segment covers.
 	lastSegment    uint64
 	coveredThrough uint64
-	// uncovered holds the slots that were changed by entries after the segments, and
+	// uncovered holds the slots that entries after coveredThrough changed, and
 	// uncoveredBytes is the size of these entries.
 	uncovered      map[string]struct{}
 	uncoveredBytes int
@@ -71,13 +75,15 @@
 }
 
 func (slo *shardLog) entryPath(seq uint64) string {
-	return fmt.Sprintf("%s/%03d", slo.path, seq%slo.ring)
+	return fmt.Sprintf("%s/%03d", slo.path, seq%slo.entryObjects)
 }
 
 func (slo *shardLog) segmentPath(number uint64) string {
-	return fmt.Sprintf("%s/segment-%02d", slo.path, number%slo.segmentRing)
+	return fmt.Sprintf("%s/segment-%02d", slo.path, number%slo.segmentObjects)
 }
 
+// headPath returns the path of the head. Format 1 stored its base object there, so a
+// store in that format is detected when the head is read.
 func (slo *shardLog) headPath() string { return slo.path + "/base" }
 
 // loaded reports whether shard is the content of the log at seq.
@@ -85,10 +91,11 @@
 
 // reset discards what was read.
 func (slo *shardLog) reset() {
-	*slo = shardLog{store: slo.store, path: slo.path, ring: slo.ring, segmentRing: slo.segmentRing}
+	*slo = shardLog{store: slo.store, path: slo.path, entryObjects: slo.entryObjects, segmentObjects: slo.segmentObjects}
 }
 
-// load reads the new part of the log. After a failure it keeps what it has read so far.
+// load reads the new part of the log. After a failed read it keeps what was read; after
+// errOverwritten it starts again from the head.
 func (slo *shardLog) load(ctx context.Context) error {
 	var err error
 	for range maxLoadAttempts {
@@ -101,8 +108,10 @@
 	return err
 }
 
+// catchUp reads the head and the segments, unless they were read already, and then the
+// new entries.
 func (slo *shardLog) catchUp(ctx context.Context) error {
-	if err := slo.begin(ctx); err != nil {
+	if err := slo.startLoad(ctx); err != nil {
 		return err
 	}
 	if err := slo.readSegments(ctx); err != nil {
@@ -111,8 +120,9 @@
 	return slo.readEntries(ctx)
 }
 
-// begin reads the head, from which the segments are read.
-func (slo *shardLog) begin(ctx context.Context) error {
+// startLoad discards the copy of the log and reads the head, unless the head was read
+// already.
+func (slo *shardLog) startLoad(ctx context.Context) error {
 	if slo.headRead {
 		return nil
 	}
@@ -126,8 +136,8 @@
 	return nil
 }
 
-// readEntries applies the entries after seq. The next entry is to be written into the
-// first object that holds an older entry or does not exist.
+// readEntries applies the entries after seq. The log ends at the first object that
+// holds an older entry or does not exist; the next entry is written there.
 func (slo *shardLog) readEntries(ctx context.Context) error {
 	for count := 1; ; count = min(2*count, maxEntryReads) {
 		var paths []string
@@ -170,20 +180,21 @@
 	slo.shard.apply(ent.delta)
 	slo.seq = ent.seq
 	slo.uncoveredBytes += size
-	for key := range maps.Keys(ent.delta.claims) {
-		slo.uncovered[key] = struct{}{}
+	for slot := range maps.Keys(ent.delta.claims) {
+		slo.uncovered[slot] = struct{}{}
 	}
 }
 
-// append writes a change as the next entry. As after a Put of the platform, the error
-// shows whether the write took effect.
+// append writes a delta as the next entry. An error of ObjectStore.Put is returned as
+// it is, so that writer.store can determine whether the write took effect; errFull
+// means that nothing was written to the entry.
 func (slo *shardLog) append(ctx context.Context, del Delta) error {
 	ent := entry{seq: slo.seq + 1, delta: del}
 	value, err := ent.encode()
 	if err != nil {
 		return err
 	}
-	if slo.seq >= slo.coveredThrough+slo.ring || slo.uncoveredBytes+len(value) > maxSegmentBytes {
+	if slo.seq >= slo.coveredThrough+slo.entryObjects || slo.uncoveredBytes+len(value) > maxSegmentBytes {
 		if err := slo.writeSegment(ctx); err != nil {
 			return eris.Wrapf(errFull, "shardLog.append: %s: %v", slo.path, err)
 		}
@@ -205,7 +216,8 @@
 
 // versionOf returns the version of the object into which the entry or segment with a
 // number is to be written. It fails with ErrConflict if the object already holds this
-// number or a later one.
+// number or a later one, and with ErrRateLimited, which stands for a write that was not
+// sent, if the object cannot be read.
 func (slo *shardLog) versionOf(ctx context.Context, path string, number uint64) (uint64, error) {
 	if version, ok := slo.versions[path]; ok {
 		return version, nil
--- a/process/journaler/log_test.go
+++ b/process/journaler/log_test.go
@@ -19,8 +19,8 @@
 const (
 	logRounds = 14
 	// A round is long so that claims exceed their retention during a simulation.
-	logRound = 80 * time.Second
-	logRing  = 4
+	logRound    = 80 * time.Second
+	logRingSize = 4
 	// maxLogSkips bounds the calls of one kind at which a fault is injected, each in a
 	// simulation of its own.
 	maxLogSkips = 8
@@ -28,11 +28,23 @@
 	outageCalls = 40
 	// lapRounds is the number of changes by another writer that overwrites all entries
 	// and segments.
-	lapRounds = logRing * logRing
+	lapRounds = logRingSize * logRingSize
 )
 
 // The calls of a writer to the store at which a fault can be injected, and the kinds of
-// faults.
+// faults:
+//
+//   - down: one call fails without effect.
+//   - outage: outageCalls consecutive calls of the step fail without effect.
+//   - refused: the store refuses the write because of its rate limit.
+//   - lost: the write takes effect, but its answer is lost.
+//   - late: the write takes effect at the end of the round.
+//   - raced: another writer commits a change first.
+//   - lapped: another writer overwrites all entries and segments first.
+//   - die-before, die-after: the writer dies before or after the effect of the write; a
+//     new writer replaces it.
+//
+// A read fails with all faults but raced and lapped.
 var (
 	logSteps      = []string{"read-head", "read-segment", "read-entry", "write-entry", "write-segment", "write-head"}
 	logFaultKinds = []string{"down", "outage", "refused", "lost", "late", "raced", "lapped", "die-before", "die-after"}
@@ -48,29 +60,32 @@
 	return out
 }
 
-// logFault is a fault that is injected at a call after skip calls of the same kind. Its
-// name is step/kind.
+// logFault is a fault that is injected at a call of a step. Its name is step/kind.
+// callsLeft is the number of calls of the step before the fault; it becomes negative
+// afterwards.
 type logFault struct {
-	name string
-	skip int
+	name      string
+	callsLeft int
 }
 
 // logSimulation simulates two writers of one shard over a store with faults. It compares
 // what a reader finds with the content of the accepted entries.
 type logSimulation struct {
 	faultyStore
-	t        *testing.T
-	faults   []*logFault
-	injected int
+	t             *testing.T
+	faults        []*logFault
+	injectedCount int
 	// callMu serialises the calls at which faults can be injected.
-	callMu       sync.Mutex
-	delayed      []persister.Object
-	writers      [2]*writer
+	callMu     sync.Mutex
+	lateWrites []persister.Object
+	writers    [2]*writer
+	// model and seq are the content and the number of the accepted entries.
 	model        Shard
 	seq          uint64
 	now          time.Time
 	otherChanges int
-	confirmed    [2]int
+	// confirmed counts the confirmed claims and finishes.
+	confirmed [2]int
 }
 
 func newLogSimulation(t *testing.T, faults ...*logFault) *logSimulation {
@@ -82,7 +97,7 @@
 }
 
 func (sim *logSimulation) newWriter(sto ObjectStore) *writer {
-	wri := newWriter(&Journal{Store: sto, Clock: func() time.Time { return sim.now }, ring: logRing}, 0)
+	wri := newWriter(&Journal{Store: sto, Clock: func() time.Time { return sim.now }, ringSize: logRingSize}, 0)
 	wri.limiter = rate.NewLimiter(rate.Inf, 1)
 	return wri
 }
@@ -96,23 +111,23 @@
 	case strings.Contains(path, "segment"):
 		step = verb + "-segment"
 	}
-	for _, injected := range sim.faults {
-		faultStep, fault, _ := strings.Cut(injected.name, "/")
+	for _, flt := range sim.faults {
+		faultStep, fault, _ := strings.Cut(flt.name, "/")
 		if faultStep != step {
 			continue
 		}
-		injected.skip--
-		if injected.skip == -1 || fault == "outage" && injected.skip < 0 && injected.skip >= -outageCalls {
-			sim.injected++
+		flt.callsLeft--
+		if flt.callsLeft == -1 || fault == "outage" && flt.callsLeft < 0 && flt.callsLeft >= -outageCalls {
+			sim.injectedCount++
 			return fault
 		}
 	}
 	return ""
 }
 
-// runOthers lets another writer commit before a call, as if the calling writer were
-// paused.
-func (sim *logSimulation) runOthers(fault string) {
+// runOtherWriter commits changes by another writer before a call, as if the calling
+// writer were paused.
+func (sim *logSimulation) runOtherWriter(fault string) {
 	count := map[string]int{"raced": 1, "lapped": lapRounds}[fault]
 	if count == 0 {
 		return
@@ -140,14 +155,14 @@
 func (fst faultlessStore) Put(_ context.Context, obj persister.Object) (uint64, error) {
 	fst.sim.mu.Lock()
 	defer fst.sim.mu.Unlock()
-	return fst.sim.store(obj)
+	return fst.sim.putAndRecord(obj)
 }
 
 func (sim *logSimulation) Get(ctx context.Context, path string) (persister.Object, error) {
 	sim.callMu.Lock()
 	defer sim.callMu.Unlock()
 	fault := sim.nextFault("read", path)
-	sim.runOthers(fault)
+	sim.runOtherWriter(fault)
 	if fault != "" && fault != "raced" && fault != "lapped" {
 		return persister.Object{}, persister.ErrUnavailable
 	}
@@ -158,14 +173,14 @@
 	sim.callMu.Lock()
 	defer sim.callMu.Unlock()
 	fault := sim.nextFault("write", obj.Path)
-	sim.runOthers(fault)
+	sim.runOtherWriter(fault)
 	switch fault {
 	case "down", "outage", "die-before":
 		return 0, persister.ErrUnavailable
 	case "refused":
 		return 0, persister.ErrRateLimited
 	case "late":
-		sim.delayed = append(sim.delayed, obj)
+		sim.lateWrites = append(sim.lateWrites, obj)
 		return 0, context.DeadlineExceeded
 	}
 	version, err := faultlessStore{sim}.Put(ctx, obj)
@@ -175,8 +190,8 @@
 	return version, err
 }
 
-// store carries out a write and records the entries in their order.
-func (sim *logSimulation) store(obj persister.Object) (uint64, error) {
+// putAndRecord carries out a write and records the entries in their order.
+func (sim *logSimulation) putAndRecord(obj persister.Object) (uint64, error) {
 	version, err := sim.put(obj)
 	if err != nil || strings.Contains(obj.Path, "segment") || strings.HasSuffix(obj.Path, "base") {
 		return version, err
@@ -200,34 +215,35 @@
 			wri.compact()
 			return ans.Results[0].GetState()
 		}
-		eve = wri.carryOut(context.Background(), act)
+		eve = wri.execute(context.Background(), act)
 		if try > 8 {
 			eve = Expired{}
 		}
 	}
 }
 
-// run lets the writers alternately claim and finish keys. A writer that dies is replaced.
+// run claims and finishes one key a round, with both writers in changing combinations.
+// A writer that dies is replaced.
 func (sim *logSimulation) run() {
 	for round := range logRounds {
 		sim.now = epoch.Add(time.Duration(round) * logRound)
 		com := &messenger.ClaimCommit{Key: fmt.Sprintf("key%d", round), Nonce: "n", KeyTimeMs: sim.now.UnixMilli()}
 		for i, step := range []messenger.ClaimCommit_Step{messenger.ClaimCommit_STEP_CLAIM, messenger.ClaimCommit_STEP_FINISH} {
 			com = &messenger.ClaimCommit{Step: step, Key: com.Key, Nonce: com.Nonce, KeyTimeMs: com.KeyTimeMs, Outcome: &messenger.Outcome{Status: 200}}
-			before := sim.injected
+			before := sim.injectedCount
 			sta := sim.commit(sim.writers[(round/3+i*round/3)%2], com)
 			if sta == messenger.ClaimResult_STATE_COMMITTED || sta == messenger.ClaimResult_STATE_FINISHED {
 				sim.confirmed[i]++
 				require.Contains(sim.t, sim.model.claims, com.Key, "told a commit that is not in the log")
 			}
-			if sim.injected > before && strings.Contains(sim.faults[0].name, "die") {
+			if sim.injectedCount > before && strings.Contains(sim.faults[0].name, "die") {
 				sim.writers[(round/3+i*round/3)%2] = sim.newWriter(sim)
 			}
 		}
-		for _, obj := range sim.delayed {
+		for _, obj := range sim.lateWrites {
 			_, _ = faultlessStore{sim}.Put(context.Background(), obj)
 		}
-		sim.delayed = nil
+		sim.lateWrites = nil
 		if round%7 == 6 {
 			sim.checkReader()
 		}
@@ -242,8 +258,9 @@
 	require.Equal(sim.t, formatShard(&sim.model), formatShard(&wri.log.shard))
 }
 
-// TestLogMatrix injects every fault at every call of a writer to the store, and every
-// pair of faults.
+// TestLogMatrix checks that no confirmed commit is lost and that readers find exactly
+// the accepted entries. It injects every fault at each of the first maxLogSkips calls
+// of a step, and every pair of faults at one place each.
 func TestLogMatrix(t *testing.T) {
 	var cases []string
 	datadriven.RunTest(t, "testdata/matrix/log", func(t *testing.T, td *datadriven.TestData) string {
@@ -252,26 +269,26 @@
 		for skip := range maxLogSkips {
 			sim := newLogSimulation(t, &logFault{td.Cmd, skip})
 			sim.run()
-			if sim.injected == 0 {
+			if sim.injectedCount == 0 {
 				break
 			}
 			count++
 			confirmed[0] += sim.confirmed[0]
 			confirmed[1] += sim.confirmed[1]
 		}
-		var gro sync.WaitGroup
+		var wg sync.WaitGroup
 		for i, secondFault := range logCases() {
-			gro.Go(func() { newLogSimulation(t, &logFault{td.Cmd, i % 5}, &logFault{secondFault, i % 3}).run() })
+			wg.Go(func() { newLogSimulation(t, &logFault{td.Cmd, i % 5}, &logFault{secondFault, i % 3}).run() })
 		}
-		gro.Wait()
+		wg.Wait()
 		return fmt.Sprintf("struck=%d claims=%d finishes=%d of %d\n", count, confirmed[0], confirmed[1], count*logRounds)
 	})
 	require.Equal(t, logCases(), cases, "the data file has each case once")
 }
 
-// TestOldFormat checks that a store with the base object of format 1 is refused and not
-// taken for an empty shard.
-func TestOldFormat(t *testing.T) {
+// TestOldFormatIsRefused checks that a store with the base object of format 1 is
+// refused and not taken for an empty shard.
+func TestOldFormatIsRefused(t *testing.T) {
 	sim := newLogSimulation(t)
 	// The value is a sequence number and an empty shard.
 	_, err := sim.put(persister.Object{Path: "claims/00/base", Value: []byte{1 << 3, 40, 2<<3 | 2, 0}})
--- a/process/journaler/matrix_test.go
+++ b/process/journaler/matrix_test.go
@@ -26,12 +26,14 @@
 	return &injectedFault{step: step, kind: fault}
 }
 
-func inapplicable(name string) string {
+// whyNotApplicable returns why a fault cannot occur at its step, or an empty string.
+func whyNotApplicable(name string) string {
 	step, fault, _ := strings.Cut(name, "/")
 	return notApplicable(step, fault)
 }
 
-// requireSafe checks what must hold at the end of every case.
+// requireSafe checks that the service ran the call at most once, that no answer wrongly
+// reports that the call did not run, and that every call has an answer.
 func requireSafe(t *testing.T, name, result string) {
 	t.Helper()
 	require.NotContains(t, result, "FALSE", "%s: told not run after a run: %s", name, result)
@@ -39,10 +41,11 @@
 	require.NotContains(t, result, "= ", "%s: a caller without an answer: %s", name, result)
 }
 
-// TestMatrix injects every fault at every step, and every pair of faults.
-func TestMatrix(t *testing.T) {
+// TestCallRunsAtMostOnceDespiteFaults injects every fault at every step, and every pair
+// of faults.
+func TestCallRunsAtMostOnceDespiteFaults(t *testing.T) {
 	datadriven.RunTest(t, "testdata/matrix/single", func(t *testing.T, td *datadriven.TestData) string {
-		if cause := inapplicable(td.Cmd); cause != "" {
+		if cause := whyNotApplicable(td.Cmd); cause != "" {
 			return "not applicable: " + cause + "\n"
 		}
 		result := simulate(newFault(td.Cmd))
@@ -52,7 +55,7 @@
 	datadriven.RunTest(t, "testdata/matrix/pairs", func(t *testing.T, td *datadriven.TestData) string {
 		byResult := map[string][]string{}
 		for _, secondFault := range matrixCases() {
-			if inapplicable(td.Cmd) != "" || inapplicable(secondFault) != "" {
+			if whyNotApplicable(td.Cmd) != "" || whyNotApplicable(secondFault) != "" {
 				byResult["not applicable"] = append(byResult["not applicable"], secondFault)
 				continue
 			}
--- a/process/journaler/route.go
+++ b/process/journaler/route.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is a live entry host.
+// Member is a live host that accepts requests of callers.
 type Member struct {
 	ID string
 	// Address is the IP:port at which the host accepts connections of other hosts.
--- a/process/journaler/segment.go
+++ b/process/journaler/segment.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// A segment is due after maxSegmentEntries entries or dueSegmentBytes of entries.
-	maxSegmentEntries = 64
+	// A segment is due after dueSegmentEntries entries or dueSegmentBytes of entries.
+	dueSegmentEntries = 64
 	dueSegmentBytes   = 512 << 10
 	// maxSegmentBytes bounds the size of a segment. It is below the platform's limit for
 	// a value.
 	maxSegmentBytes = 900 << 10
 	// freeDivisor and minFreeSegments determine how many segment objects stay free:
 	// 1/freeDivisor of them, but at least minFreeSegments. Claims of old segments are
-	// copied to new ones for this.
+	// copied to new segments so that the old segments can be overwritten.
 	freeDivisor     = 8
 	minFreeSegments = 2
 )
@@ -27,15 +27,15 @@
 func (slo *shardLog) readAll(ctx context.Context, paths []string) ([]persister.Object, error) {
 	objs := make([]persister.Object, len(paths))
 	errs := make([]error, len(paths))
-	var gro sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, path := range paths {
 		if len(paths) == 1 {
 			objs[0], errs[0] = slo.read(ctx, path)
 			continue
 		}
-		gro.Go(func() { objs[i], errs[i] = slo.read(ctx, path) })
+		wg.Go(func() { objs[i], errs[i] = slo.read(ctx, path) })
 	}
-	gro.Wait()
+	wg.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return nil, err
@@ -83,7 +83,7 @@
 			return err
 		}
 		for _, obj := range objs {
-			if err := slo.joinSegment(obj); err != nil {
+			if err := slo.applySegment(obj); err != nil {
 				return err
 			}
 		}
@@ -91,17 +91,18 @@
 	return nil
 }
 
-// joinSegment applies an object if it holds the next segment. An older segment or an
-// absent object means that there are no more segments.
-func (slo *shardLog) joinSegment(obj persister.Object) error {
+// applySegment applies an object if it holds the next segment. An older segment or an
+// absent object means that there are no more segments, unless the head lists the next
+// segment, which is an error.
+func (slo *shardLog) applySegment(obj persister.Object) error {
 	seg, err := decodeSegment(obj.Value)
 	switch {
 	case err != nil:
-		return eris.Wrapf(err, "shardLog.joinSegment: %s", obj.Path)
+		return eris.Wrapf(err, "shardLog.applySegment: %s", obj.Path)
 	case seg.number > slo.lastSegment+1:
 		return errOverwritten
 	case seg.number < slo.lastSegment+1 && slo.lastSegment < slo.head.last:
-		return eris.Errorf("shardLog.joinSegment: %s holds segment %d instead of %d", obj.Path, seg.number, slo.lastSegment+1)
+		return eris.Errorf("shardLog.applySegment: %s holds segment %d instead of %d", obj.Path, seg.number, slo.lastSegment+1)
 	}
 	slo.versions[obj.Path] = obj.Version
 	if seg.number < slo.lastSegment+1 {
@@ -110,37 +111,39 @@
 	}
 	slo.shard.apply(seg.delta)
 	slo.seq = seg.through
-	slo.recordSegment(seg)
+	slo.markCovered(seg)
 	return nil
 }
 
-// recordSegment records a segment that is in the store.
-func (slo *shardLog) recordSegment(seg segment) {
-	for key, cla := range seg.delta.claims {
-		if kept, ok := slo.shard.claims[key]; ok && cla != nil {
-			kept.segment = seg.number
+// markCovered records that a stored segment covers the uncovered slots.
+func (slo *shardLog) markCovered(seg segment) {
+	for slot, cla := range seg.delta.claims {
+		if current, ok := slo.shard.claims[slot]; ok && cla != nil {
+			current.segment = seg.number
 		}
 	}
 	slo.lastSegment, slo.coveredThrough = seg.number, seg.through
 	slo.uncovered, slo.uncoveredBytes = map[string]struct{}{}, 0
 }
 
-// segmentDue reports whether a new segment would save more reads than it costs writes.
+// segmentDue reports whether enough entries, or enough bytes of entries, are uncovered
+// for a new segment.
 func (slo *shardLog) segmentDue() bool {
-	return slo.loaded() && (slo.seq-slo.coveredThrough >= min(maxSegmentEntries, slo.ring) || slo.uncoveredBytes >= dueSegmentBytes)
+	return slo.loaded() && (slo.seq-slo.coveredThrough >= min(dueSegmentEntries, slo.entryObjects) || slo.uncoveredBytes >= dueSegmentBytes)
 }
 
-// writeSegment writes the next segment and the head. If another writer wrote this segment
-// first, the log must be read again.
+// writeSegment writes the next segment and the head. If another writer wrote this
+// segment first, the copy of the log is discarded, so that the next batch reads the log
+// again.
 func (slo *shardLog) writeSegment(ctx context.Context) error {
 	seg := segment{number: slo.lastSegment + 1, through: slo.seq, delta: slo.uncoveredDelta()}
 	path := slo.segmentPath(seg.number)
 	slo.carryOver(&seg)
-	if seg.number >= slo.head.first+slo.segmentRing {
+	if seg.number >= slo.head.first+slo.segmentObjects {
 		if err := slo.writeHead(ctx); err != nil {
 			return err
 		}
-		if seg.number >= slo.head.first+slo.segmentRing {
+		if seg.number >= slo.head.first+slo.segmentObjects {
 			return eris.Wrap(errFull, "shardLog.writeSegment")
 		}
 	}
@@ -160,15 +163,15 @@
 		return err
 	}
 	slo.versions[path] = version
-	slo.recordSegment(seg)
+	slo.markCovered(seg)
 	return slo.writeHead(ctx)
 }
 
-// uncoveredDelta returns the changes by the entries after the segments.
+// uncoveredDelta returns the combined delta of the entries after coveredThrough.
 func (slo *shardLog) uncoveredDelta() Delta {
 	del := Delta{forgottenMs: slo.shard.forgottenMs, bodilessMs: slo.shard.bodilessMs, claims: make(map[string]*Claim, len(slo.uncovered))}
-	for key := range slo.uncovered {
-		del.claims[key] = slo.shard.claims[key]
+	for slot := range slo.uncovered {
+		del.claims[slot] = slo.shard.claims[slot]
 	}
 	return del
 }
@@ -186,27 +189,27 @@
 	return first
 }
 
-// carryOver copies claims of the oldest segments to a new one if too few segment objects
-// are free.
+// carryOver adds claims of the oldest segments to seg, as far as they fit, if too few
+// segment objects are free.
 func (slo *shardLog) carryOver(seg *segment) {
 	room := maxSegmentBytes - slo.uncoveredBytes
-	limit := slo.segmentRing - max(minFreeSegments, slo.segmentRing/freeDivisor)
-	if seg.number <= slo.head.first+limit {
+	usableObjects := slo.segmentObjects - max(minFreeSegments, slo.segmentObjects/freeDivisor)
+	if seg.number <= slo.head.first+usableObjects {
 		return
 	}
-	for key, cla := range slo.shard.claims {
-		if cla.segment == 0 || cla.segment+limit >= seg.number {
+	for slot, cla := range slo.shard.claims {
+		if cla.segment == 0 || cla.segment+usableObjects >= seg.number {
 			continue
 		}
 		if room -= cla.size(); room < 0 {
 			return
 		}
-		seg.delta.claims[key] = cla
+		seg.delta.claims[slot] = cla
 	}
 }
 
-// writeHead writes which segments are needed, unless another writer has written a later
-// head.
+// writeHead writes the numbers of the oldest needed segment and of the newest segment,
+// unless another writer has written a later head.
 func (slo *shardLog) writeHead(ctx context.Context) error {
 	hea := head{first: max(slo.oldestNeeded(), slo.head.first), last: slo.lastSegment}
 	if hea.last < slo.head.last {
--- a/process/journaler/settle.go
+++ b/process/journaler/settle.go
@@ -10,31 +10,33 @@
 )
 
 const (
-	// maxRetrying bounds the changes that are retried in the background.
-	maxRetrying      = 4096
+	// maxSettling bounds the changes that are committed in the background.
+	maxSettling = 4096
+	// settleTimeout bounds one attempt.
 	settleTimeout    = 5 * time.Second
 	minSettleBackoff = 100 * time.Millisecond
 	maxSettleBackoff = 10 * time.Second
 )
 
 // Settling returns the number of changes that are being committed in the background.
-func (jou *Journal) Settling() int { return int(jou.retrying.Load()) }
+func (jou *Journal) Settling() int { return int(jou.settling.Load()) }
 
 // Settle commits a FINISH or RELEASE in the background and retries it until it succeeds
-// or Retention has passed. The channel is closed at the end. If maxRetrying changes are
-// in progress, Settle gives up at once; the claim then stays held, and repeats of its key
-// get the answer that the outcome is unknown.
+// or Retention has passed. The channel is closed when the change was committed or given
+// up. If maxSettling changes are in progress, Settle gives up at once without an
+// attempt; the claim then stays held, and repeats of its key get the answer that the
+// outcome is unknown.
 func (jou *Journal) Settle(com *messenger.ClaimCommit) <-chan struct{} {
 	done := make(chan struct{})
-	if jou.retrying.Add(1) > maxRetrying {
-		jou.retrying.Add(-1)
+	if jou.settling.Add(1) > maxSettling {
+		jou.settling.Add(-1)
 		jou.scope().Counter("claims_unsettled").Inc(1)
 		close(done)
 		return done
 	}
 	go func() {
 		defer close(done)
-		defer jou.retrying.Add(-1)
+		defer jou.settling.Add(-1)
 		jou.commitWithRetries(com)
 	}()
 	return done
@@ -43,7 +45,7 @@
 func (jou *Journal) commitWithRetries(com *messenger.ClaimCommit) {
 	bac := &backoff.ExponentialBackOff{InitialInterval: minSettleBackoff, MaxInterval: maxSettleBackoff, Multiplier: 2, RandomizationFactor: 0.5}
 	bac.Reset()
-	// A claim is kept for at least Retention from its start.
+	// After this time the claim may have been dropped.
 	end := jou.now().Add(Retention)
 	for !jou.tryCommit(com) {
 		if jou.now().After(end) {
--- a/process/journaler/shard.go
+++ b/process/journaler/shard.go
@@ -12,8 +12,8 @@
 	// Retention is how long a claim is kept to answer repeats, counted from the time of
 	// its key.
 	Retention = 10 * time.Minute
-	// MaxClockSkew is the difference between clocks up to which no key is refused
-	// wrongly. That a call runs at most once does not depend on it.
+	// MaxClockSkew is the difference between the hosts' clocks up to which no valid key
+	// is refused. A larger difference never causes a call to run twice.
 	MaxClockSkew = time.Minute
 	// MaxShardBytes bounds the encoded claims of a shard, and thus the memory of its
 	// writer.
@@ -22,7 +22,8 @@
 	// than keptBytesWithBodies.
 	maxBytesWithBodies  = MaxShardBytes * 8 / 9
 	keptBytesWithBodies = MaxShardBytes * 5 / 6
-	// maxSharedOutcomes bounds the outcomes without a body that several claims share.
+	// maxSharedOutcomes bounds the distinct outcomes without a body that are kept for
+	// sharing.
 	maxSharedOutcomes = 256
 
 	millisPerSecond = 1000
@@ -32,16 +33,16 @@
 // empty log. Evaluate only reads it; apply changes it, by a Delta that is in the log.
 type Shard struct {
 	claims map[string]*Claim
-	// seconds holds the claims by the second of their key time, so that the cost of
-	// dropping old claims depends on their number and not on that of all claims.
+	// seconds holds the claims by the Unix second of their key times, so that the cost
+	// of dropping old claims does not depend on the number of other claims.
 	seconds map[int64]*keySecond
-	// oldestSecond is a lower bound of the seconds.
+	// oldestSecond is at most the smallest key of seconds.
 	oldestSecond int64
 	// forgottenMs is the newest key time of a dropped claim. Keys up to this time are
 	// refused, so that a dropped claim cannot be claimed again, whatever the clocks of
 	// the writers show.
 	forgottenMs int64
-	// bodilessMs is the newest key time at which the bodies of outcomes were dropped.
+	// Outcomes of claims with key times up to bodilessMs have lost their bodies.
 	bodilessMs     int64
 	bytes          int
 	bodyBytes      int
@@ -66,9 +67,9 @@
 	truncated   bool
 }
 
-// Delta is the change of a shard by one commit or one segment. Claims with key times up
-// to forgottenMs are dropped, those up to bodilessMs lose their bodies, and slots with a
-// nil claim are removed.
+// Delta is the change of a shard by one batch or one segment. Claims with key times up
+// to forgottenMs are dropped, those up to bodilessMs lose their bodies, and slots with
+// a nil claim are removed.
 type Delta struct {
 	forgottenMs int64
 	bodilessMs  int64
@@ -90,8 +91,8 @@
 	return *cla, true
 }
 
-// Evaluate returns the effect of changes that are made in order: the change of the shard,
-// a result for each, and whether the shard must be written. The shard itself stays
+// Evaluate returns the effect of changes in their order: the delta of the shard, a
+// result for each change, and whether the delta must be written. The shard itself stays
 // unchanged. The cost depends on the changes and not on the size of the shard.
 func (sha *Shard) Evaluate(coms []*messenger.ClaimCommit, now time.Time) (Delta, []*messenger.ClaimResult, bool) {
 	ovl := newOverlay(sha, len(coms))
@@ -106,7 +107,7 @@
 	return ovl.delta, results, changed
 }
 
-// apply applies a change to the shard.
+// apply applies a delta that is in the log.
 func (sha *Shard) apply(del Delta) {
 	if sha.claims == nil {
 		sha.claims, sha.seconds = map[string]*Claim{}, map[int64]*keySecond{}
@@ -131,7 +132,7 @@
 	slot := cla.slot()
 	second := sha.secondOf(cla)
 	if previous, ok := sha.claims[slot]; ok && previous.KeyTimeMs == cla.KeyTimeMs {
-		sha.count(second, previous, -1)
+		sha.addToTotals(second, previous, -1)
 	} else {
 		sha.remove(slot)
 		second = sha.secondOf(cla)
@@ -139,7 +140,7 @@
 	}
 	sha.claims[slot] = cla
 	second.newestMs = max(second.newestMs, cla.KeyTimeMs)
-	sha.count(second, cla, 1)
+	sha.addToTotals(second, cla, 1)
 }
 
 func (sha *Shard) secondOf(cla *Claim) *keySecond {
@@ -165,15 +166,15 @@
 	delete(sha.claims, slot)
 	unixSecond := cla.KeyTimeMs / millisPerSecond
 	second := sha.seconds[unixSecond]
-	sha.count(second, cla, -1)
+	sha.addToTotals(second, cla, -1)
 	if second.claims == 0 {
 		delete(sha.seconds, unixSecond)
 	}
 }
 
-// count adds a claim to the totals of a second and of the shard, or subtracts it if sign
-// is -1.
-func (sha *Shard) count(second *keySecond, cla *Claim, sign int) {
+// addToTotals adds a claim to the totals of a second and of the shard, or subtracts it
+// if sign is -1.
+func (sha *Shard) addToTotals(second *keySecond, cla *Claim, sign int) {
 	size, bodySize := sign*cla.size(), sign*cla.bodySize()
 	second.claims += sign
 	second.bytes += size
@@ -231,11 +232,11 @@
 			if !ok || cla.KeyTimeMs > untilMs || len(cla.Outcome.GetBody()) == 0 {
 				continue
 			}
-			sha.count(second, cla, -1)
+			sha.addToTotals(second, cla, -1)
 			cla = cla.withoutBody()
 			sha.shareOutcome(cla)
 			sha.claims[slot] = cla
-			sha.count(second, cla, 1)
+			sha.addToTotals(second, cla, 1)
 		}
 	}
 }
--- a/process/journaler/shard_test.go
+++ b/process/journaler/shard_test.go
@@ -81,22 +81,24 @@
 	return out
 }
 
-// requireRoundTrip checks that a shard is the same after it was encoded as a segment, and
-// after its last change was encoded as an entry.
-func requireRoundTrip(t *testing.T, old, next *Shard, del Delta) {
+// requireRoundTrip checks that a shard is the same after it was encoded as a segment,
+// and after its last delta was encoded as an entry. It applies that entry to before.
+func requireRoundTrip(t *testing.T, before, after *Shard, del Delta) {
 	t.Helper()
 	value, err := entry{8, del}.encode()
 	require.NoError(t, err)
 	ent, err := decodeEntry(value)
 	require.NoError(t, err)
 	require.Equal(t, uint64(8), ent.seq)
-	old.apply(ent.delta)
-	for _, decoded := range []*Shard{clone(t, next), old} {
-		require.Equal(t, formatShard(next), formatShard(decoded))
-		require.Equal(t, []int{next.bytes, next.bodyBytes}, []int{decoded.bytes, decoded.bodyBytes})
+	before.apply(ent.delta)
+	for _, decoded := range []*Shard{clone(t, after), before} {
+		require.Equal(t, formatShard(after), formatShard(decoded))
+		require.Equal(t, []int{after.bytes, after.bodyBytes}, []int{decoded.bytes, decoded.bodyBytes})
 	}
 }
 
+// TestShard runs the cases of the data files, and checks that Evaluate changes no shard
+// and that encoded deltas have the same effect.
 func TestShard(t *testing.T) {
 	datadriven.Walk(t, "testdata/shard", func(t *testing.T, path string) {
 		sha := &Shard{}
@@ -139,8 +141,8 @@
 	return []*messenger.ClaimCommit{claim, finish}
 }
 
-// filled returns a shard with a number of finished claims.
-func filled(t testing.TB, count int) *Shard {
+// shardWithFinished returns a shard with a number of finished claims.
+func shardWithFinished(t testing.TB, count int) *Shard {
 	var coms []*messenger.ClaimCommit
 	for n := range count {
 		coms = append(coms, finishedClaim(n, 0)...)
@@ -152,8 +154,9 @@
 	return sha
 }
 
-// fill adds finished claims until the shard refuses one, and returns their number.
-func fill(t testing.TB, sha *Shard, body int) int {
+// fillUntilRefused adds finished claims until the shard refuses a claim, and returns
+// the number of the added claims.
+func fillUntilRefused(t testing.TB, sha *Shard, body int) int {
 	const step = 1000
 	for count := 0; ; {
 		var coms []*messenger.ClaimCommit
@@ -172,9 +175,11 @@
 	}
 }
 
+// TestShardFull checks that a full shard drops bodies before it refuses claims, and
+// never drops a claim within its retention.
 func TestShardFull(t *testing.T) {
 	sha := &Shard{}
-	count := fill(t, sha, 2000)
+	count := fillUntilRefused(t, sha, 2000)
 	require.Greater(t, count, 5000, "bodies are dropped to make room for claims")
 	value, err := segment{delta: Delta{claims: sha.claims}}.encode()
 	require.NoError(t, err)
@@ -197,11 +202,11 @@
 		live = append(live, Member{ID: fmt.Sprintf("host-%02d", n)})
 	}
 	owned := map[string]int{}
-	for sha := range uint32(Shards) {
-		best := WriterHosts(sha, live, live[0])[0]
+	for shard := range uint32(Shards) {
+		best := WriterHosts(shard, live, live[0])[0]
 		owned[best.ID]++
 		for _, self := range live {
-			writers := WriterHosts(sha, live, self)
+			writers := WriterHosts(shard, live, self)
 			require.Equal(t, best, writers[0], "all hosts choose the same writer")
 			require.Equal(t, self, writers[len(writers)-1])
 			require.LessOrEqual(t, len(writers), maxForwards+1)
@@ -211,7 +216,7 @@
 				continue
 			}
 			rest := append(slices.Clone(live[:i]), live[i+1:]...)
-			require.Equal(t, best, WriterHosts(sha, rest, rest[0])[0])
+			require.Equal(t, best, WriterHosts(shard, rest, rest[0])[0])
 		}
 	}
 	require.Greater(t, len(owned), 14, "shards are spread over hosts")
--- a/process/journaler/world_test.go
+++ b/process/journaler/world_test.go
@@ -11,7 +11,20 @@
 	"hemlockpin/request/claimer"
 )
 
-// The steps of a call at which a fault can be injected, and the kinds of faults.
+// The steps of a call at which a fault can be injected, and the kinds of faults:
+//
+//   - down: the step fails without effect.
+//   - outage: the step's dependency is down until the faults are ended.
+//   - lost: the effect takes place, but its answer is lost.
+//   - late: the effect takes place when the faults are ended.
+//   - slow: the answer arrives after the call has expired.
+//   - conflict: another key of the shard is changed first.
+//   - foreign: another host runs the same call first.
+//   - die-before, die-after: the host dies before or after the effect.
+//   - pause-answer, pause-run: the host is paused while a repeat runs on another host;
+//     then its call expires, or runs on.
+//
+// At the step read, lost, late and slow are failed reads.
 var (
 	steps      = []string{"forward", "read", "write", "place", "dispatch", "finish", "release"}
 	faultKinds = []string{"down", "outage", "lost", "late", "slow", "conflict", "foreign", "die-before", "die-after", "pause-answer", "pause-run"}
@@ -29,8 +42,8 @@
 	return ""
 }
 
-// injectedFault is a fault at a step. It is injected the first time that its call reaches
-// the step; an outage lasts until all faults are ended.
+// injectedFault is a fault at a step. It is injected the first time that its call
+// reaches the step; an outage lasts until all faults are ended.
 type injectedFault struct {
 	step, kind string
 	done       bool
@@ -43,7 +56,7 @@
 // memory and one step at a time.
 type simulation struct {
 	shard        *Shard
-	version      uint64
+	seq          uint64
 	otherChanges int
 	// delayed holds effects that take place when the faults are ended.
 	delayed     []func()
@@ -72,7 +85,8 @@
 	return &simCall{sim: sim, host: host, faults: faults, state: claimer.State{KeyFromCaller: true}}
 }
 
-// dependency returns what a step depends on and what an outage at it makes unavailable.
+// dependency returns the dependency of a step, which an outage at the step makes
+// unavailable.
 func dependency(step string) string {
 	switch step {
 	case "read", "write", "finish", "release":
@@ -100,8 +114,8 @@
 	return ""
 }
 
-// before carries out the part of a fault that precedes the effect of a step.
-func (cal *simCall) before(fault string) {
+// beforeEffect carries out the part of a fault that precedes the effect of a step.
+func (cal *simCall) beforeEffect(fault string) {
 	switch fault {
 	case "conflict":
 		cal.sim.changeOtherKey()
@@ -118,7 +132,8 @@
 	}
 }
 
-func (cal *simCall) after(fault string) {
+// afterEffect carries out the part of a fault that follows the effect of a step.
+func (cal *simCall) afterEffect(fault string) {
 	switch fault {
 	case "die-after":
 		panic(hostDied{cal.host})
@@ -142,7 +157,7 @@
 	next.apply(Delta{sim.shard.forgottenMs, sim.shard.bodilessMs, sim.shard.claims})
 	next.apply(del)
 	sim.shard = next
-	sim.version++
+	sim.seq++
 }
 
 // repeatOn runs the same call on another host.
@@ -202,11 +217,12 @@
 	fn()
 }
 
-func (cal *simCall) run() { cal.runUntilDeath(cal.decide) }
+func (cal *simCall) run() { cal.runUntilDeath(cal.runSteps) }
 
-func (cal *simCall) decide() {
+// runSteps runs the call until its caller has an answer.
+func (cal *simCall) runSteps() {
 	res := cal.commit(messenger.ClaimCommit_STEP_CLAIM, "write")
-	// The time suffices for one pause.
+	// The time left suffices for one Await.
 	var eve claimer.Event = claimer.Claimed{State: res.GetState(), Outcome: res.GetOutcome(), Message: res.GetMessage(), Left: time.Second}
 	for {
 		sta, act := cal.state.Next(eve)
@@ -236,8 +252,8 @@
 
 func (cal *simCall) place() claimer.Event {
 	fault := cal.nextFault("place")
-	cal.before(fault)
-	cal.after(fault)
+	cal.beforeEffect(fault)
+	cal.afterEffect(fault)
 	if fault == "down" {
 		return claimer.Refused{Message: "none"}
 	}
@@ -246,9 +262,9 @@
 
 func (cal *simCall) dispatch() claimer.Event {
 	fault := cal.nextFault("dispatch")
-	cal.before(fault)
+	cal.beforeEffect(fault)
 	if fault == "down" || cal.sim.serviceDown && !cal.sim.faultsEnded {
-		cal.after(fault)
+		cal.afterEffect(fault)
 		return claimer.Failed{Endpoint: "service-0", Ran: invoker.NotRun}
 	}
 	if fault == "late" {
@@ -256,7 +272,7 @@
 		return claimer.Failed{Endpoint: "service-0", Ran: invoker.Unknown}
 	}
 	cal.runService()
-	cal.after(fault)
+	cal.afterEffect(fault)
 	if fault == "lost" {
 		return claimer.Failed{Endpoint: "service-0", Ran: invoker.Unknown}
 	}
@@ -270,9 +286,9 @@
 }
 
 // settle commits a change now and, if that fails, again when the faults are ended.
-func (cal *simCall) settle(ste messenger.ClaimCommit_Step, step string) {
+func (cal *simCall) settle(claimStep messenger.ClaimCommit_Step, faultStep string) {
 	try := func() bool {
-		sta := cal.commit(ste, step).GetState()
+		sta := cal.commit(claimStep, faultStep).GetState()
 		return sta != messenger.ClaimResult_STATE_UNKNOWN && sta != messenger.ClaimResult_STATE_NOT_COMMITTED
 	}
 	if try() {
@@ -285,39 +301,39 @@
 	})
 }
 
-func (cal *simCall) commit(ste messenger.ClaimCommit_Step, step string) *messenger.ClaimResult {
-	com := &messenger.ClaimCommit{Step: ste, Key: "key", BodyDigest: []byte("x"), Host: cal.host, Nonce: cal.host, KeyTimeMs: epoch.UnixMilli()}
-	if ste == messenger.ClaimCommit_STEP_FINISH {
+func (cal *simCall) commit(claimStep messenger.ClaimCommit_Step, faultStep string) *messenger.ClaimResult {
+	com := &messenger.ClaimCommit{Step: claimStep, Key: "key", BodyDigest: []byte("x"), Host: cal.host, Nonce: cal.host, KeyTimeMs: epoch.UnixMilli()}
+	if claimStep == messenger.ClaimCommit_STEP_FINISH {
 		com.Outcome = &messenger.Outcome{Status: 200}
 	}
 	if !cal.sim.forwards || cal.host != "first" {
-		return cal.write(com, step, cal)
+		return cal.write(com, faultStep, cal)
 	}
-	if res := cal.forward(com, step); res != nil {
+	if res := cal.forward(com, faultStep); res != nil {
 		return res
 	}
-	res := cal.write(com, step, cal)
+	res := cal.write(com, faultStep, cal)
 	if res.GetState() == messenger.ClaimResult_STATE_NOT_COMMITTED {
 		// The forwarded change may still take effect.
-		return unknown(res.GetMessage())
+		return unknownResult(res.GetMessage())
 	}
 	return res
 }
 
 // forward lets another host write the change. It returns nil if no answer arrives.
-func (cal *simCall) forward(com *messenger.ClaimCommit, step string) *messenger.ClaimResult {
+func (cal *simCall) forward(com *messenger.ClaimCommit, faultStep string) *messenger.ClaimResult {
 	wri := &simCall{sim: cal.sim, host: "writer", faults: cal.faults}
 	fault := cal.nextFault("forward")
-	cal.before(fault)
+	cal.beforeEffect(fault)
 	switch fault {
 	case "down":
 		return nil
 	case "late":
-		cal.sim.delayed = append(cal.sim.delayed, func() { wri.write(com, step, wri) })
+		cal.sim.delayed = append(cal.sim.delayed, func() { wri.write(com, faultStep, wri) })
 		return nil
 	}
-	res := wri.serve(com, step)
-	cal.after(fault)
+	res := wri.serve(com, faultStep)
+	cal.afterEffect(fault)
 	if fault == "lost" || res.GetState() == messenger.ClaimResult_STATE_UNKNOWN || res.GetState() == messenger.ClaimResult_STATE_NOT_COMMITTED {
 		return nil
 	}
@@ -325,14 +341,15 @@
 }
 
 // serve writes a forwarded change and returns even if the writer dies.
-func (cal *simCall) serve(com *messenger.ClaimCommit, step string) *messenger.ClaimResult {
-	res := unknown("the writer died")
-	cal.runUntilDeath(func() { res = cal.write(com, step, cal) })
+func (cal *simCall) serve(com *messenger.ClaimCommit, faultStep string) *messenger.ClaimResult {
+	res := unknownResult("the writer died")
+	cal.runUntilDeath(func() { res = cal.write(com, faultStep, cal) })
 	return res
 }
 
-// write runs a batch of one change against the store.
-func (cal *simCall) write(com *messenger.ClaimCommit, step string, target *simCall) *messenger.ClaimResult {
+// write runs a batch of one change against the store. target is the receiver in all
+// calls. The repeat starts with an outdated cached copy of the shard.
+func (cal *simCall) write(com *messenger.ClaimCommit, faultStep string, target *simCall) *messenger.ClaimResult {
 	bat := NewBatch([]*messenger.ClaimCommit{com}, &Shard{}, 0, target.host == "repeat")
 	var eve Event = Started{}
 	target.expired = target.expired && com.GetStep() == messenger.ClaimCommit_STEP_CLAIM
@@ -346,28 +363,28 @@
 		case try > 8 || target.expired && try > 0:
 			eve = Expired{}
 		default:
-			eve = target.carryOut(act, step)
+			eve = target.execute(act, faultStep)
 		}
 	}
 }
 
-func (cal *simCall) carryOut(act Action, step string) Event {
+func (cal *simCall) execute(act Action, faultStep string) Event {
 	sim := cal.sim
 	if _, ok := act.(Load); ok {
 		fault := cal.nextFault("read")
-		cal.before(fault)
-		shard, version := sim.shard, sim.version
-		cal.after(fault)
+		cal.beforeEffect(fault)
+		shard, seq := sim.shard, sim.seq
+		cal.afterEffect(fault)
 		if fault == "down" || fault == "lost" || fault == "late" || fault == "slow" {
 			return LoadFailed{fault}
 		}
-		return Loaded{shard, version}
+		return Loaded{shard, seq}
 	}
 	sto, _ := act.(Store)
-	fault := cal.nextFault(step)
-	cal.before(fault)
+	fault := cal.nextFault(faultStep)
+	cal.beforeEffect(fault)
 	put := func() bool {
-		if sto.Seq != sim.version {
+		if sto.Seq != sim.seq {
 			return false
 		}
 		sim.write(sto.Delta)
@@ -381,14 +398,14 @@
 		return WriteUnknown{fault}
 	}
 	ok := put()
-	cal.after(fault)
+	cal.afterEffect(fault)
 	switch {
 	case fault == "lost" || fault == "slow":
 		return WriteUnknown{fault}
 	case !ok:
 		return Conflicted{}
 	default:
-		return Stored{sim.version}
+		return Stored{sim.seq}
 	}
 }
 
@@ -412,6 +429,7 @@
 func simulate(faults ...*injectedFault) string {
 	sim := &simulation{shard: &Shard{}, outage: map[string]bool{}}
 	for _, fault := range faults {
+		// A claim is released only if the service could not run the call.
 		sim.serviceDown = sim.serviceDown || fault.step == "release"
 		sim.forwards = sim.forwards || fault.step == "forward"
 	}
--- a/process/journaler/writer.go
+++ b/process/journaler/writer.go
@@ -17,14 +17,16 @@
 )
 
 const (
-	// WritesPerShard bounds the writes a second of one shard by one writer. It limits the
-	// load on the store whatever the number of changes.
+	// WritesPerShard is the largest number of writes a second by one writer to one
+	// shard. It limits the load on the store whatever the number of changes.
 	WritesPerShard = 4
-	writeBurst     = 4
+	// writeBurst is the number of writes that may follow one another without a pause.
+	writeBurst = 4
 
-	// maxBatch and maxBatchBytes bound the changes of one write.
-	maxBatch      = 4096
-	maxBatchBytes = 200_000
+	// A batch has at most maxBatchChanges changes and ends with the change that brings
+	// its size to maxBatchBytes.
+	maxBatchChanges = 4096
+	maxBatchBytes   = 200_000
 	// storeTimeout bounds one call to the store.
 	storeTimeout = 2 * time.Second
 	// minRetryPause and maxRetryPause bound the pause between attempts of a batch.
@@ -33,38 +35,40 @@
 	// idlePeriod is how long a writer without changes keeps the content of the log in
 	// memory.
 	idlePeriod = time.Minute
-	// segmentWrites is the number of writes for a segment: the segment and the head. They
-	// count towards WritesPerShard.
+	// segmentWrites is the number of objects that are written for a segment: the
+	// segment and the head. Their writes count towards WritesPerShard.
 	segmentWrites = 2
 )
 
-// waiter is a change that waits for its result.
-type waiter struct {
+// pendingChange is a queued change whose result is awaited.
+type pendingChange struct {
 	com      *messenger.ClaimCommit
 	deadline time.Time
-	done     chan *messenger.ClaimResult
+	// done receives the result once.
+	done chan *messenger.ClaimResult
 }
 
 // writer collects the changes of one shard and commits them in batches. It runs only
-// while changes wait.
+// while changes are queued.
 type writer struct {
 	jou *Journal
 
 	mu      sync.Mutex
-	queue   []*waiter
+	queue   []*pendingChange
 	running bool
 	// idleTimer drops the cached log if no change arrives for idlePeriod.
 	idleTimer *time.Timer
 
-	// The fields below belong to the running batch.
+	// Only the goroutine of run uses limiter and log while running is true; otherwise
+	// mu guards them.
 	limiter *rate.Limiter
 	log     shardLog
 }
 
 func newWriter(jou *Journal, shard uint32) *writer {
-	log := shardLog{store: jou.Store, path: fmt.Sprintf("claims/%02d", shard), ring: ringEntries, segmentRing: ringSegments}
-	if jou.ring > 0 {
-		log.ring, log.segmentRing = jou.ring, jou.ring
+	log := shardLog{store: jou.Store, path: fmt.Sprintf("claims/%02d", shard), entryObjects: entryObjects, segmentObjects: segmentObjects}
+	if jou.ringSize > 0 {
+		log.entryObjects, log.segmentObjects = jou.ringSize, jou.ringSize
 	}
 	return &writer{jou: jou, limiter: rate.NewLimiter(WritesPerShard, writeBurst), log: log}
 }
@@ -76,23 +80,23 @@
 	if !ok {
 		deadline = wri.jou.now().Add(storeTimeout)
 	}
-	wai := &waiter{com: com, deadline: deadline, done: make(chan *messenger.ClaimResult, 1)}
-	wri.add(wai)
+	pen := &pendingChange{com: com, deadline: deadline, done: make(chan *messenger.ClaimResult, 1)}
+	wri.add(pen)
 	select {
-	case res := <-wai.done:
+	case res := <-pen.done:
 		return res
 	case <-ctx.Done():
 	}
-	if wri.withdraw(wai) {
+	if wri.withdraw(pen) {
 		return &messenger.ClaimResult{State: messenger.ClaimResult_STATE_NOT_COMMITTED, Message: "the time for the claim passed before it was written"}
 	}
-	return unknown("the time for the claim passed while it was written")
+	return unknownResult("the time for the claim passed while it was written")
 }
 
-func (wri *writer) add(wai *waiter) {
+func (wri *writer) add(pen *pendingChange) {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
-	wri.queue = append(wri.queue, wai)
+	wri.queue = append(wri.queue, pen)
 	if wri.running {
 		return
 	}
@@ -104,11 +108,11 @@
 }
 
 // withdraw removes a change from the queue and reports whether it was there.
-func (wri *writer) withdraw(wai *waiter) bool {
+func (wri *writer) withdraw(pen *pendingChange) bool {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
 	for i, other := range wri.queue {
-		if other == wai {
+		if other == pen {
 			wri.queue = append(wri.queue[:i:i], wri.queue[i+1:]...)
 			return true
 		}
@@ -116,7 +120,8 @@
 	return false
 }
 
-// continueRun reports whether changes wait. If there are none it marks the run as ended.
+// continueRun reports whether changes are queued. If not, it marks the run as ended and
+// starts idleTimer.
 func (wri *writer) continueRun() bool {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
@@ -137,40 +142,41 @@
 }
 
 // nextBatch removes the changes of the next batch from the queue.
-func (wri *writer) nextBatch() []*waiter {
+func (wri *writer) nextBatch() []*pendingChange {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
 	limit := wri.jou.batchLimit
 	if limit == 0 {
-		limit = maxBatch
+		limit = maxBatchChanges
 	}
 	n, size := 0, 0
 	for n < min(len(wri.queue), limit) && size < maxBatchBytes {
 		size += newClaim(wri.queue[n].com, ClaimHeld).size() + len(wri.queue[n].com.GetOutcome().GetBody())
 		n++
 	}
-	wais := wri.queue[:n:n]
+	pens := wri.queue[:n:n]
 	wri.queue = wri.queue[n:]
-	return wais
+	return pens
 }
 
 func (wri *writer) run() {
 	for wri.continueRun() {
 		// Under load, the changes of a batch arrive during this wait.
 		_ = wri.limiter.Wait(context.Background())
-		wais := wri.nextBatch()
-		if len(wais) == 0 {
+		pens := wri.nextBatch()
+		if len(pens) == 0 {
 			continue
 		}
-		results := wri.commitBatch(wais)
-		for i, wai := range wais {
-			wai.done <- results[i]
+		results := wri.commitBatch(pens)
+		for i, pen := range pens {
+			pen.done <- results[i]
 		}
 		wri.compact()
 	}
 }
 
-// compact writes a segment if one is due. A failure leaves the log as it is.
+// compact writes a segment if one is due. A failure leaves the stored log valid; a
+// later batch tries again.
 func (wri *writer) compact() {
 	if !wri.log.segmentDue() {
 		return
@@ -183,14 +189,14 @@
 	}
 }
 
-// commitBatch carries out the actions of one batch.
-func (wri *writer) commitBatch(wais []*waiter) []*messenger.ClaimResult {
-	coms := make([]*messenger.ClaimCommit, 0, len(wais))
+// commitBatch executes the actions of one batch.
+func (wri *writer) commitBatch(pens []*pendingChange) []*messenger.ClaimResult {
+	coms := make([]*messenger.ClaimCommit, 0, len(pens))
 	var deadline time.Time
-	for _, wai := range wais {
-		coms = append(coms, wai.com)
-		if wai.deadline.After(deadline) {
-			deadline = wai.deadline
+	for _, pen := range pens {
+		coms = append(coms, pen.com)
+		if pen.deadline.After(deadline) {
+			deadline = pen.deadline
 		}
 	}
 	ctx, stop := context.WithDeadline(context.Background(), deadline)
@@ -210,11 +216,13 @@
 		if loa, ok := act.(Load); ok && loa.Pause {
 			sleep(ctx, bac.NextBackOff())
 		}
-		eve = wri.carryOut(ctx, act)
+		eve = wri.execute(ctx, act)
 	}
 }
 
-func (wri *writer) carryOut(ctx context.Context, act Action) Event {
+// execute executes a Load or a Store and returns its event, or Expired if ctx has
+// ended. It is not called with an Answer.
+func (wri *writer) execute(ctx context.Context, act Action) Event {
 	if ctx.Err() != nil {
 		return Expired{}
 	}
@@ -265,12 +273,13 @@
 	}
 }
 
-// neverSent reports whether the error occurred before a connection was made.
+// neverSent reports whether the error occurred before a connection was made, so that
+// the request was certainly not sent.
 func neverSent(err error) bool {
 	var ope *net.OpError
 	return errors.As(err, &ope) && ope.Op == "dial"
 }
 
-func unknown(message string) *messenger.ClaimResult {
+func unknownResult(message string) *messenger.ClaimResult {
 	return &messenger.ClaimResult{State: messenger.ClaimResult_STATE_UNKNOWN, Message: message}
 }
