--- a/process/leaser/holder.go
+++ b/process/leaser/holder.go
@@ -11,6 +11,7 @@
 	"github.com/rotisserie/eris"
 )
 
+// storeTimeout bounds one call to the store.
 const storeTimeout = 2 * time.Second
 
 // ObjectStore is the part of the platform's object API that leases use.
@@ -38,10 +39,10 @@
 	return hol.Clock()
 }
 
-// Acquire waits until the lease is held, or renews a held one. The fencing number in Hold
-// changes if the lease ended in between. Acquire fails if ctx ends before the lease is
-// held.
-func (hol *Holder) Acquire(ctx context.Context) (Hold, error) {
+// Acquire waits until the lease is held or, if it is held already, extends it once half
+// of its term has passed. The fencing number in Held differs from the previous one if
+// the lease ended in between. Acquire fails if ctx ends before the lease is held.
+func (hol *Holder) Acquire(ctx context.Context) (Held, error) {
 	if hol.state.Nonce == "" {
 		hol.state = State{Host: hol.Host, Nonce: uuid.NewString()}
 	}
@@ -50,28 +51,28 @@
 		sta, act := hol.state.Next(eve, hol.now())
 		hol.state = sta
 		if ctx.Err() != nil {
-			return Hold{}, eris.Wrapf(ctx.Err(), "Holder.Acquire: lease %s held by %s", hol.Name, sta.lease.Host)
+			return Held{}, eris.Wrapf(ctx.Err(), "Holder.Acquire: lease %s held by %s", hol.Name, sta.lease.Host)
 		}
 		switch act := act.(type) {
-		case Hold:
+		case Held:
 			return act, nil
 		case Load:
 			eve = hol.load(ctx, act)
 		case Store:
-			eve = hol.write(ctx, act)
+			eve = hol.store(ctx, act)
 		default:
-			return Hold{}, eris.Errorf("Holder.Acquire: lease %s: unexpected action %T", hol.Name, act)
+			return Held{}, eris.Errorf("Holder.Acquire: lease %s: unexpected action %T", hol.Name, act)
 		}
 	}
 }
 
-// Release releases the lease with one write. If the write fails, other hosts can acquire
-// the lease after Term and Margin.
+// Release releases the lease with one write. If the write fails, other hosts can
+// acquire the lease once its object has not changed for Term and Margin.
 func (hol *Holder) Release(ctx context.Context) {
 	sta, act := hol.state.Next(ReleaseRequested{}, hol.now())
 	hol.state = sta
 	if sto, ok := act.(Store); ok {
-		hol.write(ctx, sto)
+		hol.store(ctx, sto)
 	}
 }
 
@@ -99,7 +100,7 @@
 	return Loaded{Lease: lea, Version: obj.Version}
 }
 
-func (hol *Holder) write(ctx context.Context, sto Store) Event {
+func (hol *Holder) store(ctx context.Context, sto Store) Event {
 	value, err := json.Marshal(sto.Lease)
 	if err != nil {
 		return WriteUnknown{err.Error()}
