--- a/internal/streammatrix/matrix_test.go
+++ b/internal/streammatrix/matrix_test.go
@@ -99,13 +99,13 @@
 	for _, step := range steps {
 		buf, err := os.ReadFile("testdata/" + step)
 		require.NoError(t, err)
-		txt := string(buf)
-		require.NotContains(t, txt, "VIOLATION")
-		require.Equal(t, len(faults), strings.Count(txt, "cell step="+step+" fault="))
+		text := string(buf)
+		require.NotContains(t, text, "VIOLATION")
+		require.Equal(t, len(faults), strings.Count(text, "cell step="+step+" fault="))
 		for i, first := range faults {
-			require.Contains(t, txt, fmt.Sprintf("cell step=%s fault=%s\n", step, first))
+			require.Contains(t, text, fmt.Sprintf("cell step=%s fault=%s\n", step, first))
 			for _, second := range faults[i+1:] {
-				require.Contains(t, txt, fmt.Sprintf("\n%s + %s: ", first, second))
+				require.Contains(t, text, fmt.Sprintf("\n%s + %s: ", first, second))
 			}
 		}
 	}
--- a/internal/testkit/fleet.go
+++ b/internal/testkit/fleet.go
@@ -233,13 +233,13 @@
 	i := len(fle.Hosts)
 	id := fmt.Sprintf("host-%d", i)
 	address, peer, operator := FreeAddress(), FreeAddress(), FreeAddress()
-	pla := fle.Platform.Address
+	platform := fle.Platform.Address
 	if fle.Plan.PlatformVia != nil {
-		pla = fle.Plan.PlatformVia(pla)
+		platform = fle.Plan.PlatformVia(platform)
 	}
 	args := []string{
 		"--host-id", id, "--data-center", fle.dataCenterOf(i), "--listen", address, "--peer-listen", peer,
-		"--operator-listen", operator, "--platform", "http://" + pla,
+		"--operator-listen", operator, "--platform", "http://" + platform,
 	}
 	if len(fle.Plan.Regions) > 0 {
 		args = append(args, "--region", fle.regionOf(i))
