--- a/internal/tableproof/clock_test.go
+++ b/internal/tableproof/clock_test.go
@@ -11,49 +11,52 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A host whose earlier process ran with its clock an hour ahead counts as alive
-// everywhere, whether it learns so before its start or in mid-work.
+// The earlier process of a host ran with its clock an hour ahead, so its peers know
+// an incarnation in the future. The host must choose a higher incarnation, and so
+// count as alive on all peers, whether it learns of the old one at its start or
+// while it serves requests.
 func TestClockBehind(t *testing.T) {
-	fle := start(t, testkit.Plan{Hosts: 3, Engines: 2, PlatformArgs: []string{"--list-lag", "200ms"}})
-	hos := fle.Hosts[2]
+	fle := startFleet(t, testkit.Plan{Hosts: 3, Engines: 2, PlatformArgs: []string{"--list-lag", "200ms"}})
+	host := fle.Hosts[2]
 	mul := &multiplexer.Multiplexer{}
 	defer mul.Close()
-	// ahead makes the other hosts hear of a process of the host with the clock ahead.
-	ahead := func(dur time.Duration) uint64 {
-		inc := uint64(time.Now().Add(dur).UnixNano())
-		mem := &messenger.Member{Id: hos.ID, Address: hos.Peer, DataCenter: "colombo", Incarnation: inc}
-		for _, oth := range fle.Hosts[:2] {
-			_, err := mul.Call(t.Context(), oth.Peer, &messenger.Envelope{Body: &messenger.Envelope_Ping{Ping: &messenger.Ping{From: mem, Target: oth.ID}}})
+	// reportAhead reports to the other hosts a process of the host whose clock is
+	// ahead, and returns its incarnation.
+	reportAhead := func(lead time.Duration) uint64 {
+		inc := uint64(time.Now().Add(lead).UnixNano())
+		mem := &messenger.Member{Id: host.ID, Address: host.Peer, DataCenter: "colombo", Incarnation: inc}
+		for _, other := range fle.Hosts[:2] {
+			_, err := mul.Call(t.Context(), other.Peer, &messenger.Envelope{Body: &messenger.Envelope_Ping{Ping: &messenger.Ping{From: mem, Target: other.ID}}})
 			require.NoError(t, err)
 		}
 		return inc
 	}
-	known := func(above uint64) {
-		for _, oth := range fle.Hosts[:2] {
+	waitKnown := func(above uint64) {
+		for _, other := range fle.Hosts[:2] {
 			require.NoError(t, testkit.Poll(t.Context(), settleBound, func() bool {
-				for _, per := range fle.status(oth).Peers {
-					if per.ID == hos.ID {
-						return per.Incarnation > above && per.State == "Alive"
+				for _, peer := range fle.status(other).Peers {
+					if peer.ID == host.ID {
+						return peer.Incarnation > above && peer.State == "Alive"
 					}
 				}
 				return false
-			}), "host %s", oth.ID)
+			}), "host %s", other.ID)
 		}
 	}
 
-	hos.Kill()
-	inc := ahead(time.Hour)
-	require.NoError(t, hos.Start())
-	known(inc)
-	require.Greater(t, fle.status(hos).Incarnation, inc, "it is learned before the start")
+	host.Kill()
+	inc := reportAhead(time.Hour)
+	require.NoError(t, host.Start())
+	waitKnown(inc)
+	require.Greater(t, fle.status(host).Incarnation, inc, "the host must learn the incarnation before it starts serving")
 
 	require.NoError(t, testkit.Poll(t.Context(), settleBound, func() bool {
-		return testkit.GetOK(t.Context(), "http://"+hos.Address+"/readyz") == nil
+		return testkit.GetOK(t.Context(), "http://"+host.Address+"/readyz") == nil
 	}))
-	inc = ahead(2 * time.Hour)
-	known(inc)
-	require.NoError(t, ask(t.Context(), hos.Address, "long", 1000))
-	for _, oth := range fle.Hosts[:2] {
-		require.Zero(t, metrics(t, oth)[`reclaimed{reason="Replaced"}`], "host %s freed the work of a live process", oth.ID)
+	inc = reportAhead(2 * time.Hour)
+	waitKnown(inc)
+	require.NoError(t, ask(t.Context(), host.Address, "long", 1000))
+	for _, other := range fle.Hosts[:2] {
+		require.Zero(t, metrics(t, other)[`reclaimed{reason="Replaced"}`], "host %s freed the work of a live process", other.ID)
 	}
 }
--- a/internal/tableproof/drain_test.go
+++ b/internal/tableproof/drain_test.go
@@ -22,7 +22,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// balancer sends callers to hosts that are ready, as the platform's does.
+// balancer chooses among the hosts that are ready, as the platform's load balancer
+// does.
 type balancer struct {
 	mu    sync.Mutex
 	ready []string
@@ -30,14 +31,14 @@
 
 func (bal *balancer) run(ctx context.Context, fle *fleet) {
 	for ctx.Err() == nil {
-		var add []string
-		for _, hos := range fle.Hosts {
-			if testkit.GetOK(ctx, "http://"+hos.Address+"/readyz") == nil {
-				add = append(add, hos.Address)
+		var addresses []string
+		for _, host := range fle.Hosts {
+			if testkit.GetOK(ctx, "http://"+host.Address+"/readyz") == nil {
+				addresses = append(addresses, host.Address)
 			}
 		}
 		bal.mu.Lock()
-		bal.ready = add
+		bal.ready = addresses
 		bal.mu.Unlock()
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -65,72 +66,73 @@
 		return err
 	}
 	defer res.Body.Close()
-	txt, err := io.ReadAll(res.Body)
+	text, err := io.ReadAll(res.Body)
 	if err == nil && res.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d: %s", res.StatusCode, txt)
+		return fmt.Errorf("status %d: %s", res.StatusCode, text)
 	}
 	return err
 }
 
-// Every host is restarted in turn under streaming load and bookings. No request
-// in progress is cut, and no booking runs twice.
+// Every host is restarted in turn under a load of streams and bookings. No request
+// in progress may be aborted, and no booking may run twice.
 func TestRollingRestart(t *testing.T) {
-	fle := start(t, testkit.Plan{Hosts: 3, Engines: 2, Services: 1, PlatformArgs: []string{"--list-lag", "200ms"}})
+	fle := startFleet(t, testkit.Plan{Hosts: 3, Engines: 2, Services: 1, PlatformArgs: []string{"--list-lag", "200ms"}})
 	ctx, stop := context.WithCancel(t.Context())
 	var bal balancer
-	var gro sync.WaitGroup
+	var wg sync.WaitGroup
 	var streams, bookings, failed atomic.Int64
-	gro.Go(func() { bal.run(ctx, fle) })
+	wg.Go(func() { bal.run(ctx, fle) })
 	require.NoError(t, testkit.Poll(t.Context(), settleBound, func() bool { return bal.pick() != "" }))
-	load := func(num int, count *atomic.Int64, one func(address string, ind int) error) {
-		for wor := range num {
-			gro.Go(func() {
-				for ind := 0; ctx.Err() == nil; ind++ {
-					if err := one(bal.pick(), wor*10000+ind); err != nil {
+	load := func(n int, count *atomic.Int64, send func(address string, i int) error) {
+		for worker := range n {
+			wg.Go(func() {
+				for i := 0; ctx.Err() == nil; i++ {
+					if err := send(bal.pick(), worker*10000+i); err != nil {
 						failed.Add(1)
-						t.Errorf("a request was cut: %v", err)
+						t.Errorf("a request was aborted: %v", err)
 					}
 					count.Add(1)
 				}
 			})
 		}
 	}
-	load(8, &streams, func(address string, ind int) error {
-		return ask(context.Background(), address, fmt.Sprintf("question %d", ind), 250)
+	load(8, &streams, func(address string, i int) error {
+		return ask(context.Background(), address, fmt.Sprintf("question %d", i), 250)
 	})
 	load(3, &bookings, func(address string, _ int) error { return book(context.Background(), address) })
-	for _, hos := range fle.Hosts {
-		require.NoError(t, hos.Signal(syscall.SIGTERM))
-		code, err := hos.Wait(settleBound)
+	for _, host := range fle.Hosts {
+		require.NoError(t, host.Signal(syscall.SIGTERM))
+		code, err := host.Wait(settleBound)
 		require.NoError(t, err)
 		require.Zero(t, code)
-		require.NoError(t, hos.Start())
+		require.NoError(t, host.Start())
 		require.NoError(t, testkit.Poll(t.Context(), settleBound, func() bool {
-			return testkit.GetOK(t.Context(), "http://"+hos.Address+"/readyz") == nil
+			return testkit.GetOK(t.Context(), "http://"+host.Address+"/readyz") == nil
 		}))
 	}
 	stop()
-	gro.Wait()
-	t.Logf("streams %d, bookings %d, cut %d", streams.Load(), bookings.Load(), failed.Load())
+	wg.Wait()
+	t.Logf("streams %d, bookings %d, aborted %d", streams.Load(), bookings.Load(), failed.Load())
 	var runs map[string]int
 	require.NoError(t, testkit.GetJSON(t.Context(), "http://"+fle.Services[0].Address+"/control/runs", &runs))
 	require.Len(t, runs, int(bookings.Load()-failed.Load()))
-	for key, num := range runs {
-		require.Equal(t, 1, num, "booking %s", key)
+	for key, n := range runs {
+		require.Equal(t, 1, n, "booking %s", key)
 	}
-	fle.waitLive(3)
+	fle.waitAlive(3)
 }
 
-// A second signal ends a drain at once.
-func TestSecondSignalCuts(t *testing.T) {
-	fle := start(t, testkit.Plan{Hosts: 1, Engines: 1, PlatformArgs: []string{"--list-lag", "200ms"}})
+// A second SIGTERM ends a drain at once: the host aborts its requests and exits with
+// code 1.
+func TestSecondSignalAborts(t *testing.T) {
+	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 1, PlatformArgs: []string{"--list-lag", "200ms"}})
 	res := make(chan error, 1)
 	go func() { res <- ask(context.Background(), fle.Hosts[0].Address, "long", 3000) }()
 	require.NoError(t, testkit.Poll(t.Context(), settleBound, func() bool { return fle.status(fle.Hosts[0]).Requests > 0 }))
 	require.NoError(t, fle.Hosts[0].Signal(syscall.SIGTERM))
 	require.NoError(t, testkit.Poll(t.Context(), settleBound, func() bool { return fle.status(fle.Hosts[0]).Draining }))
 	_, err := fle.Hosts[0].Wait(2 * time.Second)
-	require.Error(t, err, "the host waits for the request")
+	require.Error(t, err, "the host must wait for the request")
 	require.NoError(t, fle.Hosts[0].Signal(syscall.SIGTERM))
 	code, err := fle.Hosts[0].Wait(5 * time.Second)
 	require.NoError(t, err)
@@ -138,23 +140,23 @@
 	require.Error(t, <-res)
 }
 
-// A leaving endpoint gets no new work on any host after the bound, and its
-// running work finishes whole.
+// After leavingBound no host may send new requests to a leaving endpoint, and
+// its running requests must be completed.
 func TestLeavingEndpoint(t *testing.T) {
-	itself := func(fle *fleet, eng *testkit.Process) error {
+	leaveByReport := func(fle *fleet, eng *testkit.Process) error {
 		return fle.Fault(fle.t.Context(), eng, struct{ Leaving bool }{true})
 	}
-	// Only the first host reads the engines' reports after the start.
-	blind := func(ind int) []string {
+	// With these arguments only the first host polls the engines after the start.
+	withoutReports := func(i int) []string {
 		args := []string{"--placement", "two-choices"}
-		if ind > 0 {
+		if i > 0 {
 			args = append(args, "--load-interval", "1h")
 		}
 		return args
 	}
-	tts := []struct {
+	tests := []struct {
 		name  string
-		args  func(ind int) []string
+		args  func(i int) []string
 		leave func(fle *fleet, eng *testkit.Process) error
 	}{
 		{"by the list", nil, func(fle *fleet, eng *testkit.Process) error {
@@ -163,48 +165,48 @@
 				Models: []string{testkit.Model}, Leaving: true,
 			})
 		}},
-		{"by itself", nil, itself},
-		{"by a peer's notice", blind, itself},
+		{"by itself", nil, leaveByReport},
+		{"by a peer's notice", withoutReports, leaveByReport},
 	}
-	for _, tt := range tts {
+	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			fle := start(t, testkit.Plan{Hosts: 3, Engines: 2, PlatformArgs: []string{"--list-lag", "1s"}, HostArgsFor: tt.args})
-			var gro sync.WaitGroup
-			for ind := range 6 {
-				gro.Go(func() {
-					err := ask(context.Background(), fle.Hosts[ind%3].Address, fmt.Sprintf("long %d", ind), 600)
+			fle := startFleet(t, testkit.Plan{Hosts: 3, Engines: 2, PlatformArgs: []string{"--list-lag", "1s"}, HostArgsFor: tt.args})
+			var wg sync.WaitGroup
+			for i := range 6 {
+				wg.Go(func() {
+					err := ask(context.Background(), fle.Hosts[i%3].Address, fmt.Sprintf("long %d", i), 600)
 					if err != nil {
-						t.Errorf("running work was cut: %v", err)
+						t.Errorf("a running request was aborted: %v", err)
 					}
 				})
 			}
 			eng := fle.Engines[0]
-			require.NoError(t, testkit.Poll(t.Context(), settleBound, func() bool { return load(t, eng).Running > 0 }))
+			require.NoError(t, testkit.Poll(t.Context(), settleBound, func() bool { return engineLoad(t, eng).Running > 0 }))
 			require.NoError(t, tt.leave(fle, eng))
 			time.Sleep(leavingBound)
-			for _, hos := range fle.Hosts {
-				require.True(t, holdsLeaving(t, hos, eng.ID), "host %s", hos.ID)
+			for _, host := range fle.Hosts {
+				require.True(t, holdsLeaving(t, host, eng.ID), "host %s", host.ID)
 			}
-			running := load(t, eng).Running
-			for ind := range 30 {
-				require.NoError(t, ask(t.Context(), fle.Hosts[ind%3].Address, fmt.Sprintf("new %d", ind), 2))
-				now := load(t, eng)
-				require.LessOrEqual(t, now.Running+now.Queued, running, "no new work")
+			running := engineLoad(t, eng).Running
+			for i := range 30 {
+				require.NoError(t, ask(t.Context(), fle.Hosts[i%3].Address, fmt.Sprintf("new %d", i), 2))
+				now := engineLoad(t, eng)
+				require.LessOrEqual(t, now.Running+now.Queued, running, "the engine must get no new requests")
 				running = now.Running
 			}
-			gro.Wait()
+			wg.Wait()
 		})
 	}
 }
 
-// holdsLeaving reports whether a host holds an endpoint to be leaving.
-func holdsLeaving(t *testing.T, hos *testkit.Process, id string) bool {
-	var ends []server.EndpointStatus
-	require.NoError(t, testkit.GetJSON(t.Context(), "http://"+hos.Operator+"/v1/status/endpoints", &ends))
-	return slices.ContainsFunc(ends, func(end server.EndpointStatus) bool { return end.ID == id && end.Leaving })
+// holdsLeaving reports whether an endpoint is leaving in the view of a host.
+func holdsLeaving(t *testing.T, host *testkit.Process, id string) bool {
+	var endpoints []server.EndpointStatus
+	require.NoError(t, testkit.GetJSON(t.Context(), "http://"+host.Operator+"/v1/status/endpoints", &endpoints))
+	return slices.ContainsFunc(endpoints, func(end server.EndpointStatus) bool { return end.ID == id && end.Leaving })
 }
 
-func load(t *testing.T, eng *testkit.Process) (loa struct{ Running, Queued int }) {
+func engineLoad(t *testing.T, eng *testkit.Process) (loa struct{ Running, Queued int }) {
 	require.NoError(t, testkit.GetJSON(t.Context(), "http://"+eng.Address+"/v1/load", &loa))
 	return loa
 }
--- a/internal/tableproof/fleet_test.go
+++ b/internal/tableproof/fleet_test.go
@@ -21,15 +21,18 @@
 )
 
 const (
-	// inForceBound is how soon an accepted edit must be in force everywhere.
+	// inForceBound is the time within which an accepted edit must be in force
+	// on all hosts.
 	inForceBound = 7 * time.Second
-	// leavingBound is how soon a leaving endpoint must get no new work.
+	// leavingBound is the time after which a leaving endpoint must get no new
+	// requests.
 	leavingBound = 3 * time.Second
-	// settleBound is how long a fleet may take to find itself again.
+	// settleBound bounds the wait until the hosts of a fleet agree again after
+	// a change or a fault.
 	settleBound = 30 * time.Second
 )
 
-// fleet is a fleet whose hosts reach the platform and each other over links.
+// fleet is a fleet whose hosts reach the platform and each other through links.
 type fleet struct {
 	*testkit.Fleet
 	t *testing.T
@@ -46,8 +49,9 @@
 	return lin
 }
 
-// start starts a fleet. Each host is told the peer address of the first one.
-func start(t *testing.T, pla testkit.Plan) *fleet {
+// startFleet starts a fleet and waits until all hosts know each other. The first
+// host is the seed peer of the others.
+func startFleet(t *testing.T, pla testkit.Plan) *fleet {
 	t.Helper()
 	bin, err := testkit.Build()
 	require.NoError(t, err)
@@ -60,12 +64,12 @@
 	pla.Tables = testkit.SampleTables()
 	pla.HostArgs = append(pla.HostArgs, "--drain-notice", "500ms")
 	more := pla.HostArgsFor
-	pla.HostArgsFor = func(ind int) []string {
+	pla.HostArgsFor = func(i int) []string {
 		var args []string
 		if more != nil {
-			args = more(ind)
+			args = more(i)
 		}
-		if ind == 0 || fle.Fleet == nil {
+		if i == 0 || fle.Fleet == nil {
 			return args
 		}
 		return append(args, "--seed-peer", fle.Hosts[0].Peer)
@@ -86,41 +90,43 @@
 	fle.Fleet, err = testkit.Start(t.Context(), pla)
 	require.NoError(t, err)
 	t.Cleanup(fle.Stop)
-	fle.waitLive(len(fle.Hosts))
+	fle.waitAlive(len(fle.Hosts))
 	return fle
 }
 
-func (fle *fleet) status(hos *testkit.Process) server.Status {
-	sta, err := fle.Status(context.Background(), hos)
+func (fle *fleet) status(host *testkit.Process) server.Status {
+	sta, err := fle.Status(context.Background(), host)
 	if err != nil {
 		return server.Status{}
 	}
 	return sta
 }
 
-// waitLive waits until each host holds num hosts alive, itself included.
-func (fle *fleet) waitLive(num int) {
+// waitAlive waits until each host has n hosts as alive in its view, itself
+// included.
+func (fle *fleet) waitAlive(n int) {
 	fle.t.Helper()
-	for _, hos := range fle.Hosts {
+	for _, host := range fle.Hosts {
 		err := testkit.Poll(fle.t.Context(), settleBound, func() bool {
-			ali := 1
-			for _, per := range fle.status(hos).Peers {
-				if per.State == "Alive" {
-					ali++
+			alive := 1
+			for _, peer := range fle.status(host).Peers {
+				if peer.State == "Alive" {
+					alive++
 				}
 			}
-			return ali == num
+			return alive == n
 		})
-		require.NoError(fle.t, err, "host %s", hos.ID)
+		require.NoError(fle.t, err, "host %s", host.ID)
 	}
 }
 
-// waitRevision waits until the hosts have a revision in force.
-func (fle *fleet) waitRevision(rev uint64, bound time.Duration, hoss ...*testkit.Process) {
+// waitRevision waits until the given hosts have at least the given revision in
+// force.
+func (fle *fleet) waitRevision(rev uint64, bound time.Duration, hosts ...*testkit.Process) {
 	fle.t.Helper()
-	for _, hos := range hoss {
-		err := testkit.Poll(fle.t.Context(), bound, func() bool { return fle.status(hos).TablesRevision >= rev })
-		require.NoError(fle.t, err, "host %s has revision %d", hos.ID, fle.status(hos).TablesRevision)
+	for _, host := range hosts {
+		err := testkit.Poll(fle.t.Context(), bound, func() bool { return fle.status(host).TablesRevision >= rev })
+		require.NoError(fle.t, err, "host %s has revision %d", host.ID, fle.status(host).TablesRevision)
 	}
 }
 
@@ -128,8 +134,9 @@
 	require.NoError(fle.t, fle.Fault(fle.t.Context(), fle.Platform, struct{ Down bool }{down}))
 }
 
-// tables returns the sample tables with a time limit in seconds as a mark.
-func tables(mark int) parser.Tables {
+// tablesWithMark returns the sample tables, marked by a number that is the time
+// limit of the first route in seconds.
+func tablesWithMark(mark int) parser.Tables {
 	tab := testkit.SampleTables()
 	tab.Routes[0].TimeLimit = parser.Duration(time.Duration(mark) * time.Second)
 	return tab
@@ -137,18 +144,18 @@
 
 func markOf(tab parser.Tables) int { return int(time.Duration(tab.Routes[0].TimeLimit) / time.Second) }
 
-// watchRevisions fails the test when a host shows a lower revision than before.
-// The function returned ends the watching.
+// watchRevisions polls the revisions of all hosts and fails the test when a host
+// reports a lower revision than before. The returned function stops the polling.
 func (fle *fleet) watchRevisions() func() {
 	ctx, stop := context.WithCancel(context.Background())
-	var gro sync.WaitGroup
-	for _, hos := range fle.Hosts {
-		gro.Go(func() {
+	var wg sync.WaitGroup
+	for _, host := range fle.Hosts {
+		wg.Go(func() {
 			last := uint64(0)
 			for ctx.Err() == nil {
-				if sta, err := fle.Status(ctx, hos); err == nil {
+				if sta, err := fle.Status(ctx, host); err == nil {
 					if sta.TablesRevision < last {
-						fle.t.Errorf("host %s went back from %d to %d", hos.ID, last, sta.TablesRevision)
+						fle.t.Errorf("host %s went back from %d to %d", host.ID, last, sta.TablesRevision)
 					}
 					last = sta.TablesRevision
 				}
@@ -158,19 +165,20 @@
 	}
 	return func() {
 		stop()
-		gro.Wait()
+		wg.Wait()
 	}
 }
 
 func answerText(text string, tokens int64) string {
 	var bui strings.Builder
-	for ind := range tokens {
-		bui.WriteString(generator.TokenText("user: "+text+"\n", 0, ind))
+	for i := range tokens {
+		bui.WriteString(generator.TokenText("user: "+text+"\n", 0, i))
 	}
 	return bui.String()
 }
 
-// ask streams one answer through a host and returns an error unless it is whole.
+// ask requests a streamed answer through a host and returns an error unless the
+// answer is complete.
 func ask(ctx context.Context, address, text string, tokens int64) error {
 	tra := &http.Transport{DisableKeepAlives: true}
 	cli := openai.NewClient(option.WithBaseURL("http://"+address+"/v1/"), option.WithAPIKey(testkit.Key),
@@ -187,7 +195,7 @@
 		return err
 	}
 	if len(acc.Choices) == 0 || acc.Choices[0].Message.Content != answerText(text, tokens) {
-		return fmt.Errorf("the answer of %s is not whole: %+v", address, acc.Choices)
+		return fmt.Errorf("the answer of %s is not complete: %+v", address, acc.Choices)
 	}
 	return nil
 }
--- a/internal/tableproof/region_test.go
+++ b/internal/tableproof/region_test.go
@@ -8,45 +8,46 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each region has few watchers of the platform. A region that is cut off from
-// the platform gets an edit from its peers.
+// Two hosts of each region watch the platform. A region that is cut off from the
+// platform must receive an edit from peers in the other region.
 func TestRegions(t *testing.T) {
-	fle := start(t, testkit.Plan{
+	fle := startFleet(t, testkit.Plan{
 		Hosts: 7, PlatformArgs: []string{"--list-lag", "200ms"},
-		HostArgsFor: func(ind int) []string { return []string{"--region", []string{"western", "mu-island"}[ind%2]} },
+		HostArgsFor: func(i int) []string { return []string{"--region", []string{"western", "mu-island"}[i%2]} },
 	})
 	defer fle.watchRevisions()()
-	watching := func() (num [2]int) {
-		for ind, hos := range fle.Hosts {
-			if fle.status(hos).TablesWatched {
-				num[ind%2]++
+	watching := func() (watchers [2]int) {
+		for i, host := range fle.Hosts {
+			if fle.status(host).TablesWatched {
+				watchers[i%2]++
 			}
 		}
-		return num
+		return watchers
 	}
 	require.NoError(t, testkit.Poll(t.Context(), settleBound, func() bool { return watching() == [2]int{2, 2} }))
-	for ind, lin := range fle.platforms {
-		if ind%2 == 1 {
+	for i, lin := range fle.platforms {
+		if i%2 == 1 {
 			lin.Cut()
 		}
 	}
-	out, err := fle.Edit(t.Context(), 0, tables(9), 1)
+	out, err := fle.Edit(t.Context(), 0, tablesWithMark(9), 1)
 	require.NoError(t, err)
 	fle.waitRevision(out.Revision, inForceBound, fle.Hosts...)
 
-	// Both watchers of a region die; others take over within the bound.
-	for _, hos := range fle.Hosts[2:] {
-		if fle.status(hos).TablesWatched {
-			hos.Kill()
+	// All watchers but host-0 and host-1 are killed. Other hosts must take over,
+	// and an edit must be in force within the bound.
+	for _, host := range fle.Hosts[2:] {
+		if fle.status(host).TablesWatched {
+			host.Kill()
 		}
 	}
 	var left []*testkit.Process
-	for _, hos := range fle.Hosts {
-		if fle.status(hos).Host != "" {
-			left = append(left, hos)
+	for _, host := range fle.Hosts {
+		if fle.status(host).Host != "" {
+			left = append(left, host)
 		}
 	}
-	out, err = fle.Edit(t.Context(), 0, tables(10), out.Revision)
+	out, err = fle.Edit(t.Context(), 0, tablesWithMark(10), out.Revision)
 	require.NoError(t, err)
 	fle.waitRevision(out.Revision, inForceBound, left...)
 }
--- a/internal/tableproof/slope_test.go
+++ b/internal/tableproof/slope_test.go
@@ -18,127 +18,129 @@
 )
 
 const (
-	// slopeVariable names the sizes of the fleets to measure, such as 5,10,20,40.
+	// slopeVariable is the environment variable with the sizes of the fleets to
+	// measure, such as 5,10,20,40.
 	slopeVariable = "HEMLOCKPIN_SLOPE"
-	// endpointsVariable is the number of engines beside the hosts; none if it
-	// is not set.
+	// endpointsVariable is the environment variable with the number of engines;
+	// there are none if it is not set.
 	endpointsVariable = "HEMLOCKPIN_SLOPE_ENGINES"
-	// regionsVariable is the number of regions; with several, the pool of engines
-	// has overflow between all.
+	// regionsVariable is the environment variable with the number of regions.
+	// If it is set, the engine pool may overflow to any region.
 	regionsVariable = "HEMLOCKPIN_SLOPE_REGIONS"
 	slopeTime       = 30 * time.Second
 	// ticksPerSecond is the unit of processor times in /proc.
 	ticksPerSecond = 100
 )
 
-// sample is what an idle host has used so far.
-type sample struct {
-	peerBytes, peerOpened, platformBytes, endpointBytes, cpuSeconds, residentKB float64
+// usage is what a host has used since its start, and its resident memory now.
+type usage struct {
+	peerBytes, peerConnectionsOpened, platformBytes, endpointBytes, cpuSeconds, residentKB float64
 }
 
-// TestControlSlope measures what control costs an idle host at several sizes of
-// the fleet. It is not run in CI.
+// TestControlSlope measures how the cost of control traffic to an idle host grows
+// with the size of the fleet. It is not run in CI.
 func TestControlSlope(t *testing.T) {
 	sizes := os.Getenv(slopeVariable)
 	if sizes == "" {
 		t.Skipf("%s is not set", slopeVariable)
 	}
 	t.Logf("hosts | peer B/s median, max | connections/s | platform B/s median, max | endpoint B/s median, max | %% of a core median, max | MB median | platform calls/s")
-	for _, txt := range strings.Split(sizes, ",") {
-		num, err := strconv.Atoi(txt)
+	for _, text := range strings.Split(sizes, ",") {
+		hosts, err := strconv.Atoi(text)
 		require.NoError(t, err)
-		measure(t, num)
+		measure(t, hosts)
 	}
 }
 
-func measure(t *testing.T, num int) {
+func measure(t *testing.T, hosts int) {
 	bin, err := testkit.Build()
 	require.NoError(t, err)
 	engines, _ := strconv.Atoi(os.Getenv(endpointsVariable))
-	plan := testkit.Plan{Bin: bin, Model: testkit.Model, Hosts: num, Engines: engines, Tables: testkit.SampleTables()}
+	plan := testkit.Plan{Bin: bin, Model: testkit.Model, Hosts: hosts, Engines: engines, Tables: testkit.SampleTables()}
 	regions, _ := strconv.Atoi(os.Getenv(regionsVariable))
-	for ind := range regions {
-		plan.Regions = append(plan.Regions, fmt.Sprintf("region-%d", ind))
+	for i := range regions {
+		plan.Regions = append(plan.Regions, fmt.Sprintf("region-%d", i))
 		plan.Tables.Pools[0].Overflow = []string{parser.AnyRegion}
 	}
 	fle, err := testkit.Start(t.Context(), plan)
 	require.NoError(t, err)
 	defer fle.Stop()
-	(&fleet{Fleet: fle, t: t}).waitLive(num)
-	// The updates of the start are passed on for a while.
+	(&fleet{Fleet: fle, t: t}).waitAlive(hosts)
+	// Updates from the start are still disseminated for some time.
 	time.Sleep(slopeTime)
-	befCalls := platformCalls(t, fle)
-	var bef, aft []sample
-	for _, hos := range fle.Hosts {
-		bef = append(bef, take(t, hos))
+	callsBefore := platformCalls(t, fle)
+	var before, after []usage
+	for _, host := range fle.Hosts {
+		before = append(before, takeSample(t, host))
 	}
 	time.Sleep(slopeTime)
-	for _, hos := range fle.Hosts {
-		aft = append(aft, take(t, hos))
+	for _, host := range fle.Hosts {
+		after = append(after, takeSample(t, host))
 	}
-	calls := platformCalls(t, fle) - befCalls
-	per := func(get func(sample) float64) (median, most float64) {
-		var vals []float64
-		for ind := range aft {
-			vals = append(vals, (get(aft[ind])-get(bef[ind]))/slopeTime.Seconds())
+	calls := platformCalls(t, fle) - callsBefore
+	perSecond := func(get func(usage) float64) (median, highest float64) {
+		var values []float64
+		for i := range after {
+			values = append(values, (get(after[i])-get(before[i]))/slopeTime.Seconds())
 		}
-		slices.Sort(vals)
-		return vals[len(vals)/2], vals[len(vals)-1]
+		slices.Sort(values)
+		return values[len(values)/2], values[len(values)-1]
 	}
-	pee, peeMost := per(func(sam sample) float64 { return sam.peerBytes })
-	ope, _ := per(func(sam sample) float64 { return sam.peerOpened })
-	pla, plaMost := per(func(sam sample) float64 { return sam.platformBytes })
-	end, endMost := per(func(sam sample) float64 { return sam.endpointBytes })
-	cpu, cpuMost := per(func(sam sample) float64 { return 100 * sam.cpuSeconds })
+	peer, peerMax := perSecond(func(use usage) float64 { return use.peerBytes })
+	opened, _ := perSecond(func(use usage) float64 { return use.peerConnectionsOpened })
+	platform, platformMax := perSecond(func(use usage) float64 { return use.platformBytes })
+	endpoint, endpointMax := perSecond(func(use usage) float64 { return use.endpointBytes })
+	cpu, cpuMax := perSecond(func(use usage) float64 { return 100 * use.cpuSeconds })
 	t.Logf("%d | %.0f, %.0f | %.2f | %.0f, %.0f | %.0f, %.0f | %.2f, %.2f | %.1f | %.1f",
-		num, pee, peeMost, ope, pla, plaMost, end, endMost, cpu, cpuMost, aft[num/2].residentKB/1024, calls/slopeTime.Seconds())
+		hosts, peer, peerMax, opened, platform, platformMax, endpoint, endpointMax, cpu, cpuMax, after[hosts/2].residentKB/1024, calls/slopeTime.Seconds())
 }
 
 func platformCalls(t *testing.T, fle *testkit.Fleet) float64 {
-	var cou struct{ Reads, Writes int }
-	require.NoError(t, testkit.GetJSON(t.Context(), "http://"+fle.Platform.Address+"/control/counts", &cou))
-	return float64(cou.Reads + cou.Writes)
+	var counts struct{ Reads, Writes int }
+	require.NoError(t, testkit.GetJSON(t.Context(), "http://"+fle.Platform.Address+"/control/counts", &counts))
+	return float64(counts.Reads + counts.Writes)
 }
 
-func take(t *testing.T, hos *testkit.Process) sample {
-	met := metrics(t, hos)
-	cpu := strings.Fields(readProc(t, hos, "stat"))
-	use, _ := strconv.ParseFloat(cpu[13], 64)
+func takeSample(t *testing.T, host *testkit.Process) usage {
+	values := metrics(t, host)
+	cpu := strings.Fields(readProc(t, host, "stat"))
+	user, _ := strconv.ParseFloat(cpu[13], 64)
 	sys, _ := strconv.ParseFloat(cpu[14], 64)
-	sam := sample{
-		peerBytes:     met[`control_bytes_sent{with="peer"}`] + met[`control_bytes_received{with="peer"}`],
-		peerOpened:    met[`control_connections_opened{with="peer"}`],
-		platformBytes: met[`control_bytes_sent{with="platform"}`] + met[`control_bytes_received{with="platform"}`],
-		endpointBytes: met[`control_bytes_sent{with="endpoint"}`] + met[`control_bytes_received{with="endpoint"}`],
-		cpuSeconds:    (use + sys) / ticksPerSecond,
+	use := usage{
+		peerBytes:             values[`control_bytes_sent{with="peer"}`] + values[`control_bytes_received{with="peer"}`],
+		peerConnectionsOpened: values[`control_connections_opened{with="peer"}`],
+		platformBytes:         values[`control_bytes_sent{with="platform"}`] + values[`control_bytes_received{with="platform"}`],
+		endpointBytes:         values[`control_bytes_sent{with="endpoint"}`] + values[`control_bytes_received{with="endpoint"}`],
+		cpuSeconds:            (user + sys) / ticksPerSecond,
 	}
-	for _, lin := range strings.Split(readProc(t, hos, "status"), "\n") {
-		if val, ok := strings.CutPrefix(lin, "VmRSS:"); ok {
-			sam.residentKB, _ = strconv.ParseFloat(strings.Fields(val)[0], 64)
+	for _, line := range strings.Split(readProc(t, host, "status"), "\n") {
+		if value, ok := strings.CutPrefix(line, "VmRSS:"); ok {
+			use.residentKB, _ = strconv.ParseFloat(strings.Fields(value)[0], 64)
 		}
 	}
-	return sam
+	return use
 }
 
-func readProc(t *testing.T, hos *testkit.Process, file string) string {
-	buf, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", hos.PID(), file))
+func readProc(t *testing.T, host *testkit.Process, file string) string {
+	buf, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", host.PID(), file))
 	require.NoError(t, err)
 	return string(buf)
 }
 
-// metrics reads the gauges of a host, without the common prefix.
-func metrics(t *testing.T, hos *testkit.Process) map[string]float64 {
-	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+hos.Operator+"/metrics", http.NoBody)
+// metrics returns the metrics of a host by name and labels, without the prefix
+// hemlockpin_.
+func metrics(t *testing.T, host *testkit.Process) map[string]float64 {
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+host.Operator+"/metrics", http.NoBody)
 	require.NoError(t, err)
 	res, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
 	defer res.Body.Close()
 	out := map[string]float64{}
-	sca := bufio.NewScanner(res.Body)
-	for sca.Scan() {
-		nam, val, ok := strings.Cut(sca.Text(), " ")
-		if num, err := strconv.ParseFloat(val, 64); ok && err == nil {
-			out[strings.TrimPrefix(nam, "hemlockpin_")] = num
+	scanner := bufio.NewScanner(res.Body)
+	for scanner.Scan() {
+		name, value, ok := strings.Cut(scanner.Text(), " ")
+		if number, err := strconv.ParseFloat(value, 64); ok && err == nil {
+			out[strings.TrimPrefix(name, "hemlockpin_")] = number
 		}
 	}
 	return out
