--- a/internal/wholepath/client_test.go
+++ b/internal/wholepath/client_test.go
@@ -13,7 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestClient uses the stock client for what TestWholePath leaves out.
+// TestClient checks with the official OpenAI client what TestWholePath does not
+// cover.
 func TestClient(t *testing.T) {
 	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 1})
 	cli := client(fle.Hosts[0], testkit.Key)
@@ -53,7 +54,8 @@
 	})
 }
 
-// TestClientErrors expects the client's own error type with its fields.
+// TestClientErrors checks that the official client parses error responses into its
+// error type with all fields.
 func TestClientErrors(t *testing.T) {
 	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 1, HostArgs: []string{"--max-body-bytes", "20000"}})
 	tt := []struct {
@@ -80,18 +82,19 @@
 			tc.change(&par)
 			cli := client(fle.Hosts[0], tc.key)
 			_, err := cli.Chat.Completions.New(t.Context(), par)
-			var ape *openai.Error
-			require.ErrorAs(t, err, &ape)
-			require.Equal(t, tc.status, ape.StatusCode)
-			require.Equal(t, tc.kind, ape.Type)
-			require.Equal(t, tc.code, ape.Code)
-			require.Equal(t, tc.param, ape.Param)
-			require.Equal(t, "NotRun", ape.Response.Header.Get("Hemlockpin-Run"))
+			var apiErr *openai.Error
+			require.ErrorAs(t, err, &apiErr)
+			require.Equal(t, tc.status, apiErr.StatusCode)
+			require.Equal(t, tc.kind, apiErr.Type)
+			require.Equal(t, tc.code, apiErr.Code)
+			require.Equal(t, tc.param, apiErr.Param)
+			require.Equal(t, "NotRun", apiErr.Response.Header.Get("Hemlockpin-Run"))
 		})
 	}
 }
 
-// TestWaitingLimit fills the only place of a host with a stream.
+// TestWaitingLimit fills a host that admits one request with a stream. Another
+// request must be refused, and admitted after the stream has been closed.
 func TestWaitingLimit(t *testing.T) {
 	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 1, HostArgs: []string{"--max-requests", "1"}})
 	cli := client(fle.Hosts[0], testkit.Key)
@@ -99,12 +102,12 @@
 	defer str.Close()
 	require.True(t, str.Next(), "%v", str.Err())
 	_, err := cli.Chat.Completions.New(t.Context(), params("Hum", 1))
-	var ape *openai.Error
-	require.ErrorAs(t, err, &ape)
-	require.Equal(t, http.StatusServiceUnavailable, ape.StatusCode)
-	require.Equal(t, "host_full", ape.Code)
-	require.Equal(t, "NotRun", ape.Response.Header.Get("Hemlockpin-Run"))
-	require.NotEmpty(t, ape.Response.Header.Get("Retry-After"))
+	var apiErr *openai.Error
+	require.ErrorAs(t, err, &apiErr)
+	require.Equal(t, http.StatusServiceUnavailable, apiErr.StatusCode)
+	require.Equal(t, "host_full", apiErr.Code)
+	require.Equal(t, "NotRun", apiErr.Response.Header.Get("Hemlockpin-Run"))
+	require.NotEmpty(t, apiErr.Response.Header.Get("Retry-After"))
 	require.NoError(t, str.Close())
 	require.NoError(t, testkit.Poll(t.Context(), 10*time.Second, func() bool {
 		_, err := cli.Chat.Completions.New(t.Context(), params("Hum", 1))
--- a/internal/wholepath/latency_bench_test.go
+++ b/internal/wholepath/latency_bench_test.go
@@ -18,9 +18,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkFirstTokenOfProcesses compares the first token of a prompt sent to
-// an engine process with that of the same prompt sent through a host process,
-// in turns, on an idle fleet of three hosts.
+// BenchmarkFirstTokenOfProcesses compares the time to the first token of a prompt
+// that is sent to an engine process with that of the same prompt sent through a host
+// process. Both are measured alternately on an idle fleet of three hosts.
 func BenchmarkFirstTokenOfProcesses(b *testing.B) {
 	bin, err := testkit.Build()
 	require.NoError(b, err)
@@ -37,10 +37,10 @@
 			Prompt: text, PromptTokens: 1000, MaxTokens: 4, BudgetMs: 10_000,
 		})
 		require.NoError(b, err)
-		direct = append(direct, timeFirst(b, "http://"+fle.Engines[0].Address+"/v1/generate", gen, "event: Token"))
-		ask, err := json.Marshal(map[string]any{"model": testkit.Model, "prompt": text, "max_tokens": 4, "stream": true})
+		direct = append(direct, timeToFirstToken(b, "http://"+fle.Engines[0].Address+"/v1/generate", gen, "event: Token"))
+		body, err := json.Marshal(map[string]any{"model": testkit.Model, "prompt": text, "max_tokens": 4, "stream": true})
 		require.NoError(b, err)
-		through = append(through, timeFirst(b, "http://"+fle.Hosts[len(through)%3].Address+"/v1/completions", ask, "data: "))
+		through = append(through, timeToFirstToken(b, "http://"+fle.Hosts[len(through)%3].Address+"/v1/completions", body, "data: "))
 	}
 	slices.Sort(direct)
 	slices.Sort(through)
@@ -49,26 +49,26 @@
 	b.ReportMetric(float64((through[len(through)/2] - direct[len(direct)/2]).Microseconds()), "added-µs-median")
 }
 
-// timeFirst returns the time until the first line with a prefix and reads the
-// rest of the answer.
-func timeFirst(b *testing.B, url string, body []byte, prefix string) time.Duration {
+// timeToFirstToken returns the time until the first line with the given prefix. It
+// reads the rest of the response afterwards.
+func timeToFirstToken(b *testing.B, url string, body []byte, prefix string) time.Duration {
 	b.Helper()
 	req, err := http.NewRequestWithContext(b.Context(), http.MethodPost, url, bytes.NewReader(body))
 	require.NoError(b, err)
 	req.Header.Set("Authorization", "Bearer "+testkit.Key)
-	beg := time.Now()
+	start := time.Now()
 	res, err := http.DefaultClient.Do(req)
 	require.NoError(b, err)
 	defer res.Body.Close()
 	require.Equal(b, http.StatusOK, res.StatusCode)
-	rea := bufio.NewReader(res.Body)
+	reader := bufio.NewReader(res.Body)
 	for {
-		lin, err := rea.ReadString('\n')
+		line, err := reader.ReadString('\n')
 		require.NoError(b, err)
-		if strings.HasPrefix(lin, prefix) {
-			dur := time.Since(beg)
-			_, _ = io.Copy(io.Discard, rea)
-			return dur
+		if strings.HasPrefix(line, prefix) {
+			elapsed := time.Since(start)
+			_, _ = io.Copy(io.Discard, reader)
+			return elapsed
 		}
 	}
 }
--- a/internal/wholepath/memory_test.go
+++ b/internal/wholepath/memory_test.go
@@ -15,52 +15,53 @@
 )
 
 const (
-	longBytes     = 4 << 20
-	longPrompts   = 60
-	bodyMemory    = 48 << 20
-	controlMemory = 64 << 20
+	promptBytes     = 4 << 20
+	promptCount     = 60
+	bodyMemoryLimit = 48 << 20
+	otherMemory     = 64 << 20
 )
 
-// peakBytes reads the largest resident memory of a process.
+// peakBytes returns the peak resident memory of a process in bytes.
 func peakBytes(t *testing.T, pid int) int64 {
 	t.Helper()
-	txt, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
+	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
 	require.NoError(t, err)
-	_, res, ok := strings.Cut(string(txt), "VmHWM:")
+	_, res, ok := strings.Cut(string(text), "VmHWM:")
 	require.True(t, ok)
-	num, err := strconv.ParseInt(strings.Fields(res)[0], 10, 64)
+	n, err := strconv.ParseInt(strings.Fields(res)[0], 10, 64)
 	require.NoError(t, err)
-	return num << 10
+	return n << 10
 }
 
-// TestBodyMemory sends many prompts of a million tokens at once to one host.
-// Each is answered whole or refused before it ran, and the host's memory stays
-// within twice the limit for bodies, as the collector needs, and 64 MB for the rest.
+// TestBodyMemory sends many prompts of a million tokens at once to one host. Each
+// must be answered or be refused as not run. The host's memory must stay within
+// twice the limit for bodies, which the garbage collector needs, plus 64 MB for
+// everything else.
 func TestBodyMemory(t *testing.T) {
-	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 4, HostArgs: []string{"--max-body-bytes", "8388608", "--max-body-memory", strconv.Itoa(bodyMemory)}})
-	doc := `{"model":"` + testkit.Model + `","max_tokens":1,"prompt":"` + strings.Repeat("x", longBytes) + `"}`
+	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 4, HostArgs: []string{"--max-body-bytes", "8388608", "--max-body-memory", strconv.Itoa(bodyMemoryLimit)}})
+	body := `{"model":"` + testkit.Model + `","max_tokens":1,"prompt":"` + strings.Repeat("x", promptBytes) + `"}`
 	var mu sync.Mutex
-	got := map[string]int{}
-	var gro sync.WaitGroup
-	for range longPrompts {
-		gro.Go(func() {
-			out := sendLong(fle.Hosts[0], doc)
+	outcomes := map[string]int{}
+	var wg sync.WaitGroup
+	for range promptCount {
+		wg.Go(func() {
+			outcome := send(fle.Hosts[0], body)
 			mu.Lock()
 			defer mu.Unlock()
-			got[out]++
+			outcomes[outcome]++
 		})
 	}
-	gro.Wait()
-	t.Log(got, peakBytes(t, fle.Hosts[0].PID())>>20, "MB")
-	require.Positive(t, got["503 NotRun host_memory_full"])
-	for out := range got {
-		require.True(t, out == "200 Ran " || strings.Contains(out, " NotRun "), out)
+	wg.Wait()
+	t.Log(outcomes, peakBytes(t, fle.Hosts[0].PID())>>20, "MB")
+	require.Positive(t, outcomes["503 NotRun host_memory_full"])
+	for outcome := range outcomes {
+		require.True(t, outcome == "200 Ran " || strings.Contains(outcome, " NotRun "), outcome)
 	}
-	require.Less(t, peakBytes(t, fle.Hosts[0].PID()), int64(2*bodyMemory+controlMemory))
+	require.Less(t, peakBytes(t, fle.Hosts[0].PID()), int64(2*bodyMemoryLimit+otherMemory))
 }
 
-func sendLong(hos *testkit.Process, doc string) string {
-	req, err := http.NewRequest(http.MethodPost, "http://"+hos.Address+"/v1/completions", strings.NewReader(doc))
+func send(host *testkit.Process, body string) string {
+	req, err := http.NewRequest(http.MethodPost, "http://"+host.Address+"/v1/completions", strings.NewReader(body))
 	if err != nil {
 		return err.Error()
 	}
@@ -70,10 +71,10 @@
 		return err.Error()
 	}
 	defer res.Body.Close()
-	txt, _ := io.ReadAll(res.Body)
+	text, _ := io.ReadAll(res.Body)
 	code := ""
-	if _, aft, ok := strings.Cut(string(txt), `"code":"`); ok {
-		code, _, _ = strings.Cut(aft, `"`)
+	if _, rest, ok := strings.Cut(string(text), `"code":"`); ok {
+		code, _, _ = strings.Cut(rest, `"`)
 	}
 	return strconv.Itoa(res.StatusCode) + " " + res.Header.Get("Hemlockpin-Run") + " " + code
 }
--- a/internal/wholepath/starting_test.go
+++ b/internal/wholepath/starting_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A host that has no tables yet refuses as not run, not as an unknown key.
+// A host that has no tables yet must refuse requests with host_starting and as not
+// run, not because of an unknown key.
 func TestHostWithoutTables(t *testing.T) {
 	bin, err := testkit.Build()
 	require.NoError(t, err)
@@ -20,9 +21,9 @@
 	t.Cleanup(fle.Stop)
 	cli := client(fle.Hosts[0], testkit.Key)
 	_, err = cli.Chat.Completions.New(t.Context(), params("Hum", 5))
-	var ape *openai.Error
-	require.ErrorAs(t, err, &ape)
-	require.Equal(t, http.StatusServiceUnavailable, ape.StatusCode)
-	require.Equal(t, "host_starting", ape.Code)
-	require.Equal(t, "NotRun", ape.Response.Header.Get(responder.RunHeader))
+	var apiErr *openai.Error
+	require.ErrorAs(t, err, &apiErr)
+	require.Equal(t, http.StatusServiceUnavailable, apiErr.StatusCode)
+	require.Equal(t, "host_starting", apiErr.Code)
+	require.Equal(t, "NotRun", apiErr.Response.Header.Get(responder.RunHeader))
 }
--- a/internal/wholepath/wholepath_test.go
+++ b/internal/wholepath/wholepath_test.go
@@ -34,14 +34,14 @@
 	return fle
 }
 
-func client(hos *testkit.Process, key string) openai.Client {
-	return openai.NewClient(option.WithBaseURL("http://"+hos.Address+"/v1/"), option.WithAPIKey(key), option.WithMaxRetries(0))
+func client(host *testkit.Process, key string) openai.Client {
+	return openai.NewClient(option.WithBaseURL("http://"+host.Address+"/v1/"), option.WithAPIKey(key), option.WithMaxRetries(0))
 }
 
 func answerText(text string, tokens int64) string {
 	var bui strings.Builder
-	for ind := range tokens {
-		bui.WriteString(generator.TokenText("user: "+text+"\n", 0, ind))
+	for i := range tokens {
+		bui.WriteString(generator.TokenText("user: "+text+"\n", 0, i))
 	}
 	return bui.String()
 }
@@ -79,17 +79,17 @@
 		par := params("Hum", 5)
 		par.Model = "no-model"
 		_, err := cli.Chat.Completions.New(t.Context(), par)
-		var ape *openai.Error
-		require.ErrorAs(t, err, &ape)
-		require.Equal(t, http.StatusNotFound, ape.StatusCode)
-		require.Equal(t, "model_not_found", ape.Code)
+		var apiErr *openai.Error
+		require.ErrorAs(t, err, &apiErr)
+		require.Equal(t, http.StatusNotFound, apiErr.StatusCode)
+		require.Equal(t, "model_not_found", apiErr.Code)
 	})
 
 	t.Run("models", func(t *testing.T) {
-		mods, err := cli.Models.List(t.Context())
+		models, err := cli.Models.List(t.Context())
 		require.NoError(t, err)
-		require.Len(t, mods.Data, 1)
-		require.Equal(t, testkit.Model, mods.Data[0].ID)
+		require.Len(t, models.Data, 1)
+		require.Equal(t, testkit.Model, models.Data[0].ID)
 	})
 
 	t.Run("booking", func(t *testing.T) {
@@ -105,29 +105,29 @@
 	t.Run("edit", func(t *testing.T) {
 		tab := testkit.SampleTables()
 		tab.Routes[0].TimeLimit = parser.Duration(5 * time.Second)
-		out, err := fle.Edit(t.Context(), 1, tab, 1)
+		outcome, err := fle.Edit(t.Context(), 1, tab, 1)
 		require.NoError(t, err)
-		require.Equal(t, uint64(2), out.Revision)
-		for _, hos := range fle.Hosts {
+		require.Equal(t, uint64(2), outcome.Revision)
+		for _, host := range fle.Hosts {
 			require.NoError(t, testkit.Poll(t.Context(), 7*time.Second, func() bool {
-				sta, err := fle.Status(context.Background(), hos)
+				sta, err := fle.Status(context.Background(), host)
 				return err == nil && sta.TablesRevision == 2
 			}))
 		}
 	})
 }
 
-func book(t *testing.T, hos *testkit.Process, key, body string) string {
+func book(t *testing.T, host *testkit.Process, key, body string) string {
 	t.Helper()
-	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+hos.Address+"/bookings", bytes.NewBufferString(body))
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+host.Address+"/bookings", bytes.NewBufferString(body))
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer "+testkit.Key)
 	req.Header.Set("Idempotency-Key", key)
 	res, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
 	defer res.Body.Close()
-	txt, err := io.ReadAll(res.Body)
+	text, err := io.ReadAll(res.Body)
 	require.NoError(t, err)
-	require.Equal(t, http.StatusOK, res.StatusCode, string(txt))
-	return string(txt)
+	require.Equal(t, http.StatusOK, res.StatusCode, string(text))
+	return string(text)
 }
