--- a/internal/streamproof/caller_test.go
+++ b/internal/streamproof/caller_test.go
@@ -23,58 +23,59 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-// countTimeout bounds the wait for a counter.
+// countTimeout bounds the wait until a counter has risen.
 const countTimeout = 30 * time.Second
 
-// margin is how long after its time limit a caller may still wait.
+// margin is how much longer than its time limit a request may take.
 const margin = time.Second
 
-// question is one prompt of a caller.
+// question is a prompt to send. A time limit of 0 means that of the route.
 type question struct {
-	text   string
-	tokens int64
-	limit  time.Duration
-	whole  bool
+	text       string
+	tokens     int64
+	timeLimit  time.Duration
+	unstreamed bool
 }
 
-// answer is the caller's own copy of what came back.
+// answer is what the caller received for a question.
 type answer struct {
 	status int
 	text   string
-	// ended marks an answer that claims to be whole.
-	ended bool
-	code  string
-	ran   invoker.Execution
-	took  time.Duration
-	err   error
+	// ended is set if the response ended as a complete answer does.
+	ended   bool
+	code    string
+	ran     invoker.Execution
+	elapsed time.Duration
+	err     error
 }
 
-// want is what a whole answer must be.
+// want returns the text of the complete answer.
 func (que question) want() string {
 	var bui strings.Builder
-	for ind := range que.tokens {
-		bui.WriteString(generator.TokenText(que.text, 0, ind))
+	for i := range que.tokens {
+		bui.WriteString(generator.TokenText(que.text, 0, i))
 	}
 	return bui.String()
 }
 
-// ask sends a question and calls seen with the text so far after each chunk.
-func ask(ctx context.Context, hos *testkit.Process, que question, seen func(string)) answer {
-	sta := time.Now()
-	ans := send(ctx, hos, que, seen)
-	ans.took = time.Since(sta)
+// ask sends a question and calls seen with the text received so far after each
+// chunk.
+func ask(ctx context.Context, host *testkit.Process, que question, seen func(string)) answer {
+	start := time.Now()
+	ans := send(ctx, host, que, seen)
+	ans.elapsed = time.Since(start)
 	return ans
 }
 
-func send(ctx context.Context, hos *testkit.Process, que question, seen func(string)) answer {
-	bod, _ := json.Marshal(map[string]any{"model": testkit.Model, "prompt": que.text, "max_tokens": que.tokens, "stream": !que.whole})
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+hos.Address+"/v1/completions", bytes.NewReader(bod))
+func send(ctx context.Context, host *testkit.Process, que question, seen func(string)) answer {
+	body, _ := json.Marshal(map[string]any{"model": testkit.Model, "prompt": que.text, "max_tokens": que.tokens, "stream": !que.unstreamed})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+host.Address+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
 		return answer{err: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+testkit.Key)
-	if que.limit > 0 {
-		req.Header.Set(receiver.TimeLimitHeader, que.limit.String())
+	if que.timeLimit > 0 {
+		req.Header.Set(receiver.TimeLimitHeader, que.timeLimit.String())
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -82,10 +83,10 @@
 	}
 	defer res.Body.Close()
 	ans := answer{status: res.StatusCode, ran: invoker.Execution(res.Header.Get(responder.RunHeader))}
-	if que.whole || res.StatusCode != http.StatusOK {
+	if que.unstreamed || res.StatusCode != http.StatusOK {
 		buf, err := io.ReadAll(res.Body)
 		ans.err = err
-		ans.take(buf)
+		ans.add(buf)
 		ans.ended = err == nil && res.StatusCode == http.StatusOK
 		return ans
 	}
@@ -98,7 +99,7 @@
 			ans.ended = true
 			continue
 		}
-		ans.take([]byte(eve.Data))
+		ans.add([]byte(eve.Data))
 		if seen != nil {
 			seen(ans.text)
 		}
@@ -106,9 +107,10 @@
 	return ans
 }
 
-// take adds a chunk, a whole body or an error body.
-func (ans *answer) take(buf []byte) {
-	var bod struct {
+// add adds the content of a chunk, of the body of an answer that is not streamed,
+// or of an error body.
+func (ans *answer) add(buf []byte) {
+	var body struct {
 		Choices []struct {
 			Text string `json:"text"`
 		} `json:"choices"`
@@ -116,20 +118,20 @@
 			Code string `json:"code"`
 		} `json:"error"`
 	}
-	if err := json.Unmarshal(buf, &bod); err != nil {
+	if err := json.Unmarshal(buf, &body); err != nil {
 		ans.err = err
 		return
 	}
-	for _, cho := range bod.Choices {
-		ans.text += cho.Text
+	for _, choice := range body.Choices {
+		ans.text += choice.Text
 	}
-	if bod.Error != nil {
-		ans.code = bod.Error.Code
+	if body.Error != nil {
+		ans.code = body.Error.Code
 	}
 }
 
-// requireWhole checks an answer against the text that the prompt must give.
-func requireWhole(t *testing.T, que question, ans answer) {
+// requireComplete requires a complete answer with the expected text.
+func requireComplete(t *testing.T, que question, ans answer) {
 	t.Helper()
 	require.NoError(t, ans.err)
 	require.Equal(t, http.StatusOK, ans.status, "code %s", ans.code)
@@ -138,15 +140,17 @@
 	require.Equal(t, que.want(), ans.text)
 }
 
-// requireTruthful checks that an answer is whole, or fails without seeming so,
-// within its time.
+// requireTruthful requires that the request ended within its time limit, and that
+// the answer is either complete or recognisable as truncated. A truncated answer
+// must be a prefix of the expected text, and must not be reported as not run if it
+// has any text.
 func requireTruthful(t *testing.T, que question, ans answer) {
 	t.Helper()
-	if que.limit > 0 {
-		require.Less(t, ans.took, que.limit+margin)
+	if que.timeLimit > 0 {
+		require.Less(t, ans.elapsed, que.timeLimit+margin)
 	}
 	if ans.ended {
-		requireWhole(t, que, ans)
+		requireComplete(t, que, ans)
 		return
 	}
 	require.True(t, strings.HasPrefix(que.want(), ans.text), "got %q", ans.text)
@@ -155,40 +159,41 @@
 	}
 }
 
-// askMany sends questions at once, in turn over the hosts.
-func askMany(ctx context.Context, hoss []*testkit.Process, ques []question, seen func(int, string)) []answer {
-	anss := make([]answer, len(ques))
-	var gro sync.WaitGroup
-	for ind, que := range ques {
-		gro.Go(func() {
-			anss[ind] = ask(ctx, hoss[ind%len(hoss)], que, func(txt string) {
+// askMany sends all questions at once, distributed evenly over the hosts, and
+// returns their answers.
+func askMany(ctx context.Context, hosts []*testkit.Process, ques []question, seen func(int, string)) []answer {
+	answers := make([]answer, len(ques))
+	var wg sync.WaitGroup
+	for i, que := range ques {
+		wg.Go(func() {
+			answers[i] = ask(ctx, hosts[i%len(hosts)], que, func(text string) {
 				if seen != nil {
-					seen(ind, txt)
+					seen(i, text)
 				}
 			})
 		})
 	}
-	gro.Wait()
-	return anss
+	wg.Wait()
+	return answers
 }
 
-// questions builds prompts that differ.
-func questions(cou int, tokens int64) []question {
+// questions returns n questions with different prompts.
+func questions(n int, tokens int64) []question {
 	var ques []question
-	for ind := range cou {
-		ques = append(ques, question{text: fmt.Sprintf("Question %d: why does the treadle stick?", ind), tokens: tokens})
+	for i := range n {
+		ques = append(ques, question{text: fmt.Sprintf("Question %d: why does the treadle stick?", i), tokens: tokens})
 	}
 	return ques
 }
 
-// memory reads an engine's own account.
+// memory returns the memory that an engine reports as used.
 func memory(ctx context.Context, eng *testkit.Process) (invoker.Load, error) {
 	var loa invoker.Load
 	err := testkit.GetJSON(ctx, "http://"+eng.Address+"/control/memory", &loa)
 	return loa, err
 }
 
-// requireFreed waits until no engine holds memory for anybody.
+// requireFreed waits until no engine holds memory for any request.
 func requireFreed(t *testing.T, engs []*testkit.Process, within time.Duration) {
 	t.Helper()
 	for _, eng := range engs {
@@ -215,8 +220,9 @@
 	return fle
 }
 
-// linked puts a link before each engine.
-func linked(t *testing.T, pla *testkit.Plan) map[string]*testkit.Link {
+// linkEngines puts a link in front of each engine of a plan. The links are in the
+// returned map, by engine ID, once the fleet has started.
+func linkEngines(t *testing.T, pla *testkit.Plan) map[string]*testkit.Link {
 	links := map[string]*testkit.Link{}
 	pla.EndpointVia = func(id, address string) string {
 		lin, err := testkit.NewLink(id, address)
@@ -228,10 +234,10 @@
 	return links
 }
 
-// counter sums a counter of a host over its tags.
-func counter(t *testing.T, hos *testkit.Process, name string) float64 {
+// counter returns the sum of a host's counter over all labels.
+func counter(t *testing.T, host *testkit.Process, name string) float64 {
 	t.Helper()
-	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+hos.Operator+"/metrics", nil)
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+host.Operator+"/metrics", nil)
 	require.NoError(t, err)
 	res, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
@@ -239,19 +245,19 @@
 	buf, err := io.ReadAll(res.Body)
 	require.NoError(t, err)
 	var sum float64
-	for lin := range strings.Lines(string(buf)) {
-		nam, val, _ := strings.Cut(strings.TrimSpace(lin), " ")
-		nam, _, _ = strings.Cut(nam, "{")
-		if num, err := strconv.ParseFloat(val, 64); err == nil && nam == "hemlockpin_"+name {
-			sum += num
+	for line := range strings.Lines(string(buf)) {
+		metric, text, _ := strings.Cut(strings.TrimSpace(line), " ")
+		metric, _, _ = strings.Cut(metric, "{")
+		if value, err := strconv.ParseFloat(text, 64); err == nil && metric == "hemlockpin_"+name {
+			sum += value
 		}
 	}
 	return sum
 }
 
-// requireCounted waits until a counter has passed a value.
-func requireCounted(t *testing.T, hos *testkit.Process, name string, above float64) {
+// requireCounted waits until a counter is greater than a value.
+func requireCounted(t *testing.T, host *testkit.Process, name string, above float64) {
 	t.Helper()
-	err := testkit.Poll(t.Context(), countTimeout, func() bool { return counter(t, hos, name) > above })
+	err := testkit.Poll(t.Context(), countTimeout, func() bool { return counter(t, host, name) > above })
 	require.NoError(t, err, "%s did not rise above %g", name, above)
 }
--- a/internal/streamproof/group_test.go
+++ b/internal/streamproof/group_test.go
@@ -14,81 +14,85 @@
 	"github.com/stretchr/testify/require"
 )
 
-// smallEngines hold 20,000 tokens each.
+// smallEngines are the arguments of engines with memory for 20,000 tokens each.
 var smallEngines = []string{"--memory-tokens", "20000", "--prefill-rate", "100000", "--step", "5ms", "--idle-every", "200ms"}
 
-// ledger is a prompt of about the given tokens.
-func ledger(num int, tokens int) question {
-	lin := fmt.Sprintf("Ledger %d: pedal mended, belt changed. ", num)
-	return question{text: strings.Repeat(lin, tokens*hasher.BytesPerToken/len(lin)), tokens: 20, limit: 25 * time.Second}
+// longQuestion returns a question whose prompt has about the given number of
+// tokens.
+func longQuestion(i int, tokens int) question {
+	line := fmt.Sprintf("Ledger %d: pedal mended, belt changed. ", i)
+	return question{text: strings.Repeat(line, tokens*hasher.BytesPerToken/len(line)), tokens: 20, timeLimit: 25 * time.Second}
 }
 
-// TestLongPromptsRace lets the hosts place through a scheduler, and each from
-// its own view.
+// TestLongPromptsRace sends long prompts, each of which needs a group of engines,
+// and short ones through all hosts at once. It runs with placement by the cell's
+// scheduler and with placement by each host from its local view, where hosts compete
+// for the same engines.
 func TestLongPromptsRace(t *testing.T) {
-	for _, pol := range []string{"cell", "least-outstanding"} {
-		t.Run(pol, func(t *testing.T) { raceLongPrompts(t, pol) })
+	for _, policy := range []string{"cell", "least-outstanding"} {
+		t.Run(policy, func(t *testing.T) { raceLongPrompts(t, policy) })
 	}
 }
 
 func raceLongPrompts(t *testing.T, policy string) {
 	fle := startFleet(t, testkit.Plan{Hosts: 4, Engines: 4, EngineArgs: smallEngines, HostArgs: []string{"--placement", policy}})
 	var ques []question
-	for ind := range 12 {
-		ques = append(ques, ledger(ind, 45_000))
+	for i := range 12 {
+		ques = append(ques, longQuestion(i, 45_000))
 	}
 	for _, que := range questions(24, 20) {
-		que.limit = 25 * time.Second
+		que.timeLimit = 25 * time.Second
 		ques = append(ques, que)
 	}
-	for ind, ans := range askMany(t.Context(), fle.Hosts, ques, nil) {
-		requireTruthful(t, ques[ind], ans)
-		require.True(t, ans.ended, "question %d: code %s", ind, ans.code)
+	for i, ans := range askMany(t.Context(), fle.Hosts, ques, nil) {
+		requireTruthful(t, ques[i], ans)
+		require.True(t, ans.ended, "question %d: code %s", i, ans.code)
 	}
 	requireFreed(t, fle.Engines, 10*time.Second)
 }
 
 func TestLongPromptThatNeverFits(t *testing.T) {
 	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 2, EngineArgs: smallEngines})
-	ans := ask(t.Context(), fle.Hosts[0], ledger(0, 60_000), nil)
+	ans := ask(t.Context(), fle.Hosts[0], longQuestion(0, 60_000), nil)
 	require.Equal(t, http.StatusRequestEntityTooLarge, ans.status)
 	require.Equal(t, "prompt_too_large", ans.code)
 	require.Equal(t, "NotRun", string(ans.ran))
-	require.Less(t, ans.took, 2*time.Second)
+	require.Less(t, ans.elapsed, 2*time.Second)
 	requireFreed(t, fle.Engines, time.Second)
 }
 
 func TestGroupMemberKilled(t *testing.T) {
 	fle := startFleet(t, testkit.Plan{Hosts: 2, Engines: 5, EngineArgs: smallEngines})
-	que := ledger(0, 45_000)
+	que := longQuestion(0, 45_000)
 	que.tokens = 600
 	done := make(chan answer, 1)
-	begun := make(chan struct{})
+	started := make(chan struct{})
 	go func() {
 		var once bool
 		done <- ask(context.Background(), fle.Hosts[0], que, func(string) {
 			if !once {
 				once = true
-				close(begun)
+				close(started)
 			}
 		})
 	}()
-	<-begun
-	vic := member(t, fle)
-	vic.Kill()
-	requireWhole(t, que, <-done)
+	<-started
+	victim := groupMember(t, fle)
+	victim.Kill()
+	requireComplete(t, que, <-done)
 	requireCounted(t, fle.Hosts[0], "attempts_resumed", 0)
-	var lef []*testkit.Process
+	var left []*testkit.Process
 	for _, eng := range fle.Engines {
-		if eng != vic {
-			lef = append(lef, eng)
+		if eng != victim {
+			left = append(left, eng)
 		}
 	}
-	requireFreed(t, lef, 10*time.Second)
+	requireFreed(t, left, 10*time.Second)
 }
 
-// member returns an engine that holds a share without leading the group.
-func member(t *testing.T, fle *testkit.Fleet) *testkit.Process {
+// groupMember returns an engine that holds a share of a group's memory and does not
+// lead the group.
+func groupMember(t *testing.T, fle *testkit.Fleet) *testkit.Process {
 	for _, eng := range fle.Engines {
 		loa, err := memory(t.Context(), eng)
 		require.NoError(t, err)
@@ -96,6 +100,6 @@
 			return eng
 		}
 	}
-	require.Fail(t, "no engine is a mere member")
+	require.Fail(t, "no engine is a member of a group without leading it")
 	return nil
 }
--- a/internal/streamproof/memory_test.go
+++ b/internal/streamproof/memory_test.go
@@ -11,37 +11,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-// keepAll makes every engine keep what its owners leave behind.
-func keepAll(t *testing.T, fle *testkit.Fleet) {
+// keepDetached makes every engine keep sequences whose connection is lost, so that
+// only a cancellation or a reclaimer frees them.
+func keepDetached(t *testing.T, fle *testkit.Fleet) {
 	t.Helper()
 	for _, eng := range fle.Engines {
 		require.NoError(t, fle.Fault(t.Context(), eng, generator.Faults{KeepDetached: true}))
 	}
 }
 
-// asked is a set of questions in progress.
-type asked struct {
-	ques []question
-	done chan []answer
+// inProgress is a set of questions in progress. Their answers are sent to done.
+type inProgress struct {
+	questions []question
+	done      chan []answer
 }
 
-// begin asks and returns once every answer has begun.
-func begin(t *testing.T, hos *testkit.Process, ques []question) asked {
+// startQuestions sends questions and returns once every answer has started.
+func startQuestions(t *testing.T, host *testkit.Process, ques []question) inProgress {
 	t.Helper()
-	all := make(chan struct{})
-	ask := asked{ques, make(chan []answer, 1)}
+	allStarted := make(chan struct{})
+	asked := inProgress{ques, make(chan []answer, 1)}
 	go func() {
-		ask.done <- askMany(context.Background(), []*testkit.Process{hos}, ques, midway(len(ques), func() { close(all) }))
+		asked.done <- askMany(context.Background(), []*testkit.Process{host}, ques, whenAllStarted(len(ques), func() { close(allStarted) }))
 	}()
 	select {
-	case <-all:
+	case <-allStarted:
 	case <-time.After(20 * time.Second):
-		require.Fail(t, "the answers did not begin")
+		require.Fail(t, "not all answers started within 20 s")
 	}
-	return ask
+	return asked
 }
 
-// requireOwners waits until the only owner of memory is the given host.
+// requireOwners waits until all memory in use is owned by the given host.
 func requireOwners(t *testing.T, engs []*testkit.Process, host string, within time.Duration) {
 	t.Helper()
 	err := testkit.Poll(t.Context(), within, func() bool {
@@ -62,47 +63,48 @@
 }
 
 func TestHostKilledAndReplaced(t *testing.T) {
-	fle := startFleet(t, testkit.Plan{Hosts: 3, Engines: 2, EngineArgs: slowSteps})
-	keepAll(t, fle)
-	lost := begin(t, fle.Hosts[0], questions(6, 2000))
-	live := begin(t, fle.Hosts[1], questions(6, 700))
+	fle := startFleet(t, testkit.Plan{Hosts: 3, Engines: 2, EngineArgs: slowDecode})
+	keepDetached(t, fle)
+	lost := startQuestions(t, fle.Hosts[0], questions(6, 2000))
+	live := startQuestions(t, fle.Hosts[1], questions(6, 700))
 	fle.Hosts[0].Kill()
 	require.NoError(t, fle.Hosts[0].Start())
 	requireOwners(t, fle.Engines, fle.Hosts[1].ID, 30*time.Second)
 	for _, ans := range <-lost.done {
 		require.False(t, ans.ended)
 	}
-	for ind, ans := range <-live.done {
-		requireWhole(t, live.ques[ind], ans)
+	for i, ans := range <-live.done {
+		requireComplete(t, live.questions[i], ans)
 	}
 	requireFreed(t, fle.Engines, 20*time.Second)
 }
 
 func TestHostKilledForGood(t *testing.T) {
-	fle := startFleet(t, testkit.Plan{Hosts: 3, Engines: 2, EngineArgs: slowSteps})
-	keepAll(t, fle)
-	lost := begin(t, fle.Hosts[0], questions(6, 2500))
-	live := begin(t, fle.Hosts[1], questions(6, 1200))
+	fle := startFleet(t, testkit.Plan{Hosts: 3, Engines: 2, EngineArgs: slowDecode})
+	keepDetached(t, fle)
+	lost := startQuestions(t, fle.Hosts[0], questions(6, 2500))
+	live := startQuestions(t, fle.Hosts[1], questions(6, 1200))
 	fle.Hosts[0].Kill()
 	require.NoError(t, fle.Unlist(t.Context(), fle.Hosts[0].ID))
-	for ind, ans := range <-live.done {
-		requireWhole(t, live.ques[ind], ans)
+	for i, ans := range <-live.done {
+		requireComplete(t, live.questions[i], ans)
 	}
 	<-lost.done
 	requireFreed(t, fle.Engines, 60*time.Second)
 }
 
-func TestHostFrozenAndWoken(t *testing.T) {
-	fle := startFleet(t, testkit.Plan{Hosts: 3, Engines: 2, EngineArgs: slowSteps})
-	keepAll(t, fle)
-	// The answers are too long to end by themselves meanwhile.
+func TestHostFrozenAndResumed(t *testing.T) {
+	fle := startFleet(t, testkit.Plan{Hosts: 3, Engines: 2, EngineArgs: slowDecode})
+	keepDetached(t, fle)
+	// The answers are so long that they can't be complete before the time limit.
 	ques := questions(6, 20_000)
-	for ind := range ques {
-		ques[ind].limit = 8 * time.Second
+	for i := range ques {
+		ques[i].timeLimit = 8 * time.Second
 	}
-	lost := begin(t, fle.Hosts[0], ques)
+	lost := startQuestions(t, fle.Hosts[0], ques)
 	require.NoError(t, fle.Hosts[0].Freeze())
-	// The owner is silent but its time is not over: nothing may be taken.
+	// The owner does not respond, but its requests have not reached their time
+	// limit, so their memory must not be reclaimed.
 	time.Sleep(4 * time.Second)
 	var held int
 	for _, eng := range fle.Engines {
@@ -112,15 +114,15 @@
 	}
 	require.Equal(t, len(ques), held)
 	requireFreed(t, fle.Engines, 40*time.Second)
-	live := begin(t, fle.Hosts[1], questions(4, 200))
+	live := startQuestions(t, fle.Hosts[1], questions(4, 200))
 	require.NoError(t, fle.Hosts[0].Resume())
-	for ind, ans := range <-lost.done {
+	for i, ans := range <-lost.done {
 		require.False(t, ans.ended)
-		ques[ind].limit = 0
-		requireTruthful(t, ques[ind], ans)
+		ques[i].timeLimit = 0
+		requireTruthful(t, ques[i], ans)
 	}
-	for ind, ans := range <-live.done {
-		requireWhole(t, live.ques[ind], ans)
+	for i, ans := range <-live.done {
+		requireComplete(t, live.questions[i], ans)
 	}
 	requireFreed(t, fle.Engines, 20*time.Second)
 }
--- a/internal/streamproof/stream_test.go
+++ b/internal/streamproof/stream_test.go
@@ -1,5 +1,6 @@
-// Package streamproof_test proves with real processes that callers get whole
-// answers or truthful failures and that engines lose no memory.
+// Package streamproof_test checks with real processes and injected faults that
+// callers receive complete answers or truthful errors, and that engines free all
+// memory afterwards.
 package streamproof_test
 
 import (
@@ -17,73 +18,75 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowSteps makes answers last long enough for faults to befall them midway.
-var slowSteps = []string{"--step", "20ms", "--idle-every", "200ms"}
+// slowDecode are the arguments of engines that decode so slowly that a fault can be
+// injected while answers are being generated.
+var slowDecode = []string{"--step", "20ms", "--idle-every", "200ms"}
 
-// midway returns a function that runs fun once when every answer has begun.
-func midway(cou int, fun func()) func(int, string) {
-	var mut sync.Mutex
-	begun := map[int]bool{}
-	return func(ind int, txt string) {
-		mut.Lock()
-		defer mut.Unlock()
-		if begun[ind] || txt == "" {
+// whenAllStarted returns a callback for askMany that calls fun once, when all n
+// answers have started.
+func whenAllStarted(n int, fun func()) func(int, string) {
+	var mu sync.Mutex
+	started := map[int]bool{}
+	return func(i int, text string) {
+		mu.Lock()
+		defer mu.Unlock()
+		if started[i] || text == "" {
 			return
 		}
-		begun[ind] = true
-		if len(begun) == cou {
+		started[i] = true
+		if len(started) == n {
 			fun()
 		}
 	}
 }
 
-// busiest returns the engine with the most sequences.
+// busiest returns the engine with the most running sequences.
 func busiest(t *testing.T, fle *testkit.Fleet) *testkit.Process {
-	var bes *testkit.Process
-	top := -1
+	var best *testkit.Process
+	most := -1
 	for _, eng := range fle.Engines {
 		loa, err := memory(t.Context(), eng)
 		require.NoError(t, err)
-		if loa.Running > top {
-			bes, top = eng, loa.Running
+		if loa.Running > most {
+			best, most = eng, loa.Running
 		}
 	}
-	return bes
+	return best
 }
 
 func TestEngineKilledMidStream(t *testing.T) {
-	fle := startFleet(t, testkit.Plan{Hosts: 2, Engines: 3, EngineArgs: slowSteps})
+	fle := startFleet(t, testkit.Plan{Hosts: 2, Engines: 3, EngineArgs: slowDecode})
 	ques := questions(12, 80)
-	var vic *testkit.Process
-	anss := askMany(t.Context(), fle.Hosts, ques, midway(len(ques), func() {
-		vic = busiest(t, fle)
-		vic.Kill()
+	var victim *testkit.Process
+	answers := askMany(t.Context(), fle.Hosts, ques, whenAllStarted(len(ques), func() {
+		victim = busiest(t, fle)
+		victim.Kill()
 	}))
-	for ind, ans := range anss {
-		requireWhole(t, ques[ind], ans)
+	for i, ans := range answers {
+		requireComplete(t, ques[i], ans)
 	}
-	require.NotNil(t, vic)
-	var lef []*testkit.Process
+	require.NotNil(t, victim)
+	var left []*testkit.Process
 	for _, eng := range fle.Engines {
-		if eng != vic {
-			lef = append(lef, eng)
+		if eng != victim {
+			left = append(left, eng)
 		}
 	}
-	requireFreed(t, lef, 10*time.Second)
+	requireFreed(t, left, 10*time.Second)
 }
 
-func TestSilentConnections(t *testing.T) {
-	pla := testkit.Plan{Hosts: 2, Engines: 2, EngineArgs: slowSteps}
-	links := linked(t, &pla)
+func TestConnectionsDropData(t *testing.T) {
+	pla := testkit.Plan{Hosts: 2, Engines: 2, EngineArgs: slowDecode}
+	links := linkEngines(t, &pla)
 	fle := startFleet(t, pla)
 	ques := questions(8, 150)
-	anss := askMany(t.Context(), fle.Hosts, ques, midway(len(ques), func() {
+	answers := askMany(t.Context(), fle.Hosts, ques, whenAllStarted(len(ques), func() {
 		for _, lin := range links {
 			lin.BlackholeEstablished()
 		}
 	}))
-	for ind, ans := range anss {
-		requireWhole(t, ques[ind], ans)
+	for i, ans := range answers {
+		requireComplete(t, ques[i], ans)
 	}
 	requireFreed(t, fle.Engines, 20*time.Second)
 }
@@ -91,15 +94,15 @@
 func TestOneWayCut(t *testing.T) {
 	for _, dir := range []testkit.Direction{testkit.Requests, testkit.Answers} {
 		t.Run(string(dir), func(t *testing.T) {
-			pla := testkit.Plan{Hosts: 1, Engines: 2, EngineArgs: slowSteps}
-			links := linked(t, &pla)
+			pla := testkit.Plan{Hosts: 1, Engines: 2, EngineArgs: slowDecode}
+			links := linkEngines(t, &pla)
 			fle := startFleet(t, pla)
 			ques := questions(6, 100)
-			anss := askMany(t.Context(), fle.Hosts, ques, midway(len(ques), func() {
+			answers := askMany(t.Context(), fle.Hosts, ques, whenAllStarted(len(ques), func() {
 				require.NoError(t, links[busiest(t, fle).ID].Block(dir))
 			}))
-			for ind, ans := range anss {
-				requireWhole(t, ques[ind], ans)
+			for i, ans := range answers {
+				requireComplete(t, ques[i], ans)
 			}
 			for _, lin := range links {
 				_ = lin.Unblock(dir)
@@ -110,9 +113,9 @@
 }
 
 func TestFaultyStreams(t *testing.T) {
-	cass := []struct {
+	tests := []struct {
 		name string
-		// counter is what must rise when the fault has struck.
+		// counter is the counter that rises when a host meets the fault.
 		counter string
 		tokens  int64
 		faults  generator.Faults
@@ -133,31 +136,31 @@
 		{"cancel lost", "reclaimed", 300, generator.Faults{GapAfter: 7, LoseCancel: true, KeepDetached: true}},
 		{"stays detached", "attempts_resumed", 30, generator.Faults{BreakAfter: 10, Streams: 1, KeepDetached: true}},
 	}
-	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 2, EngineArgs: slowSteps})
-	for _, cas := range cass {
-		t.Run(cas.name, func(t *testing.T) {
-			require.NoError(t, fle.Fault(t.Context(), fle.Engines[0], cas.faults))
-			bef := counter(t, fle.Hosts[0], cas.counter)
-			// An engine that just recovered gets no work for a moment, so the
-			// questions are asked until one meets the fault.
+	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 2, EngineArgs: slowDecode})
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			require.NoError(t, fle.Fault(t.Context(), fle.Engines[0], tt.faults))
+			before := counter(t, fle.Hosts[0], tt.counter)
+			// An engine that has just recovered gets no work for a short time, so
+			// questions are sent until one of them meets the fault.
 			err := testkit.Poll(t.Context(), countTimeout, func() bool {
-				ques := questions(8, cas.tokens)
-				ques[0].whole = true
-				for ind, ans := range askMany(t.Context(), fle.Hosts, ques, nil) {
-					requireWhole(t, ques[ind], ans)
+				ques := questions(8, tt.tokens)
+				ques[0].unstreamed = true
+				for i, ans := range askMany(t.Context(), fle.Hosts, ques, nil) {
+					requireComplete(t, ques[i], ans)
 				}
 				time.Sleep(time.Second)
-				return counter(t, fle.Hosts[0], cas.counter) > bef
+				return counter(t, fle.Hosts[0], tt.counter) > before
 			})
-			require.NoError(t, err, "the fault did not strike")
-			require.NoError(t, fle.Fault(t.Context(), fle.Engines[0], generator.Faults{KeepDetached: cas.faults.KeepDetached}))
+			require.NoError(t, err, "no request met the fault")
+			require.NoError(t, fle.Fault(t.Context(), fle.Engines[0], generator.Faults{KeepDetached: tt.faults.KeepDetached}))
 			requireFreed(t, fle.Engines, 20*time.Second)
 		})
 	}
 }
 
 func TestDeadlineWithAllEnginesFaulty(t *testing.T) {
-	cass := []struct {
+	tests := []struct {
 		name   string
 		ran    invoker.Execution
 		faults generator.Faults
@@ -168,22 +171,22 @@
 		{"crossed", invoker.Unknown, generator.Faults{Cross: true}},
 		{"early finish", invoker.Ran, generator.Faults{FinishAfter: 3}},
 	}
-	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 2, EngineArgs: slowSteps})
-	for _, cas := range cass {
-		t.Run(cas.name, func(t *testing.T) {
+	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 2, EngineArgs: slowDecode})
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
 			for _, eng := range fle.Engines {
-				require.NoError(t, fle.Fault(t.Context(), eng, cas.faults))
+				require.NoError(t, fle.Fault(t.Context(), eng, tt.faults))
 			}
 			ques := questions(4, 30)
-			for ind := range ques {
-				ques[ind].limit = 4 * time.Second
+			for i := range ques {
+				ques[i].timeLimit = 4 * time.Second
 			}
-			ques[0].whole = true
-			for ind, ans := range askMany(t.Context(), fle.Hosts, ques, nil) {
-				requireTruthful(t, ques[ind], ans)
+			ques[0].unstreamed = true
+			for i, ans := range askMany(t.Context(), fle.Hosts, ques, nil) {
+				requireTruthful(t, ques[i], ans)
 				require.False(t, ans.ended)
 				require.NotEmpty(t, ans.code)
-				require.Equal(t, cas.ran, ans.ran)
+				require.Equal(t, tt.ran, ans.ran)
 			}
 			for _, eng := range fle.Engines {
 				require.NoError(t, fle.Fault(t.Context(), eng, generator.Faults{}))
@@ -193,14 +196,15 @@
 	}
 }
 
-func TestCallerGone(t *testing.T) {
-	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 1, EngineArgs: slowSteps})
+func TestCallerDisconnected(t *testing.T) {
+	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 1, EngineArgs: slowDecode})
 	require.NoError(t, fle.Fault(t.Context(), fle.Engines[0], generator.Faults{KeepDetached: true}))
 	ctx, cancel := context.WithCancel(t.Context())
 	ans := ask(ctx, fle.Hosts[0], question{text: "A question nobody waits for", tokens: 5000}, func(string) { cancel() })
 	require.Error(t, ans.err)
 	requireFreed(t, fle.Engines, 15*time.Second)
-	// The counters are shown each second. The cancel did it, not the reclaimer.
+	// Counters are published every second. The memory was freed by the cancellation,
+	// so the reclaimer must not have freed any.
 	time.Sleep(2 * time.Second)
 	require.Zero(t, counter(t, fle.Hosts[0], "reclaimed"))
 }
@@ -208,36 +212,36 @@
 func TestCallerDoesNotRead(t *testing.T) {
 	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 1, EngineArgs: []string{"--step", "100us"}})
 	hea := http.Header{"Authorization": {"Bearer " + testkit.Key}}
-	con := openUnread(t, fle.Hosts[0], hea, 32_000)
+	con := askWithoutReading(t, fle.Hosts[0], hea, 32_000)
 	defer con.Close()
 	requireCounted(t, fle.Hosts[0], "tokens", 1)
 	requireCounted(t, fle.Hosts[0], "callers_slow", 0)
 	requireFreed(t, fle.Engines, 30*time.Second)
 }
 
-// TestRetriesDoNotMultiply breaks every stream of every engine and counts the
-// dispatches beyond the first.
+// TestRetriesDoNotMultiply breaks every stream of every engine. The number of
+// retries must stay within the retry budget.
 func TestRetriesDoNotMultiply(t *testing.T) {
-	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 2, EngineArgs: slowSteps})
+	fle := startFleet(t, testkit.Plan{Hosts: 1, Engines: 2, EngineArgs: slowDecode})
 	for _, eng := range fle.Engines {
 		require.NoError(t, fle.Fault(t.Context(), eng, generator.Faults{GapAfter: 1}))
 	}
 	const requests = 200
 	ques := questions(requests, 30)
-	for ind := range ques {
-		ques[ind].limit = 6 * time.Second
+	for i := range ques {
+		ques[i].timeLimit = 6 * time.Second
 	}
-	sta := time.Now()
+	start := time.Now()
 	refused := 0
-	for ind, ans := range askMany(t.Context(), fle.Hosts, ques, nil) {
-		requireTruthful(t, ques[ind], ans)
+	for i, ans := range askMany(t.Context(), fle.Hosts, ques, nil) {
+		requireTruthful(t, ques[i], ans)
 		if ans.code == "retry_budget" {
 			refused++
 		}
 	}
 	requireCounted(t, fle.Hosts[0], "attempts_resumed", 0)
-	lim := budgeter.Burst + budgeter.Share*requests + budgeter.FloorRate*time.Since(sta).Seconds()
-	require.LessOrEqual(t, counter(t, fle.Hosts[0], "attempts_resumed"), lim)
+	limit := budgeter.Burst + budgeter.Share*requests + budgeter.FloorRate*time.Since(start).Seconds()
+	require.LessOrEqual(t, counter(t, fle.Hosts[0], "attempts_resumed"), limit)
 	require.Positive(t, refused)
 	requireFreed(t, fle.Engines, 20*time.Second)
 }
