--- a/process/journaler/journaler.go
+++ b/process/journaler/journaler.go
@@ -43,7 +43,7 @@
 	Put(ctx context.Context, obj persister.Object) (uint64, error)
 }
 
-// PeerCaller sends envelopes to other hosts and returns their replies.
+// PeerClient sends envelopes to other hosts and returns their replies.
 type PeerClient interface {
 	Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error)
 }
