--- a/process/assigner/assigner_test.go
+++ b/process/assigner/assigner_test.go
@@ -162,7 +162,7 @@
 			registrar.Endpoint{ID: fmt.Sprintf("e%d", i+1), Service: "llm", Address: fmt.Sprintf("10.0.0.%d:1", i+1), Revision: 1},
 			registrar.Endpoint{ID: fmt.Sprintf("d%d", i+1), Service: "desk", Address: "10.0.1.1:1", DataCenter: string(rune('a' + i)), Revision: 1})
 	}
-	ass.Registry.Replace(ends, 1, time.Now())
+	ass.Registry.MergeComplete(ends, 1, time.Now())
 	return ass
 }
 
--- a/process/assigner/plan.go
+++ b/process/assigner/plan.go
@@ -60,7 +60,7 @@
 func (ass *Assigner) leaseOf(ctx context.Context, req relayer.PlacementRequest, act planner.Assign) (relayer.Lease, bool) {
 	now := ass.Clock()
 	for _, par := range act.Parts {
-		if ass.Registry.Unusable(par.Endpoint, now) {
+		if ass.Registry.KnownUnusable(par.Endpoint, now) {
 			// The planner has not yet received the update about this endpoint.
 			ass.Log.Info().Str("RequestID", req.ID).Str("Endpoint", par.Endpoint).Msg("planner granted an endpoint that is leaving; reporting the endpoint and requesting another grant")
 			ass.Planners.notifyPlanners(act.ID, planner.Failed{ID: act.ID, Endpoint: par.Endpoint})
--- a/process/forwarder/knowledge.go
+++ b/process/forwarder/knowledge.go
@@ -39,7 +39,7 @@
 		Multiplexer: fwd.multiplexer, Publisher: fwd.publisher, Entries: func() []persister.Entry { return nil },
 		Seeds: set.SeedPeers, Scope: fwd.scope, Log: fwd.Log, AgeOf: fwd.detector.Age,
 		Payload: gossiper.Payload{
-			Endpoints: func(now time.Time) (uint64, time.Duration) {
+			EndpointsRevision: func(now time.Time) (uint64, time.Duration) {
 				rev, _ := fwd.registry.Revision()
 				return rev, fwd.detector.Age(fwd.registry.Confirmed(), now)
 			},
@@ -51,7 +51,7 @@
 			},
 		},
 	}
-	fwd.publisher.OnAccept = func(fromStore bool) {
+	fwd.publisher.OnAdopt = func(fromStore bool) {
 		fwd.releaseWaitingCalls()
 		tab := fwd.publisher.Current().Tables()
 		fwd.Log.Info().Uint64("Revision", tab.Revision).Int("Routes", len(tab.Routes)).Int("Pools", len(tab.Pools)).Int("Teams", len(tab.Teams)).
@@ -89,12 +89,12 @@
 		fwd.publisher.ConfirmRevision(fwd.publisher.Current().Revision(), at)
 		return
 	}
-	ok, err := fwd.publisher.Accept(result.Tables)
+	ok, err := fwd.publisher.Adopt(result.Tables)
 	switch {
 	case err != nil:
 		fwd.Log.Error().Uint64("Revision", result.Tables.Revision).Err(err).Msg("tables from the store rejected; keeping the current ones")
 	case ok:
-		fwd.publisher.OnAccept(true)
+		fwd.publisher.OnAdopt(true)
 	}
 	fwd.publisher.ConfirmRevision(result.Tables.Revision, at)
 }
@@ -104,7 +104,7 @@
 func (fwd *Forwarder) applyEndpoints(result follower.Endpoints, at time.Time) {
 	var changed []registrar.Endpoint
 	if result.Complete {
-		changed = fwd.registry.Replace(result.Endpoints, result.Revision, time.Now())
+		changed = fwd.registry.MergeComplete(result.Endpoints, result.Revision, time.Now())
 	} else {
 		changed = fwd.registry.Merge(result.Endpoints, result.Revision, time.Now())
 	}
@@ -173,7 +173,7 @@
 
 // handleEndpointsPull answers with the records that are newer than the peer's revision.
 func (fwd *Forwarder) handleEndpointsPull(pul *messenger.EndpointsPull) *messenger.Envelope {
-	ends, rev := fwd.registry.After(pul.GetHaveRevision())
+	ends, rev := fwd.registry.RecordsAfter(pul.GetHaveRevision())
 	return &messenger.Envelope{Body: &messenger.Envelope_EndpointsPush{EndpointsPush: registrar.Message(ends, rev)}}
 }
 
--- a/process/forwarder/serve.go
+++ b/process/forwarder/serve.go
@@ -98,7 +98,7 @@
 func (fwd *Forwarder) status(wri http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
 	tablesRev, age := fwd.publisher.Freshness(now)
-	ends, endpointsRev := fwd.registry.After(0)
+	ends, endpointsRev := fwd.registry.RecordsAfter(0)
 	out := struct {
 		Host              string
 		Incarnation       uint64
--- a/process/forwarder/watch_test.go
+++ b/process/forwarder/watch_test.go
@@ -206,7 +206,7 @@
 	require.False(t, fwd.confirmedRecently(now))
 	require.True(t, fwd.shouldReadStore(now), "a resumed host reads the store")
 	require.True(t, fwd.staleSinceResume(now))
-	_, age := fwd.gossiper.Payload.Endpoints(now)
+	_, age := fwd.gossiper.Payload.EndpointsRevision(now)
 	require.GreaterOrEqual(t, age, suspended)
 	now = now.Add(100 * time.Millisecond)
 	applyState(fwd, now)
--- a/process/gossiper/bench_test.go
+++ b/process/gossiper/bench_test.go
@@ -51,7 +51,7 @@
 			for i := range maxUpdates {
 				ros.queueUpdate(fmt.Sprintf("host-%d", i))
 			}
-			buf, _ := proto.Marshal(&messenger.Ping{From: ros.Self.Member(), Updates: membersOf(ros.Updates("host-1"))})
+			buf, _ := proto.Marshal(&messenger.Ping{From: ros.Self.Member(), Updates: membersOf(ros.NextUpdates("host-1"))})
 			var pin messenger.Ping
 			_ = proto.Unmarshal(buf, &pin)
 			ros.Step(Received{From: Peer{ID: "host-1", Incarnation: 1, State: StateAlive}, Updates: peersOf(pin.GetUpdates())}, epoch)
--- a/process/gossiper/exchange.go
+++ b/process/gossiper/exchange.go
@@ -44,7 +44,7 @@
 	if mem := ros.members[target]; mem != nil {
 		region = mem.Region
 	}
-	return membersOf(ros.Updates(target)), ros.Self.Member(), region
+	return membersOf(ros.NextUpdates(target)), ros.Self.Member(), region
 }
 
 // ageForPeers returns the age of a confirmation, as reported to peers.
@@ -69,23 +69,23 @@
 }
 
 func (gos *Gossiper) retries(now time.Time) *messenger.RetryBudget {
-	if gos.Payload.Retries == nil {
+	if gos.Payload.RetryBudget == nil {
 		return nil
 	}
-	return gos.Payload.Retries(now)
+	return gos.Payload.RetryBudget(now)
 }
 
 func (gos *Gossiper) mergeRetries(host string, ret *messenger.RetryBudget, now time.Time) {
-	if gos.Payload.MergeRetries != nil && ret != nil {
-		gos.Payload.MergeRetries(host, ret, now)
+	if gos.Payload.MergeRetryBudget != nil && ret != nil {
+		gos.Payload.MergeRetryBudget(host, ret, now)
 	}
 }
 
 func (gos *Gossiper) endpoints(now time.Time) (revision uint64, age time.Duration) {
-	if gos.Payload.Endpoints == nil {
+	if gos.Payload.EndpointsRevision == nil {
 		return 0, 0
 	}
-	return gos.Payload.Endpoints(now)
+	return gos.Payload.EndpointsRevision(now)
 }
 
 func (gos *Gossiper) observeEndpoints(address string, revision uint64, ageMs int64, now time.Time) {
@@ -155,7 +155,7 @@
 		gos.step(ctx, Received{From: from}, now)
 	}
 	gos.mu.Lock()
-	pers := gos.rosterLocked().Known()
+	pers := gos.rosterLocked().Reported()
 	gos.mu.Unlock()
 	if id := pul.GetFrom().GetId(); id != "" && !ok {
 		pers = slices.DeleteFunc(pers, func(per Peer) bool { return per.ID != id })
--- a/process/gossiper/gossiper.go
+++ b/process/gossiper/gossiper.go
@@ -42,13 +42,13 @@
 	// Cells returns the cell digests that are useful to hosts of a region.
 	Cells      func(region string, now time.Time) []*messenger.CellDigest
 	MergeCells func(digs []*messenger.CellDigest, now time.Time)
-	// Retries returns what is left of this host's retry budget.
-	Retries      func(now time.Time) *messenger.RetryBudget
-	MergeRetries func(host string, ret *messenger.RetryBudget, now time.Time)
-	// Endpoints returns the revision of this host's endpoint records and the time
+	// RetryBudget returns what is left of this host's retry budget.
+	RetryBudget      func(now time.Time) *messenger.RetryBudget
+	MergeRetryBudget func(host string, ret *messenger.RetryBudget, now time.Time)
+	// EndpointsRevision returns the revision of this host's endpoint records and the time
 	// since the store confirmed it. ObserveEndpoints receives the same of a peer.
-	Endpoints        func(now time.Time) (revision uint64, age time.Duration)
-	ObserveEndpoints func(address string, revision uint64, at time.Time)
+	EndpointsRevision func(now time.Time) (revision uint64, age time.Duration)
+	ObserveEndpoints  func(address string, revision uint64, at time.Time)
 	// Synced is called after this host has pulled members and tables from a peer.
 	Synced func(ctx context.Context, address string)
 }
@@ -62,8 +62,8 @@
 	Entries func() []persister.Entry
 	// Lister holds the copy of the platform's list that hosts exchange; nil for none.
 	Lister *lister.Lister
-	// ListChanged is called when this host adopted a peer's reading of the list.
-	ListChanged func()
+	// OnListAdopted is called when this host adopted a peer's reading of the list.
+	OnListAdopted func()
 	// Seeds are the addresses to contact when the platform's list cannot be read.
 	Seeds   []string
 	Payload Payload
@@ -263,12 +263,12 @@
 	return gos.rosterLocked().Incarnation(host)
 }
 
-// Started returns the incarnation under which the newest known process of a
+// StartIncarnation returns the incarnation under which the newest known process of a
 // host owns its work; 0 if the host is unknown.
-func (gos *Gossiper) Started(host string) uint64 {
+func (gos *Gossiper) StartIncarnation(host string) uint64 {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
-	return gos.rosterLocked().Started(host)
+	return gos.rosterLocked().StartIncarnation(host)
 }
 
 // dialAddress returns the address at which this host calls a peer.
--- a/process/gossiper/history_test.go
+++ b/process/gossiper/history_test.go
@@ -88,12 +88,12 @@
 		return false
 	}
 	caller, target := clu.rosters[from], clu.rosters[to]
-	clu.step(to, Received{From: caller.Self, Updates: caller.Updates(to)})
+	clu.step(to, Received{From: caller.Self, Updates: caller.NextUpdates(to)})
 	dialAddress := ""
 	if via == from {
 		dialAddress = to
 	}
-	clu.step(from, Received{From: target.Self, DialAddress: dialAddress, Updates: target.Updates(from)})
+	clu.step(from, Received{From: target.Self, DialAddress: dialAddress, Updates: target.NextUpdates(from)})
 	return true
 }
 
@@ -223,7 +223,7 @@
 
 // A host that restarts with its clock behind gets a lower incarnation than its earlier
 // process. Peers must accept it, whether they have declared the earlier process dead or
-// not, and Started must stay the incarnation under which it owns its work.
+// not, and StartIncarnation must stay the incarnation under which it owns its work.
 func TestClockBehind(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -253,7 +253,7 @@
 				incarnation, alive := clu.rosters[id].Incarnation("r1-0")
 				require.True(t, alive, "host %s", id)
 				require.Equal(t, clu.rosters["r1-0"].Self.Incarnation, incarnation, "host %s", id)
-				require.Equal(t, uint64(2), clu.rosters[id].Started("r1-0"), "host %s", id)
+				require.Equal(t, uint64(2), clu.rosters[id].StartIncarnation("r1-0"), "host %s", id)
 			}
 			require.Greater(t, clu.rosters["r1-0"].Self.Incarnation, uint64(9))
 		})
--- a/process/gossiper/join_test.go
+++ b/process/gossiper/join_test.go
@@ -24,7 +24,7 @@
 	require.NoError(t, err)
 	pub := &publisher.Publisher{}
 	if revision > 0 {
-		_, err = pub.Accept(parser.Tables{}.WithRevision(revision, "n"))
+		_, err = pub.Adopt(parser.Tables{}.WithRevision(revision, "n"))
 		require.NoError(t, err)
 	}
 	gos := &Gossiper{
--- a/process/gossiper/list.go
+++ b/process/gossiper/list.go
@@ -12,11 +12,11 @@
 	if gos.Lister == nil {
 		return nil
 	}
-	return gos.Lister.Stamp(now)
+	return gos.Lister.StampMessage(now)
 }
 
 func (gos *Gossiper) wantsList(sta *messenger.ListStamp, now time.Time) bool {
-	return gos.Lister != nil && gos.Lister.Wants(sta, now)
+	return gos.Lister != nil && gos.Lister.ObserveStamp(sta, now)
 }
 
 // pullList pulls the platform's list from a peer.
@@ -41,8 +41,8 @@
 		gos.count("list_offers_refused", nil)
 	}
 	if adopted {
-		if gos.ListChanged != nil {
-			gos.ListChanged()
+		if gos.OnListAdopted != nil {
+			gos.OnListAdopted()
 		}
 		go gos.PushList(context.WithoutCancel(ctx))
 	}
--- a/process/gossiper/merge.go
+++ b/process/gossiper/merge.go
@@ -207,8 +207,8 @@
 	return out
 }
 
-// Known returns this host and its peers with the addresses that the peers advertise.
-func (ros *Roster) Known() []Peer {
+// Reported returns this host and its peers with the addresses that the peers advertise.
+func (ros *Roster) Reported() []Peer {
 	out := []Peer{ros.Self}
 	for _, id := range ros.sortedIDs(func(mem *member) bool { return mem.State != StateListed }) {
 		out = append(out, ros.members[id].Peer)
@@ -236,9 +236,9 @@
 	return mem.Incarnation, mem.State != StateDead
 }
 
-// Started returns the incarnation under which the newest known process of a
+// StartIncarnation returns the incarnation under which the newest known process of a
 // host owns its work; 0 if the host is unknown.
-func (ros *Roster) Started(host string) uint64 {
+func (ros *Roster) StartIncarnation(host string) uint64 {
 	if host == ros.Self.ID {
 		return ros.Self.Started
 	}
--- a/process/gossiper/roster.go
+++ b/process/gossiper/roster.go
@@ -309,9 +309,9 @@
 	}
 }
 
-// Updates returns the updates to send with the next message to a peer, a suspicion or
+// NextUpdates returns the updates to send with the next message to a peer, a suspicion or
 // death of that peer first.
-func (ros *Roster) Updates(peer string) []Peer {
+func (ros *Roster) NextUpdates(peer string) []Peer {
 	var out []Peer
 	if mem := ros.members[peer]; mem != nil && (mem.State == StateSuspect || mem.State == StateDead) {
 		out = append(out, mem.Peer)
--- a/process/lister/lister.go
+++ b/process/lister/lister.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// Reader returns the host of a region that reads the list, chosen from self and the
+// ReaderOf returns the host of a region that reads the list, chosen from self and the
 // other live hosts.
-func Reader(self string, live []string) string {
+func ReaderOf(self string, live []string) string {
 	best, bestScore := self, score(self)
 	for _, host := range live {
 		if hostScore := score(host); hostScore > bestScore || (hostScore == bestScore && host < best) {
@@ -90,8 +90,8 @@
 	Self     string
 	// Incarnation returns the incarnation of this host's process.
 	Incarnation func() uint64
-	// Region returns the IDs of the live peers of the region.
-	Region func() []string
+	// LivePeers returns the IDs of the live peers of the region.
+	LivePeers func() []string
 	// MinInterval is the period of the reader's reads of a short list; a read is due
 	// once half of it has passed.
 	MinInterval time.Duration
@@ -154,7 +154,7 @@
 
 // due reports whether this host must read from the platform now.
 func (lis *Lister) due(now time.Time) bool {
-	isReader := Reader(lis.Self, lis.Region()) == lis.Self
+	isReader := ReaderOf(lis.Self, lis.LivePeers()) == lis.Self
 	lis.mu.Lock()
 	defer lis.mu.Unlock()
 	switch {
@@ -292,8 +292,8 @@
 	return slices.SortedFunc(maps.Values(all), func(a, b persister.Entry) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// Stamp returns the stamp of the list that this host holds, for probes; nil for none.
-func (lis *Lister) Stamp(now time.Time) *messenger.ListStamp {
+// StampMessage returns the stamp of the list that this host holds, for probes; nil for none.
+func (lis *Lister) StampMessage(now time.Time) *messenger.ListStamp {
 	lis.mu.Lock()
 	defer lis.mu.Unlock()
 	return lis.held.stamp.message(now)
--- a/process/lister/lister_test.go
+++ b/process/lister/lister_test.go
@@ -62,7 +62,7 @@
 	reg.listers[id] = &Lister{
 		Platform: reg, Self: id, Incarnation: func() uint64 { return incarnation }, MinInterval: time.Second,
 		Clock: func() time.Time { return reg.now },
-		Region: func() []string {
+		LivePeers: func() []string {
 			var out []string
 			for other, alive := range reg.live {
 				if alive && other != id {
@@ -77,10 +77,10 @@
 // exchange sends the stamp of one host to another, which pulls the list if it wants it.
 func (reg *fakeRegion) exchange(from, to string) bool {
 	lis, other := reg.listers[from], reg.listers[to]
-	if !lis.Wants(other.Stamp(reg.now), reg.now) {
+	if !lis.ObserveStamp(other.StampMessage(reg.now), reg.now) {
 		return true
 	}
-	have := lis.Stamp(reg.now)
+	have := lis.StampMessage(reg.now)
 	for range 2 {
 		adopted, whole, _ := lis.Receive(other.Offer(have, reg.now), reg.now)
 		if adopted {
@@ -219,7 +219,7 @@
 func TestDamagedOfferIsRefused(t *testing.T) {
 	reg := newRegion(2)
 	reg.tick(t)
-	reader := Reader("host-0", []string{"host-1"})
+	reader := ReaderOf("host-0", []string{"host-1"})
 	other := map[string]string{"host-0": "host-1", "host-1": "host-0"}[reader]
 	reg.entries["engine"] = persister.Entry{ID: "engine"}
 	_, err := reg.listers[reader].Entries(t.Context())
@@ -259,6 +259,6 @@
 	reg.tick(b)
 	lis := reg.listers["host-0"]
 	for b.Loop() {
-		_ = lis.Wants(&messenger.ListStamp{Source: "other", Sequence: 1}, reg.now)
+		_ = lis.ObserveStamp(&messenger.ListStamp{Source: "other", Sequence: 1}, reg.now)
 	}
 }
--- a/process/lister/spread.go
+++ b/process/lister/spread.go
@@ -25,14 +25,14 @@
 // ErrMismatch means that an offer does not produce the list with its checksum.
 var ErrMismatch = eris.New("lister: offer does not match its checksum")
 
-// Wants reports whether this host wants the reading with a peer's stamp. A stamp equal
+// ObserveStamp reports whether this host wants the reading with a peer's stamp. A stamp equal
 // to that of the held reading confirms the held reading.
-func (lis *Lister) Wants(msg *messenger.ListStamp, now time.Time) bool {
+func (lis *Lister) ObserveStamp(msg *messenger.ListStamp, now time.Time) bool {
 	offered := stampFromMessage(msg, now)
 	if offered.Source == "" || offered.Source == lis.Self {
 		return false
 	}
-	reader := Reader(lis.Self, lis.Region())
+	reader := ReaderOf(lis.Self, lis.LivePeers())
 	lis.mu.Lock()
 	defer lis.mu.Unlock()
 	held := lis.held.stamp
@@ -102,7 +102,7 @@
 // Receive adopts a reading that a peer offers, if this host wants it. It reports whether
 // it was adopted, and whether the full list is needed instead.
 func (lis *Lister) Receive(pus *messenger.ListPush, now time.Time) (adopted, wantWhole bool, err error) {
-	if !lis.Wants(pus.GetStamp(), now) {
+	if !lis.ObserveStamp(pus.GetStamp(), now) {
 		return false, false, nil
 	}
 	if len(pus.GetChanged()) == 0 {
--- a/process/publisher/bench_test.go
+++ b/process/publisher/bench_test.go
@@ -34,11 +34,11 @@
 func BenchmarkReceive(b *testing.B) {
 	src, dst := &Publisher{}, &Publisher{}
 	first := fullTables(1).WithRevision(1, "n")
-	_, err := src.Accept(first)
+	_, err := src.Adopt(first)
 	require.NoError(b, err)
-	_, err = src.Accept(fullTables(2).WithEdit(first, parser.Edit{Revision: 2, Nonce: "n"}))
+	_, err = src.Adopt(fullTables(2).WithEdit(first, parser.Edit{Revision: 2, Nonce: "n"}))
 	require.NoError(b, err)
-	_, err = dst.Accept(first)
+	_, err = dst.Adopt(first)
 	require.NoError(b, err)
 	base := dst.current.Load()
 	for _, whole := range []bool{false, true} {
--- a/process/publisher/edit.go
+++ b/process/publisher/edit.go
@@ -32,9 +32,9 @@
 
 // EditState is the state machine of one edit. It is an immutable value.
 type EditState struct {
-	// Document holds the new content; Edit identifies the edit.
-	Document parser.Tables
-	Edit     parser.Edit
+	// Content holds the new content; Edit identifies the edit.
+	Content parser.Tables
+	Edit    parser.Edit
 	// Known holds the tables in force on this host when the edit began.
 	Known parser.Tables
 
@@ -43,15 +43,15 @@
 	target  parser.Tables
 }
 
-// EditEvent is an input of EditState: Begun, Read, HistoryWritten, Wrote, BroadcastDone
-// or TimedOut.
+// EditEvent is an input of EditState: Begun, StoreRead, HistoryWritten, StoreWritten,
+// BroadcastDone or TimedOut.
 type EditEvent interface{ editEvent() }
 
 // Begun starts an edit.
 type Begun struct{}
 
-// Read reports the stored tables. Version 0 means that none are stored.
-type Read struct {
+// StoreRead reports the stored tables. Version 0 means that none are stored.
+type StoreRead struct {
 	Tables  parser.Tables
 	Version uint64
 	Err     error
@@ -60,20 +60,20 @@
 // HistoryWritten reports that the previous revision was written to the history, or why not.
 type HistoryWritten struct{ Err error }
 
-// Wrote reports the result of the conditional write of the new revision.
-type Wrote struct{ Err error }
+// StoreWritten reports the result of the conditional write of the new revision.
+type StoreWritten struct{ Err error }
 
 // BroadcastDone reports how many peers were offered the new revision, and how
 // many have it in force.
-type BroadcastDone struct{ Asked, Confirmed int }
+type BroadcastDone struct{ Offered, Adopted int }
 
 // TimedOut reports that the time limit of the edit has passed.
 type TimedOut struct{}
 
 func (Begun) editEvent()          {}
-func (Read) editEvent()           {}
+func (StoreRead) editEvent()      {}
 func (HistoryWritten) editEvent() {}
-func (Wrote) editEvent()          {}
+func (StoreWritten) editEvent()   {}
 func (BroadcastDone) editEvent()  {}
 func (TimedOut) editEvent()       {}
 
@@ -105,9 +105,9 @@
 	Tables parser.Tables
 	// InForce is the number of hosts known to have the revision in force.
 	InForce int
-	// Asked is the number of peers that were offered the revision.
-	Asked int
-	Err   error
+	// Offered is the number of peers that were offered the revision.
+	Offered int
+	Err     error
 }
 
 func (ReadStore) editAction()       {}
@@ -130,7 +130,7 @@
 			return sta, ReadStore{}
 		}
 	case stepReading:
-		if eve, ok := eve.(Read); ok {
+		if eve, ok := eve.(StoreRead); ok {
 			return sta.read(eve)
 		}
 	case stepWritingHistory:
@@ -138,16 +138,16 @@
 			return sta.historyWritten(eve)
 		}
 	case stepWriting:
-		if eve, ok := eve.(Wrote); ok {
+		if eve, ok := eve.(StoreWritten); ok {
 			return sta.wrote(eve)
 		}
 	case stepReadingBack:
-		if eve, ok := eve.(Read); ok {
+		if eve, ok := eve.(StoreRead); ok {
 			return sta.readBack(eve)
 		}
 	case stepBroadcasting:
 		if eve, ok := eve.(BroadcastDone); ok {
-			return sta.finish(Finish{Result: Accepted, Tables: sta.target, InForce: eve.Confirmed + 1, Asked: eve.Asked})
+			return sta.finish(Finish{Result: Accepted, Tables: sta.target, InForce: eve.Adopted + 1, Offered: eve.Offered})
 		}
 	}
 	return sta.finish(Finish{Result: Unknown, Err: eris.Errorf("EditState.Next: event %T at step %q", eve, sta.step)})
@@ -158,7 +158,7 @@
 	return sta, fin
 }
 
-func (sta EditState) read(eve Read) (EditState, EditAction) {
+func (sta EditState) read(eve StoreRead) (EditState, EditAction) {
 	if eve.Err != nil {
 		return sta.finish(Finish{Result: NotAccepted, Err: eve.Err})
 	}
@@ -174,7 +174,7 @@
 		err := eris.Errorf("EditState.read: the newest revision that can be read is %d, older than the base of the edit", current.Revision)
 		return sta.finish(Finish{Result: NotAccepted, Tables: current, Err: err})
 	}
-	sta.target = sta.Document.WithEdit(current, sta.Edit)
+	sta.target = sta.Content.WithEdit(current, sta.Edit)
 	sta.version = eve.Version
 	if current.Revision == 0 {
 		return sta.write()
@@ -195,7 +195,7 @@
 	return sta.write()
 }
 
-func (sta EditState) wrote(eve Wrote) (EditState, EditAction) {
+func (sta EditState) wrote(eve StoreWritten) (EditState, EditAction) {
 	switch {
 	case eve.Err == nil:
 		sta.step = stepBroadcasting
@@ -209,7 +209,7 @@
 }
 
 // readBack determines whether the write took effect.
-func (sta EditState) readBack(eve Read) (EditState, EditAction) {
+func (sta EditState) readBack(eve StoreRead) (EditState, EditAction) {
 	if eve.Err != nil {
 		return sta, ReadAgain{}
 	}
--- a/process/publisher/editor.go
+++ b/process/publisher/editor.go
@@ -36,9 +36,9 @@
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), editTimeout)
 	defer stop()
 	sta := EditState{
-		Document: tab,
-		Edit:     parser.Edit{Revision: base + 1, Nonce: uuid.Must(uuid.NewV7()).String(), At: now.UTC().Truncate(time.Millisecond)},
-		Known:    pub.Current().Tables(),
+		Content: tab,
+		Edit:    parser.Edit{Revision: base + 1, Nonce: uuid.Must(uuid.NewV7()).String(), At: now.UTC().Truncate(time.Millisecond)},
+		Known:   pub.Current().Tables(),
 	}
 	sta, act := sta.Next(Begun{})
 	for {
@@ -71,7 +71,7 @@
 		defer stop()
 		return orTimedOut(ctx, HistoryWritten{pub.writeHistory(writeCtx, act.Tables)})
 	case WriteStore:
-		return orTimedOut(ctx, Wrote{pub.write(ctx, act)})
+		return orTimedOut(ctx, StoreWritten{pub.write(ctx, act)})
 	case BroadcastTables:
 		return pub.broadcast(ctx, act.Tables)
 	default:
@@ -85,7 +85,7 @@
 		return eve
 	}
 	switch failed := eve.(type) {
-	case Read:
+	case StoreRead:
 		if failed.Err == nil {
 			return eve
 		}
@@ -93,7 +93,7 @@
 		if failed.Err == nil {
 			return eve
 		}
-	case Wrote:
+	case StoreWritten:
 		if failed.Err == nil {
 			return eve
 		}
@@ -101,18 +101,18 @@
 	return TimedOut{}
 }
 
-func (pub *Publisher) read(ctx context.Context) Read {
+func (pub *Publisher) read(ctx context.Context) StoreRead {
 	ctx, stop := context.WithTimeout(ctx, storeCallTimeout)
 	defer stop()
 	obj, err := pub.Store.Get(ctx, TablesPath)
 	if eris.Is(err, persister.ErrNotFound) {
-		return Read{}
+		return StoreRead{}
 	}
 	if err != nil {
-		return Read{Err: err}
+		return StoreRead{Err: err}
 	}
 	tab, err := parser.Parse(obj.Value)
-	return Read{Tables: tab, Version: obj.Version, Err: err}
+	return StoreRead{Tables: tab, Version: obj.Version, Err: err}
 }
 
 func (pub *Publisher) readAgain(ctx context.Context) EditEvent {
@@ -142,7 +142,7 @@
 }
 
 func (pub *Publisher) broadcast(ctx context.Context, tab parser.Tables) EditEvent {
-	_, _ = pub.Accept(tab)
+	_, _ = pub.Adopt(tab)
 	pub.ConfirmRevision(tab.Revision, time.Now())
 	go pub.prune(tab.Revision)
 	if pub.Broadcast == nil {
@@ -151,5 +151,5 @@
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), broadcastTimeout)
 	defer stop()
 	asked, confirmed := pub.Broadcast(ctx)
-	return BroadcastDone{Asked: asked, Confirmed: confirmed}
+	return BroadcastDone{Offered: asked, Adopted: confirmed}
 }
--- a/process/publisher/publisher.go
+++ b/process/publisher/publisher.go
@@ -43,9 +43,9 @@
 	// Broadcast offers the tables in force to peers and returns how many were
 	// asked and how many now have that revision in force; nil for no peers.
 	Broadcast func(ctx context.Context) (asked, confirmed int)
-	// OnAccept is called after a revision that this host read from the store, or
+	// OnAdopt is called after a revision that this host read from the store, or
 	// that a peer offered, came into force; nil for none.
-	OnAccept func(fromStore bool)
+	OnAdopt func(fromStore bool)
 
 	current atomic.Pointer[version]
 	// confirmed includes the monotonic clock reading, so that a step of the wall
@@ -115,18 +115,18 @@
 // Adopts reports whether a host that has one revision in force adopts the offered one.
 func Adopts(have, offered uint64) bool { return offered > have }
 
-// Accept puts tables in force if their revision is higher. It reports whether it did.
-func (pub *Publisher) Accept(tab parser.Tables) (bool, error) {
+// Adopt puts tables in force if their revision is higher. It reports whether it did.
+func (pub *Publisher) Adopt(tab parser.Tables) (bool, error) {
 	doc, err := tab.Encode()
 	if err != nil {
 		return false, err
 	}
-	return pub.accept(tab, doc, differ.Delta{}), nil
+	return pub.adoptTables(tab, doc, differ.Delta{}), nil
 }
 
-// accept puts tables in force. del, if not zero, is the verified delta that leads to
+// adoptTables puts tables in force. del, if not zero, is the verified delta that leads to
 // them from its base revision.
-func (pub *Publisher) accept(tab parser.Tables, doc []byte, del differ.Delta) bool {
+func (pub *Publisher) adoptTables(tab parser.Tables, doc []byte, del differ.Delta) bool {
 	ver := &version{matcher: matcher.New(tab), document: doc, checksum: differ.Checksum(doc)}
 	for {
 		old := pub.current.Load()
@@ -144,9 +144,9 @@
 	}
 }
 
-func (pub *Publisher) notifyAccepted(fromStore bool) {
-	if pub.OnAccept != nil {
-		pub.OnAccept(fromStore)
+func (pub *Publisher) notifyAdopted(fromStore bool) {
+	if pub.OnAdopt != nil {
+		pub.OnAdopt(fromStore)
 	}
 }
 
@@ -160,19 +160,19 @@
 	if err != nil {
 		return err
 	}
-	return pub.adopt(obj, now)
+	return pub.adoptObject(obj, now)
 }
 
-// adopt adopts the tables of a stored object. An object older than the tables in
+// adoptObject adopts the tables of a stored object. An object older than the tables in
 // force comes from a lagging store and confirms nothing.
-func (pub *Publisher) adopt(obj persister.Object, now time.Time) error {
+func (pub *Publisher) adoptObject(obj persister.Object, now time.Time) error {
 	tab, err := parser.Parse(obj.Value)
 	if err != nil {
 		return eris.Wrapf(err, "Publisher.adopt: object %s version %d", obj.Path, obj.Version)
 	}
 	pub.recordVersion(stored{obj.Version, tab.Revision})
-	if pub.accept(tab, obj.Value, differ.Delta{}) {
-		defer pub.notifyAccepted(true)
+	if pub.adoptTables(tab, obj.Value, differ.Delta{}) {
+		defer pub.notifyAdopted(true)
 	}
 	pub.ConfirmRevision(tab.Revision, now)
 	return nil
--- a/process/publisher/refresher.go
+++ b/process/publisher/refresher.go
@@ -62,8 +62,8 @@
 type Refresher struct {
 	Publisher *Publisher
 	Self      string
-	// Region returns the IDs of the live hosts of the region.
-	Region func() []string
+	// LiveHosts returns the IDs of the live hosts of the region.
+	LiveHosts func() []string
 	// OnError is called for each failed read of the store; nil for none.
 	OnError func(error)
 }
@@ -92,7 +92,7 @@
 
 // Watches reports whether this host is currently one of its region's watchers.
 func (ref *Refresher) Watches() bool {
-	return Watches(ref.Self, slices.Clone(ref.Region()), WatchersPerRegion)
+	return Watches(ref.Self, slices.Clone(ref.LiveHosts()), WatchersPerRegion)
 }
 
 func (ref *Refresher) pollWait() time.Duration {
@@ -147,7 +147,7 @@
 	}
 	for _, obj := range objs {
 		if obj.Path == TablesPath {
-			return pub.adopt(obj, time.Now())
+			return pub.adoptObject(obj, time.Now())
 		}
 	}
 	pub.ConfirmRevision(seen.revision, start)
--- a/process/publisher/spread.go
+++ b/process/publisher/spread.go
@@ -144,8 +144,8 @@
 	if tab.Revision != pus.GetRevision() || differ.Checksum(doc) != pus.GetChecksum() {
 		return eris.Wrapf(differ.ErrMismatch, "Publisher.receiveDelta: revision %d", pus.GetRevision())
 	}
-	if pub.accept(tab, doc, del) {
-		pub.notifyAccepted(false)
+	if pub.adoptTables(tab, doc, del) {
+		pub.notifyAdopted(false)
 	}
 	return nil
 }
@@ -169,8 +169,8 @@
 	if tab.Revision != pus.GetRevision() {
 		return eris.Wrapf(differ.ErrMismatch, "Publisher.receiveDocument: document has revision %d, offer %d", tab.Revision, pus.GetRevision())
 	}
-	if pub.accept(tab, doc, differ.Delta{}) {
-		pub.notifyAccepted(false)
+	if pub.adoptTables(tab, doc, differ.Delta{}) {
+		pub.notifyAdopted(false)
 	}
 	return nil
 }
--- a/process/publisher/spread_test.go
+++ b/process/publisher/spread_test.go
@@ -90,7 +90,7 @@
 				current = routesTables(lims...).WithEdit(current, parser.Edit{Revision: current.Revision + 1, Nonce: "n"})
 				doc, _ := current.Encode()
 				docs[current.Revision] = string(doc)
-				_, err := pubs[host].Accept(current)
+				_, err := pubs[host].Adopt(current)
 				require.NoError(rt, err)
 			case "announce":
 				inFlight = append(inFlight, pubs[host].Announce())
@@ -136,13 +136,13 @@
 	from, to := &Publisher{}, &Publisher{}
 	tab := routesTables(lims...).WithRevision(1, "a")
 	for _, pub := range []*Publisher{from, to} {
-		_, err := pub.Accept(tab)
+		_, err := pub.Adopt(tab)
 		require.NoError(t, err)
 	}
 	for rev := uint64(2); rev <= 5; rev++ {
 		lims = change(lims, routeLimit{0, int(rev)})
 		tab = routesTables(lims...).WithEdit(tab, parser.Edit{Revision: rev, Nonce: "n"})
-		_, err := from.Accept(tab)
+		_, err := from.Adopt(tab)
 		require.NoError(t, err)
 	}
 	pus := from.Offer(1, false)
@@ -160,10 +160,10 @@
 	from, to := &Publisher{}, &Publisher{}
 	for rev, lims := range [][]routeLimit{{{0, 1}, {1, 1}}, {{1, 1}}, {{1, 1}, {0, 1}}} {
 		tab := routesTables(lims...).WithRevision(uint64(rev+1), "n")
-		_, err := from.Accept(tab)
+		_, err := from.Adopt(tab)
 		require.NoError(t, err)
 		if rev == 0 {
-			_, err = to.Accept(tab)
+			_, err = to.Adopt(tab)
 			require.NoError(t, err)
 		}
 	}
@@ -203,7 +203,7 @@
 	reg.pubs[id] = pub
 	reg.stops[id] = stop
 	reg.mu.Unlock()
-	go (&Refresher{Publisher: pub, Self: id, Region: reg.ids}).Run(ctx)
+	go (&Refresher{Publisher: pub, Self: id, LiveHosts: reg.ids}).Run(ctx)
 }
 
 // watchers returns the hosts that watch the store.
--- a/process/registrar/registrar.go
+++ b/process/registrar/registrar.go
@@ -116,9 +116,9 @@
 	return reg.merge(ends, revision, now)
 }
 
-// Replace merges the complete records of the store at a revision and returns those that
+// MergeComplete merges the complete records of the store at a revision and returns those that
 // were new. Known records that are missing there, and are not newer, become Gone.
-func (reg *Registry) Replace(ends []Endpoint, revision uint64, now time.Time) []Endpoint {
+func (reg *Registry) MergeComplete(ends []Endpoint, revision uint64, now time.Time) []Endpoint {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	seen := make(map[string]bool, len(ends))
@@ -228,9 +228,9 @@
 	return out
 }
 
-// Unusable reports whether an endpoint is known and may get no new requests. It is
+// KnownUnusable reports whether an endpoint is known and may get no new requests. It is
 // false for unknown endpoints.
-func (reg *Registry) Unusable(id string, now time.Time) bool {
+func (reg *Registry) KnownUnusable(id string, now time.Time) bool {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	rec := reg.records[id]
@@ -248,10 +248,10 @@
 	return rec.Endpoint, true
 }
 
-// After returns the records that a peer lacks if it has all records up to a revision, and
+// RecordsAfter returns the records that a peer lacks if it has all records up to a revision, and
 // the revision up to which the peer is complete with them; 0 if this host's records are
 // not complete.
-func (reg *Registry) After(revision uint64) ([]Endpoint, uint64) {
+func (reg *Registry) RecordsAfter(revision uint64) ([]Endpoint, uint64) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	if !reg.complete {
--- a/process/registrar/registrar_test.go
+++ b/process/registrar/registrar_test.go
@@ -43,21 +43,21 @@
 
 func TestReplace(t *testing.T) {
 	var reg Registry
-	reg.Replace([]Endpoint{ready("a", 1), ready("b", 2)}, 5, epoch)
+	reg.MergeComplete([]Endpoint{ready("a", 1), ready("b", 2)}, 5, epoch)
 	reg.confirmed = epoch
 	rev, complete := reg.Revision()
 	require.True(t, complete)
 	require.EqualValues(t, 5, rev)
 	// A peer has sent an entry that was written after the records were read.
 	reg.Merge([]Endpoint{ready("c", 9)}, 0, epoch)
-	reg.Replace([]Endpoint{ready("a", 1)}, 7, epoch)
+	reg.MergeComplete([]Endpoint{ready("a", 1)}, 7, epoch)
 	require.Equal(t, []string{"a", "c"}, ids(reg.Usable("s", epoch.Add(time.Millisecond))))
 	require.Empty(t, reg.Usable("other", epoch))
 }
 
 func TestLeaving(t *testing.T) {
 	var reg Registry
-	reg.Replace([]Endpoint{ready("a", 1), ready("b", 2)}, 2, epoch)
+	reg.MergeComplete([]Endpoint{ready("a", 1), ready("b", 2)}, 2, epoch)
 	require.Len(t, reg.Merge([]Endpoint{ready("a", 3).asLeaving()}, 3, epoch), 1)
 	require.Empty(t, reg.Merge([]Endpoint{ready("a", 3).asLeaving()}, 3, epoch), "a repeated record is not new")
 	require.Equal(t, []string{"b"}, ids(reg.Usable("s", epoch)))
@@ -69,7 +69,7 @@
 // until a valid entry is written.
 func TestUnreadableEntry(t *testing.T) {
 	var reg Registry
-	reg.Replace([]Endpoint{ready("a", 1)}, 1, epoch)
+	reg.MergeComplete([]Endpoint{ready("a", 1)}, 1, epoch)
 	reg.confirmed = epoch
 	reg.Merge([]Endpoint{{ID: "a", Revision: 2, Gone: true}}, 2, epoch)
 	require.Empty(t, reg.Usable("s", epoch))
@@ -83,9 +83,9 @@
 	var reg Registry
 	reg.MergeFromPeer([]Endpoint{ready("a", 1), ready("b", 3).asGone()}, 3, epoch)
 	require.Equal(t, []string{"a"}, ids(reg.Usable("s", epoch)))
-	require.True(t, reg.Unusable("b", epoch))
-	require.False(t, reg.Unusable("a", epoch))
-	require.False(t, reg.Unusable("unknown", epoch))
+	require.True(t, reg.KnownUnusable("b", epoch))
+	require.False(t, reg.KnownUnusable("a", epoch))
+	require.False(t, reg.KnownUnusable("unknown", epoch))
 }
 
 // TestOutage removes an entry at different times of an outage. If the store was down for
@@ -110,7 +110,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			reg := Registry{confirmed: epoch}
-			reg.Replace([]Endpoint{ready("a", 1), ready("b", 1), ready("c", 1), ready("d", 1)}, 1, epoch)
+			reg.MergeComplete([]Endpoint{ready("a", 1), ready("b", 1), ready("c", 1), ready("d", 1)}, 1, epoch)
 			for _, at := range tt.confirmed {
 				reg.Confirm(1, epoch.Add(at))
 			}
@@ -139,7 +139,7 @@
 	for _, end := range all[:5] {
 		lost = append(lost, end.asGone())
 	}
-	reg.Replace(all, 1, epoch)
+	reg.MergeComplete(all, 1, epoch)
 	reg.Confirm(1, epoch.Add(-time.Hour))
 	reg.Confirm(1, epoch.Add(-time.Second))
 	reg.outageEnd = time.Time{}
@@ -150,11 +150,11 @@
 
 func TestExchangeBetweenPeers(t *testing.T) {
 	var from, to Registry
-	_, rev := to.After(0)
+	_, rev := to.RecordsAfter(0)
 	require.Zero(t, rev, "a host without records offers none")
 	from.confirmed, to.confirmed = epoch, epoch
-	from.Replace([]Endpoint{ready("a", 1), ready("b", 2)}, 5, epoch)
-	ends, rev := from.After(0)
+	from.MergeComplete([]Endpoint{ready("a", 1), ready("b", 2)}, 5, epoch)
+	ends, rev := from.RecordsAfter(0)
 	push := Message(ends, rev)
 	to.MergeFromPeer(FromMessage(push), push.GetRevision(), epoch)
 	require.Equal(t, []string{"a", "b"}, ids(to.Usable("s", epoch)))
@@ -162,7 +162,7 @@
 	require.True(t, complete)
 	require.EqualValues(t, 5, rev)
 	from.Merge([]Endpoint{ready("c", 6), ready("a", 1).asGone()}, 6, epoch)
-	ends, rev = from.After(5)
+	ends, rev = from.RecordsAfter(5)
 	require.Len(t, ends, 2, "the changed and the removed record")
 	to.MergeFromPeer(ends, rev, epoch)
 	require.Equal(t, []string{"b", "c"}, ids(to.Usable("s", epoch)))
@@ -170,7 +170,7 @@
 
 func TestConfirm(t *testing.T) {
 	var reg Registry
-	reg.Replace([]Endpoint{ready("a", 1)}, 5, epoch)
+	reg.MergeComplete([]Endpoint{ready("a", 1)}, 5, epoch)
 	reg.Confirm(5, epoch)
 	require.Equal(t, epoch, reg.Confirmed())
 	reg.Confirm(4, epoch.Add(time.Second))
--- a/process/server/edge_test.go
+++ b/process/server/edge_test.go
@@ -60,7 +60,7 @@
 func startEdge(t *testing.T, set configurer.Settings, han http.Handler) (ser *Server, address string) {
 	t.Helper()
 	ser = New(set, zerolog.Nop(), 1, time.Now())
-	ser.publisher.Accept(edgeTables())
+	ser.publisher.Adopt(edgeTables())
 	if han == nil {
 		han = ser.callerRoutes()
 	}
--- a/process/server/operator_tables.go
+++ b/process/server/operator_tables.go
@@ -96,7 +96,7 @@
 	ser.Log.Info().Uint64("Revision", edit.Tables.Revision).Int("InForce", edit.InForce).Msg("tables accepted")
 	wri.Header().Set(responder.InForceHeader, strconv.Itoa(edit.InForce))
 	status := http.StatusOK
-	if edit.Asked > 0 && edit.InForce < 2 {
+	if edit.Offered > 0 && edit.InForce < 2 {
 		status = http.StatusAccepted
 	}
 	writeTables(wri, status, edit.Tables)
--- a/process/server/reclaim.go
+++ b/process/server/reclaim.go
@@ -72,7 +72,7 @@
 // Incarnation returns the incarnation at which the newest known process of a host started,
 // which marks the work that the process owns. It reports false if no process is known.
 func (sta *hostStates) Incarnation(host string) (uint64, bool) {
-	inc := sta.gossiper.Started(host)
+	inc := sta.gossiper.StartIncarnation(host)
 	return inc, inc > 0
 }
 
--- a/process/server/tables.go
+++ b/process/server/tables.go
@@ -38,22 +38,22 @@
 			Id: set.HostID, Address: set.PeerListen, DataCenter: set.DataCenter, Region: set.Region, Incarnation: ser.Incarnation,
 		},
 		Multiplexer: ser.multiplexer, Publisher: ser.publisher, Entries: ser.watcher.Entries,
-		Lister: ser.lister, ListChanged: ser.refreshList, Seeds: set.SeedPeers, Scope: ser.scope, Log: ser.Log,
+		Lister: ser.lister, OnListAdopted: ser.refreshList, Seeds: set.SeedPeers, Scope: ser.scope, Log: ser.Log,
 		Payload: gossiper.Payload{
 			Notices: ser.watcher.Notices.Outgoing, MergeNotices: ser.watcher.Notices.Merge, Cells: ser.cellDigestsFor, MergeCells: ser.mergeCellDigests,
-			Retries: ser.ownRetryBudget, MergeRetries: ser.mergePeerRetryBudget,
+			RetryBudget: ser.ownRetryBudget, MergeRetryBudget: ser.mergePeerRetryBudget,
 		},
 	}
 	ser.watcher.OnNotices = func(nots []*messenger.EndpointNotice) {
 		go ser.withUpdateTimeout(func(ctx context.Context) { ser.gossiper.BroadcastNotices(ctx, nots, true) })
 	}
 	ser.publisher.Broadcast = func(ctx context.Context) (int, int) { return ser.gossiper.PushTables(ctx, true) }
-	ser.publisher.OnAccept = func(fromStore bool) {
+	ser.publisher.OnAdopt = func(fromStore bool) {
 		ser.Log.Info().Uint64("Revision", ser.publisher.Current().Revision()).Bool("FromStore", fromStore).Msg("tables in force")
 		go ser.withUpdateTimeout(func(ctx context.Context) { ser.gossiper.PushTables(ctx, fromStore) })
 	}
 	ser.refresher = &publisher.Refresher{
-		Publisher: ser.publisher, Self: set.HostID, Region: ser.regionPeerIDs,
+		Publisher: ser.publisher, Self: set.HostID, LiveHosts: ser.regionPeerIDs,
 		OnError: func(error) { ser.scope.Counter("tables_refresh_failed").Inc(1) },
 	}
 }
@@ -71,7 +71,7 @@
 		return current
 	}
 	return &lister.Lister{
-		Platform: &platformMonitor{Lister: ser.persister, log: ser.Log, scope: ser.scope}, Self: ser.Settings.HostID, Incarnation: incarnation, Region: ser.regionPeerIDs,
+		Platform: &platformMonitor{Lister: ser.persister, log: ser.Log, scope: ser.scope}, Self: ser.Settings.HostID, Incarnation: incarnation, LivePeers: ser.regionPeerIDs,
 		MinInterval: ser.Settings.ListInterval, LastReadBytes: ser.persister.ListBytes, Clock: time.Now,
 		OnChange: func() { go ser.withUpdateTimeout(ser.gossiper.PushList) },
 	}
