--- a/process/lister/lister.go
+++ b/process/lister/lister.go
@@ -27,9 +27,11 @@
 	staleAfter = 15 * time.Second
 	// staleInterval is the time between the reads of a host whose list is stale.
 	staleInterval = 5 * time.Second
-	// bytesPerSecond bounds the mean traffic of reading a long list from the platform.
-	bytesPerSecond = 10_000
-	// maxChanges is the number of past readings from which a host can build a difference.
+	// maxReadRate bounds the mean traffic of reading a long list from the platform, in
+	// bytes per second.
+	maxReadRate = 10_000
+	// maxChanges is the number of past snapshots of the list from which a host can send
+	// the changes.
 	maxChanges = 8
 )
 
@@ -38,18 +40,19 @@
 	Entries(ctx context.Context) ([]persister.Entry, error)
 }
 
-// Stamp identifies a reading of the list.
+// Stamp identifies a snapshot of the list.
 type Stamp struct {
 	// Source is the host that read the list, Incarnation its process.
 	Source      string
 	Incarnation uint64
-	// Sequence is the number of different lists that the source has read.
+	// Sequence counts the lists that the source's process has read. Reading an unchanged
+	// list again does not count.
 	Sequence uint64
 	// At is the last time at which the source read this list.
 	At time.Time
 }
 
-// newer reports whether sta is a later reading of the same source than old.
+// newer reports whether sta is a later snapshot of the same source than old.
 func (sta Stamp) newer(old Stamp) bool {
 	if sta.Incarnation != old.Incarnation {
 		return sta.Incarnation > old.Incarnation
@@ -57,8 +60,9 @@
 	return sta.Sequence > old.Sequence
 }
 
-// Adopts reports whether a host that holds one reading adopts the offered one. It prefers
-// those of the reader; a reading of another source is used until the reader's arrives.
+// Adopts reports whether a host that holds a snapshot adopts an offered one. A host adopts
+// later snapshots of the source whose snapshot it holds, and any snapshot of the reader.
+// It adopts a snapshot of another source only if it holds none.
 func Adopts(held, offered Stamp, reader string) bool {
 	switch {
 	case offered.Source == held.Source:
@@ -92,8 +96,8 @@
 	Incarnation func() uint64
 	// LivePeers returns the IDs of the live peers of the region.
 	LivePeers func() []string
-	// MinInterval is the period of the reader's reads of a short list; a read is due
-	// once half of it has passed.
+	// MinInterval is the interval at which the reader's Entries is expected to be called.
+	// A read of a short list is due once half the interval has passed since the last read.
 	MinInterval time.Duration
 	// OnChange is called after this host has read a changed list; nil for none.
 	OnChange func()
@@ -108,22 +112,23 @@
 	mu sync.Mutex
 	// lastRead is the slice that the platform's client returned last.
 	lastRead []persister.Entry
-	held     reading
+	held     snapshot
 	sequence uint64
 	nextRead time.Time
 }
 
-// reading is an immutable list with its stamp.
-type reading struct {
+// snapshot is an immutable list with its stamp. size is the length of the encoded entries
+// in bytes.
+type snapshot struct {
 	stamp    Stamp
 	entries  []persister.Entry
 	checksum uint64
 	size     int
-	// changes lead to this reading step by step, oldest first.
+	// changes lead to this snapshot step by step, oldest first.
 	changes []change
 }
 
-// change is the difference between the reading with sequence base and the next one.
+// change is the difference between the snapshot with sequence base and the next snapshot.
 type change struct {
 	base    uint64
 	changed map[string]persister.Entry
@@ -133,7 +138,7 @@
 // Entries returns the list. It reads the platform if a read is due for this host.
 func (lis *Lister) Entries(ctx context.Context) ([]persister.Entry, error) {
 	now := lis.Clock()
-	if !lis.due(now) {
+	if !lis.startRead(now) {
 		lis.mu.Lock()
 		defer lis.mu.Unlock()
 		return lis.held.entries, nil
@@ -144,7 +149,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "Lister.Entries")
 	}
-	changed := lis.adopt(ents, now)
+	changed := lis.adoptRead(ents, now)
 	lis.scheduleNextRead(now)
 	if changed && lis.OnChange != nil {
 		lis.OnChange()
@@ -152,8 +157,9 @@
 	return ents, nil
 }
 
-// due reports whether this host must read from the platform now.
-func (lis *Lister) due(now time.Time) bool {
+// startRead reports whether this host must read from the platform now. If so, it also
+// postpones the next read, unless the host holds no list.
+func (lis *Lister) startRead(now time.Time) bool {
 	isReader := ReaderOf(lis.Self, lis.LivePeers()) == lis.Self
 	lis.mu.Lock()
 	defer lis.mu.Unlock()
@@ -181,11 +187,13 @@
 	if lis.LastReadBytes != nil {
 		size = lis.LastReadBytes()
 	}
-	lis.nextRead = now.Add(max(lis.MinInterval/2, time.Duration(size)*time.Second/bytesPerSecond))
+	lis.nextRead = now.Add(max(lis.MinInterval/2, time.Duration(size)*time.Second/maxReadRate))
 }
 
-// adopt takes a list that this host read itself, and reports whether the list changed.
-func (lis *Lister) adopt(ents []persister.Entry, now time.Time) bool {
+// adoptRead replaces the held list with one that this host read itself, and reports
+// whether the list changed. If this process also read the held list, and the two are
+// equal, the held list is only confirmed.
+func (lis *Lister) adoptRead(ents []persister.Entry, now time.Time) bool {
 	if lis.confirmUnchanged(ents, now) {
 		return false
 	}
@@ -200,7 +208,7 @@
 		return false
 	}
 	lis.sequence++
-	next := reading{
+	next := snapshot{
 		stamp:   Stamp{Source: lis.Self, Incarnation: lis.Incarnation(), Sequence: lis.sequence, At: now},
 		entries: ents, checksum: sum, size: size,
 	}
@@ -228,12 +236,13 @@
 	return true
 }
 
-// isOwn reports whether this process took the reading under its current
+// isOwn reports whether this process read the list with a stamp under its current
 // incarnation.
 func (lis *Lister) isOwn(sta Stamp) bool {
 	return sta.Source == lis.Self && sta.Incarnation == lis.Incarnation()
 }
 
+// checksum returns the checksum of the encoded entries and their length in bytes.
 func checksum(ents []persister.Entry) (uint64, int) {
 	buf, _ := json.Marshal(ents)
 	return xxhash.Sum64(buf), len(buf)
@@ -268,8 +277,8 @@
 		a.Region == b.Region && a.Leaving == b.Leaving && slices.Equal(a.Models, b.Models)
 }
 
-// followedBy joins a change with the next one.
-func (cha change) followedBy(next change) change {
+// compose returns the change that has the effect of cha followed by next.
+func (cha change) compose(next change) change {
 	out := change{base: cha.base, changed: maps.Clone(cha.changed), removed: maps.Clone(cha.removed)}
 	for id, ent := range next.changed {
 		out.changed[id] = ent
--- a/process/lister/lister_test.go
+++ b/process/lister/lister_test.go
@@ -74,20 +74,21 @@
 	}
 }
 
-// exchange sends the stamp of one host to another, which pulls the list if it wants it.
-func (reg *fakeRegion) exchange(from, to string) bool {
-	lis, other := reg.listers[from], reg.listers[to]
+// pullFrom lets a host receive the stamp of a peer and pull the peer's list if necessary.
+// It reports whether the host needs nothing more from the peer.
+func (reg *fakeRegion) pullFrom(id, peer string) bool {
+	lis, other := reg.listers[id], reg.listers[peer]
 	if !lis.ObserveStamp(other.StampMessage(reg.now), reg.now) {
 		return true
 	}
-	have := lis.StampMessage(reg.now)
+	heldStamp := lis.StampMessage(reg.now)
 	for range 2 {
-		adopted, whole, _ := lis.Receive(other.Offer(have, reg.now), reg.now)
+		adopted, wantMore, _ := lis.Receive(other.Offer(heldStamp, reg.now), reg.now)
 		if adopted {
 			return true
 		}
-		if whole {
-			have = nil
+		if wantMore {
+			heldStamp = nil
 		}
 	}
 	return false
@@ -103,7 +104,7 @@
 		_, _ = reg.listers[id].Entries(context.Background())
 		for offset := 1; offset < len(reg.ids); offset *= 2 {
 			if peer := reg.ids[(i+offset)%len(reg.ids)]; reg.live[peer] {
-				require.True(t, reg.exchange(id, peer), "%s did not catch up with %s", id, peer)
+				require.True(t, reg.pullFrom(id, peer), "%s did not catch up with %s", id, peer)
 			}
 		}
 	}
@@ -158,7 +159,7 @@
 		reg.tick(t)
 	}
 	size := reg.listers["host-0"].held.size
-	require.LessOrEqual(t, reg.reads*size/300, 2*bytesPerSecond)
+	require.LessOrEqual(t, reg.reads*size/300, 2*maxReadRate)
 }
 
 // Hosts stop and restart and the list changes, in any order: all live hosts must end up
@@ -214,8 +215,8 @@
 	require.Equal(rt, before.entries, reg.listers[id].held.entries)
 }
 
-// An offer that can be decoded, but whose content is not the reading of its stamp, must
-// be refused.
+// An offer that can be decoded, but whose entries do not match its checksum, must be
+// refused.
 func TestDamagedOfferIsRefused(t *testing.T) {
 	reg := newRegion(2)
 	reg.tick(t)
@@ -226,15 +227,16 @@
 	require.NoError(t, err)
 	pus := reg.listers[reader].Offer(nil, reg.now)
 	pus.Changed = encode([]persister.Entry{{ID: "another"}})
-	adopted, whole, err := reg.listers[other].Receive(pus, reg.now)
+	adopted, wantMore, err := reg.listers[other].Receive(pus, reg.now)
 	require.ErrorIs(t, err, ErrMismatch)
 	require.False(t, adopted)
-	require.True(t, whole)
+	require.True(t, wantMore)
 }
 
+// Hosts must neither switch between the lists of two sources nor return to an earlier list.
 func TestAdopts(t *testing.T) {
 	held := Stamp{Source: "a", Incarnation: 2, Sequence: 5}
-	tts := []struct {
+	tests := []struct {
 		name          string
 		held, offered Stamp
 		reader        string
@@ -247,14 +249,14 @@
 		{"restarted", held, Stamp{Source: "a", Incarnation: 3, Sequence: 1}, "a", true},
 		{"earlier process", held, Stamp{Source: "a", Incarnation: 1, Sequence: 9}, "a", false},
 		{"new reader", held, Stamp{Source: "b", Incarnation: 1, Sequence: 1}, "b", true},
-		{"no reader", held, Stamp{Source: "c", Incarnation: 9, Sequence: 9}, "b", false},
+		{"a source that is not the reader", held, Stamp{Source: "c", Incarnation: 9, Sequence: 9}, "b", false},
 	}
-	for _, tt := range tts {
+	for _, tt := range tests {
 		require.Equal(t, tt.want, Adopts(tt.held, tt.offered, tt.reader), tt.name)
 	}
 }
 
-func BenchmarkStamp(b *testing.B) {
+func BenchmarkObserveStamp(b *testing.B) {
 	reg := newRegion(1)
 	reg.tick(b)
 	lis := reg.listers["host-0"]
--- a/process/lister/spread.go
+++ b/process/lister/spread.go
@@ -22,11 +22,12 @@
 	maxAnnounceBytes = 16 << 10
 )
 
-// ErrMismatch means that an offer does not produce the list with its checksum.
+// ErrMismatch means that an offer does not lead to a list with the offer's checksum.
 var ErrMismatch = eris.New("lister: offer does not match its checksum")
 
-// ObserveStamp reports whether this host wants the reading with a peer's stamp. A stamp equal
-// to that of the held reading confirms the held reading.
+// ObserveStamp receives the stamp of a peer's list and reports whether this host must pull
+// that list. If it is the stamp of the held list, the held list counts as confirmed at the
+// later of the two times.
 func (lis *Lister) ObserveStamp(msg *messenger.ListStamp, now time.Time) bool {
 	offered := stampFromMessage(msg, now)
 	if offered.Source == "" || offered.Source == lis.Self {
@@ -45,63 +46,66 @@
 	return reader != lis.Self && Adopts(held, offered, reader)
 }
 
-// Offer returns the message that brings a peer from the reading have to the one
-// that this host holds.
-func (lis *Lister) Offer(have *messenger.ListStamp, now time.Time) *messenger.ListPush {
+// Offer returns the message that brings a peer from the list with the stamp peerStamp to
+// the list that this host holds: the changes if they are known, else the full list.
+func (lis *Lister) Offer(peerStamp *messenger.ListStamp, now time.Time) *messenger.ListPush {
 	lis.mu.Lock()
-	red := lis.held
+	sna := lis.held
 	lis.mu.Unlock()
-	pus := &messenger.ListPush{Stamp: red.stamp.message(now), Checksum: red.checksum}
+	pus := &messenger.ListPush{Stamp: sna.stamp.message(now), Checksum: sna.checksum}
 	if pus.GetStamp() == nil {
 		return pus
 	}
-	if have.GetSource() == red.stamp.Source && have.GetIncarnation() == red.stamp.Incarnation {
-		if cha, ok := red.changeSince(have.GetSequence()); ok {
+	if peerStamp.GetSource() == sna.stamp.Source && peerStamp.GetIncarnation() == sna.stamp.Incarnation {
+		if cha, ok := sna.changeSince(peerStamp.GetSequence()); ok {
 			pus.BaseSequence = cha.base
 			pus.Changed = encode(slices.Collect(maps.Values(cha.changed)))
 			pus.Removed = slices.Collect(maps.Keys(cha.removed))
 			return pus
 		}
 	}
-	pus.Changed = encode(red.entries)
+	pus.Changed = encode(sna.entries)
 	return pus
 }
 
-// Announce returns the message for peers that are likely to have the previous reading:
+// Announce returns the message for peers that are likely to have the previous snapshot:
 // the latest change, or only the stamp if the change is large.
 func (lis *Lister) Announce(now time.Time) *messenger.ListPush {
 	lis.mu.Lock()
 	sta := lis.held.stamp
 	chas := lis.held.changes
 	lis.mu.Unlock()
-	have := sta.message(now)
+	peerStamp := sta.message(now)
 	if len(chas) == 0 {
-		return &messenger.ListPush{Stamp: have}
+		return &messenger.ListPush{Stamp: peerStamp}
 	}
-	have.Sequence = chas[len(chas)-1].base
-	pus := lis.Offer(have, now)
+	peerStamp.Sequence = chas[len(chas)-1].base
+	pus := lis.Offer(peerStamp, now)
 	if len(pus.GetChanged()) > maxAnnounceBytes {
 		return &messenger.ListPush{Stamp: pus.GetStamp()}
 	}
 	return pus
 }
 
-func (red reading) changeSince(sequence uint64) (change, bool) {
-	for i, cha := range red.changes {
+// changeSince returns the composed change from the snapshot with a sequence to this one, if
+// it is known.
+func (sna snapshot) changeSince(sequence uint64) (change, bool) {
+	for i, cha := range sna.changes {
 		if cha.base != sequence {
 			continue
 		}
-		for _, next := range red.changes[i+1:] {
-			cha = cha.followedBy(next)
+		for _, next := range sna.changes[i+1:] {
+			cha = cha.compose(next)
 		}
 		return cha, true
 	}
 	return change{}, false
 }
 
-// Receive adopts a reading that a peer offers, if this host wants it. It reports whether
-// it was adopted, and whether the full list is needed instead.
-func (lis *Lister) Receive(pus *messenger.ListPush, now time.Time) (adopted, wantWhole bool, err error) {
+// Receive adopts a list that a peer offers, if this host must pull that list. It returns
+// whether the list was adopted, and whether the peer must send more: the changes since the
+// held list if the offer holds only a stamp, else the full list.
+func (lis *Lister) Receive(pus *messenger.ListPush, now time.Time) (adopted, wantMore bool, err error) {
 	if !lis.ObserveStamp(pus.GetStamp(), now) {
 		return false, false, nil
 	}
@@ -116,7 +120,7 @@
 	lis.mu.Lock()
 	defer lis.mu.Unlock()
 	old := lis.held
-	next := reading{stamp: offered, entries: ents}
+	next := snapshot{stamp: offered, entries: ents}
 	if base := pus.GetBaseSequence(); base > 0 {
 		if old.stamp.Source != offered.Source || old.stamp.Incarnation != offered.Incarnation || old.stamp.Sequence != base {
 			return false, true, nil
@@ -131,7 +135,7 @@
 	}
 	next.checksum, next.size = checksum(next.entries)
 	if next.checksum != pus.GetChecksum() {
-		return false, true, eris.Wrapf(ErrMismatch, "Lister.Receive: reading %d of %s", offered.Sequence, offered.Source)
+		return false, true, eris.Wrapf(ErrMismatch, "Lister.Receive: list with sequence %d from host %s", offered.Sequence, offered.Source)
 	}
 	lis.held = next
 	return true, false, nil
