--- a/process/registrar/registrar.go
+++ b/process/registrar/registrar.go
@@ -19,16 +19,16 @@
 	// outageAge is the time without a confirmation, by the store or through peers,
 	// after which the store counts as down. It is below the 3.6 s after which the entries
 	// of endpoints that cannot reach the store lapse. If the store refuses only this host,
-	// or this host's watches stall, peers still confirm the records and it is no outage.
+	// or this host's watches stall, peers still confirm the records, and the store does not
+	// count as down.
 	outageAge = 3300 * time.Millisecond
 	// massRemovalGrace delays the removal of many entries at once, since such a removal
 	// is likely due to an outage that this host has not detected. It is below the 2 s
 	// within which a leaving endpoint must get no more requests.
 	massRemovalGrace = 1200 * time.Millisecond
-	// massRemovalShare is the least share of a service's endpoints that counts as a
-	// mass removal.
+	// massRemovalShare and massRemovalCount define a mass removal: it concerns at least
+	// this share and at least this number of a service's endpoints.
 	massRemovalShare = 0.34
-	// massRemovalCount is the least number of endpoints that counts as a mass removal.
 	massRemovalCount = 3
 	// tombstoneLifetime is how long the record of a removed entry is kept, so that an
 	// older record of a peer does not restore the entry.
@@ -64,7 +64,7 @@
 // record is an endpoint with the time from which its removal takes effect.
 type record struct {
 	Endpoint
-	removedAt time.Time
+	unusableFrom time.Time
 }
 
 // Registry holds the records of one host. Its zero value is ready to use.
@@ -73,8 +73,8 @@
 	records  map[string]*record
 	revision uint64
 	complete bool
-	// confirmed is the last time at which the store held nothing newer, outageEnd the
-	// time of the first confirmation after the last outage.
+	// confirmed is the last time at which the store held no later revision than revision.
+	// outageEnd is the time of the first confirmation after the last outage.
 	confirmed time.Time
 	outageEnd time.Time
 }
@@ -87,7 +87,8 @@
 	return reg.revision, reg.complete
 }
 
-// Confirm records that the store held nothing newer than a revision at a time.
+// Confirm records that, at the time at, the store held no later revision than revision. It
+// has no effect if this host knows a later revision.
 func (reg *Registry) Confirm(revision uint64, at time.Time) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
@@ -100,24 +101,26 @@
 	reg.confirmed = at
 }
 
-// Confirmed returns the last time at which the store held nothing newer, as far as
-// this host knows directly or through peers.
+// Confirmed returns the last time at which the store held no later revision than this
+// host's, as far as this host knows directly or through peers.
 func (reg *Registry) Confirmed() time.Time {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	return reg.confirmed
 }
 
-// Merge merges some records and returns those that were new. revision is the one up
-// to which the records are now complete; 0 if they do not continue the known records.
+// Merge merges records and returns those that were new. revision is the store's revision
+// up to which this host's records are complete afterwards; 0 if ends may lack records that
+// changed after the known revision.
 func (reg *Registry) Merge(ends []Endpoint, revision uint64, now time.Time) []Endpoint {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	return reg.merge(ends, revision, now)
 }
 
-// MergeComplete merges the complete records of the store at a revision and returns those that
-// were new. Known records that are missing there, and are not newer, become Gone.
+// MergeComplete merges all records of the store at a revision and returns those that were
+// new. Known records that are missing from ends and are not later than revision become
+// Gone.
 func (reg *Registry) MergeComplete(ends []Endpoint, revision uint64, now time.Time) []Endpoint {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
@@ -148,16 +151,17 @@
 			updates = append(updates, end)
 		}
 	}
-	removedAt := reg.removalTime(updates, now)
+	unusableFrom := reg.removalTime(updates, now)
 	for _, end := range updates {
 		rec := &record{Endpoint: end}
 		if end.Gone {
-			rec.removedAt = removedAt
+			rec.unusableFrom = unusableFrom
 			if reg.records[end.ID] == nil {
 				// This host never used the endpoint, so the removal does not point to an outage
 				// that this host has not detected.
-				rec.removedAt = now
+				rec.unusableFrom = now
 			}
+			// The record of an unreadable entry holds only the ID and the revision.
 			if old := reg.records[end.ID]; old != nil && end.Service == "" {
 				rec.Endpoint = old.Endpoint
 				rec.Gone = true
@@ -181,7 +185,7 @@
 	case now.Sub(reg.outageEnd) < reregisterGrace:
 		return reg.outageEnd.Add(reregisterGrace)
 	}
-	left := map[string]int{}
+	present := map[string]int{}
 	lost := map[string]int{}
 	for _, end := range updates {
 		if old := reg.records[end.ID]; end.Gone && old != nil && !old.Gone && !old.Leaving {
@@ -190,11 +194,11 @@
 	}
 	for _, rec := range reg.records {
 		if !rec.Gone {
-			left[rec.Service]++
+			present[rec.Service]++
 		}
 	}
 	for service, count := range lost {
-		if count >= massRemovalCount && float64(count) >= massRemovalShare*float64(left[service]) {
+		if count >= massRemovalCount && float64(count) >= massRemovalShare*float64(present[service]) {
 			return now.Add(massRemovalGrace)
 		}
 	}
@@ -203,7 +207,7 @@
 
 func (reg *Registry) dropTombstones(now time.Time) {
 	for id, rec := range reg.records {
-		if rec.Gone && now.Sub(rec.removedAt) > tombstoneLifetime {
+		if rec.Gone && now.Sub(rec.unusableFrom) > tombstoneLifetime {
 			delete(reg.records, id)
 		}
 	}
@@ -211,7 +215,7 @@
 
 // usable reports whether the endpoint may get new requests.
 func (rec *record) usable(now time.Time) bool {
-	return !rec.Leaving && rec.Address != "" && (!rec.Gone || now.Before(rec.removedAt))
+	return !rec.Leaving && rec.Address != "" && (!rec.Gone || now.Before(rec.unusableFrom))
 }
 
 // Usable returns the endpoints of a service that may get new requests, ordered by ID.
@@ -228,8 +232,7 @@
 	return out
 }
 
-// KnownUnusable reports whether an endpoint is known and may get no new requests. It is
-// false for unknown endpoints.
+// KnownUnusable reports whether an endpoint is known and may get no new requests.
 func (reg *Registry) KnownUnusable(id string, now time.Time) bool {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
@@ -248,9 +251,9 @@
 	return rec.Endpoint, true
 }
 
-// RecordsAfter returns the records that a peer lacks if it has all records up to a revision, and
-// the revision up to which the peer is complete with them; 0 if this host's records are
-// not complete.
+// RecordsAfter returns the records with a later revision than revision, all records of
+// removed entries, and the revision up to which a peer is complete after it has merged
+// them. It returns no records and 0 if this host's records are not complete.
 func (reg *Registry) RecordsAfter(revision uint64) ([]Endpoint, uint64) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
@@ -266,8 +269,9 @@
 	return out, reg.revision
 }
 
-// MergeFromPeer merges all records of a peer that follow this host's revision, and
-// returns those that were new.
+// MergeFromPeer merges the records that a peer's RecordsAfter returned for this host's
+// revision, and returns those that were new. Unlike Merge it marks this host's records as
+// complete, unless revision is 0.
 func (reg *Registry) MergeFromPeer(ends []Endpoint, revision uint64, now time.Time) []Endpoint {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
--- a/process/registrar/registrar_test.go
+++ b/process/registrar/registrar_test.go
@@ -41,7 +41,9 @@
 	}
 }
 
-func TestReplace(t *testing.T) {
+// A complete list of the store's records must remove the endpoints that it lacks, except
+// for those written after it was read.
+func TestMergeComplete(t *testing.T) {
 	var reg Registry
 	reg.MergeComplete([]Endpoint{ready("a", 1), ready("b", 2)}, 5, epoch)
 	reg.confirmed = epoch
@@ -55,6 +57,7 @@
 	require.Empty(t, reg.Usable("other", epoch))
 }
 
+// A leaving endpoint must get no new requests, and a repeated record must not count as new.
 func TestLeaving(t *testing.T) {
 	var reg Registry
 	reg.MergeComplete([]Endpoint{ready("a", 1), ready("b", 2)}, 2, epoch)
@@ -78,7 +81,8 @@
 }
 
 // TestGoneBeforeStart starts a host that receives the record of a removed endpoint from a
-// peer: the host must never use it, although its records have not been confirmed yet.
+// peer: the host must never use the endpoint. Its records have not been confirmed yet,
+// which delays other removals.
 func TestGoneBeforeStart(t *testing.T) {
 	var reg Registry
 	reg.MergeFromPeer([]Endpoint{ready("a", 1), ready("b", 3).asGone()}, 3, epoch)
@@ -98,14 +102,15 @@
 		name string
 		// confirmed are the times at which the store or a peer confirmed the records.
 		confirmed []time.Duration
-		removed   time.Duration
-		gone      time.Duration
+		removedAt time.Duration
+		// unusableFrom is the time from which the endpoint must get no new requests.
+		unusableFrom time.Duration
 	}{
 		{"no outage", []time.Duration{2000 * ms, 4000 * ms, 4800 * ms}, 5000 * ms, 5000 * ms},
 		{"the store refuses only this host", []time.Duration{2000 * ms, 4000 * ms}, 5000 * ms, 5000 * ms},
 		{"during an outage", []time.Duration{1000 * ms}, 5000 * ms, 7000 * ms},
-		{"after the return", []time.Duration{1000 * ms, 5000 * ms}, 5500 * ms, 7000 * ms},
-		{"long after the return", []time.Duration{1000 * ms, 5000 * ms, 6000 * ms, 7500 * ms}, 8000 * ms, 8000 * ms},
+		{"after the store's return", []time.Duration{1000 * ms, 5000 * ms}, 5500 * ms, 7000 * ms},
+		{"long after the store's return", []time.Duration{1000 * ms, 5000 * ms, 6000 * ms, 7500 * ms}, 8000 * ms, 8000 * ms},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -114,14 +119,14 @@
 			for _, at := range tt.confirmed {
 				reg.Confirm(1, epoch.Add(at))
 			}
-			reg.Merge([]Endpoint{ready("a", 1).asGone()}, 0, epoch.Add(tt.removed))
-			has := func(at time.Duration) bool {
+			reg.Merge([]Endpoint{ready("a", 1).asGone()}, 0, epoch.Add(tt.removedAt))
+			usable := func(at time.Duration) bool {
 				_, ok := reg.Find("a", epoch.Add(at))
 				return ok
 			}
-			require.False(t, has(tt.gone))
-			if tt.gone > tt.removed {
-				require.True(t, has(tt.gone-time.Millisecond))
+			require.False(t, usable(tt.unusableFrom))
+			if tt.unusableFrom > tt.removedAt {
+				require.True(t, usable(tt.unusableFrom-time.Millisecond))
 			}
 		})
 	}
@@ -142,12 +147,14 @@
 	reg.MergeComplete(all, 1, epoch)
 	reg.Confirm(1, epoch.Add(-time.Hour))
 	reg.Confirm(1, epoch.Add(-time.Second))
+	// The gap between the two confirmations does not count as an outage.
 	reg.outageEnd = time.Time{}
 	reg.Merge(lost, 2, epoch)
 	require.Len(t, reg.Usable("s", epoch.Add(time.Second)), 10)
 	require.Len(t, reg.Usable("s", epoch.Add(2*time.Second)), 5)
 }
 
+// A host that pulls the records of a peer must get all changed and all removed records.
 func TestExchangeBetweenPeers(t *testing.T) {
 	var from, to Registry
 	_, rev := to.RecordsAfter(0)
@@ -168,6 +175,7 @@
 	require.Equal(t, []string{"b", "c"}, ids(to.Usable("s", epoch)))
 }
 
+// A confirmation of an older revision must not confirm the records.
 func TestConfirm(t *testing.T) {
 	var reg Registry
 	reg.MergeComplete([]Endpoint{ready("a", 1)}, 5, epoch)
