--- a/process/publisher/bench_test.go
+++ b/process/publisher/bench_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fullTables returns 5,000 routes over 980 teams. mark is the time limit of the first route.
-func fullTables(mark int) parser.Tables {
+// fullTables returns 5,000 routes over 980 teams. firstLimit is the time limit of the first
+// route in seconds.
+func fullTables(firstLimit int) parser.Tables {
 	tab := parser.Tables{Pools: []parser.Pool{{Name: "p", Kind: parser.PoolEngine, Selector: parser.Selector{Service: "s"}}}}
 	for i := range 980 {
 		tab.Teams = append(tab.Teams, parser.Team{Name: fmt.Sprintf("team-%d", i), KeyDigests: []string{parser.DigestKey(fmt.Sprint(i))}})
@@ -19,7 +20,7 @@
 	for i := range 5000 {
 		limit := time.Second
 		if i == 0 {
-			limit = time.Duration(mark) * time.Second
+			limit = time.Duration(firstLimit) * time.Second
 		}
 		tab.Routes = append(tab.Routes, parser.Route{
 			Name: fmt.Sprintf("route-%d", i), Pool: "p", TimeLimit: parser.Duration(limit),
@@ -41,9 +42,9 @@
 	_, err = dst.Adopt(first)
 	require.NoError(b, err)
 	base := dst.current.Load()
-	for _, whole := range []bool{false, true} {
-		b.Run(fmt.Sprintf("whole %t", whole), func(b *testing.B) {
-			pus := src.Offer(1, whole)
+	for _, full := range []bool{false, true} {
+		b.Run(fmt.Sprintf("whole %t", full), func(b *testing.B) {
+			pus := src.Offer(1, full)
 			b.ReportAllocs()
 			for b.Loop() {
 				dst.current.Store(base)
--- a/process/publisher/edit.go
+++ b/process/publisher/edit.go
@@ -38,7 +38,9 @@
 	// Known holds the tables in force on this host when the edit began.
 	Known parser.Tables
 
-	step    step
+	step step
+	// version is the version of the object that the write replaces, target the tables to
+	// write.
 	version uint64
 	target  parser.Tables
 }
@@ -99,7 +101,8 @@
 // BroadcastTables puts accepted tables in force and offers them to peers.
 type BroadcastTables struct{ Tables parser.Tables }
 
-// Finish ends the edit. Tables are those accepted, or those that an earlier edit put in force.
+// Finish ends the edit. Tables are the accepted tables if Result is Accepted, else the
+// tables that decided the result, if any.
 type Finish struct {
 	Result Result
 	Tables parser.Tables
@@ -213,7 +216,7 @@
 	if eve.Err != nil {
 		return sta, ReadAgain{}
 	}
-	included, known := eve.Tables.Includes(sta.target.Revision, sta.Edit.Nonce)
+	included, conclusive := eve.Tables.Includes(sta.target.Revision, sta.Edit.Nonce)
 	switch {
 	case included:
 		sta.step = stepBroadcasting
@@ -226,7 +229,7 @@
 		return sta.write()
 	case eve.Tables.Revision < sta.target.Revision:
 		return sta, ReadAgain{}
-	case known:
+	case conclusive:
 		return sta.finish(Finish{Result: Raced, Tables: eve.Tables})
 	default:
 		return sta.finish(Finish{Result: Unknown, Tables: eve.Tables})
--- a/process/publisher/edit_test.go
+++ b/process/publisher/edit_test.go
@@ -29,7 +29,9 @@
 	return tab
 }
 
-// editEvents are the events of the matrix, in the order of the data file.
+// editEvents are the events of the matrix, in the order of the data file. Mine is the edit
+// under test, Others an edit of another operator. Below means that later edits were made on
+// top of it, MuchLater that the recent edits no longer reach back to it.
 var editEvents = []struct {
 	name  string
 	event EditEvent
@@ -58,6 +60,7 @@
 	{"Elapsed", TimedOut{}},
 }
 
+// editSteps holds the events that bring an edit to each step.
 var editSteps = map[string][]EditEvent{
 	"New":         nil,
 	"Reading":     {Begun{}},
@@ -86,10 +89,12 @@
 	}
 }
 
-// TestEditMatrix applies every event at every step of an edit. The data file has
-// a directive for each step and each state of the tables in force on the host.
+// TestEditMatrix applies every event at every step of an edit. It guards against an edit
+// that ends as Raced or NotAccepted although its write may take effect, or as Accepted
+// although it did not. The data file has a directive for each step and each state of the
+// tables in force on the host.
 func TestEditMatrix(t *testing.T) {
-	knowns := map[string]parser.Tables{
+	knownTables := map[string]parser.Tables{
 		"nothing": {}, "older": tablesAt(base-1, "older"), "base": tablesAt(base, "old"), "newer": tablesAt(base+1, "old", "theirs"),
 	}
 	seen := map[string]bool{}
@@ -101,7 +106,7 @@
 		seen[step+known] = true
 		var out strings.Builder
 		for _, tc := range editEvents {
-			sta := EditState{Edit: parser.Edit{Revision: base + 1, Nonce: ownNonce}, Known: knowns[known]}
+			sta := EditState{Edit: parser.Edit{Revision: base + 1, Nonce: ownNonce}, Known: knownTables[known]}
 			for _, eve := range editSteps[step] {
 				sta, _ = sta.Next(eve)
 			}
@@ -111,7 +116,7 @@
 		return out.String()
 	})
 	for step := range editSteps {
-		for known := range knowns {
+		for known := range knownTables {
 			require.True(t, seen[step+known] || (known == "newer" && len(editSteps[step]) > 1), "no cell for step %s, known %s", step, known)
 		}
 	}
--- a/process/publisher/editor.go
+++ b/process/publisher/editor.go
@@ -12,9 +12,11 @@
 )
 
 const (
-	// editTimeout bounds an edit including the read that checks its write.
+	// editTimeout bounds an edit, including the read that determines whether its write took
+	// effect.
 	editTimeout = 5 * time.Second
-	// storeCallTimeout bounds one call of the store, so that time is left for that read.
+	// storeCallTimeout bounds one call to the store. It leaves time for the read after a
+	// write whose result is unknown.
 	storeCallTimeout = 1500 * time.Millisecond
 	broadcastTimeout = 2 * time.Second
 	readBackPause    = 100 * time.Millisecond
@@ -29,8 +31,8 @@
 	ErrUnknown = eris.New("publisher: cannot determine whether the edit was accepted")
 )
 
-// Edit replaces the tables if their revision is still base. An edit that changed
-// nothing returns an error other than ErrUnknown.
+// Edit replaces the tables if their revision is still base. Any error except ErrUnknown
+// means that the edit changed nothing.
 func (pub *Publisher) Edit(ctx context.Context, tab parser.Tables, base uint64, now time.Time) (Finish, error) {
 	// An accepted edit must reach the peers even if the operator disconnects.
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), editTimeout)
@@ -84,17 +86,17 @@
 	if ctx.Err() == nil {
 		return eve
 	}
-	switch failed := eve.(type) {
+	switch typed := eve.(type) {
 	case StoreRead:
-		if failed.Err == nil {
+		if typed.Err == nil {
 			return eve
 		}
 	case HistoryWritten:
-		if failed.Err == nil {
+		if typed.Err == nil {
 			return eve
 		}
 	case StoreWritten:
-		if failed.Err == nil {
+		if typed.Err == nil {
 			return eve
 		}
 	}
@@ -136,7 +138,7 @@
 	defer stop()
 	version, err := pub.Store.Put(ctx, persister.Object{Path: TablesPath, Version: act.Version, Value: doc})
 	if err == nil {
-		pub.recordVersion(stored{version, act.Tables.Revision})
+		pub.recordVersion(objectVersion{version, act.Tables.Revision})
 	}
 	return err
 }
@@ -150,6 +152,6 @@
 	}
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), broadcastTimeout)
 	defer stop()
-	asked, confirmed := pub.Broadcast(ctx)
-	return BroadcastDone{Offered: asked, Adopted: confirmed}
+	offered, adopted := pub.Broadcast(ctx)
+	return BroadcastDone{Offered: offered, Adopted: adopted}
 }
--- a/process/publisher/editor_test.go
+++ b/process/publisher/editor_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// runEdit runs one edit in which each fault of the plan occurs once. It returns the
-// result and whether the store holds the edit.
-func runEdit(t *testing.T, plan map[string]fault) string {
+// runEdit runs one edit in which each fault occurs once at its step. It returns a line with
+// the result and whether the store holds the edit.
+func runEdit(t *testing.T, faultsByStep map[string]fault) string {
 	var out string
 	synctest.Test(t, func(t *testing.T) {
 		sto := &fakeStore{}
@@ -50,18 +50,18 @@
 			_, err := pub.Edit(t.Context(), parser.Tables{}, rev, time.Now())
 			require.NoError(t, err)
 		}
-		left := map[string]fault{}
-		for step, fau := range plan {
-			left[step] = fau
+		pendingFaults := map[string]fault{}
+		for step, fau := range faultsByStep {
+			pendingFaults[step] = fau
 		}
 		wrote := false
 		sto.choose = func(call string) fault {
 			step := stepOf(call, &wrote)
-			fau, ok := left[step]
+			fau, ok := pendingFaults[step]
 			if !ok {
 				return faultNone
 			}
-			delete(left, step)
+			delete(pendingFaults, step)
 			return fau
 		}
 		start := time.Now()
@@ -71,25 +71,27 @@
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		sto.mu.Lock()
-		accepted := slices.ContainsFunc(sto.log, func(edi parser.Edit) bool { return edi.Nonce != "foreign" && edi.Revision == 3 })
-		revs := sto.log
+		stored := slices.ContainsFunc(sto.accepted, func(edi parser.Edit) bool { return edi.Nonce != "foreign" && edi.Revision == 3 })
+		revs := sto.accepted
 		sto.mu.Unlock()
 		for i, edi := range revs {
 			require.Equal(t, uint64(i+1), edi.Revision)
 		}
 		switch fin.Result {
 		case Accepted:
-			require.True(t, accepted, "an accepted edit must be in the store")
+			require.True(t, stored, "an accepted edit must be in the store")
 		case Raced, NotAccepted:
-			require.False(t, accepted, "an edit that changed nothing must not be in the store")
+			require.False(t, stored, "an edit that changed nothing must not be in the store")
 		}
-		out = fmt.Sprintf("%s, stored %t", fin.Result, accepted)
+		out = fmt.Sprintf("%s, stored %t", fin.Result, stored)
 	})
 	return out
 }
 
-// TestEditFaults runs an edit under every fault at every step, and under every
-// pair of faults. The data file has a directive for each first fault.
+// TestEditFaults runs an edit under each fault at each store call, and under each pair of
+// faults at different calls. An edit that is reported as accepted must be stored, and one
+// that is reported as Raced or NotAccepted must not. The data file has a directive for each
+// first fault.
 func TestEditFaults(t *testing.T) {
 	seen := map[string]bool{}
 	datadriven.RunTest(t, "testdata/faults", func(t *testing.T, dat *datadriven.TestData) string {
--- a/process/publisher/history.go
+++ b/process/publisher/history.go
@@ -71,13 +71,14 @@
 		return nil
 	}
 	// The write may have taken effect although the answer was lost.
-	if _, get := pub.Store.Get(ctx, obj.Path); get == nil {
+	if _, readErr := pub.Store.Get(ctx, obj.Path); readErr == nil {
 		return nil
 	}
 	return eris.Wrap(err, "Publisher.writeHistory")
 }
 
-// prune deletes the oldest revision of the history once a new revision exceeds HistoryLength.
+// prune deletes the revision that leaves the history when revision is accepted, so that
+// HistoryLength past revisions remain.
 func (pub *Publisher) prune(revision uint64) {
 	if revision <= HistoryLength+1 {
 		return
--- a/process/publisher/publisher.go
+++ b/process/publisher/publisher.go
@@ -40,28 +40,31 @@
 // Publisher holds the tables in force. It needs a Store.
 type Publisher struct {
 	Store Store
-	// Broadcast offers the tables in force to peers and returns how many were
-	// asked and how many now have that revision in force; nil for no peers.
-	Broadcast func(ctx context.Context) (asked, confirmed int)
+	// Broadcast offers the tables in force to peers. It returns to how many peers it
+	// offered them, and how many of these now have that revision or a newer one in force.
+	// Nil for no peers.
+	Broadcast func(ctx context.Context) (offered, adopted int)
 	// OnAdopt is called after a revision that this host read from the store, or
 	// that a peer offered, came into force; nil for none.
 	OnAdopt func(fromStore bool)
 
-	current atomic.Pointer[version]
+	current atomic.Pointer[encodedTables]
 	// confirmed includes the monotonic clock reading, so that a step of the wall
 	// clock does not change the age of the tables.
 	confirmed atomic.Pointer[time.Time]
 
-	mu   sync.Mutex
-	seen stored
+	mu sync.Mutex
+	// lastSeen is the newest version of the object that this host read or wrote.
+	lastSeen objectVersion
 }
 
-// stored is the newest version of the object that this host read or wrote, and the
-// revision of that version.
-type stored struct{ version, revision uint64 }
+// objectVersion is a version of the object in the store and the revision of the tables that
+// it holds.
+type objectVersion struct{ version, revision uint64 }
 
-// version is a revision in force, with the encoded forms that are sent to peers.
-type version struct {
+// encodedTables holds a revision of the tables with the encoded forms that are sent to
+// peers.
+type encodedTables struct {
 	matcher  *matcher.Matcher
 	document []byte
 	checksum uint64
@@ -74,8 +77,8 @@
 
 // Current returns the tables in force. It is never nil.
 func (pub *Publisher) Current() *matcher.Matcher {
-	if ver := pub.current.Load(); ver != nil {
-		return ver.matcher
+	if enc := pub.current.Load(); enc != nil {
+		return enc.matcher
 	}
 	return matcher.New(parser.Tables{})
 }
@@ -94,18 +97,19 @@
 	return pub.Current().Revision(), max(0, now.Sub(pub.Confirmed()))
 }
 
-// Confirm records that the store held no newer revision at the time now.
-func (pub *Publisher) Confirm(now time.Time) {
+// Confirm records that, at the time at, the store held no newer revision than the one in
+// force.
+func (pub *Publisher) Confirm(at time.Time) {
 	for {
 		old := pub.confirmed.Load()
-		if old != nil && !now.After(*old) || pub.confirmed.CompareAndSwap(old, &now) {
+		if old != nil && !at.After(*old) || pub.confirmed.CompareAndSwap(old, &at) {
 			return
 		}
 	}
 }
 
-// ConfirmRevision records that the store held a revision at a time. It has an effect
-// only if that revision is in force on this host.
+// ConfirmRevision records that revision was the store's newest at the time at. It has an
+// effect only if that revision is in force on this host.
 func (pub *Publisher) ConfirmRevision(revision uint64, at time.Time) {
 	if revision == pub.Current().Revision() {
 		pub.Confirm(at)
@@ -115,7 +119,8 @@
 // Adopts reports whether a host that has one revision in force adopts the offered one.
 func Adopts(have, offered uint64) bool { return offered > have }
 
-// Adopt puts tables in force if their revision is higher. It reports whether it did.
+// Adopt puts tables in force if their revision is higher than the one in force, and reports
+// whether it did.
 func (pub *Publisher) Adopt(tab parser.Tables) (bool, error) {
 	doc, err := tab.Encode()
 	if err != nil {
@@ -124,21 +129,22 @@
 	return pub.adoptTables(tab, doc, differ.Delta{}), nil
 }
 
-// adoptTables puts tables in force. del, if not zero, is the verified delta that leads to
-// them from its base revision.
+// adoptTables puts tables in force if their revision is higher than the one in force, and
+// reports whether it did. del, if not zero, is the verified delta that leads to the tables
+// from its base revision.
 func (pub *Publisher) adoptTables(tab parser.Tables, doc []byte, del differ.Delta) bool {
-	ver := &version{matcher: matcher.New(tab), document: doc, checksum: differ.Checksum(doc)}
+	enc := &encodedTables{matcher: matcher.New(tab), document: doc, checksum: differ.Checksum(doc)}
 	for {
 		old := pub.current.Load()
 		if old != nil && !Adopts(old.matcher.Revision(), tab.Revision) {
 			return false
 		}
 		if old != nil && del.Revision == tab.Revision && del.BaseRevision == old.matcher.Revision() {
-			ver.deltas = appendDelta(old.deltas, del)
+			enc.deltas = appendDelta(old.deltas, del)
 		} else {
-			ver.deltas = deltasTo(old, ver)
+			enc.deltas = deltasTo(old, enc)
 		}
-		if pub.current.CompareAndSwap(old, ver) {
+		if pub.current.CompareAndSwap(old, enc) {
 			return true
 		}
 	}
@@ -170,7 +176,7 @@
 	if err != nil {
 		return eris.Wrapf(err, "Publisher.adopt: object %s version %d", obj.Path, obj.Version)
 	}
-	pub.recordVersion(stored{obj.Version, tab.Revision})
+	pub.recordVersion(objectVersion{obj.Version, tab.Revision})
 	if pub.adoptTables(tab, obj.Value, differ.Delta{}) {
 		defer pub.notifyAdopted(true)
 	}
@@ -178,16 +184,16 @@
 	return nil
 }
 
-func (pub *Publisher) recordVersion(sto stored) {
+func (pub *Publisher) recordVersion(ver objectVersion) {
 	pub.mu.Lock()
 	defer pub.mu.Unlock()
-	if sto.version > pub.seen.version {
-		pub.seen = sto
+	if ver.version > pub.lastSeen.version {
+		pub.lastSeen = ver
 	}
 }
 
-func (pub *Publisher) lastSeen() stored {
+func (pub *Publisher) lastSeenVersion() objectVersion {
 	pub.mu.Lock()
 	defer pub.mu.Unlock()
-	return pub.seen
+	return pub.lastSeen
 }
--- a/process/publisher/refresher.go
+++ b/process/publisher/refresher.go
@@ -15,12 +15,17 @@
 	// WatchersPerRegion is the number of hosts of a region that watch the store.
 	WatchersPerRegion = 2
 
-	watchWait            = 2 * time.Second
-	watchGrace           = 2 * time.Second
+	// watchWait is how long the store may hold a watch call open.
+	watchWait = 2 * time.Second
+	// watchGrace is added to the wait of a watch call to give its timeout.
+	watchGrace = 2 * time.Second
+	// watcherCheckInterval is how often a pausing host checks whether it is now a watcher.
 	watcherCheckInterval = 500 * time.Millisecond
 	// pollInterval is the mean time between the reads of a host that does not watch
 	// the store.
-	pollInterval        = 40 * time.Second
+	pollInterval = 40 * time.Second
+	// initialPollInterval is the time between the reads of a host that does not watch the
+	// store and has no tables yet.
 	initialPollInterval = time.Second
 	retryInitial        = 200 * time.Millisecond
 	retryMax            = 2 * time.Second
@@ -117,17 +122,20 @@
 	}
 }
 
+// read reads the tables if this host has seen no version of them yet. If it has seen one, or
+// if a watcher finds no tables, read uses the store's Watch: a watcher waits there for a
+// newer version, and any other host polls with a wait of 0.
 func (ref *Refresher) read(ctx context.Context, watching bool) error {
 	pub := ref.Publisher
 	wait := time.Duration(0)
 	if watching {
 		wait = watchWait
 	}
-	if pub.lastSeen().version == 0 {
+	if pub.lastSeenVersion().version == 0 {
 		readCtx, stop := context.WithTimeout(ctx, refreshTimeout)
 		defer stop()
 		err := pub.Refresh(readCtx, time.Now())
-		if err != nil || pub.lastSeen().version > 0 || !watching {
+		if err != nil || pub.lastSeenVersion().version > 0 || !watching {
 			return err
 		}
 	}
@@ -140,7 +148,7 @@
 	watchCtx, stop := context.WithTimeout(ctx, wait+watchGrace)
 	defer stop()
 	start := time.Now()
-	seen := pub.lastSeen()
+	seen := pub.lastSeenVersion()
 	objs, err := pub.Store.Watch(watchCtx, TablesPath, seen.version, wait)
 	if err != nil {
 		return err
--- a/process/publisher/spread.go
+++ b/process/publisher/spread.go
@@ -20,20 +20,20 @@
 	maxDeltaBytes = 32 << 10
 )
 
-// deltasTo returns the deltas that lead to ver: those of old and the one from old to
-// ver. If applying that one does not reproduce the document, no deltas are kept.
-func deltasTo(old, ver *version) []differ.Delta {
+// deltasTo returns the deltas of old, extended by the delta from old to enc. It returns none
+// if applying that delta does not reproduce the document of enc.
+func deltasTo(old, enc *encodedTables) []differ.Delta {
 	if old == nil {
 		return nil
 	}
 	base := old.matcher.Tables()
-	del := differ.Diff(base, ver.matcher.Tables())
+	del := differ.Diff(base, enc.matcher.Tables())
 	next, err := del.Apply(base)
 	if err != nil {
 		return nil
 	}
 	doc, err := next.Encode()
-	if err != nil || differ.Checksum(doc) != ver.checksum {
+	if err != nil || differ.Checksum(doc) != enc.checksum {
 		return nil
 	}
 	return appendDelta(old.deltas, del)
@@ -44,22 +44,22 @@
 	return out[max(0, len(out)-keptDeltas):]
 }
 
-// Offer returns the message that brings a peer from the revision have to the
-// tables in force: a delta if one is available and whole is false, else the document.
-func (pub *Publisher) Offer(have uint64, whole bool) *messenger.TablesPush {
-	ver := pub.current.Load()
-	if ver == nil {
+// Offer returns the message that brings a peer with peerRevision in force to the tables in
+// force on this host: a delta if one is available and full is false, else the full document.
+func (pub *Publisher) Offer(peerRevision uint64, full bool) *messenger.TablesPush {
+	enc := pub.current.Load()
+	if enc == nil {
 		return &messenger.TablesPush{}
 	}
-	pus := &messenger.TablesPush{Revision: ver.matcher.Revision(), Checksum: ver.checksum}
-	if !whole {
-		if buf, ok := ver.deltaFrom(have); ok {
+	pus := &messenger.TablesPush{Revision: enc.matcher.Revision(), Checksum: enc.checksum}
+	if !full {
+		if buf, ok := enc.deltaFrom(peerRevision); ok {
 			pus.Delta = buf
-			pus.BaseRevision = have
+			pus.BaseRevision = peerRevision
 			return pus
 		}
 	}
-	pus.Document = ver.compressedDocument()
+	pus.Document = enc.compressedDocument()
 	pus.Compressed = true
 	return pus
 }
@@ -67,29 +67,30 @@
 // Announce returns the message for peers that are likely to have the revision
 // before the one in force. It contains a delta if one is available, else only the revision.
 func (pub *Publisher) Announce() *messenger.TablesPush {
-	ver := pub.current.Load()
-	if ver == nil {
+	enc := pub.current.Load()
+	if enc == nil {
 		return &messenger.TablesPush{}
 	}
-	pus := &messenger.TablesPush{Revision: ver.matcher.Revision(), Checksum: ver.checksum}
-	if len(ver.deltas) == 0 {
+	pus := &messenger.TablesPush{Revision: enc.matcher.Revision(), Checksum: enc.checksum}
+	if len(enc.deltas) == 0 {
 		return pus
 	}
-	base := ver.deltas[len(ver.deltas)-1].BaseRevision
-	if buf, ok := ver.deltaFrom(base); ok {
+	base := enc.deltas[len(enc.deltas)-1].BaseRevision
+	if buf, ok := enc.deltaFrom(base); ok {
 		pus.Delta = buf
 		pus.BaseRevision = base
 	}
 	return pus
 }
 
-// deltaFrom returns the joined delta from a revision, if it is available and not too large.
-func (ver *version) deltaFrom(have uint64) ([]byte, bool) {
-	for i, del := range ver.deltas {
-		if del.BaseRevision != have {
+// deltaFrom returns the composed delta from the revision base to this one, if it is
+// available and not too large.
+func (enc *encodedTables) deltaFrom(base uint64) ([]byte, bool) {
+	for i, del := range enc.deltas {
+		if del.BaseRevision != base {
 			continue
 		}
-		for _, next := range ver.deltas[i+1:] {
+		for _, next := range enc.deltas[i+1:] {
 			del = del.Compose(next)
 		}
 		buf, err := del.Encode()
@@ -98,18 +99,20 @@
 	return nil, false
 }
 
-func (ver *version) compressedDocument() []byte {
-	ver.once.Do(func() {
+func (enc *encodedTables) compressedDocument() []byte {
+	enc.once.Do(func() {
 		var buf bytes.Buffer
 		writer, _ := flate.NewWriter(&buf, flate.BestSpeed)
-		_, _ = writer.Write(ver.document)
+		_, _ = writer.Write(enc.document)
 		_ = writer.Close()
-		ver.compressed = buf.Bytes()
+		enc.compressed = buf.Bytes()
 	})
-	return ver.compressed
+	return enc.compressed
 }
 
-// Receive adopts a revision that a peer offers and returns the revision then in force.
+// Receive adopts a revision that a peer offers. The reply holds the revision in force
+// afterwards, and WantWhole if the delta could not be applied and the full document is
+// needed.
 func (pub *Publisher) Receive(pus *messenger.TablesPush) (*messenger.TablesAck, error) {
 	have := pub.Current().Revision()
 	if !Adopts(have, pus.GetRevision()) {
--- a/process/publisher/spread_test.go
+++ b/process/publisher/spread_test.go
@@ -31,8 +31,8 @@
 // routeLimit is a route's number and its time limit in seconds.
 type routeLimit struct{ route, limit int }
 
-// routesTables returns tables with the given routes.
-func routesTables(lims ...routeLimit) parser.Tables {
+// tablesWithRoutes returns tables with the given routes.
+func tablesWithRoutes(lims ...routeLimit) parser.Tables {
 	tab := parser.Tables{Pools: []parser.Pool{{Name: "pool", Kind: parser.PoolEngine, Selector: parser.Selector{Service: "s"}}}}
 	for _, lim := range lims {
 		tab.Routes = append(tab.Routes, parser.Route{
@@ -43,8 +43,8 @@
 	return tab.Defaults()
 }
 
-// change sets the limit of a route; 0 removes the route, and a new route is appended.
-func change(lims []routeLimit, update routeLimit) []routeLimit {
+// setLimit sets the limit of a route; 0 removes the route, and a new route is appended.
+func setLimit(lims []routeLimit, update routeLimit) []routeLimit {
 	out := slices.Clone(lims)
 	i := slices.IndexFunc(out, func(lim routeLimit) bool { return lim.route == update.route })
 	switch {
@@ -58,16 +58,16 @@
 	}
 }
 
-// exchange sends offers to a host until it has the revision of the other host.
+// exchange sends offers of one host to another until the receiver has the sender's revision.
 func exchange(t require.TestingT, from, to *Publisher) {
-	whole := false
+	full := false
 	for range 3 {
-		ack, err := to.Receive(from.Offer(to.Current().Revision(), whole))
+		ack, err := to.Receive(from.Offer(to.Current().Revision(), full))
 		require.NoError(t, err)
 		if ack.GetRevision() >= from.Current().Revision() {
 			return
 		}
-		whole = ack.GetWantWhole()
+		full = ack.GetWantWhole()
 	}
 	require.Fail(t, "the peer did not catch up")
 }
@@ -86,8 +86,8 @@
 			before := pubs[host].Current().Revision()
 			switch rapid.SampledFrom([]string{"edit", "edit", "announce", "offer", "deliver", "deliver", "damage", "restart"}).Draw(rt, "step") {
 			case "edit":
-				lims = change(lims, routeLimit{rapid.IntRange(0, 5).Draw(rt, "route"), rapid.IntRange(0, 2).Draw(rt, "limit")})
-				current = routesTables(lims...).WithEdit(current, parser.Edit{Revision: current.Revision + 1, Nonce: "n"})
+				lims = setLimit(lims, routeLimit{rapid.IntRange(0, 5).Draw(rt, "route"), rapid.IntRange(0, 2).Draw(rt, "limit")})
+				current = tablesWithRoutes(lims...).WithEdit(current, parser.Edit{Revision: current.Revision + 1, Nonce: "n"})
 				doc, _ := current.Encode()
 				docs[current.Revision] = string(doc)
 				_, err := pubs[host].Adopt(current)
@@ -131,17 +131,18 @@
 	})
 }
 
+// A host that is several revisions behind must be offered a delta, not the full document.
 func TestOfferIsSmall(t *testing.T) {
 	lims := []routeLimit{{0, 1}, {1, 1}, {2, 1}, {3, 1}}
 	from, to := &Publisher{}, &Publisher{}
-	tab := routesTables(lims...).WithRevision(1, "a")
+	tab := tablesWithRoutes(lims...).WithRevision(1, "a")
 	for _, pub := range []*Publisher{from, to} {
 		_, err := pub.Adopt(tab)
 		require.NoError(t, err)
 	}
 	for rev := uint64(2); rev <= 5; rev++ {
-		lims = change(lims, routeLimit{0, int(rev)})
-		tab = routesTables(lims...).WithEdit(tab, parser.Edit{Revision: rev, Nonce: "n"})
+		lims = setLimit(lims, routeLimit{0, int(rev)})
+		tab = tablesWithRoutes(lims...).WithEdit(tab, parser.Edit{Revision: rev, Nonce: "n"})
 		_, err := from.Adopt(tab)
 		require.NoError(t, err)
 	}
@@ -154,12 +155,12 @@
 	require.Equal(t, from.Current().Tables(), to.Current().Tables())
 }
 
-// Two joined deltas may give another order of routes than applying them one by one. The
+// Two composed deltas may give another order of routes than applying them one by one. The
 // peer must detect this by the checksum and request the full document.
-func TestJoinedDeltaWithOtherRouteOrder(t *testing.T) {
+func TestComposedDeltaWithOtherRouteOrder(t *testing.T) {
 	from, to := &Publisher{}, &Publisher{}
 	for rev, lims := range [][]routeLimit{{{0, 1}, {1, 1}}, {{1, 1}}, {{1, 1}, {0, 1}}} {
-		tab := routesTables(lims...).WithRevision(uint64(rev+1), "n")
+		tab := tablesWithRoutes(lims...).WithRevision(uint64(rev+1), "n")
 		_, err := from.Adopt(tab)
 		require.NoError(t, err)
 		if rev == 0 {
@@ -282,12 +283,14 @@
 	})
 }
 
+// All revisions from Oldest to Newest must be readable, and older ones must be deleted from
+// the store.
 func TestHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sto := &fakeStore{}
 		pub := &Publisher{Store: sto}
 		for rev := range uint64(HistoryLength + 5) {
-			_, err := pub.Edit(t.Context(), routesTables(routeLimit{0, int(rev) + 1}), rev, time.Now())
+			_, err := pub.Edit(t.Context(), tablesWithRoutes(routeLimit{0, int(rev) + 1}), rev, time.Now())
 			require.NoError(t, err)
 		}
 		synctest.Wait()
--- a/process/publisher/store_test.go
+++ b/process/publisher/store_test.go
@@ -35,25 +35,26 @@
 
 // fakeStore is a store in memory with faults that a test chooses.
 type fakeStore struct {
-	// choose returns the fault of a call; step is the call's name.
-	choose func(step string) fault
+	// choose returns the fault of a call; call is its name, such as "Read" and the path.
+	choose func(call string) fault
 	delay  func() time.Duration
 
 	mu       sync.Mutex
 	version  uint64
 	objects  map[string]persister.Object
 	previous persister.Object
-	log      []parser.Edit
+	// accepted holds the edits that the store has accepted, in order.
+	accepted []parser.Edit
 	down     bool
 }
 
-func (sto *fakeStore) begin(step string) fault {
+func (sto *fakeStore) begin(call string) fault {
 	if sto.delay != nil {
 		time.Sleep(sto.delay())
 	}
 	fau := faultNone
 	if sto.choose != nil {
-		fau = sto.choose(step)
+		fau = sto.choose(call)
 	}
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
@@ -85,7 +86,7 @@
 		if err != nil {
 			return err
 		}
-		sto.log = append(sto.log, parser.Edit{Revision: tab.Revision, Nonce: tab.Nonce})
+		sto.accepted = append(sto.accepted, parser.Edit{Revision: tab.Revision, Nonce: tab.Nonce})
 		sto.previous = old
 	}
 	sto.version++
@@ -153,6 +154,7 @@
 	return version, err
 }
 
+// wait releases sto.mu until ctx ends.
 func (sto *fakeStore) wait(ctx context.Context) error {
 	sto.mu.Unlock()
 	<-ctx.Done()
