--- a/process/gossiper/exchange.go
+++ b/process/gossiper/exchange.go
@@ -14,11 +14,11 @@
 	now := time.Now()
 	upds, self, region := gos.membershipUpdates(target)
 	rev, age := gos.Publisher.Current().Revision(), gos.ageForPeers(gos.Publisher.Confirmed(), now)
-	endRev, endAge := gos.endpoints(now)
+	endpointsRevision, endpointsAge := gos.endpointsRevision(now)
 	return &messenger.Envelope{Body: &messenger.Envelope_Ping{Ping: &messenger.Ping{
 		From: self, Target: target, Updates: upds, TablesRevision: rev, TablesAgeMs: age.Milliseconds(),
-		Notices: gos.notices(now), List: gos.listStamp(now), Cells: gos.cells(region, now), Retries: gos.retries(now),
-		EndpointsRevision: endRev, EndpointsAgeMs: endAge.Milliseconds(),
+		Notices: gos.notices(now), List: gos.listStamp(now), Cells: gos.cells(region, now), Retries: gos.retryBudget(now),
+		EndpointsRevision: endpointsRevision, EndpointsAgeMs: endpointsAge.Milliseconds(),
 	}}}
 }
 
@@ -26,16 +26,16 @@
 	now := time.Now()
 	upds, self, region := gos.membershipUpdates(target)
 	rev, age := gos.Publisher.Current().Revision(), gos.ageForPeers(gos.Publisher.Confirmed(), now)
-	endRev, endAge := gos.endpoints(now)
+	endpointsRevision, endpointsAge := gos.endpointsRevision(now)
 	return &messenger.Envelope{Body: &messenger.Envelope_Pong{Pong: &messenger.Pong{
 		From: self, Updates: upds, TablesRevision: rev, TablesAgeMs: age.Milliseconds(),
-		Notices: gos.notices(now), List: gos.listStamp(now), Cells: gos.cells(region, now), Retries: gos.retries(now),
-		EndpointsRevision: endRev, EndpointsAgeMs: endAge.Milliseconds(),
+		Notices: gos.notices(now), List: gos.listStamp(now), Cells: gos.cells(region, now), Retries: gos.retryBudget(now),
+		EndpointsRevision: endpointsRevision, EndpointsAgeMs: endpointsAge.Milliseconds(),
 	}}}
 }
 
-// membershipUpdates returns the membership changes to send to a peer, this host's
-// own entry and the peer's region.
+// membershipUpdates returns the membership changes to send to a peer, this host as a
+// member and the peer's region.
 func (gos *Gossiper) membershipUpdates(target string) ([]*messenger.Member, *messenger.Member, string) {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
@@ -68,20 +68,20 @@
 	}
 }
 
-func (gos *Gossiper) retries(now time.Time) *messenger.RetryBudget {
+func (gos *Gossiper) retryBudget(now time.Time) *messenger.RetryBudget {
 	if gos.Payload.RetryBudget == nil {
 		return nil
 	}
 	return gos.Payload.RetryBudget(now)
 }
 
-func (gos *Gossiper) mergeRetries(host string, ret *messenger.RetryBudget, now time.Time) {
+func (gos *Gossiper) mergeRetryBudget(host string, ret *messenger.RetryBudget, now time.Time) {
 	if gos.Payload.MergeRetryBudget != nil && ret != nil {
 		gos.Payload.MergeRetryBudget(host, ret, now)
 	}
 }
 
-func (gos *Gossiper) endpoints(now time.Time) (revision uint64, age time.Duration) {
+func (gos *Gossiper) endpointsRevision(now time.Time) (revision uint64, age time.Duration) {
 	if gos.Payload.EndpointsRevision == nil {
 		return 0, 0
 	}
@@ -94,13 +94,13 @@
 	}
 }
 
-// Broadcast sends a message to the neighbours of this host and to one host of each
-// other region.
-func (gos *Gossiper) Broadcast(ctx context.Context, env func() *messenger.Envelope) {
+// Broadcast sends a message to the neighbours of this host and to one host of each other
+// region. newEnvelope returns the message for each call.
+func (gos *Gossiper) Broadcast(ctx context.Context, newEnvelope func() *messenger.Envelope) {
 	var gro sync.WaitGroup
 	for _, per := range gos.broadcastTargets(true) {
 		gro.Go(func() {
-			if _, err := gos.call(ctx, probeTimeout, per.Address, env()); err != nil {
+			if _, err := gos.call(ctx, probeTimeout, per.Address, newEnvelope()); err != nil {
 				gos.count("spreads_failed", nil)
 			}
 		})
@@ -123,13 +123,13 @@
 	}
 	from.TablesRevision = pin.GetTablesRevision()
 	gos.step(ctx, Received{From: from, Updates: peersOf(pin.GetUpdates())}, now)
-	gos.mergeNotices(ctx, pin.GetNotices(), now)
+	gos.receiveNotices(ctx, pin.GetNotices(), now)
 	gos.mergeCells(pin.GetCells(), now)
-	gos.mergeRetries(pin.GetFrom().GetId(), pin.GetRetries(), now)
+	gos.mergeRetryBudget(pin.GetFrom().GetId(), pin.GetRetries(), now)
 	gos.observeEndpoints(gos.dialAddress(from), pin.GetEndpointsRevision(), pin.GetEndpointsAgeMs(), now)
 	at := now.Add(-time.Duration(pin.GetTablesAgeMs()) * time.Millisecond)
 	gos.Publisher.ConfirmRevision(pin.GetTablesRevision(), at)
-	if gos.wantsList(pin.GetList(), now) {
+	if gos.observeStamp(pin.GetList(), now) {
 		go gos.pullList(context.WithoutCancel(ctx), gos.dialAddress(from))
 	}
 	if pin.GetTablesRevision() > gos.Publisher.Current().Revision() {
@@ -148,7 +148,8 @@
 }
 
 // HandleMembersPull returns all members. A starting process that has no incarnation yet
-// gets only the member with its own ID, because hundreds of processes may start at once.
+// gets only the member with its own ID: hundreds of processes may start at once, and the
+// full list would be a large reply to each.
 func (gos *Gossiper) HandleMembersPull(ctx context.Context, pul *messenger.MembersPull, now time.Time) *messenger.Envelope {
 	from, ok := PeerOf(pul.GetFrom())
 	if ok = ok && from.Incarnation > 0; ok {
@@ -165,10 +166,12 @@
 
 // HandleNotices merges endpoint notices that a peer pushed.
 func (gos *Gossiper) HandleNotices(ctx context.Context, pus *messenger.NoticesPush, now time.Time) *messenger.Envelope {
-	gos.mergeNotices(ctx, pus.GetNotices(), now)
+	gos.receiveNotices(ctx, pus.GetNotices(), now)
 	return &messenger.Envelope{Body: &messenger.Envelope_Done{Done: &messenger.Done{}}}
 }
 
+// handlePong merges what a reply to a probe carries. address is where this host called the
+// peer; it is empty if a relay did. Without an address nothing is pulled from the peer.
 func (gos *Gossiper) handlePong(ctx context.Context, pon *messenger.Pong, address string) {
 	now := time.Now()
 	from, ok := PeerOf(pon.GetFrom())
@@ -177,13 +180,13 @@
 	}
 	from.TablesRevision = pon.GetTablesRevision()
 	gos.step(ctx, Received{From: from, DialAddress: address, Updates: peersOf(pon.GetUpdates())}, now)
-	gos.mergeNotices(ctx, pon.GetNotices(), now)
+	gos.receiveNotices(ctx, pon.GetNotices(), now)
 	gos.mergeCells(pon.GetCells(), now)
-	gos.mergeRetries(pon.GetFrom().GetId(), pon.GetRetries(), now)
+	gos.mergeRetryBudget(pon.GetFrom().GetId(), pon.GetRetries(), now)
 	gos.observeEndpoints(address, pon.GetEndpointsRevision(), pon.GetEndpointsAgeMs(), now)
 	at := now.Add(-time.Duration(pon.GetTablesAgeMs()) * time.Millisecond)
 	gos.Publisher.ConfirmRevision(pon.GetTablesRevision(), at)
-	if address != "" && gos.wantsList(pon.GetList(), now) {
+	if address != "" && gos.observeStamp(pon.GetList(), now) {
 		gos.pullList(ctx, address)
 	}
 	if address != "" && pon.GetTablesRevision() > gos.Publisher.Current().Revision() {
@@ -191,7 +194,8 @@
 	}
 }
 
-func (gos *Gossiper) mergeNotices(ctx context.Context, nots []*messenger.EndpointNotice, now time.Time) {
+// receiveNotices merges notices and broadcasts those that are new to this host.
+func (gos *Gossiper) receiveNotices(ctx context.Context, nots []*messenger.EndpointNotice, now time.Time) {
 	if len(nots) == 0 || gos.Payload.MergeNotices == nil {
 		return
 	}
@@ -200,15 +204,15 @@
 	}
 }
 
-// BroadcastNotices pushes notices that are new to this host. crossRegion adds peers of
-// other regions.
+// BroadcastNotices pushes notices that are new to this host to its neighbours. crossRegion
+// adds one peer of each other region.
 func (gos *Gossiper) BroadcastNotices(ctx context.Context, nots []*messenger.EndpointNotice, crossRegion bool) {
-	env := func() *messenger.Envelope {
+	newEnvelope := func() *messenger.Envelope {
 		return &messenger.Envelope{Body: &messenger.Envelope_NoticesPush{NoticesPush: &messenger.NoticesPush{Notices: nots}}}
 	}
 	var gro sync.WaitGroup
 	for _, per := range gos.broadcastTargets(crossRegion) {
-		gro.Go(func() { _, _ = gos.call(ctx, probeTimeout, per.Address, env()) })
+		gro.Go(func() { _, _ = gos.call(ctx, probeTimeout, per.Address, newEnvelope()) })
 	}
 	gro.Wait()
 }
--- a/process/gossiper/gossiper.go
+++ b/process/gossiper/gossiper.go
@@ -1,5 +1,5 @@
-// Package gossiper maintains the membership of the entry hosts and disseminates
-// updates between them at a cost per host that does not grow with their number.
+// Package gossiper maintains the membership of the hosts and disseminates updates between
+// them at a cost per host that does not grow with their number.
 //
 // In each interval a host probes one random peer. Probes and their replies carry
 // the latest membership changes, endpoint notices, load digests and the revision
@@ -25,16 +25,23 @@
 )
 
 const (
-	probeTimeout    = 500 * time.Millisecond
+	// probeTimeout bounds a direct probe and each message that Broadcast, BroadcastNotices
+	// or Leave sends.
+	probeTimeout = 500 * time.Millisecond
+	// indirectTimeout bounds an indirect probe, both at the host that requests it and at
+	// the relay.
 	indirectTimeout = 3 * probeTimeout
-	syncTimeout     = 2 * time.Second
+	// syncTimeout bounds each call that transfers members, tables or the platform's list.
+	syncTimeout = 2 * time.Second
 	// fanOut is the number of peers of its own region to which a host forwards
-	// updates; one host of each other region is added.
+	// updates; one host of each other region is added. Neighbours derives the distances
+	// of these peers from it.
 	fanOut = 4
 )
 
-// Payload connects probes to the other parts of a host whose data they carry. A nil
-// function sends or merges nothing.
+// Payload holds the functions that supply the data that probes carry for other parts of a
+// host, and those that merge the data received from peers. A nil function sends or merges
+// nothing.
 type Payload struct {
 	Notices func(now time.Time) []*messenger.EndpointNotice
 	// MergeNotices merges notices and returns those that were new.
@@ -46,9 +53,11 @@
 	RetryBudget      func(now time.Time) *messenger.RetryBudget
 	MergeRetryBudget func(host string, ret *messenger.RetryBudget, now time.Time)
 	// EndpointsRevision returns the revision of this host's endpoint records and the time
-	// since the store confirmed it. ObserveEndpoints receives the same of a peer.
+	// since the store confirmed it.
 	EndpointsRevision func(now time.Time) (revision uint64, age time.Duration)
-	ObserveEndpoints  func(address string, revision uint64, at time.Time)
+	// ObserveEndpoints receives the address of a peer, the revision of its endpoint records
+	// and the time at which the store confirmed that revision.
+	ObserveEndpoints func(address string, revision uint64, at time.Time)
 	// Synced is called after this host has pulled members and tables from a peer.
 	Synced func(ctx context.Context, address string)
 }
@@ -62,9 +71,10 @@
 	Entries func() []persister.Entry
 	// Lister holds the copy of the platform's list that hosts exchange; nil for none.
 	Lister *lister.Lister
-	// OnListAdopted is called when this host adopted a peer's reading of the list.
+	// OnListAdopted is called after this host has adopted the platform's list from a peer;
+	// nil for none.
 	OnListAdopted func()
-	// Seeds are the addresses to contact when the platform's list cannot be read.
+	// Seeds are the addresses to contact when no other peer is known or answers.
 	Seeds   []string
 	Payload Payload
 	// AgeOf returns the time elapsed since at, including time in which the host was suspended;
@@ -77,8 +87,9 @@
 	mu     sync.Mutex
 	roster *Roster
 	joined bool
-	// live caches the live peers, neighbours the live peers of this region that receive
-	// broadcasts. They are nil after the roster's change count has moved past changes.
+	// live and neighbours cache the roster's live peers and the peers of this region that
+	// receive broadcasts. Both are reset to nil when the roster's change count differs from
+	// changes.
 	live       []Peer
 	neighbours []Peer
 	changes    uint64
@@ -143,7 +154,7 @@
 	}
 }
 
-// listedPeers returns the entry hosts of the platform's list.
+// listedPeers returns the hosts of the platform's list.
 func (gos *Gossiper) listedPeers() []Peer {
 	var out []Peer
 	for _, ent := range gos.Entries() {
@@ -206,7 +217,7 @@
 	return gos.Multiplexer.Call(ctx, address, env)
 }
 
-// SetSeeds replaces the addresses to contact when no other peers are known.
+// SetSeeds replaces the addresses to contact when no other peer is known or answers.
 func (gos *Gossiper) SetSeeds(seeds []string) {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
@@ -235,13 +246,15 @@
 	return gos.live
 }
 
-// MergePeer merges a peer's state as another source reports it.
+// MergePeer merges a report of a peer's state that did not arrive in a message of the
+// gossiper.
 func (gos *Gossiper) MergePeer(per Peer) {
 	gos.step(context.Background(), Received{Updates: []Peer{per}}, time.Now())
 }
 
-// Changes returns the number of membership changes so far, so that callers can
-// cache what they derive from Peers.
+// Changes returns the number of changes so far to the set of peers and to their states,
+// addresses, incarnations and reachability, so that callers can cache what they derive from
+// Peers and Live. Heard times and table revisions do not count.
 func (gos *Gossiper) Changes() uint64 {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
@@ -255,16 +268,17 @@
 	return gos.rosterLocked().All()
 }
 
-// Incarnation returns the newest known incarnation of a host, and whether that
-// process is not known to have ended.
+// Incarnation returns the newest known incarnation of a host, and whether that process has
+// been reported and not declared dead. An unreachable process is not dead. For an unknown
+// host it returns 0 and false.
 func (gos *Gossiper) Incarnation(host string) (uint64, bool) {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
 	return gos.rosterLocked().Incarnation(host)
 }
 
-// StartIncarnation returns the incarnation under which the newest known process of a
-// host owns its work; 0 if the host is unknown.
+// StartIncarnation returns the incarnation with which the newest known process of a host
+// began, and under which its requests are owned; 0 if the host is unknown.
 func (gos *Gossiper) StartIncarnation(host string) uint64 {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
@@ -276,7 +290,7 @@
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
 	if mem := gos.rosterLocked().members[per.ID]; mem != nil {
-		return mem.peer().Address
+		return mem.dialPeer().Address
 	}
 	return per.Address
 }
--- a/process/gossiper/history_test.go
+++ b/process/gossiper/history_test.go
@@ -31,6 +31,7 @@
 	return clu
 }
 
+// start starts a host, or restarts it with the next incarnation.
 func (clu *cluster) start(id, region string) {
 	incarnation := uint64(1)
 	if old := clu.rosters[id]; old != nil {
@@ -117,6 +118,8 @@
 	return true
 }
 
+// converge ticks until the cluster has converged, and returns the number of ticks. It
+// returns ticks if the cluster does not converge in fewer.
 func (clu *cluster) converge(ticks int) int {
 	for num := range ticks {
 		if clu.converged() {
@@ -223,26 +226,29 @@
 
 // A host that restarts with its clock behind gets a lower incarnation than its earlier
 // process. Peers must accept it, whether they have declared the earlier process dead or
-// not, and StartIncarnation must stay the incarnation under which it owns its work.
+// not, and StartIncarnation must stay the incarnation with which the restarted process began.
 func TestClockBehind(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		dead int
-	}{{"at once", 0}, {"found dead", 30}} {
+		name      string
+		ticksDown int
+	}{{"restarted at once", 0}, {"declared dead before the restart", 30}} {
 		t.Run(tt.name, func(t *testing.T) {
 			clu := newCluster(map[string]int{"r1": 4, "r2": 2})
+			// Eight restarts give the host incarnation 9.
 			for range 8 {
 				clu.start("r1-0", "r1")
 			}
 			clu.converge(100)
 			clu.blockRegions("r1", "r2", true)
-			for range tt.dead {
+			for range tt.ticksDown {
 				for _, other := range clu.ids {
 					clu.blocked[[2]string{other, "r1-0"}] = other != "r1-0"
 				}
 				clu.tick()
 			}
 			clear(clu.blocked)
+			// start adds 1 to the incarnation of the earlier roster: the host gets 2, below
+			// the 9 that its peers know.
 			clu.rosters["r1-0"].Self.Incarnation = 1
 			clu.start("r1-0", "r1")
 			clu.rosters["r1-0"].Self.Started = 2
--- a/process/gossiper/join.go
+++ b/process/gossiper/join.go
@@ -9,6 +9,7 @@
 )
 
 const (
+	// syncInterval is the mean time between two syncs of a host that has joined.
 	syncInterval = 2 * time.Minute
 	// joinPeers is the number of peers from which a starting host pulls the tables,
 	// so that it does not start with the old revision of a single lagging peer.
@@ -29,8 +30,8 @@
 // make up for missed updates.
 func (gos *Gossiper) runSync(ctx context.Context, interval time.Duration) {
 	deadline := time.Now().Add(joinTimeout)
-	asked := map[string]bool{}
-	for ctx.Err() == nil && !gos.joinStep(ctx, asked, time.Now().After(deadline)) {
+	answered := map[string]bool{}
+	for ctx.Err() == nil && !gos.joinStep(ctx, answered, time.Now().After(deadline)) {
 		sleep(ctx, interval/4)
 	}
 	for ctx.Err() == nil {
@@ -49,30 +50,32 @@
 	}
 }
 
-// joinStep syncs from peers that were not asked yet. It reports whether the host has
-// joined: enough peers have answered, or all known peers were attempted.
-func (gos *Gossiper) joinStep(ctx context.Context, asked map[string]bool, timedOut bool) bool {
+// joinStep syncs from peers that were not attempted yet. answered holds whether the peer
+// answered, for each attempted address. joinStep reports whether the host has joined: enough
+// peers have answered, or all known peers were attempted and at least one has answered or
+// timedOut is set.
+func (gos *Gossiper) joinStep(ctx context.Context, answered map[string]bool, timedOut bool) bool {
 	gos.bootstrap(ctx)
 	answers := 0
-	for _, ok := range asked {
+	for _, ok := range answered {
 		if ok {
 			answers++
 		}
 	}
-	addrs := gos.contactAddresses(joinPeers + len(asked))
+	addrs := gos.contactAddresses(joinPeers + len(answered))
 	for _, addr := range addrs {
-		if _, ok := asked[addr]; ok || answers >= joinPeers {
+		if _, ok := answered[addr]; ok || answers >= joinPeers {
 			continue
 		}
-		asked[addr] = gos.syncFrom(ctx, addr)
-		if asked[addr] {
+		answered[addr] = gos.syncFrom(ctx, addr)
+		if answered[addr] {
 			answers++
 		}
 	}
-	// The pulled members may include further peers to ask.
-	more := gos.contactAddresses(joinPeers + len(asked))
+	// The pulled members may include further peers to sync from.
+	more := gos.contactAddresses(joinPeers + len(answered))
 	for _, addr := range more {
-		if _, ok := asked[addr]; !ok && answers < joinPeers {
+		if _, ok := answered[addr]; !ok && answers < joinPeers {
 			return false
 		}
 	}
@@ -86,8 +89,8 @@
 }
 
 // bootstrap pulls the members from a seed or another known peer if no live peer is known.
-// The tables are then pulled from any peers, because hundreds of hosts may start at once
-// and only three are seeds.
+// The tables can then be pulled from peers that are not seeds: hundreds of hosts may start
+// at once, and only a few are seeds.
 func (gos *Gossiper) bootstrap(ctx context.Context) {
 	if len(gos.Live(time.Now())) > 0 {
 		return
@@ -101,18 +104,19 @@
 	}
 }
 
-// Sync pulls the members and tables from one peer. A host calls it often after its
-// start, when many other hosts may be starting too.
+// Sync pulls the members and tables from one peer, preferably not from a seed (see syncAny).
+// A starting host calls it often while many other hosts may be starting too.
 func (gos *Gossiper) Sync(ctx context.Context) { gos.syncAny(ctx) }
 
-// syncAny pulls the members and tables from any peer, and from a seed only if no other
-// peer is known or answers: hundreds of hosts may start at once, and sending each of them
-// the full member list would saturate the links of the seeds.
+// syncAny pulls the members and tables from one live peer. If there is none or it does not
+// answer, syncAny attempts the other contact addresses in random order. It reports whether a
+// peer answered. The seeds are not the first choice, because hundreds of hosts may start at
+// once, and sending each of them the full member list would saturate the links of the seeds.
 func (gos *Gossiper) syncAny(ctx context.Context) bool {
 	addrs := gos.contactAddresses(1)
 	first := min(1, len(gos.Live(time.Now())))
-	seeds := addrs[first:]
-	rand.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
+	rest := addrs[first:]
+	rand.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
 	for _, addr := range addrs {
 		if gos.syncFrom(ctx, addr) {
 			return true
@@ -144,8 +148,8 @@
 	return true
 }
 
-// contactAddresses returns addresses to pull from: up to num live peers, or all known
-// peers if that gives none, followed by the seeds.
+// contactAddresses returns addresses to pull from: up to num live peers, or all known peers
+// if no peer is live or num is 0, followed by the seeds.
 func (gos *Gossiper) contactAddresses(num int) []string {
 	gos.mu.Lock()
 	defer gos.mu.Unlock()
--- a/process/gossiper/list.go
+++ b/process/gossiper/list.go
@@ -15,11 +15,12 @@
 	return gos.Lister.StampMessage(now)
 }
 
-func (gos *Gossiper) wantsList(sta *messenger.ListStamp, now time.Time) bool {
+func (gos *Gossiper) observeStamp(sta *messenger.ListStamp, now time.Time) bool {
 	return gos.Lister != nil && gos.Lister.ObserveStamp(sta, now)
 }
 
-// pullList pulls the platform's list from a peer.
+// pullList pulls the changes of the platform's list from a peer, and then the full list if
+// this host needs it.
 func (gos *Gossiper) pullList(ctx context.Context, address string) {
 	have := gos.listStamp(time.Now())
 	for range 2 {
@@ -31,12 +32,13 @@
 	}
 }
 
-// receiveList merges an offer and reports whether the full list is needed.
+// receiveList merges an offer and forwards an adopted list to peers. It reports whether the
+// peer must send more: the changes since the held list or the full list.
 func (gos *Gossiper) receiveList(ctx context.Context, pus *messenger.ListPush) bool {
 	if gos.Lister == nil {
 		return false
 	}
-	adopted, whole, err := gos.Lister.Receive(pus, time.Now())
+	adopted, wantMore, err := gos.Lister.Receive(pus, time.Now())
 	if err != nil {
 		gos.count("list_offers_refused", nil)
 	}
@@ -46,7 +48,7 @@
 		}
 		go gos.PushList(context.WithoutCancel(ctx))
 	}
-	return whole
+	return wantMore
 }
 
 // PushList offers the platform's list to a bounded number of peers of this
@@ -74,8 +76,9 @@
 	}
 }
 
-// HandleListPush merges a peer's offer of the list. The reply requests the full list
-// if the offer was not sufficient.
+// HandleListPush merges a peer's offer of the list. If the offer was not sufficient, the
+// reply requests more: the changes since the held list if the offer held only a stamp, else
+// the full list.
 func (gos *Gossiper) HandleListPush(ctx context.Context, pus *messenger.ListPush, now time.Time) *messenger.Envelope {
 	if gos.receiveList(ctx, pus) {
 		pul := &messenger.ListPull{}
--- a/process/gossiper/merge.go
+++ b/process/gossiper/merge.go
@@ -29,12 +29,13 @@
 	return acts
 }
 
-// handleOlderIncarnation marks the newer known process of a host dead when an older
-// incarnation answers at the same address: the host has restarted with its clock behind.
-// The restarted process then takes an incarnation above the newer one once it receives
-// the report of its death. If the newer process runs at another address it refutes.
+// handleOlderIncarnation handles a message of an older incarnation of a host than the newest
+// known one. If it is a reply from the same address, the host has restarted with its clock
+// behind, and the newest known process is marked dead. On receipt of that report the
+// restarted process raises its incarnation above that of the dead one. If the newest known
+// process runs at another address, it refutes the report.
 func (ros *Roster) handleOlderIncarnation(mem *member, eve Received, now time.Time) []Action {
-	if eve.DialAddress == "" || eve.DialAddress != mem.peer().Address || mem.State == StateDead {
+	if eve.DialAddress == "" || eve.DialAddress != mem.dialPeer().Address || mem.State == StateDead {
 		return nil
 	}
 	return ros.setState(mem, StateDead, now)
@@ -58,10 +59,10 @@
 
 // regionUnreachable reports whether the last probes into another region have all failed.
 func (ros *Roster) regionUnreachable(region string) bool {
-	return ros.regionFailures[region] >= unreachableAfter
+	return ros.regionFailures[region] >= regionUnreachableAfter
 }
 
-// merge merges another host's state of a process.
+// merge merges a report about a host, from that host or another one.
 func (ros *Roster) merge(upd Peer, now time.Time) []Action {
 	if upd.ID == ros.Self.ID {
 		ros.refute(upd)
@@ -79,12 +80,12 @@
 	if mem.State != StateListed && !upd.newer(mem.Peer) {
 		return nil
 	}
-	was := mem.State
+	oldState := mem.State
 	if upd.Incarnation != mem.Incarnation {
 		mem.TablesRevision = 0
 		mem.unreachable = false
 	}
-	if was != StateListed && upd.Address != mem.Address {
+	if oldState != StateListed && upd.Address != mem.Address {
 		mem.dialAddress = ""
 	}
 	upd.Heard = mem.Heard
@@ -93,15 +94,17 @@
 	mem.changedAt = now
 	ros.changes++
 	ros.queueUpdate(upd.ID)
-	if was == upd.State {
+	if oldState == upd.State {
 		return nil
 	}
-	return []Action{StateChange{upd.ID, was, upd.State}}
+	return []Action{StateChange{upd.ID, oldState, upd.State}}
 }
 
-// refute answers a false report about this process. If a newer incarnation of this host
-// is reported dead, this process takes a higher one, since peers would ignore it
-// otherwise. A newer incarnation that is alive has replaced this process and is kept.
+// refute raises the refutation of this process if a report gives it a worse state than it
+// has. If a report declares a newer incarnation of this host dead, this process raises its
+// own incarnation above that one, since peers would ignore a lower one. A newer incarnation
+// that is reported alive belongs to a process that has replaced this one, and is not
+// refuted.
 func (ros *Roster) refute(upd Peer) {
 	if upd.Incarnation > ros.Self.Incarnation && upd.State == StateDead {
 		ros.Self.Incarnation = upd.Incarnation + 1
@@ -132,7 +135,7 @@
 	if len(relays) == 0 {
 		return ros.indirectProbeFailed(id, now)
 	}
-	return []Action{IndirectProbe{mem.peer(), relays}}
+	return []Action{IndirectProbe{mem.dialPeer(), relays}}
 }
 
 func (ros *Roster) indirectProbeFailed(id string, now time.Time) []Action {
@@ -170,12 +173,12 @@
 }
 
 func (ros *Roster) setState(mem *member, sta State, now time.Time) []Action {
-	was := mem.State
+	oldState := mem.State
 	mem.State = sta
 	mem.changedAt = now
 	ros.changes++
 	ros.queueUpdate(mem.ID)
-	return []Action{StateChange{mem.ID, was, sta}}
+	return []Action{StateChange{mem.ID, oldState, sta}}
 }
 
 // isLive reports whether a peer can be given work.
@@ -183,8 +186,8 @@
 	return mem.State == StateAlive && !mem.listedLeaving && !mem.unreachable && !ros.regionUnreachable(mem.Region)
 }
 
-// Changes returns the number of changes to what Live and All return, except for the
-// times and table revisions of peers.
+// Changes returns the number of changes so far to the set of peers and to their states,
+// addresses, incarnations and reachability. Heard times and table revisions do not count.
 func (ros *Roster) Changes() uint64 { return ros.changes }
 
 // Live returns the peers that are alive, reachable and not leaving, ordered by ID.
@@ -192,7 +195,7 @@
 	ids := ros.sortedIDs(ros.isLive)
 	out := make([]Peer, 0, len(ids))
 	for _, id := range ids {
-		out = append(out, ros.members[id].peer())
+		out = append(out, ros.members[id].dialPeer())
 	}
 	return out
 }
@@ -202,12 +205,13 @@
 	ids := ros.sortedIDs(func(*member) bool { return true })
 	out := make([]Peer, 0, len(ids))
 	for _, id := range ids {
-		out = append(out, ros.members[id].peer())
+		out = append(out, ros.members[id].dialPeer())
 	}
 	return out
 }
 
-// Reported returns this host and its peers with the addresses that the peers advertise.
+// Reported returns this host and all peers that hosts have reported, with the addresses that
+// the peers advertise. Peers that are only in the platform's list are omitted.
 func (ros *Roster) Reported() []Peer {
 	out := []Peer{ros.Self}
 	for _, id := range ros.sortedIDs(func(mem *member) bool { return mem.State != StateListed }) {
@@ -223,8 +227,9 @@
 	return pers[:min(num, len(pers))]
 }
 
-// Incarnation returns the newest known incarnation of a host, and whether that
-// process is not known to have ended. An unreachable host counts as alive.
+// Incarnation returns the newest known incarnation of a host, and whether that process has
+// been reported and not declared dead. An unreachable process is not dead. For an unknown
+// host it returns 0 and false.
 func (ros *Roster) Incarnation(host string) (uint64, bool) {
 	if host == ros.Self.ID {
 		return ros.Self.Incarnation, true
@@ -236,8 +241,8 @@
 	return mem.Incarnation, mem.State != StateDead
 }
 
-// StartIncarnation returns the incarnation under which the newest known process of a
-// host owns its work; 0 if the host is unknown.
+// StartIncarnation returns the incarnation with which the newest known process of a host
+// began, and under which its requests are owned; 0 if the host is unknown.
 func (ros *Roster) StartIncarnation(host string) uint64 {
 	if host == ros.Self.ID {
 		return ros.Self.Started
--- a/process/gossiper/neighbour_test.go
+++ b/process/gossiper/neighbour_test.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// TestNeighboursAreStable removes one of many hosts: the neighbours of few others may change.
+// TestNeighboursAreStable removes one of many hosts: most neighbours of the other hosts must
+// stay the same, since connections to them are reused.
 func TestNeighboursAreStable(t *testing.T) {
 	const num = 295
 	var pers []Peer
--- a/process/gossiper/peer.go
+++ b/process/gossiper/peer.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// Peer is another host as this host knows it.
+// Peer is a host as this host knows it; it may be this host itself.
 type Peer struct {
 	ID         string
 	Address    string
@@ -49,22 +49,26 @@
 	// Incarnation only if the process has since raised its incarnation above that of an
 	// earlier process.
 	Started uint64
-	// Refutation is the number of false reports that the process has refuted.
-	Refutation     uint64
-	State          State
+	// Refutation counts the refutations under Incarnation: of two reports of an incarnation,
+	// the one with the higher number supersedes the other.
+	Refutation uint64
+	State      State
+	// TablesRevision is the newest revision of the tables that the process itself reported.
 	TablesRevision uint64
-	// CapacityMilli is the host's processor time in thousandths of a core; 0 if
+	// CapacityMilli is the host's processor capacity in thousandths of a core; 0 if
 	// unknown.
 	CapacityMilli uint32
-	Heard         time.Time
+	// Heard is the time at which this host last received a probe or a reply of the process.
+	Heard time.Time
 }
 
-// minCapacityShare is the least processor time of a host that may take duties for others,
+// minCapacityShare is the least processor capacity of a host that may work for other hosts,
 // as a share of the largest host's.
 const minCapacityShare = 0.5
 
-// WithEnoughCapacity returns the hosts with enough processor time to take duties for
-// others. It modifies the slice.
+// WithEnoughCapacity returns the hosts with enough processor capacity to work for other
+// hosts, such as to watch the store or to run planners. Hosts of unknown capacity are
+// omitted if any capacity is known. It reuses the memory of pers.
 func WithEnoughCapacity(pers []Peer) []Peer {
 	var most uint32
 	for _, per := range pers {
@@ -84,14 +88,14 @@
 	return per.State.rank() > old.State.rank()
 }
 
-var toWire = map[State]messenger.Member_State{
+var stateToWire = map[State]messenger.Member_State{
 	StateAlive:   messenger.Member_STATE_ALIVE,
 	StateSuspect: messenger.Member_STATE_SUSPECT,
 	StateLeaving: messenger.Member_STATE_LEAVING,
 	StateDead:    messenger.Member_STATE_DEAD,
 }
 
-var fromWire = map[messenger.Member_State]State{
+var stateFromWire = map[messenger.Member_State]State{
 	messenger.Member_STATE_ALIVE:   StateAlive,
 	messenger.Member_STATE_SUSPECT: StateSuspect,
 	messenger.Member_STATE_LEAVING: StateLeaving,
@@ -102,7 +106,7 @@
 func (per Peer) Member() *messenger.Member {
 	mem := &messenger.Member{
 		Id: per.ID, Address: per.Address, DataCenter: per.DataCenter, Region: per.Region,
-		Incarnation: per.Incarnation, Refutation: per.Refutation, State: toWire[per.State], CapacityMilli: per.CapacityMilli,
+		Incarnation: per.Incarnation, Refutation: per.Refutation, State: stateToWire[per.State], CapacityMilli: per.CapacityMilli,
 	}
 	if per.Started != per.Incarnation {
 		mem.Started = per.Started
@@ -113,7 +117,7 @@
 // PeerOf converts a wire message. It returns false for a message without an ID or with a
 // state of a later protocol version.
 func PeerOf(mem *messenger.Member) (Peer, bool) {
-	sta, ok := fromWire[mem.GetState()]
+	sta, ok := stateFromWire[mem.GetState()]
 	if !ok || mem.GetId() == "" {
 		return Peer{}, false
 	}
--- a/process/gossiper/roster.go
+++ b/process/gossiper/roster.go
@@ -13,8 +13,8 @@
 	remoteProbeEvery = 4
 	// retryEvery is the number of ticks between probes of dead or unreachable peers.
 	retryEvery = 5
-	// suspectBase scales the time in which a suspected host can refute; it grows with
-	// the logarithm of the number of hosts.
+	// suspectBase scales the time after which a suspected host is declared dead: suspectBase
+	// times 1 plus the decimal logarithm of the number of hosts.
 	suspectBase = 2 * time.Second
 	// forgetAfter is how long a dead or leaving host is kept in the roster.
 	forgetAfter = 10 * time.Minute
@@ -22,12 +22,12 @@
 	indirectProbes = 2
 	// maxUpdates bounds the number of updates in one probe.
 	maxUpdates = 8
-	// transmitFactor scales how often an update is sent; it grows with the logarithm
-	// of the number of hosts.
+	// transmitFactor scales how often an update is sent: in transmitFactor messages per
+	// binary digit of the number of hosts.
 	transmitFactor = 3
-	// unreachableAfter is the number of probes into another region that must fail in a
+	// regionUnreachableAfter is the number of probes into another region that must fail in a
 	// row before all its hosts count as unreachable.
-	unreachableAfter = 3
+	regionUnreachableAfter = 3
 	// isolatedAfter is the number of probes that must fail in a row before a host
 	// assumes that its own link is at fault and suspects no peers.
 	isolatedAfter = 3
@@ -47,7 +47,8 @@
 type Listed struct{ Peers []Peer }
 
 // Received reports a message of a peer. DialAddress is the address at which this host
-// called the peer; it is empty if the peer made the call.
+// called the peer; it is empty if the peer called or a relay forwarded the reply. From is
+// empty if the updates are not from a probe or a reply to one.
 type Received struct {
 	From        Peer
 	DialAddress string
@@ -93,7 +94,7 @@
 func (IndirectProbe) action() {}
 func (StateChange) action()   {}
 
-// Roster holds the membership as one host knows it and decides on events. It does
+// Roster holds the membership as one host knows it, and turns events into actions. It does
 // no I/O and reads no clock.
 type Roster struct {
 	Self Peer
@@ -106,13 +107,13 @@
 	retryRotation  rotation
 	// pending is the number of messages that are still to carry the update of a member.
 	pending map[string]int
-	// regionFailures counts the probes into another region that have failed in a row,
-	// failures those into any region.
+	// regionFailures is the number of consecutive failed probes into each other region.
 	regionFailures map[string]int
 	ticks          uint64
-	failures       int
-	// changes is the number of changes to peers, except for their Heard times and
-	// table revisions.
+	// failures is the number of consecutive failed probes of any peers.
+	failures int
+	// changes is the number of changes to the set of peers and to their states, addresses,
+	// incarnations and reachability. Heard times and table revisions do not count.
 	changes uint64
 }
 
@@ -230,8 +231,9 @@
 	return mem.State == StateAlive || mem.State == StateSuspect || mem.State == StateLeaving
 }
 
-// retryTarget picks a peer that is not known to be alive: listed peers at each tick,
-// dead and unreachable peers rarely, so that the rate of such probes is bounded.
+// retryTarget picks a listed, dead or unreachable peer to probe. Listed peers are candidates
+// at each tick, dead and unreachable peers only every retryEvery ticks, so that the rate of
+// such probes is bounded.
 func (ros *Roster) retryTarget() (Peer, bool) {
 	return ros.nextMatching(&ros.retryRotation, func(mem *member) bool {
 		if mem.State == StateListed {
@@ -246,7 +248,7 @@
 	for range len(rot.ids) + 1 {
 		id := rot.next(ros.Random, fill)
 		if mem := ros.members[id]; mem != nil && match(mem) {
-			return mem.peer(), true
+			return mem.dialPeer(), true
 		}
 	}
 	return Peer{}, false
@@ -264,7 +266,8 @@
 	return out
 }
 
-func (mem *member) peer() Peer {
+// dialPeer returns the peer with the address at which this host calls it.
+func (mem *member) dialPeer() Peer {
 	per := mem.Peer
 	if mem.dialAddress != "" {
 		per.Address = mem.dialAddress
@@ -299,18 +302,19 @@
 		ros.members[per.ID] = &member{Peer: per, dialAddress: per.Address, listed: true, listedLeaving: leaving, changedAt: now}
 		return
 	}
-	was := *mem
+	old := *mem
 	mem.listedLeaving = per.State == StateLeaving
 	if mem.State == StateListed || mem.dialAddress == "" || mem.State == StateDead {
 		mem.dialAddress = per.Address
 	}
-	if *mem != was {
+	if *mem != old {
 		ros.changes++
 	}
 }
 
 // NextUpdates returns the updates to send with the next message to a peer, a suspicion or
-// death of that peer first.
+// death of that peer first. Each call counts as one transmission of the pending updates that
+// it returns.
 func (ros *Roster) NextUpdates(peer string) []Peer {
 	var out []Peer
 	if mem := ros.members[peer]; mem != nil && (mem.State == StateSuspect || mem.State == StateDead) {
--- a/process/gossiper/roster_test.go
+++ b/process/gossiper/roster_test.go
@@ -14,18 +14,20 @@
 var epoch = time.Unix(1_700_000_000, 0)
 
 const (
-	subject    = "subject"
-	subjectInc = 5
-	subjectRef = 1
+	subject            = "subject"
+	subjectIncarnation = 5
+	subjectRefutation  = 1
 )
 
-// regions of the subject: the host's own, another one with other live hosts, one with
-// no other host, and one that is unreachable.
+// regions are the regions of the subject: near is that of the host, far another region with
+// live hosts, thin a region without other hosts, and cut an unreachable region.
 var regions = []string{"near", "far", "thin", "cut"}
 
 var states = []string{"None", "Listed", "Alive", "Unreachable", "Suspect", "Leaving", "Dead"}
 
-// matrixEvents are the events of the matrix, in the order of the data file.
+// matrixEvents are the events of the matrix, in the order of the data file. Missed and
+// Unreached are failed direct and indirect probes. In Reached events the subject replies to
+// this host, in Called events it calls this host. Told events are reports of another host.
 var matrixEvents = []struct {
 	name string
 	// after is the time that passes before the event.
@@ -38,22 +40,22 @@
 	{"Called", 0, func(sub Peer) Event { return Received{From: sub.withState(StateAlive)} }},
 	{"ReachedRefuted", 0, func(sub Peer) Event { return Received{From: sub.withState(StateAlive).refuted(), DialAddress: "proxy"} }},
 	{"ReachedRestarted", 0, func(sub Peer) Event {
-		return Received{From: sub.withState(StateAlive).restarted(1), DialAddress: "proxy"}
+		return Received{From: sub.withState(StateAlive).shiftIncarnation(1), DialAddress: "proxy"}
 	}},
 	{"ReachedOlder", 0, func(sub Peer) Event {
-		return Received{From: sub.withState(StateAlive).restarted(-1), DialAddress: "direct"}
+		return Received{From: sub.withState(StateAlive).shiftIncarnation(-1), DialAddress: "direct"}
 	}},
 	{"ReachedOlderElsewhere", 0, func(sub Peer) Event {
-		return Received{From: sub.withState(StateAlive).restarted(-1), DialAddress: "proxy"}
+		return Received{From: sub.withState(StateAlive).shiftIncarnation(-1), DialAddress: "proxy"}
 	}},
-	{"CalledOlder", 0, func(sub Peer) Event { return Received{From: sub.withState(StateAlive).restarted(-1)} }},
+	{"CalledOlder", 0, func(sub Peer) Event { return Received{From: sub.withState(StateAlive).shiftIncarnation(-1)} }},
 	{"ToldAlive", 0, func(sub Peer) Event { return reported(sub.withState(StateAlive)) }},
 	{"ToldSuspect", 0, func(sub Peer) Event { return reported(sub.withState(StateSuspect)) }},
 	{"ToldDead", 0, func(sub Peer) Event { return reported(sub.withState(StateDead)) }},
 	{"ToldLeaving", 0, func(sub Peer) Event { return reported(sub.withState(StateLeaving)) }},
 	{"ToldRefuted", 0, func(sub Peer) Event { return reported(sub.withState(StateAlive).refuted()) }},
-	{"ToldRestarted", 0, func(sub Peer) Event { return reported(sub.withState(StateAlive).restarted(1)) }},
-	{"ToldOlderDead", 0, func(sub Peer) Event { return reported(sub.withState(StateDead).restarted(-1)) }},
+	{"ToldRestarted", 0, func(sub Peer) Event { return reported(sub.withState(StateAlive).shiftIncarnation(1)) }},
+	{"ToldOlderDead", 0, func(sub Peer) Event { return reported(sub.withState(StateDead).shiftIncarnation(-1)) }},
 	{"ListedStays", 0, func(sub Peer) Event { return Listed{[]Peer{sub}} }},
 	{"ListedLeaving", 0, func(sub Peer) Event { return Listed{[]Peer{sub.withState(StateLeaving)}} }},
 	{"ListedNoMore", 0, func(Peer) Event { return Listed{} }},
@@ -63,7 +65,9 @@
 
 func (per Peer) withState(sta State) Peer { per.State = sta; return per }
 func (per Peer) refuted() Peer            { per.Refutation++; return per }
-func (per Peer) restarted(by int) Peer {
+
+// shiftIncarnation returns the peer as a later process (by > 0) or an earlier one (by < 0).
+func (per Peer) shiftIncarnation(by int) Peer {
 	per.Incarnation = uint64(int(per.Incarnation) + by)
 	per.Refutation = 0
 	return per
@@ -76,7 +80,7 @@
 	for _, id := range []string{"near-1", "near-2", "far-1", "far-2"} {
 		ros.Step(Received{From: Peer{ID: id, Region: id[:len(id)-2], State: StateAlive, Incarnation: 1}, DialAddress: id}, epoch)
 	}
-	sub := Peer{ID: subject, Address: "direct", Region: region, Incarnation: subjectInc, Refutation: subjectRef}
+	sub := Peer{ID: subject, Address: "direct", Region: region, Incarnation: subjectIncarnation, Refutation: subjectRefutation}
 	switch state {
 	case "None":
 	case "Listed":
@@ -89,7 +93,7 @@
 		ros.Step(reported(sub.withState(State(state))), epoch)
 	}
 	if region == "cut" {
-		ros.regionFailures[region] = unreachableAfter
+		ros.regionFailures[region] = regionUnreachableAfter
 	}
 	return ros, sub
 }
@@ -118,15 +122,17 @@
 	return out
 }
 
-// TestMembershipMatrix applies every event in every state and region. The data file
-// has a directive for each state and region, with a line for each event.
+// TestMembershipMatrix applies every event in every state and region. It guards against
+// hosts that the wrong event declares dead or live, and against reports that are not
+// forwarded. The data file has a directive for each state and region, with a line for each
+// event.
 func TestMembershipMatrix(t *testing.T) {
 	seen := map[string]bool{}
 	datadriven.RunTest(t, "testdata/membership", func(t *testing.T, dat *datadriven.TestData) string {
 		var state, region string
 		dat.ScanArgs(t, "state", &state)
 		dat.ScanArgs(t, "region", &region)
-		require.False(t, seen[state+region], "duplicate cell")
+		require.False(t, seen[state+region], "duplicate directive")
 		seen[state+region] = true
 		var out strings.Builder
 		for _, tc := range matrixEvents {
@@ -139,7 +145,7 @@
 	})
 	for _, state := range states {
 		for _, region := range regions {
-			require.True(t, seen[state+region], "no cell for state %s in region %s", state, region)
+			require.True(t, seen[state+region], "no directive for state %s in region %s", state, region)
 		}
 	}
 }
--- a/process/gossiper/tables.go
+++ b/process/gossiper/tables.go
@@ -11,9 +11,9 @@
 
 // PullTables pulls the newest tables that a peer has.
 func (gos *Gossiper) PullTables(ctx context.Context, address string) {
-	for _, whole := range []bool{false, true} {
+	for _, full := range []bool{false, true} {
 		rep, err := gos.call(ctx, syncTimeout, address, &messenger.Envelope{Body: &messenger.Envelope_TablesPull{TablesPull: &messenger.TablesPull{
-			HaveRevision: gos.Publisher.Current().Revision(), Whole: whole,
+			HaveRevision: gos.Publisher.Current().Revision(), Whole: full,
 		}}})
 		if err != nil {
 			return
@@ -26,9 +26,9 @@
 }
 
 // pullAndConfirm pulls tables from a peer that reports a newer revision, and confirms them
-// as of the time at which the store held that revision as its newest. Without this, a host
-// would get no confirmation while the tables change continuously, since peers always report
-// a later revision than the one it has in force.
+// as of the time at which the store held that revision as its newest. ConfirmRevision alone
+// would never confirm the tables while they change continuously: peers always report a later
+// revision than the one that this host has in force, and ConfirmRevision ignores others.
 func (gos *Gossiper) pullAndConfirm(ctx context.Context, address string, revision uint64, at time.Time) {
 	gos.PullTables(ctx, address)
 	if gos.Publisher.Current().Revision() >= revision {
@@ -55,9 +55,9 @@
 }
 
 // PushTables offers the tables in force to a bounded number of peers, which forward
-// them. crossRegion adds peers of other regions. It returns how many peers were asked and
-// how many of them now have that revision or a newer one in force.
-func (gos *Gossiper) PushTables(ctx context.Context, crossRegion bool) (asked, confirmed int) {
+// them. crossRegion adds one peer of each other region. It returns to how many peers it
+// offered the tables, and how many of them now have that revision or a newer one in force.
+func (gos *Gossiper) PushTables(ctx context.Context, crossRegion bool) (offered, adopted int) {
 	pers := gos.broadcastTargets(crossRegion)
 	rev := gos.Publisher.Current().Revision()
 	var count atomic.Int64
@@ -73,7 +73,9 @@
 	return len(pers), int(count.Load())
 }
 
-// pushTablesTo offers the latest change first, then whatever the peer reports as missing.
+// pushTablesTo sends the latest delta, then what the peer lacks: the deltas since its
+// revision or the full document. It stops when the peer has rev in force, and reports
+// whether it has.
 func (gos *Gossiper) pushTablesTo(ctx context.Context, per Peer, rev uint64) bool {
 	pus := gos.Publisher.Announce()
 	for range 3 {
