--- a/process/publisher/edit.go
+++ b/process/publisher/edit.go
@@ -32,26 +32,28 @@
 
 // EditState is the state machine of one edit. It is an immutable value.
 type EditState struct {
-	// Document holds the new content; Edit identifies the edit.
-	Document parser.Tables
-	Edit     parser.Edit
+	// Content holds the new content; Edit identifies the edit.
+	Content parser.Tables
+	Edit    parser.Edit
 	// Known holds the tables in force on this host when the edit began.
 	Known parser.Tables
 
-	step    step
+	step step
+	// version is the version of the object that the write replaces, target the tables to
+	// write.
 	version uint64
 	target  parser.Tables
 }
 
-// EditEvent is an input of EditState: Begun, Read, HistoryWritten, Wrote, BroadcastDone
-// or TimedOut.
+// EditEvent is an input of EditState: Begun, StoreRead, HistoryWritten, StoreWritten,
+// BroadcastDone or TimedOut.
 type EditEvent interface{ editEvent() }
 
 // Begun starts an edit.
 type Begun struct{}
 
-// Read reports the stored tables. Version 0 means that none are stored.
-type Read struct {
+// StoreRead reports the stored tables. Version 0 means that none are stored.
+type StoreRead struct {
 	Tables  parser.Tables
 	Version uint64
 	Err     error
@@ -60,20 +62,20 @@
 // HistoryWritten reports that the previous revision was written to the history, or why not.
 type HistoryWritten struct{ Err error }
 
-// Wrote reports the result of the conditional write of the new revision.
-type Wrote struct{ Err error }
+// StoreWritten reports the result of the conditional write of the new revision.
+type StoreWritten struct{ Err error }
 
 // BroadcastDone reports how many peers were offered the new revision, and how
 // many have it in force.
-type BroadcastDone struct{ Asked, Confirmed int }
+type BroadcastDone struct{ Offered, Adopted int }
 
 // TimedOut reports that the time limit of the edit has passed.
 type TimedOut struct{}
 
 func (Begun) editEvent()          {}
-func (Read) editEvent()           {}
+func (StoreRead) editEvent()      {}
 func (HistoryWritten) editEvent() {}
-func (Wrote) editEvent()          {}
+func (StoreWritten) editEvent()   {}
 func (BroadcastDone) editEvent()  {}
 func (TimedOut) editEvent()       {}
 
@@ -99,15 +101,16 @@
 // BroadcastTables puts accepted tables in force and offers them to peers.
 type BroadcastTables struct{ Tables parser.Tables }
 
-// Finish ends the edit. Tables are those accepted, or those that an earlier edit put in force.
+// Finish ends the edit. Tables are the accepted tables if Result is Accepted, else the
+// tables that decided the result, if any.
 type Finish struct {
 	Result Result
 	Tables parser.Tables
 	// InForce is the number of hosts known to have the revision in force.
 	InForce int
-	// Asked is the number of peers that were offered the revision.
-	Asked int
-	Err   error
+	// Offered is the number of peers that were offered the revision.
+	Offered int
+	Err     error
 }
 
 func (ReadStore) editAction()       {}
@@ -130,7 +133,7 @@
 			return sta, ReadStore{}
 		}
 	case stepReading:
-		if eve, ok := eve.(Read); ok {
+		if eve, ok := eve.(StoreRead); ok {
 			return sta.read(eve)
 		}
 	case stepWritingHistory:
@@ -138,16 +141,16 @@
 			return sta.historyWritten(eve)
 		}
 	case stepWriting:
-		if eve, ok := eve.(Wrote); ok {
+		if eve, ok := eve.(StoreWritten); ok {
 			return sta.wrote(eve)
 		}
 	case stepReadingBack:
-		if eve, ok := eve.(Read); ok {
+		if eve, ok := eve.(StoreRead); ok {
 			return sta.readBack(eve)
 		}
 	case stepBroadcasting:
 		if eve, ok := eve.(BroadcastDone); ok {
-			return sta.finish(Finish{Result: Accepted, Tables: sta.target, InForce: eve.Confirmed + 1, Asked: eve.Asked})
+			return sta.finish(Finish{Result: Accepted, Tables: sta.target, InForce: eve.Adopted + 1, Offered: eve.Offered})
 		}
 	}
 	return sta.finish(Finish{Result: Unknown, Err: eris.Errorf("EditState.Next: event %T at step %q", eve, sta.step)})
@@ -158,7 +161,7 @@
 	return sta, fin
 }
 
-func (sta EditState) read(eve Read) (EditState, EditAction) {
+func (sta EditState) read(eve StoreRead) (EditState, EditAction) {
 	if eve.Err != nil {
 		return sta.finish(Finish{Result: NotAccepted, Err: eve.Err})
 	}
@@ -174,7 +177,7 @@
 		err := eris.Errorf("EditState.read: the newest revision that can be read is %d, older than the base of the edit", current.Revision)
 		return sta.finish(Finish{Result: NotAccepted, Tables: current, Err: err})
 	}
-	sta.target = sta.Document.WithEdit(current, sta.Edit)
+	sta.target = sta.Content.WithEdit(current, sta.Edit)
 	sta.version = eve.Version
 	if current.Revision == 0 {
 		return sta.write()
@@ -195,7 +198,7 @@
 	return sta.write()
 }
 
-func (sta EditState) wrote(eve Wrote) (EditState, EditAction) {
+func (sta EditState) wrote(eve StoreWritten) (EditState, EditAction) {
 	switch {
 	case eve.Err == nil:
 		sta.step = stepBroadcasting
@@ -209,11 +212,11 @@
 }
 
 // readBack determines whether the write took effect.
-func (sta EditState) readBack(eve Read) (EditState, EditAction) {
+func (sta EditState) readBack(eve StoreRead) (EditState, EditAction) {
 	if eve.Err != nil {
 		return sta, ReadAgain{}
 	}
-	included, known := eve.Tables.Includes(sta.target.Revision, sta.Edit.Nonce)
+	included, conclusive := eve.Tables.Includes(sta.target.Revision, sta.Edit.Nonce)
 	switch {
 	case included:
 		sta.step = stepBroadcasting
@@ -226,7 +229,7 @@
 		return sta.write()
 	case eve.Tables.Revision < sta.target.Revision:
 		return sta, ReadAgain{}
-	case known:
+	case conclusive:
 		return sta.finish(Finish{Result: Raced, Tables: eve.Tables})
 	default:
 		return sta.finish(Finish{Result: Unknown, Tables: eve.Tables})
@@ -240,7 +243,6 @@
 	case stepBroadcasting:
 		return sta.finish(Finish{Result: Accepted, Tables: sta.target, InForce: 1})
 	default:
-		// The text reaches operators and stays.
 		return sta.finish(Finish{Result: NotAccepted, Err: eris.New("EditState.elapsed: no answer of the store in time")})
 	}
 }
--- a/process/publisher/edit_test.go
+++ b/process/publisher/edit_test.go
@@ -29,42 +29,45 @@
 	return tab
 }
 
-// editEvents are the events of the matrix, in the order of the data file.
+// editEvents are the events of the matrix, in the order of the data file. Mine is the edit
+// under test, Others an edit of another operator. Below means that later edits were made on
+// top of it, MuchLater that the recent edits no longer reach back to it.
 var editEvents = []struct {
 	name  string
 	event EditEvent
 }{
 	{"Begun", Begun{}},
-	{"ReadBase", Read{Tables: tablesAt(base, "old"), Version: 70}},
-	{"ReadLagging", Read{Tables: tablesAt(base-1, "older"), Version: 60}},
-	{"ReadNone", Read{}},
-	{"ReadOthers", Read{Tables: tablesAt(base+1, "old", "theirs"), Version: 80}},
-	{"ReadMine", Read{Tables: tablesAt(base+1, "old", ownNonce), Version: 80}},
-	{"ReadMineBelow", Read{Tables: tablesAt(base+3, "old", ownNonce, "b", "c"), Version: 90}},
-	{"ReadOthersBelow", Read{Tables: tablesAt(base+3, "old", "a", "b", "c"), Version: 90}},
-	{"ReadMuchLater", Read{Tables: tablesAt(base+50, "x", "y"), Version: 99}},
-	{"ReadFailed", Read{Err: persister.ErrUnavailable}},
+	{"ReadBase", StoreRead{Tables: tablesAt(base, "old"), Version: 70}},
+	{"ReadLagging", StoreRead{Tables: tablesAt(base-1, "older"), Version: 60}},
+	{"ReadNone", StoreRead{}},
+	{"ReadOthers", StoreRead{Tables: tablesAt(base+1, "old", "theirs"), Version: 80}},
+	{"ReadMine", StoreRead{Tables: tablesAt(base+1, "old", ownNonce), Version: 80}},
+	{"ReadMineBelow", StoreRead{Tables: tablesAt(base+3, "old", ownNonce, "b", "c"), Version: 90}},
+	{"ReadOthersBelow", StoreRead{Tables: tablesAt(base+3, "old", "a", "b", "c"), Version: 90}},
+	{"ReadMuchLater", StoreRead{Tables: tablesAt(base+50, "x", "y"), Version: 99}},
+	{"ReadFailed", StoreRead{Err: persister.ErrUnavailable}},
 	{"Kept", HistoryWritten{}},
 	{"KeepFailed", HistoryWritten{Err: persister.ErrUnavailable}},
-	{"Wrote", Wrote{}},
-	{"WroteConflict", Wrote{Err: persister.ErrConflict}},
-	{"WroteNoAnswer", Wrote{Err: eris.New("connection lost")}},
-	{"WroteUnavailable", Wrote{Err: persister.ErrUnavailable}},
-	{"WroteTooLarge", Wrote{Err: persister.ErrTooLarge}},
-	{"WroteRateLimited", Wrote{Err: persister.ErrRateLimited}},
+	{"Wrote", StoreWritten{}},
+	{"WroteConflict", StoreWritten{Err: persister.ErrConflict}},
+	{"WroteNoAnswer", StoreWritten{Err: eris.New("connection lost")}},
+	{"WroteUnavailable", StoreWritten{Err: persister.ErrUnavailable}},
+	{"WroteTooLarge", StoreWritten{Err: persister.ErrTooLarge}},
+	{"WroteRateLimited", StoreWritten{Err: persister.ErrRateLimited}},
 	{"SpreadNoPeers", BroadcastDone{}},
-	{"SpreadNone", BroadcastDone{Asked: 3}},
-	{"SpreadSome", BroadcastDone{Asked: 3, Confirmed: 2}},
+	{"SpreadNone", BroadcastDone{Offered: 3}},
+	{"SpreadSome", BroadcastDone{Offered: 3, Adopted: 2}},
 	{"Elapsed", TimedOut{}},
 }
 
+// editSteps holds the events that bring an edit to each step.
 var editSteps = map[string][]EditEvent{
 	"New":         nil,
 	"Reading":     {Begun{}},
-	"Keeping":     {Begun{}, Read{Tables: tablesAt(base, "old"), Version: 70}},
-	"Writing":     {Begun{}, Read{Tables: tablesAt(base, "old"), Version: 70}, HistoryWritten{}},
-	"ReadingBack": {Begun{}, Read{Tables: tablesAt(base, "old"), Version: 70}, HistoryWritten{}, Wrote{Err: persister.ErrConflict}},
-	"Spreading":   {Begun{}, Read{Tables: tablesAt(base, "old"), Version: 70}, HistoryWritten{}, Wrote{}},
+	"Keeping":     {Begun{}, StoreRead{Tables: tablesAt(base, "old"), Version: 70}},
+	"Writing":     {Begun{}, StoreRead{Tables: tablesAt(base, "old"), Version: 70}, HistoryWritten{}},
+	"ReadingBack": {Begun{}, StoreRead{Tables: tablesAt(base, "old"), Version: 70}, HistoryWritten{}, StoreWritten{Err: persister.ErrConflict}},
+	"Spreading":   {Begun{}, StoreRead{Tables: tablesAt(base, "old"), Version: 70}, HistoryWritten{}, StoreWritten{}},
 }
 
 func describeAction(act EditAction) string {
@@ -86,10 +89,12 @@
 	}
 }
 
-// TestEditMatrix applies every event at every step of an edit. The data file has
-// a directive for each step and each state of the tables in force on the host.
+// TestEditMatrix applies every event at every step of an edit. It guards against an edit
+// that ends as Raced or NotAccepted although its write may take effect, or as Accepted
+// although it did not. The data file has a directive for each step and each state of the
+// tables in force on the host.
 func TestEditMatrix(t *testing.T) {
-	knowns := map[string]parser.Tables{
+	knownTables := map[string]parser.Tables{
 		"nothing": {}, "older": tablesAt(base-1, "older"), "base": tablesAt(base, "old"), "newer": tablesAt(base+1, "old", "theirs"),
 	}
 	seen := map[string]bool{}
@@ -101,7 +106,7 @@
 		seen[step+known] = true
 		var out strings.Builder
 		for _, tc := range editEvents {
-			sta := EditState{Edit: parser.Edit{Revision: base + 1, Nonce: ownNonce}, Known: knowns[known]}
+			sta := EditState{Edit: parser.Edit{Revision: base + 1, Nonce: ownNonce}, Known: knownTables[known]}
 			for _, eve := range editSteps[step] {
 				sta, _ = sta.Next(eve)
 			}
@@ -111,7 +116,7 @@
 		return out.String()
 	})
 	for step := range editSteps {
-		for known := range knowns {
+		for known := range knownTables {
 			require.True(t, seen[step+known] || (known == "newer" && len(editSteps[step]) > 1), "no cell for step %s, known %s", step, known)
 		}
 	}
--- a/process/publisher/editor.go
+++ b/process/publisher/editor.go
@@ -12,9 +12,11 @@
 )
 
 const (
-	// editTimeout bounds an edit including the read that checks its write.
+	// editTimeout bounds an edit, including the read that determines whether its write took
+	// effect.
 	editTimeout = 5 * time.Second
-	// storeCallTimeout bounds one call of the store, so that time is left for that read.
+	// storeCallTimeout bounds one call to the store. It leaves time for the read after a
+	// write whose result is unknown.
 	storeCallTimeout = 1500 * time.Millisecond
 	broadcastTimeout = 2 * time.Second
 	readBackPause    = 100 * time.Millisecond
@@ -29,16 +31,16 @@
 	ErrUnknown = eris.New("publisher: it is unknown whether the edit was accepted")
 )
 
-// Edit replaces the tables if their revision is still base. An edit that changed
-// nothing returns an error other than ErrUnknown.
+// Edit replaces the tables if their revision is still base. Any error except ErrUnknown
+// means that the edit changed nothing.
 func (pub *Publisher) Edit(ctx context.Context, tab parser.Tables, base uint64, now time.Time) (Finish, error) {
 	// An accepted edit must reach the peers even if the operator disconnects.
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), editTimeout)
 	defer stop()
 	sta := EditState{
-		Document: tab,
-		Edit:     parser.Edit{Revision: base + 1, Nonce: uuid.Must(uuid.NewV7()).String(), At: now.UTC().Truncate(time.Millisecond)},
-		Known:    pub.Current().Tables(),
+		Content: tab,
+		Edit:    parser.Edit{Revision: base + 1, Nonce: uuid.Must(uuid.NewV7()).String(), At: now.UTC().Truncate(time.Millisecond)},
+		Known:   pub.Current().Tables(),
 	}
 	sta, act := sta.Next(Begun{})
 	for {
@@ -71,7 +73,7 @@
 		defer stop()
 		return orTimedOut(ctx, HistoryWritten{pub.writeHistory(writeCtx, act.Tables)})
 	case WriteStore:
-		return orTimedOut(ctx, Wrote{pub.write(ctx, act)})
+		return orTimedOut(ctx, StoreWritten{pub.write(ctx, act)})
 	case BroadcastTables:
 		return pub.broadcast(ctx, act.Tables)
 	default:
@@ -84,35 +86,35 @@
 	if ctx.Err() == nil {
 		return eve
 	}
-	switch failed := eve.(type) {
-	case Read:
-		if failed.Err == nil {
+	switch typed := eve.(type) {
+	case StoreRead:
+		if typed.Err == nil {
 			return eve
 		}
 	case HistoryWritten:
-		if failed.Err == nil {
+		if typed.Err == nil {
 			return eve
 		}
-	case Wrote:
-		if failed.Err == nil {
+	case StoreWritten:
+		if typed.Err == nil {
 			return eve
 		}
 	}
 	return TimedOut{}
 }
 
-func (pub *Publisher) read(ctx context.Context) Read {
+func (pub *Publisher) read(ctx context.Context) StoreRead {
 	ctx, stop := context.WithTimeout(ctx, storeCallTimeout)
 	defer stop()
 	obj, err := pub.Store.Get(ctx, TablesPath)
 	if eris.Is(err, persister.ErrNotFound) {
-		return Read{}
+		return StoreRead{}
 	}
 	if err != nil {
-		return Read{Err: err}
+		return StoreRead{Err: err}
 	}
 	tab, err := parser.Parse(obj.Value)
-	return Read{Tables: tab, Version: obj.Version, Err: err}
+	return StoreRead{Tables: tab, Version: obj.Version, Err: err}
 }
 
 func (pub *Publisher) readAgain(ctx context.Context) EditEvent {
@@ -136,13 +138,13 @@
 	defer stop()
 	version, err := pub.Store.Put(ctx, persister.Object{Path: TablesPath, Version: act.Version, Value: doc})
 	if err == nil {
-		pub.recordVersion(stored{version, act.Tables.Revision})
+		pub.recordVersion(objectVersion{version, act.Tables.Revision})
 	}
 	return err
 }
 
 func (pub *Publisher) broadcast(ctx context.Context, tab parser.Tables) EditEvent {
-	_, _ = pub.Accept(tab)
+	_, _ = pub.Adopt(tab)
 	pub.ConfirmRevision(tab.Revision, time.Now())
 	go pub.prune(tab.Revision)
 	if pub.Broadcast == nil {
@@ -150,6 +152,6 @@
 	}
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), broadcastTimeout)
 	defer stop()
-	asked, confirmed := pub.Broadcast(ctx)
-	return BroadcastDone{Asked: asked, Confirmed: confirmed}
+	offered, adopted := pub.Broadcast(ctx)
+	return BroadcastDone{Offered: offered, Adopted: adopted}
 }
--- a/process/publisher/history.go
+++ b/process/publisher/history.go
@@ -47,7 +47,6 @@
 	}
 	doc, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(obj.Value)), parser.MaxDocumentBytes+1))
 	if err != nil {
-		// The text reaches operators and stays.
 		return parser.Tables{}, eris.Wrapf(err, "Publisher.Past: expand object %s", obj.Path)
 	}
 	return parser.Parse(doc)
@@ -72,14 +71,14 @@
 		return nil
 	}
 	// The write may have taken effect although the answer was lost.
-	if _, get := pub.Store.Get(ctx, obj.Path); get == nil {
+	if _, readErr := pub.Store.Get(ctx, obj.Path); readErr == nil {
 		return nil
 	}
-	// The text reaches operators and stays.
 	return eris.Wrap(err, "Publisher.keep")
 }
 
-// prune deletes the oldest revision of the history once a new revision exceeds HistoryLength.
+// prune deletes the revision that leaves the history when revision is accepted, so that
+// HistoryLength past revisions remain.
 func (pub *Publisher) prune(revision uint64) {
 	if revision <= HistoryLength+1 {
 		return
--- a/process/registrar/registrar_test.go
+++ b/process/registrar/registrar_test.go
@@ -41,23 +41,26 @@
 	}
 }
 
-func TestReplace(t *testing.T) {
+// A complete list of the store's records must remove the endpoints that it lacks, except
+// for those written after it was read.
+func TestMergeComplete(t *testing.T) {
 	var reg Registry
-	reg.Replace([]Endpoint{ready("a", 1), ready("b", 2)}, 5, epoch)
+	reg.MergeComplete([]Endpoint{ready("a", 1), ready("b", 2)}, 5, epoch)
 	reg.confirmed = epoch
 	rev, complete := reg.Revision()
 	require.True(t, complete)
 	require.EqualValues(t, 5, rev)
 	// A peer has sent an entry that was written after the records were read.
 	reg.Merge([]Endpoint{ready("c", 9)}, 0, epoch)
-	reg.Replace([]Endpoint{ready("a", 1)}, 7, epoch)
+	reg.MergeComplete([]Endpoint{ready("a", 1)}, 7, epoch)
 	require.Equal(t, []string{"a", "c"}, ids(reg.Usable("s", epoch.Add(time.Millisecond))))
 	require.Empty(t, reg.Usable("other", epoch))
 }
 
+// A leaving endpoint must get no new requests, and a repeated record must not count as new.
 func TestLeaving(t *testing.T) {
 	var reg Registry
-	reg.Replace([]Endpoint{ready("a", 1), ready("b", 2)}, 2, epoch)
+	reg.MergeComplete([]Endpoint{ready("a", 1), ready("b", 2)}, 2, epoch)
 	require.Len(t, reg.Merge([]Endpoint{ready("a", 3).asLeaving()}, 3, epoch), 1)
 	require.Empty(t, reg.Merge([]Endpoint{ready("a", 3).asLeaving()}, 3, epoch), "a repeated record is not new")
 	require.Equal(t, []string{"b"}, ids(reg.Usable("s", epoch)))
@@ -69,7 +72,7 @@
 // until a valid entry is written.
 func TestUnreadableEntry(t *testing.T) {
 	var reg Registry
-	reg.Replace([]Endpoint{ready("a", 1)}, 1, epoch)
+	reg.MergeComplete([]Endpoint{ready("a", 1)}, 1, epoch)
 	reg.confirmed = epoch
 	reg.Merge([]Endpoint{{ID: "a", Revision: 2, Gone: true}}, 2, epoch)
 	require.Empty(t, reg.Usable("s", epoch))
@@ -78,14 +81,15 @@
 }
 
 // TestGoneBeforeStart starts a host that receives the record of a removed endpoint from a
-// peer: the host must never use it, although its records have not been confirmed yet.
+// peer: the host must never use the endpoint. Its records have not been confirmed yet,
+// which delays other removals.
 func TestGoneBeforeStart(t *testing.T) {
 	var reg Registry
 	reg.MergeFromPeer([]Endpoint{ready("a", 1), ready("b", 3).asGone()}, 3, epoch)
 	require.Equal(t, []string{"a"}, ids(reg.Usable("s", epoch)))
-	require.True(t, reg.Unusable("b", epoch))
-	require.False(t, reg.Unusable("a", epoch))
-	require.False(t, reg.Unusable("unknown", epoch))
+	require.True(t, reg.KnownUnusable("b", epoch))
+	require.False(t, reg.KnownUnusable("a", epoch))
+	require.False(t, reg.KnownUnusable("unknown", epoch))
 }
 
 // TestOutage removes an entry at different times of an outage. If the store was down for
@@ -98,30 +102,31 @@
 		name string
 		// confirmed are the times at which the store or a peer confirmed the records.
 		confirmed []time.Duration
-		removed   time.Duration
-		gone      time.Duration
+		removedAt time.Duration
+		// unusableFrom is the time from which the endpoint must get no new requests.
+		unusableFrom time.Duration
 	}{
 		{"no outage", []time.Duration{2000 * ms, 4000 * ms, 4800 * ms}, 5000 * ms, 5000 * ms},
 		{"the store refuses only this host", []time.Duration{2000 * ms, 4000 * ms}, 5000 * ms, 5000 * ms},
 		{"during an outage", []time.Duration{1000 * ms}, 5000 * ms, 7000 * ms},
-		{"after the return", []time.Duration{1000 * ms, 5000 * ms}, 5500 * ms, 7000 * ms},
-		{"long after the return", []time.Duration{1000 * ms, 5000 * ms, 6000 * ms, 7500 * ms}, 8000 * ms, 8000 * ms},
+		{"after the store's return", []time.Duration{1000 * ms, 5000 * ms}, 5500 * ms, 7000 * ms},
+		{"long after the store's return", []time.Duration{1000 * ms, 5000 * ms, 6000 * ms, 7500 * ms}, 8000 * ms, 8000 * ms},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			reg := Registry{confirmed: epoch}
-			reg.Replace([]Endpoint{ready("a", 1), ready("b", 1), ready("c", 1), ready("d", 1)}, 1, epoch)
+			reg.MergeComplete([]Endpoint{ready("a", 1), ready("b", 1), ready("c", 1), ready("d", 1)}, 1, epoch)
 			for _, at := range tt.confirmed {
 				reg.Confirm(1, epoch.Add(at))
 			}
-			reg.Merge([]Endpoint{ready("a", 1).asGone()}, 0, epoch.Add(tt.removed))
-			has := func(at time.Duration) bool {
+			reg.Merge([]Endpoint{ready("a", 1).asGone()}, 0, epoch.Add(tt.removedAt))
+			usable := func(at time.Duration) bool {
 				_, ok := reg.Find("a", epoch.Add(at))
 				return ok
 			}
-			require.False(t, has(tt.gone))
-			if tt.gone > tt.removed {
-				require.True(t, has(tt.gone-time.Millisecond))
+			require.False(t, usable(tt.unusableFrom))
+			if tt.unusableFrom > tt.removedAt {
+				require.True(t, usable(tt.unusableFrom-time.Millisecond))
 			}
 		})
 	}
@@ -139,22 +144,24 @@
 	for _, end := range all[:5] {
 		lost = append(lost, end.asGone())
 	}
-	reg.Replace(all, 1, epoch)
+	reg.MergeComplete(all, 1, epoch)
 	reg.Confirm(1, epoch.Add(-time.Hour))
 	reg.Confirm(1, epoch.Add(-time.Second))
+	// The gap between the two confirmations does not count as an outage.
 	reg.outageEnd = time.Time{}
 	reg.Merge(lost, 2, epoch)
 	require.Len(t, reg.Usable("s", epoch.Add(time.Second)), 10)
 	require.Len(t, reg.Usable("s", epoch.Add(2*time.Second)), 5)
 }
 
+// A host that pulls the records of a peer must get all changed and all removed records.
 func TestExchangeBetweenPeers(t *testing.T) {
 	var from, to Registry
-	_, rev := to.After(0)
+	_, rev := to.RecordsAfter(0)
 	require.Zero(t, rev, "a host without records offers none")
 	from.confirmed, to.confirmed = epoch, epoch
-	from.Replace([]Endpoint{ready("a", 1), ready("b", 2)}, 5, epoch)
-	ends, rev := from.After(0)
+	from.MergeComplete([]Endpoint{ready("a", 1), ready("b", 2)}, 5, epoch)
+	ends, rev := from.RecordsAfter(0)
 	push := Message(ends, rev)
 	to.MergeFromPeer(FromMessage(push), push.GetRevision(), epoch)
 	require.Equal(t, []string{"a", "b"}, ids(to.Usable("s", epoch)))
@@ -162,15 +169,16 @@
 	require.True(t, complete)
 	require.EqualValues(t, 5, rev)
 	from.Merge([]Endpoint{ready("c", 6), ready("a", 1).asGone()}, 6, epoch)
-	ends, rev = from.After(5)
+	ends, rev = from.RecordsAfter(5)
 	require.Len(t, ends, 2, "the changed and the removed record")
 	to.MergeFromPeer(ends, rev, epoch)
 	require.Equal(t, []string{"b", "c"}, ids(to.Usable("s", epoch)))
 }
 
+// A confirmation of an older revision must not confirm the records.
 func TestConfirm(t *testing.T) {
 	var reg Registry
-	reg.Replace([]Endpoint{ready("a", 1)}, 5, epoch)
+	reg.MergeComplete([]Endpoint{ready("a", 1)}, 5, epoch)
 	reg.Confirm(5, epoch)
 	require.Equal(t, epoch, reg.Confirmed())
 	reg.Confirm(4, epoch.Add(time.Second))
