--- a/connection/exchanger/exchanger.go
+++ b/connection/exchanger/exchanger.go
@@ -37,30 +37,30 @@
 	concurrentBodyBytes = 16 << 10
 )
 
-// DialError reports that nothing was sent: no connection was made in time, or
-// Request.Header refused the send.
-type DialError struct {
-	Peer string
-	Err  error
+// NotSentError reports that nothing was sent: no connection was established, or
+// Request.Header failed.
+type NotSentError struct {
+	Address string
+	Err     error
 }
 
-// Error returns the peer and the cause.
-func (err *DialError) Error() string { return fmt.Sprintf("dial %s: %v", err.Peer, err.Err) }
+// Error returns the address and the cause.
+func (err *NotSentError) Error() string { return fmt.Sprintf("dial %s: %v", err.Address, err.Err) }
 
 // Unwrap returns the cause.
-func (err *DialError) Unwrap() error { return err.Err }
+func (err *NotSentError) Unwrap() error { return err.Err }
 
 // NoAnswerError reports that a request was sent, at least in part, and that no
 // answer could be read. The endpoint may have run the request.
 type NoAnswerError struct {
-	Peer string
-	Step string
-	Err  error
+	Address string
+	Step    string
+	Err     error
 }
 
-// Error returns the step, the peer and the cause.
+// Error returns the step, the address and the cause.
 func (err *NoAnswerError) Error() string {
-	return fmt.Sprintf("%s of %s: %v", err.Step, err.Peer, err.Err)
+	return fmt.Sprintf("%s of %s: %v", err.Step, err.Address, err.Err)
 }
 
 // Unwrap returns the cause.
@@ -110,18 +110,18 @@
 }
 
 // Exchange sends a request and waits for the head of its answer. When ctx ends,
-// the connection is closed at once, also while the body is read. Errors are a
-// DialError or a NoAnswerError.
+// the connection is closed at once, also while the body is read. An error is a
+// NotSentError or a NoAnswerError.
 func (exc *Exchanger) Exchange(ctx context.Context, address string, req Request) (*Answer, error) {
 	dia := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
 	con, err := dia.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return nil, &DialError{Peer: address, Err: err}
+		return nil, &NotSentError{Address: address, Err: err}
 	}
 	hea, err := req.Header()
 	if err != nil {
 		_ = con.Close()
-		return nil, &DialError{Peer: address, Err: err}
+		return nil, &NotSentError{Address: address, Err: err}
 	}
 	con = exc.Traffic.Wrap(con)
 	stop := context.AfterFunc(ctx, func() { _ = con.Close() })
@@ -150,11 +150,11 @@
 		select {
 		case sendErr := <-sendResult:
 			if sendErr != nil {
-				return nil, &NoAnswerError{Peer: address, Step: "sending the request", Err: errors.Join(sendErr, err)}
+				return nil, &NoAnswerError{Address: address, Step: "sending the request", Err: errors.Join(sendErr, err)}
 			}
 		default:
 		}
-		return nil, &NoAnswerError{Peer: address, Step: "reading the answer", Err: err}
+		return nil, &NoAnswerError{Address: address, Step: "reading the answer", Err: err}
 	}
 	return &Answer{
 		Status: res.StatusCode, Header: res.Header, Length: res.ContentLength, Body: bufio.NewReaderSize(res.Body, readBufferBytes),
--- a/connection/invoker/engine.go
+++ b/connection/invoker/engine.go
@@ -57,9 +57,9 @@
 	}{requestID, attempt, own})
 }
 
-// Sequence is one holder of an engine's memory: a running or queued request, a
+// MemoryHolder is one holder of an engine's memory: a running or queued request, a
 // reservation or an export.
-type Sequence struct {
+type MemoryHolder struct {
 	RequestID string
 	Attempt   int
 	Owner     Owner
@@ -82,7 +82,7 @@
 
 // Expired reports whether the owner's deadline has passed by more than margin.
 // The age is the time since the report was made.
-func (seq Sequence) Expired(age, margin time.Duration) bool {
+func (seq MemoryHolder) Expired(age, margin time.Duration) bool {
 	return time.Duration(seq.ExpiresMs)*time.Millisecond < age-margin
 }
 
@@ -104,7 +104,7 @@
 	StepMs             float64
 	// AgeMs is the age of the report when it was sent.
 	AgeMs     int64
-	Sequences []Sequence
+	Sequences []MemoryHolder
 	// Partial marks a report that was read without its sequences.
 	Partial bool `json:"-"`
 }
@@ -153,9 +153,10 @@
 	return inv.post(ctx, "Invoker.ReserveFor", address, "/v1/reserve", res)
 }
 
-// Free identifies one holder of memory exactly, so that no newer holder is freed.
-type Free struct {
-	// Kind is Running, Queued, Reservation or Export, as in Sequence.
+// FreeRequest identifies the memory holder to free. A newer holder of the same
+// request is not affected.
+type FreeRequest struct {
+	// Kind is Running, Queued, Reservation or Export, as in MemoryHolder.
 	Kind      string
 	ID        string
 	RequestID string
@@ -164,7 +165,7 @@
 }
 
 // Free releases memory whose owner no longer uses it. It is idempotent.
-func (inv *Invoker) Free(ctx context.Context, address string, fre Free) error {
+func (inv *Invoker) Free(ctx context.Context, address string, fre FreeRequest) error {
 	return inv.post(ctx, "Invoker.Free", address, "/v1/free", fre)
 }
 
--- a/connection/invoker/invoker.go
+++ b/connection/invoker/invoker.go
@@ -50,17 +50,17 @@
 
 // Error is a failed call to an endpoint.
 type Error struct {
-	Step   string
-	Peer   string
-	Status int
-	Code   string
-	Ran    Execution
-	Err    error
+	Step      string
+	Address   string
+	Status    int
+	Code      string
+	Execution Execution
+	Err       error
 }
 
 // Error returns the step, the endpoint, its status and code, and the cause.
 func (err *Error) Error() string {
-	return fmt.Sprintf("%s: endpoint %s: status %d %s: %v", err.Step, err.Peer, err.Status, err.Code, err.Err)
+	return fmt.Sprintf("%s: endpoint %s: status %d %s: %v", err.Step, err.Address, err.Status, err.Code, err.Err)
 }
 
 // Unwrap returns the cause.
@@ -201,7 +201,7 @@
 	if json.Unmarshal(buf, &body) != nil || body.Ran == "" {
 		body.Ran = Unknown
 	}
-	return &Error{Step: step, Peer: address, Status: res.StatusCode, Code: body.Code, Ran: body.Ran, Err: eris.New(body.Message)}
+	return &Error{Step: step, Address: address, Status: res.StatusCode, Code: body.Code, Execution: body.Ran, Err: eris.New(body.Message)}
 }
 
 func (inv *Invoker) get(ctx context.Context, step, address, path string, out any) error {
@@ -211,7 +211,7 @@
 func (inv *Invoker) post(ctx context.Context, step, address, path string, in any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
-		return &Error{Step: step, Peer: address, Ran: NotRun, Err: err}
+		return &Error{Step: step, Address: address, Execution: NotRun, Err: err}
 	}
 	return inv.exchange(ctx, step, address, http.MethodPost, path, body, nil)
 }
@@ -219,7 +219,7 @@
 func (inv *Invoker) exchange(ctx context.Context, step, address, method, path string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return &Error{Step: step, Peer: address, Ran: NotRun, Err: err}
+		return &Error{Step: step, Address: address, Execution: NotRun, Err: err}
 	}
 	setHeaders(ctx, req)
 	if method == http.MethodGet {
@@ -227,7 +227,7 @@
 	}
 	res, err := inv.client(peer{address, true}).Do(req)
 	if err != nil {
-		return &Error{Step: step, Peer: address, Ran: executionAfter(err), Err: err}
+		return &Error{Step: step, Address: address, Execution: executionAfter(err), Err: err}
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
@@ -236,7 +236,7 @@
 	if res.Header.Get("Content-Encoding") == gzipEncoding {
 		res.Body, err = gzip.NewReader(res.Body)
 		if err != nil {
-			return &Error{Step: step + ": unpack", Peer: address, Ran: Ran, Err: err}
+			return &Error{Step: step + ": unpack", Address: address, Execution: Ran, Err: err}
 		}
 	}
 	if out == nil {
@@ -245,7 +245,7 @@
 	}
 	err = json.NewDecoder(io.LimitReader(res.Body, maxReplyBytes)).Decode(out)
 	if err != nil {
-		return &Error{Step: step + ": decode", Peer: address, Ran: Ran, Err: err}
+		return &Error{Step: step + ": decode", Address: address, Execution: Ran, Err: err}
 	}
 	return nil
 }
--- a/connection/invoker/service.go
+++ b/connection/invoker/service.go
@@ -35,7 +35,7 @@
 func (inv *Invoker) Call(ctx context.Context, address string, cal ServiceCall) (ServiceReply, error) {
 	req, err := http.NewRequestWithContext(ctx, cal.Method, "http://"+address+cal.Path, bytes.NewReader(cal.Body))
 	if err != nil {
-		return ServiceReply{}, &Error{Step: "Invoker.Call: build", Peer: address, Ran: NotRun, Err: err}
+		return ServiceReply{}, &Error{Step: "Invoker.Call: build", Address: address, Execution: NotRun, Err: err}
 	}
 	for name, val := range cal.Header {
 		req.Header[name] = val
@@ -46,12 +46,12 @@
 	}
 	res, err := inv.clientFor(address, cal).Do(req)
 	if err != nil {
-		return ServiceReply{}, &Error{Step: "Invoker.Call: send", Peer: address, Ran: executionAfter(err), Err: err}
+		return ServiceReply{}, &Error{Step: "Invoker.Call: send", Address: address, Execution: executionAfter(err), Err: err}
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
 	if err != nil {
-		return ServiceReply{}, &Error{Step: "Invoker.Call: read", Peer: address, Ran: Ran, Err: err}
+		return ServiceReply{}, &Error{Step: "Invoker.Call: read", Address: address, Execution: Ran, Err: err}
 	}
 	return ServiceReply{Status: res.StatusCode, Header: res.Header, Body: body}, nil
 }
--- a/connection/invoker/stream.go
+++ b/connection/invoker/stream.go
@@ -95,7 +95,7 @@
 func (inv *Invoker) Generate(ctx context.Context, address string, gen GenerateRequest) (*Stream, error) {
 	body, err := json.Marshal(gen)
 	if err != nil {
-		return nil, &Error{Step: "Invoker.Generate: encode", Peer: address, Ran: NotRun, Err: err}
+		return nil, &Error{Step: "Invoker.Generate: encode", Address: address, Execution: NotRun, Err: err}
 	}
 	str := &Stream{peer: address, ran: Unknown}
 	str.ctx, str.cancel = context.WithCancel(ctx)
@@ -103,7 +103,7 @@
 	req, err := http.NewRequestWithContext(str.ctx, http.MethodPost, "http://"+address+"/v1/generate", bytes.NewReader(body))
 	if err != nil {
 		defer str.Close()
-		return nil, &Error{Step: "Invoker.Generate: build", Peer: address, Ran: NotRun, Err: err}
+		return nil, &Error{Step: "Invoker.Generate: build", Address: address, Execution: NotRun, Err: err}
 	}
 	setHeaders(ctx, req)
 	res, err := inv.client(peer{address: address}).Do(req)
@@ -120,7 +120,7 @@
 	}
 	if err := checkReply(res.Header, gen); err != nil {
 		defer str.Close()
-		return nil, &Error{Step: "Invoker.Generate: check", Peer: address, Code: "mismatch", Ran: Unknown, Err: err}
+		return nil, &Error{Step: "Invoker.Generate: check", Address: address, Code: "mismatch", Execution: Unknown, Err: err}
 	}
 	str.scanner.requestID = gen.RequestID
 	return str, nil
@@ -139,9 +139,9 @@
 // is unknown whether the engine ran the request.
 func (str *Stream) openError(err error) error {
 	if str.timedOut.Load() {
-		return &Error{Step: "Invoker.Generate: silent", Peer: str.peer, Ran: Unknown, Err: ErrUnresponsive}
+		return &Error{Step: "Invoker.Generate: silent", Address: str.peer, Execution: Unknown, Err: ErrUnresponsive}
 	}
-	return &Error{Step: "Invoker.Generate: send", Peer: str.peer, Ran: executionAfter(err), Err: err}
+	return &Error{Step: "Invoker.Generate: send", Address: str.peer, Execution: executionAfter(err), Err: err}
 }
 
 func checkReply(header http.Header, gen GenerateRequest) error {
@@ -185,7 +185,7 @@
 }
 
 func (str *Stream) readError(err error) error {
-	out := &Error{Step: "Stream.Next", Peer: str.peer, Ran: str.ran, Err: err}
+	out := &Error{Step: "Stream.Next", Address: str.peer, Execution: str.ran, Err: err}
 	var rep *reportedError
 	switch {
 	case str.timedOut.Load():
@@ -206,8 +206,9 @@
 	return out
 }
 
-// Unread makes Next return the given tokens, which were read last, once more.
-func (str *Stream) Unread(toks []Token) { str.unread = toks }
+// PushBack makes Next return toks again before further events. toks are the last
+// tokens that Next returned.
+func (str *Stream) PushBack(toks []Token) { str.unread = toks }
 
 // Buffered reports whether Next can return an event without reading from the
 // connection.
--- a/connection/messenger/messenger.go
+++ b/connection/messenger/messenger.go
@@ -25,8 +25,8 @@
 
 // Errors of Read and Write.
 var (
-	ErrFrameTooLarge = eris.New("messenger: frame exceeds the maximum size")
-	ErrProtocol      = eris.New("messenger: peer speaks another protocol version")
+	ErrFrameTooLarge   = eris.New("messenger: frame exceeds the maximum size")
+	ErrProtocolVersion = eris.New("messenger: peer speaks another protocol version")
 )
 
 // Write sets the protocol version of an envelope and sends it as one frame.
@@ -47,7 +47,7 @@
 }
 
 // Read receives one frame. It returns io.EOF unwrapped if the stream ends before
-// a frame starts, and ErrProtocol for an envelope of another protocol version.
+// a frame starts, and ErrProtocolVersion for an envelope of another protocol version.
 func Read(reader io.Reader) (*Envelope, error) {
 	var head [lengthBytes]byte
 	if _, err := io.ReadFull(reader, head[:]); err != nil {
@@ -69,7 +69,7 @@
 		return nil, eris.Wrap(err, "messenger.Read: decode")
 	}
 	if env.GetProtocol() != ProtocolVersion {
-		return nil, ErrProtocol
+		return nil, ErrProtocolVersion
 	}
 	return env, nil
 }
--- a/connection/messenger/messenger_test.go
+++ b/connection/messenger/messenger_test.go
@@ -42,7 +42,7 @@
 		{"part of a body", complete[:len(complete)-1], "messenger.Read: body"},
 		{"no protobuf", []byte{0, 0, 0, 2, 0xff, 0xff}, "messenger.Read: decode"},
 		{"too long", []byte{0xff, 0, 0, 0}, messenger.ErrFrameTooLarge.Error()},
-		{"another protocol", append([]byte{0, 0, 0, byte(len(body))}, body...), messenger.ErrProtocol.Error()},
+		{"another protocol", append([]byte{0, 0, 0, byte(len(body))}, body...), messenger.ErrProtocolVersion.Error()},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/connection/multiplexer/multiplexer.go
+++ b/connection/multiplexer/multiplexer.go
@@ -290,7 +290,7 @@
 	defer str.Close()
 	env, err := messenger.Read(str)
 	if err != nil {
-		if eris.Is(err, messenger.ErrProtocol) {
+		if eris.Is(err, messenger.ErrProtocolVersion) {
 			_ = messenger.Write(str, messenger.NewFailure("protocol_version", err.Error()))
 		}
 		return
--- a/internal/streammatrix/move_test.go
+++ b/internal/streammatrix/move_test.go
@@ -163,7 +163,7 @@
 	case mover.Export:
 		mov.exporting = true
 		mov.holdID = exportID
-		mov.source.holds[exportID] = invoker.Sequence{ID: exportID, Owner: mov.owner, Kind: "Export"}
+		mov.source.holds[exportID] = invoker.MemoryHolder{ID: exportID, Owner: mov.owner, Kind: "Export"}
 		mov.source.heldAt[exportID] = mov.now
 		return mover.Exported{}
 	case mover.Import:
@@ -241,7 +241,7 @@
 
 func (mov *move) cancel(eng *engine, att int) {
 	if !mov.cancelLost && mov.reachable(eng) {
-		eng.free(invoker.Free{Kind: "Running", RequestID: "request", Attempt: att, Owner: mov.owner})
+		eng.free(invoker.FreeRequest{Kind: "Running", RequestID: "request", Attempt: att, Owner: mov.owner})
 	}
 }
 
--- a/internal/streammatrix/request_test.go
+++ b/internal/streammatrix/request_test.go
@@ -216,7 +216,7 @@
 		return grouper.Denied{}
 	}
 	if !req.now.Before(eng.frozenUntil) {
-		eng.holds[res.Part.ReservationID] = invoker.Sequence{
+		eng.holds[res.Part.ReservationID] = invoker.MemoryHolder{
 			ID: res.Part.ReservationID, RequestID: "request", Owner: req.owner, Tokens: res.Part.Tokens, Kind: "Reservation",
 		}
 		eng.heldAt[res.Part.ReservationID] = req.now
@@ -397,7 +397,7 @@
 	if lead.dead || req.now.Before(lead.frozenUntil) {
 		return
 	}
-	lead.free(invoker.Free{Kind: "Running", RequestID: "request", Attempt: req.attempt, Owner: req.owner})
+	lead.free(invoker.FreeRequest{Kind: "Running", RequestID: "request", Attempt: req.attempt, Owner: req.owner})
 }
 
 func (req *request) release() {
@@ -412,5 +412,5 @@
 	if req.cancelLost || req.hostDead || eng.dead || req.now.Before(eng.frozenUntil) {
 		return
 	}
-	eng.free(invoker.Free{Kind: "Reservation", ID: par.ReservationID, Owner: req.owner})
+	eng.free(invoker.FreeRequest{Kind: "Reservation", ID: par.ReservationID, Owner: req.owner})
 }
--- a/internal/streammatrix/world_test.go
+++ b/internal/streammatrix/world_test.go
@@ -40,7 +40,7 @@
 	dead             bool
 	frozenUntil      time.Time
 	answersLostUntil time.Time
-	holds            map[string]invoker.Sequence
+	holds            map[string]invoker.MemoryHolder
 	heldAt           map[string]time.Time
 	sequence         *sequence
 	// ran is set once the engine has started a sequence.
@@ -53,13 +53,13 @@
 
 func (eng *engine) die() {
 	eng.dead = true
-	eng.holds = map[string]invoker.Sequence{}
+	eng.holds = map[string]invoker.MemoryHolder{}
 	eng.sequence = nil
 }
 
 // report returns the sequences that hold memory, as the engine would report them.
-func (eng *engine) report(now time.Time) []invoker.Sequence {
-	var out []invoker.Sequence
+func (eng *engine) report(now time.Time) []invoker.MemoryHolder {
+	var out []invoker.MemoryHolder
 	for id, held := range eng.holds {
 		held.AgeMs = now.Sub(eng.heldAt[id]).Milliseconds()
 		held.IdleMs = held.AgeMs
@@ -68,7 +68,7 @@
 	}
 	if seq := eng.sequence; seq != nil {
 		age := now.Sub(seq.since).Milliseconds()
-		out = append(out, invoker.Sequence{
+		out = append(out, invoker.MemoryHolder{
 			RequestID: seq.request, Attempt: seq.attempt, Owner: seq.owner, Kind: "Running", AgeMs: age, IdleMs: age,
 			ExpiresMs: epoch.Add(timeLimit).Sub(now).Milliseconds(),
 		})
@@ -77,7 +77,7 @@
 	return out
 }
 
-func (eng *engine) free(fre invoker.Free) {
+func (eng *engine) free(fre invoker.FreeRequest) {
 	if held, ok := eng.holds[fre.ID]; ok && held.Owner == fre.Owner {
 		delete(eng.holds, fre.ID)
 	}
@@ -111,7 +111,7 @@
 	sim := &simulation{now: epoch, owner: invoker.Owner{Host: "host-a", Incarnation: 7}, reclaimAt: epoch.Add(reclaimInterval)}
 	for i := range 5 {
 		sim.engines = append(sim.engines, &engine{
-			id: fmt.Sprintf("engine-%d", i), holds: map[string]invoker.Sequence{}, heldAt: map[string]time.Time{},
+			id: fmt.Sprintf("engine-%d", i), holds: map[string]invoker.MemoryHolder{}, heldAt: map[string]time.Time{},
 		})
 	}
 	sim.reclaimers = []*reclaimer.Reclaimer{{Self: sim.owner}, {Self: invoker.Owner{Host: "host-b", Incarnation: 3}}}
--- a/process/grouper/runner.go
+++ b/process/grouper/runner.go
@@ -88,7 +88,7 @@
 		return Granted{}
 	case ctx.Err() != nil:
 		return Expired{}
-	case errors.As(err, &invokerErr) && invokerErr.Ran == invoker.NotRun:
+	case errors.As(err, &invokerErr) && invokerErr.Execution == invoker.NotRun:
 		return Denied{Message: err.Error()}
 	default:
 		return NoAnswer{Message: err.Error()}
--- a/process/orderer/giver.go
+++ b/process/orderer/giver.go
@@ -128,9 +128,9 @@
 	switch {
 	case err == nil:
 		return CarriedOut{}
-	case errors.As(err, &invErr) && invErr.Ran == invoker.NotRun && invErr.Code != "":
+	case errors.As(err, &invErr) && invErr.Execution == invoker.NotRun && invErr.Code != "":
 		return Refused{Code: invErr.Code, Message: invErr.Err.Error()}
-	case errors.As(err, &invErr) && invErr.Ran == invoker.NotRun:
+	case errors.As(err, &invErr) && invErr.Execution == invoker.NotRun:
 		return Unavailable{eris.Wrap(err, "Issuer.send").Error()}
 	default:
 		return NoAnswer{err.Error()}
--- a/process/orderer/giver_test.go
+++ b/process/orderer/giver_test.go
@@ -28,7 +28,7 @@
 func (unr *unreachable) SendOrder(ctx context.Context, address string, ord invoker.Order) error {
 	if unr.left > 0 {
 		unr.left--
-		return &invoker.Error{Ran: invoker.NotRun, Err: &net.OpError{Op: "dial", Err: eris.New("refused")}}
+		return &invoker.Error{Execution: invoker.NotRun, Err: &net.OpError{Op: "dial", Err: eris.New("refused")}}
 	}
 	return unr.Invoker.SendOrder(ctx, address, ord)
 }
--- a/process/reclaimer/reclaimer.go
+++ b/process/reclaimer/reclaimer.go
@@ -93,7 +93,7 @@
 type Free struct {
 	Endpoint string
 	Address  string
-	Free     invoker.Free
+	Free     invoker.FreeRequest
 	Reason   Reason
 	Tokens   int64
 }
@@ -143,16 +143,16 @@
 	return acts
 }
 
-func freeOf(rep Report, seq invoker.Sequence) Free {
+func freeOf(rep Report, seq invoker.MemoryHolder) Free {
 	return Free{
 		Endpoint: rep.Endpoint, Address: rep.Address, Tokens: seq.Tokens,
-		Free: invoker.Free{Kind: seq.Kind, ID: seq.ID, RequestID: seq.RequestID, Attempt: seq.Attempt, Owner: seq.Owner},
+		Free: invoker.FreeRequest{Kind: seq.Kind, ID: seq.ID, RequestID: seq.RequestID, Attempt: seq.Attempt, Owner: seq.Owner},
 	}
 }
 
 // reason returns the reason to free a holding. It is empty while the owner may still
 // need the memory.
-func (rec *Reclaimer) reason(rep Report, seq invoker.Sequence, mem Members, loc LocalRequests, now time.Time) Reason {
+func (rec *Reclaimer) reason(rep Report, seq invoker.MemoryHolder, mem Members, loc LocalRequests, now time.Time) Reason {
 	if time.Duration(seq.AgeMs)*time.Millisecond < MinAge {
 		return ""
 	}
@@ -180,7 +180,7 @@
 }
 
 // localReason returns the reason to free a holding that this host owns.
-func localReason(seq invoker.Sequence, loc LocalRequests) Reason {
+func localReason(seq invoker.MemoryHolder, loc LocalRequests) Reason {
 	attempt, ok := loc.Attempt(requestKey(seq.RequestID, seq.ID))
 	switch {
 	case !ok:
@@ -203,7 +203,7 @@
 
 // shouldQuery reports whether a holding appears unused, so that its owner should be
 // queried, and was not queried about within queryInterval.
-func (rec *Reclaimer) shouldQuery(fre Free, seq invoker.Sequence, now time.Time) bool {
+func (rec *Reclaimer) shouldQuery(fre Free, seq invoker.MemoryHolder, now time.Time) bool {
 	if seq.Owner == rec.Self || time.Duration(seq.AgeMs)*time.Millisecond < MinAge {
 		return false
 	}
--- a/process/reclaimer/reclaimer_test.go
+++ b/process/reclaimer/reclaimer_test.go
@@ -42,8 +42,8 @@
 
 // parseHolding parses a line of kind, owner, incarnation, request, attempt, age, idle
 // time, time until expiry and whether the request is detached.
-func parseHolding(t *testing.T, line string) invoker.Sequence {
-	seq := invoker.Sequence{ExpiresMs: 60_000}
+func parseHolding(t *testing.T, line string) invoker.MemoryHolder {
+	seq := invoker.MemoryHolder{ExpiresMs: 60_000}
 	_, err := fmt.Sscan(line, &seq.Kind, &seq.Owner.Host, &seq.Owner.Incarnation, &seq.RequestID, &seq.Attempt, &seq.AgeMs, &seq.IdleMs, &seq.ExpiresMs, &seq.Detached)
 	require.NoError(t, err, line)
 	if seq.Kind == "Reservation" {
@@ -101,9 +101,9 @@
 
 func TestResolveQuery(t *testing.T) {
 	que := Query{Host: "host-b", Incarnation: 3, Holdings: []Free{
-		{Free: invoker.Free{RequestID: "old", Attempt: 1}},
-		{Free: invoker.Free{RequestID: "new", Attempt: 2}},
-		{Free: invoker.Free{RequestID: "gone", Attempt: 1}},
+		{Free: invoker.FreeRequest{RequestID: "old", Attempt: 1}},
+		{Free: invoker.FreeRequest{RequestID: "new", Attempt: 2}},
+		{Free: invoker.FreeRequest{RequestID: "gone", Attempt: 1}},
 	}}
 	known := map[string]int{"old": 2, "new": 2}
 	tts := []struct {
@@ -149,7 +149,7 @@
 	for i := range 200 {
 		host := fmt.Sprintf("host-%d", i%40)
 		fix.incarnations[host] = 1
-		rep.Load.Sequences = append(rep.Load.Sequences, invoker.Sequence{
+		rep.Load.Sequences = append(rep.Load.Sequences, invoker.MemoryHolder{
 			RequestID: fmt.Sprintf("request-%d", i), Attempt: 1, Owner: invoker.Owner{Host: host, Incarnation: 1}, AgeMs: 9000, ExpiresMs: 9000,
 		})
 	}
--- a/process/scheduler/cell_test.go
+++ b/process/scheduler/cell_test.go
@@ -120,7 +120,7 @@
 	loa := load(dat)
 	for _, text := range strings.Fields(dat.Input) {
 		name, tokens, _ := strings.Cut(text, "=")
-		seq := invoker.Sequence{RequestID: name}
+		seq := invoker.MemoryHolder{RequestID: name}
 		_, _ = fmt.Sscan(tokens, &seq.Tokens)
 		loa.Sequences = append(loa.Sequences, seq)
 		loa.Running++
--- a/process/scheduler/matrix_test.go
+++ b/process/scheduler/matrix_test.go
@@ -213,11 +213,11 @@
 		loa := invoker.Load{MemoryTokens: 400_000, PrefillRate: 200_000, StepMs: 10}
 		for req, byEngine := range sce.held {
 			if byEngine[id] > 0 {
-				loa.Sequences = append(loa.Sequences, invoker.Sequence{RequestID: req, Tokens: byEngine[id]})
+				loa.Sequences = append(loa.Sequences, invoker.MemoryHolder{RequestID: req, Tokens: byEngine[id]})
 			}
 		}
 		if sce.foreign > 0 && id == "e0" {
-			loa.Sequences = append(loa.Sequences, invoker.Sequence{RequestID: "foreign", Tokens: sce.foreign})
+			loa.Sequences = append(loa.Sequences, invoker.MemoryHolder{RequestID: "foreign", Tokens: sce.foreign})
 		}
 		sce.send(Report{id, loa})
 	}
--- a/process/scheduler/property_test.go
+++ b/process/scheduler/property_test.go
@@ -175,7 +175,7 @@
 			}
 			for _, par := range req.parts {
 				if par.Endpoint == fmt.Sprintf("e%d", i) {
-					loa.Sequences = append(loa.Sequences, invoker.Sequence{RequestID: req.event.Request.ID, Tokens: par.Tokens})
+					loa.Sequences = append(loa.Sequences, invoker.MemoryHolder{RequestID: req.event.Request.ID, Tokens: par.Tokens})
 				}
 			}
 		}
--- a/process/server/caller.go
+++ b/process/server/caller.go
@@ -94,7 +94,7 @@
 	key, err := receiver.BearerKey(req.Header)
 	tea, ok := mat.Team(key)
 	if err != nil || !ok {
-		responder.WriteProblem(wri, responder.Problem{Status: http.StatusUnauthorized, Code: "invalid_api_key", Message: "a known bearer key is required", Ran: invoker.NotRun})
+		responder.WriteProblem(wri, responder.Problem{Status: http.StatusUnauthorized, Code: "invalid_api_key", Message: "a known bearer key is required", Execution: invoker.NotRun})
 		return
 	}
 	type model struct {
--- a/process/server/edge.go
+++ b/process/server/edge.go
@@ -24,7 +24,7 @@
 			return
 		}
 		began := time.Now()
-		rec := &responder.Recorder{ResponseWriter: wri, Clock: time.Now, WriteTimeout: ser.Settings.WriteTimeout, OnInterval: ser.meter.recordTokenInterval}
+		rec := &responder.Recorder{ResponseWriter: wri, Clock: time.Now, WriteTimeout: ser.Settings.WriteTimeout, OnWriteInterval: ser.meter.recordTokenInterval}
 		bod := receiver.NewBody(req.Body, &ser.bodyMemory, req.ContentLength, ser.Settings.MaxBodyBytes)
 		// net/http inspects the body of its own request, so the wrapped body goes into a
 		// copy of the request.
@@ -41,10 +41,10 @@
 }
 
 func writeBadRequest(wri http.ResponseWriter, err error) {
-	pro := responder.Problem{Status: http.StatusBadRequest, Code: "bad_request", Message: err.Error(), Ran: invoker.NotRun}
-	var bad *receiver.BadRequestError
+	pro := responder.Problem{Status: http.StatusBadRequest, Code: "bad_request", Message: err.Error(), Execution: invoker.NotRun}
+	var bad *receiver.RefusalError
 	if eris.As(err, &bad) {
-		pro = responder.Problem{Status: bad.Status, Code: bad.Code, Param: bad.Param, Message: bad.Message, Ran: invoker.NotRun, RetryAfter: bad.RetryAfter}
+		pro = responder.Problem{Status: bad.Status, Code: bad.Code, Param: bad.Param, Message: bad.Message, Execution: invoker.NotRun, RetryAfter: bad.RetryAfter}
 	}
 	responder.WriteProblem(wri, pro)
 }
@@ -55,7 +55,7 @@
 		wri.Header().Set("Allow", allowed)
 		responder.WriteProblem(wri, responder.Problem{
 			Status: http.StatusMethodNotAllowed, Code: "method_not_allowed",
-			Message: req.URL.Path + " takes " + allowed + " only", Ran: invoker.NotRun,
+			Message: req.URL.Path + " takes " + allowed + " only", Execution: invoker.NotRun,
 		})
 	}
 }
--- a/process/server/edge_test.go
+++ b/process/server/edge_test.go
@@ -228,12 +228,12 @@
 	hold := dial(t, addr)
 	fmt.Fprintf(hold, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 3000\r\n\r\n{", edgeKey)
 	// Three times the announced length is reserved for a body.
-	require.Eventually(t, func() bool { return ser.bodyMemory.Used() == 9000 }, edgeTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return ser.bodyMemory.Reserved() == 9000 }, edgeTimeout, time.Millisecond)
 	con := dial(t, addr)
 	con.Write(rawRequest("POST /v1/completions HTTP/1.1\nHost: x\nAuthorization: KEY\nContent-Length: LENGTH\n\nBODY(1000)"))
 	require.Equal(t, "503 server_error host_memory_full NotRun\n", answer(t, bufio.NewReader(con)))
 	hold.Close()
-	require.Eventually(t, func() bool { return ser.bodyMemory.Used() == 0 }, edgeTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return ser.bodyMemory.Reserved() == 0 }, edgeTimeout, time.Millisecond)
 }
 
 // TestUnauthorizedBody announces a large body without a key: the request is refused
@@ -244,7 +244,7 @@
 	fmt.Fprint(con, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 3000\r\nExpect: 100-continue\r\n\r\n")
 	rea := bufio.NewReader(con)
 	require.Equal(t, "401 authentication_error invalid_api_key NotRun\n", answer(t, rea))
-	require.Zero(t, ser.bodyMemory.Used())
+	require.Zero(t, ser.bodyMemory.Reserved())
 }
 
 // TestKeptConnection sends requests on a kept connection after the write deadline of an
--- a/process/server/meter.go
+++ b/process/server/meter.go
@@ -92,7 +92,7 @@
 	byLength := met.scope.Tagged(map[string]string{"length": lengthClass(rec.Labels.PromptTokens)})
 	byLength.Histogram("request_seconds", latencyBuckets()).RecordDuration(end.Sub(began))
 	if isStream(rec) {
-		byLength.Histogram("first_token_seconds", latencyBuckets()).RecordDuration(rec.First.Sub(began))
+		byLength.Histogram("first_token_seconds", latencyBuckets()).RecordDuration(rec.FirstWrite.Sub(began))
 	}
 }
 
--- a/process/server/meter_bench_test.go
+++ b/process/server/meter_bench_test.go
@@ -26,7 +26,7 @@
 // observeRequest records one complete streamed request of a route and a team.
 func observeRequest(met *meter, route, team string) {
 	now := time.Unix(1000, 0)
-	rec := &responder.Recorder{ResponseWriter: httptest.NewRecorder(), Status: http.StatusOK, First: now, Last: now}
+	rec := &responder.Recorder{ResponseWriter: httptest.NewRecorder(), Status: http.StatusOK, FirstWrite: now, LastWrite: now}
 	rec.Header().Set("Content-Type", "text/event-stream")
 	rec.Header().Set(responder.RunHeader, "Ran")
 	rec.Labels = responder.Labels{Route: route, Team: team, PromptTokens: 1000}
@@ -67,7 +67,7 @@
 func BenchmarkRecorderWrite(b *testing.B) {
 	sco, _ := measurer.New(zerolog.Nop())
 	met := newMeter(sco)
-	rec := &responder.Recorder{ResponseWriter: discard{}, Clock: time.Now, WriteTimeout: time.Second, OnInterval: met.recordTokenInterval}
+	rec := &responder.Recorder{ResponseWriter: discard{}, Clock: time.Now, WriteTimeout: time.Second, OnWriteInterval: met.recordTokenInterval}
 	buf := []byte("data: x\n\n")
 	for b.Loop() {
 		_, _ = rec.Write(buf)
--- a/process/server/meter_test.go
+++ b/process/server/meter_test.go
@@ -30,7 +30,7 @@
 			_ = http.NewResponseController(wri).Flush()
 		}
 		if req.URL.Path == "/fail" {
-			responder.WriteProblem(wri, responder.Problem{Status: http.StatusBadGateway, Code: "endpoint_failed", Ran: invoker.Ran})
+			responder.WriteProblem(wri, responder.Problem{Status: http.StatusBadGateway, Code: "endpoint_failed", Execution: invoker.Ran})
 		}
 	}
 }
--- a/process/server/monitor.go
+++ b/process/server/monitor.go
@@ -30,7 +30,7 @@
 func (ser *Server) updateGauges() {
 	ser.scope.Gauge("requests_in_progress").Update(float64(ser.admitter.InProgress()))
 	ser.scope.Gauge("endpoints_listed").Update(float64(len(ser.watcher.Entries())))
-	ser.scope.Gauge("body_memory_bytes").Update(float64(ser.bodyMemory.Used()))
+	ser.scope.Gauge("body_memory_bytes").Update(float64(ser.bodyMemory.Reserved()))
 	ser.scope.Gauge("draining").Update(boolGauge(ser.draining.Load()))
 }
 
--- a/process/server/starting.go
+++ b/process/server/starting.go
@@ -21,7 +21,7 @@
 		}
 		responder.WriteProblem(wri, responder.Problem{
 			Status: http.StatusServiceUnavailable, Code: "host_starting", Message: "the host has no tables yet",
-			Ran: invoker.NotRun, RetryAfter: startRetryAfter,
+			Execution: invoker.NotRun, RetryAfter: startRetryAfter,
 		})
 	})
 }
--- a/request/executor/call.go
+++ b/request/executor/call.go
@@ -69,7 +69,7 @@
 // supplied the key, an earlier call with that key may have run.
 func unclaimedRefusal(pro responder.Problem, hea http.Header) responder.Problem {
 	if hea.Get(receiver.KeyHeader) != "" {
-		pro.Ran = invoker.Unknown
+		pro.Execution = invoker.Unknown
 	}
 	return pro
 }
@@ -103,7 +103,7 @@
 	fai := claimer.Failed{Endpoint: lea.Endpoint, Ran: invoker.Unknown, Message: err.Error()}
 	var invokeErr *invoker.Error
 	if errors.As(err, &invokeErr) {
-		fai.Ran = invokeErr.Ran
+		fai.Ran = invokeErr.Execution
 	}
 	return fai, err
 }
@@ -128,5 +128,5 @@
 }
 
 func (cal *call) fail(fai claimer.Fail) {
-	responder.WriteProblem(cal.writer, responder.Problem{Status: fai.Status, Code: fai.Code, Message: fai.Message, Ran: fai.Ran, RetryAfter: fai.RetryAfter})
+	responder.WriteProblem(cal.writer, responder.Problem{Status: fai.Status, Code: fai.Code, Message: fai.Message, Execution: fai.Ran, RetryAfter: fai.RetryAfter})
 }
--- a/request/executor/executor.go
+++ b/request/executor/executor.go
@@ -173,7 +173,7 @@
 	}
 	tea, ok := mat.Team(key)
 	if !ok {
-		return req, &receiver.BadRequestError{Status: http.StatusUnauthorized, Code: "invalid_api_key", Message: "the bearer key belongs to no team"}
+		return req, &receiver.RefusalError{Status: http.StatusUnauthorized, Code: "invalid_api_key", Message: "the bearer key belongs to no team"}
 	}
 	req.team = tea
 	return req, nil
@@ -183,10 +183,10 @@
 func (exe *Executor) resolveRoute(req *request, mat *matcher.Matcher, que matcher.Query, hea http.Header) error {
 	rou, poo, ok := mat.Route(que)
 	if !ok && que.Model != "" {
-		return &receiver.BadRequestError{Status: http.StatusNotFound, Code: "model_not_found", Param: "model", Message: "no route takes model " + que.Model + " for this team and prompt length"}
+		return &receiver.RefusalError{Status: http.StatusNotFound, Code: "model_not_found", Param: "model", Message: "no route takes model " + que.Model + " for this team and prompt length"}
 	}
 	if !ok {
-		return &receiver.BadRequestError{Status: http.StatusNotFound, Code: "route_not_found", Message: "no route takes this request"}
+		return &receiver.RefusalError{Status: http.StatusNotFound, Code: "route_not_found", Message: "no route takes this request"}
 	}
 	deadline, err := receiver.Deadline(hea, time.Duration(rou.TimeLimit), req.arrived)
 	if err != nil {
@@ -201,20 +201,20 @@
 
 // problemOf converts an error that occurred before any dispatch into a problem.
 func problemOf(err error) responder.Problem {
-	var badReq *receiver.BadRequestError
+	var badReq *receiver.RefusalError
 	if eris.As(err, &badReq) {
-		return responder.Problem{Status: badReq.Status, Code: badReq.Code, Param: badReq.Param, Message: badReq.Message, Ran: invoker.NotRun, RetryAfter: badReq.RetryAfter}
+		return responder.Problem{Status: badReq.Status, Code: badReq.Code, Param: badReq.Param, Message: badReq.Message, Execution: invoker.NotRun, RetryAfter: badReq.RetryAfter}
 	}
 	var ref *RefusedError
 	if eris.As(err, &ref) {
 		return refusal(ref.Refuse)
 	}
-	return responder.Problem{Status: http.StatusInternalServerError, Code: "internal", Message: err.Error(), Ran: invoker.NotRun}
+	return responder.Problem{Status: http.StatusInternalServerError, Code: "internal", Message: err.Error(), Execution: invoker.NotRun}
 }
 
 // refusal converts a refusal into a problem with its HTTP status.
 func refusal(ref placer.Refuse) responder.Problem {
-	return responder.Problem{Status: StatusOf(ref.Code), Code: ref.Code, Message: ref.Message, Ran: invoker.NotRun, RetryAfter: ref.RetryAfter}
+	return responder.Problem{Status: StatusOf(ref.Code), Code: ref.Code, Message: ref.Message, Execution: invoker.NotRun, RetryAfter: ref.RetryAfter}
 }
 
 // StatusOf maps an error code to its HTTP status.
--- a/request/executor/generate.go
+++ b/request/executor/generate.go
@@ -75,7 +75,7 @@
 		},
 	}
 	exe.generate(ctx, gen)
-	gen.answer.Close()
+	gen.answer.ClearDeadline()
 }
 
 func (exe *Executor) generate(ctx context.Context, gen *generation) {
@@ -137,7 +137,7 @@
 		pause(ctx, act.After)
 		return false
 	case attempter.Fail:
-		gen.answer.Fail(responder.Problem{Status: StatusOf(act.Code), Code: act.Code, Message: act.Message, Ran: act.Ran, RetryAfter: act.RetryAfter}, exe.Clock())
+		gen.answer.Fail(responder.Problem{Status: StatusOf(act.Code), Code: act.Code, Message: act.Message, Execution: act.Ran, RetryAfter: act.RetryAfter}, exe.Clock())
 	}
 	exe.endDispatch(ctx, gen)
 	return true
--- a/request/executor/move.go
+++ b/request/executor/move.go
@@ -304,7 +304,7 @@
 	old := gen.stream
 	gen.moved = true
 	gen.stream = mov.stream
-	gen.stream.Unread(mov.targetTokens[shared:])
+	gen.stream.PushBack(mov.targetTokens[shared:])
 	gen.lease.Endpoint = mov.target.Endpoint
 	gen.lease.Address = mov.target.Address
 	gen.lease.Report = mov.target.Report
--- a/request/executor/relay.go
+++ b/request/executor/relay.go
@@ -219,9 +219,9 @@
 	eve := attempter.Failed{Endpoint: end, Ran: invoker.Unknown, Message: err.Error()}
 	var invokeErr *invoker.Error
 	if errors.As(err, &invokeErr) {
-		eve.Ran = invokeErr.Ran
+		eve.Ran = invokeErr.Execution
 		eve.Permanent = invokeErr.Status == http.StatusBadRequest || invokeErr.Status == http.StatusRequestEntityTooLarge
-		eve.Connection = errors.Is(err, invoker.ErrUnresponsive) || invokeErr.Status == 0 && invokeErr.Code == "" && invokeErr.Ran != invoker.NotRun
+		eve.Connection = errors.Is(err, invoker.ErrUnresponsive) || invokeErr.Status == 0 && invokeErr.Code == "" && invokeErr.Execution != invoker.NotRun
 	}
 	if !eve.Permanent {
 		gen.lease.report(false, exe.Clock())
--- a/request/executor/repeat.go
+++ b/request/executor/repeat.go
@@ -147,10 +147,10 @@
 }
 
 func (rep *repeatableCall) writeFailure(fai hedger.Fail) {
-	pro := responder.Problem{Status: StatusOf(fai.Code), Code: fai.Code, Message: fai.Message, Ran: fai.Ran}
+	pro := responder.Problem{Status: StatusOf(fai.Code), Code: fai.Code, Message: fai.Message, Execution: fai.Ran}
 	if rep.problem.Code == fai.Code {
 		pro = rep.problem
-		pro.Ran = fai.Ran
+		pro.Execution = fai.Ran
 	}
 	responder.WriteProblem(rep.writer, pro)
 }
--- a/request/receiver/body.go
+++ b/request/receiver/body.go
@@ -33,8 +33,8 @@
 	used int64
 }
 
-// Used returns the number of bytes that are reserved.
-func (bud *MemoryBudget) Used() int64 {
+// Reserved returns the number of bytes that are reserved.
+func (bud *MemoryBudget) Reserved() int64 {
 	bud.mu.Lock()
 	defer bud.mu.Unlock()
 	return bud.used
@@ -76,7 +76,7 @@
 
 // Read reserves memory and reads. The first call reserves for the whole announced
 // length; if the length is unknown, the reservation doubles as needed. It fails
-// with a BadRequestError if the budget is exhausted.
+// with a RefusalError if the budget is exhausted.
 func (bod *Body) Read(buf []byte) (int, error) {
 	if err := bod.reserve(); err != nil {
 		return 0, err
@@ -95,7 +95,7 @@
 		want = max(2*bod.reserved, reserveStep*BodyCopies)
 	}
 	if !bod.budget.reserve(want - bod.reserved) {
-		return &BadRequestError{
+		return &RefusalError{
 			Status: http.StatusServiceUnavailable, Code: "host_memory_full",
 			Message: "the host holds too many large requests", RetryAfter: memoryRetryAfter,
 		}
@@ -110,7 +110,7 @@
 	bod.reserved = 0
 }
 
-// ReadBody reads a complete body. It fails with a BadRequestError if the body is
+// ReadBody reads a complete body. It fails with a RefusalError if the body is
 // over maxBytes, incomplete or too slow, or if its memory budget is exhausted.
 func ReadBody(bod io.Reader, maxBytes int64) ([]byte, error) {
 	var buf bytes.Buffer
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 	_, err := buf.ReadFrom(io.LimitReader(bod, maxBytes+1))
-	var bad *BadRequestError
+	var bad *RefusalError
 	if eris.As(err, &bad) {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 		return nil, readError(err)
 	}
 	if int64(buf.Len()) > maxBytes {
-		return nil, &BadRequestError{Status: http.StatusRequestEntityTooLarge, Code: "body_too_large", Message: fmt.Sprintf("the body is over %d bytes", maxBytes)}
+		return nil, &RefusalError{Status: http.StatusRequestEntityTooLarge, Code: "body_too_large", Message: fmt.Sprintf("the body is over %d bytes", maxBytes)}
 	}
 	return buf.Bytes(), nil
 }
@@ -148,7 +148,7 @@
 func readError(err error) error {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
-		return &BadRequestError{Status: http.StatusRequestTimeout, Code: "body_too_slow", Message: "the body did not arrive in time"}
+		return &RefusalError{Status: http.StatusRequestTimeout, Code: "body_too_slow", Message: "the body did not arrive in time"}
 	}
 	return badRequest("body_incomplete", "", "the body could not be read: "+err.Error())
 }
--- a/request/receiver/prompt.go
+++ b/request/receiver/prompt.go
@@ -94,7 +94,8 @@
 }
 
 // ParsePrompt reads and validates the body of /v1/chat/completions, if chat is
-// set, or of /v1/completions. Faults of the request are a BadRequestError.
+// set, or of /v1/completions. It returns a RefusalError
+// for an invalid request.
 func ParsePrompt(bod io.Reader, maxBytes int64, chat bool) (Prompt, error) {
 	buf, err := ReadBody(bod, maxBytes)
 	if err != nil {
--- a/request/receiver/receiver.go
+++ b/request/receiver/receiver.go
@@ -29,8 +29,8 @@
 	MinTimeLimit = time.Millisecond
 )
 
-// BadRequestError is a refusal of the caller's request, with its HTTP status.
-type BadRequestError struct {
+// RefusalError is a refusal of a caller's request, with its HTTP status.
+type RefusalError struct {
 	Status  int
 	Code    string
 	Param   string
@@ -41,7 +41,7 @@
 }
 
 // Error returns the code and the message.
-func (err *BadRequestError) Error() string {
+func (err *RefusalError) Error() string {
 	return fmt.Sprintf("bad request: %s: %s", err.Code, err.Message)
 }
 
@@ -49,7 +49,7 @@
 func BearerKey(hea http.Header) (string, error) {
 	key, ok := strings.CutPrefix(hea.Get("Authorization"), "Bearer ")
 	if !ok || key == "" || len(key) > MaxBearerBytes {
-		return "", &BadRequestError{Status: http.StatusUnauthorized, Code: "invalid_api_key", Message: "a bearer key is required"}
+		return "", &RefusalError{Status: http.StatusUnauthorized, Code: "invalid_api_key", Message: "a bearer key is required"}
 	}
 	return key, nil
 }
@@ -91,5 +91,5 @@
 }
 
 func badRequest(code, param, message string) error {
-	return &BadRequestError{Status: http.StatusBadRequest, Code: code, Param: param, Message: message}
+	return &RefusalError{Status: http.StatusBadRequest, Code: code, Param: param, Message: message}
 }
--- a/request/receiver/receiver_test.go
+++ b/request/receiver/receiver_test.go
@@ -28,7 +28,7 @@
 
 func faultText(t *testing.T, err error) string {
 	t.Helper()
-	var bad *BadRequestError
+	var bad *RefusalError
 	require.ErrorAs(t, err, &bad)
 	return fmt.Sprintf("%d %s %s: %s\n", bad.Status, bad.Code, bad.Param, bad.Message)
 }
@@ -86,15 +86,15 @@
 			bud := &MemoryBudget{MaxBytes: 50_000}
 			bod := NewBody(io.NopCloser(strings.NewReader(strings.Repeat("x", tc.size))), bud, tc.length, tc.max)
 			buf, err := ReadBody(bod, tc.max)
-			require.Equal(t, tc.held, bud.Used())
+			require.Equal(t, tc.held, bud.Reserved())
 			bod.Release()
-			require.Zero(t, bud.Used())
+			require.Zero(t, bud.Reserved())
 			if tc.code == "" {
 				require.NoError(t, err)
 				require.Len(t, buf, tc.size)
 				return
 			}
-			var bad *BadRequestError
+			var bad *RefusalError
 			require.ErrorAs(t, err, &bad)
 			require.Equal(t, tc.code, bad.Code)
 		})
@@ -111,7 +111,7 @@
 		buf, err := ReadBody(bod, 1<<20)
 		require.NoError(t, err)
 		require.Len(t, buf, size)
-		require.GreaterOrEqual(t, bud.Used(), int64(size*BodyCopies))
+		require.GreaterOrEqual(t, bud.Reserved(), int64(size*BodyCopies))
 	}
 }
 
@@ -125,7 +125,7 @@
 	f.Fuzz(func(t *testing.T, buf []byte, chat bool) {
 		prompt, err := parsePrompt(buf, chat)
 		if err != nil {
-			var bad *BadRequestError
+			var bad *RefusalError
 			require.True(t, errors.As(err, &bad))
 			require.Equal(t, http.StatusBadRequest, bad.Status)
 			return
--- a/request/relayer/relayer.go
+++ b/request/relayer/relayer.go
@@ -261,7 +261,7 @@
 	if fwd.body, err = receiver.ReadBody(bod, maxBytes); err == nil {
 		return nil
 	}
-	var badReq *receiver.BadRequestError
+	var badReq *receiver.RefusalError
 	if errors.As(err, &badReq) {
 		return &errorAnswer{status: badReq.Status, code: badReq.Code, message: badReq.Message, retryAfter: badReq.RetryAfter}
 	}
--- a/request/relayer/send.go
+++ b/request/relayer/send.go
@@ -124,7 +124,7 @@
 
 // sendFailure turns an error of a send into an outcome.
 func (fwd *forwarding) sendFailure(ctx context.Context, lea Lease, err error) Outcome {
-	var dialErr *exchanger.DialError
+	var dialErr *exchanger.NotSentError
 	unreached := errors.As(err, &dialErr)
 	switch {
 	case ctx.Err() != nil && !errors.Is(context.Cause(ctx), errStalled):
--- a/request/responder/answer.go
+++ b/request/responder/answer.go
@@ -148,9 +148,9 @@
 	_ = con.SetWriteDeadline(now.Add(slowCallerTimeout))
 }
 
-// Close removes the write deadline, so that the caller's connection can serve further
+// ClearDeadline removes the write deadline, so that the caller's connection can serve further
 // requests.
-func (ans *Answer) Close() {
+func (ans *Answer) ClearDeadline() {
 	if !ans.deadlineSetAt.IsZero() {
 		_ = http.NewResponseController(ans.Writer).SetWriteDeadline(time.Time{})
 	}
--- a/request/responder/recorder.go
+++ b/request/responder/recorder.go
@@ -23,9 +23,9 @@
 	Clock func() time.Time
 	// WriteTimeout bounds each write; 0 means no limit.
 	WriteTimeout time.Duration
-	// OnInterval is called with the time between two consecutive writes; it may
+	// OnWriteInterval is called with the time between two consecutive writes; it may
 	// be nil.
-	OnInterval func(time.Duration)
+	OnWriteInterval func(time.Duration)
 
 	// Labels are set when the route is known.
 	Labels Labels
@@ -33,9 +33,9 @@
 	Status int
 	// Code is the code of the problem sent to the caller; empty for none.
 	Code string
-	// First and Last are the times of the first and the last write.
-	First time.Time
-	Last  time.Time
+	// FirstWrite and LastWrite are the times of the first and the last write.
+	FirstWrite time.Time
+	LastWrite  time.Time
 	// Bytes is the number of bytes of the body written so far.
 	Bytes int64
 	// Err is the first error of a write to the caller.
@@ -62,12 +62,12 @@
 	if rec.Status == 0 {
 		rec.Status = http.StatusOK
 	}
-	if rec.First.IsZero() {
-		rec.First = now
-	} else if rec.OnInterval != nil {
-		rec.OnInterval(now.Sub(rec.Last))
+	if rec.FirstWrite.IsZero() {
+		rec.FirstWrite = now
+	} else if rec.OnWriteInterval != nil {
+		rec.OnWriteInterval(now.Sub(rec.LastWrite))
 	}
-	rec.Last = now
+	rec.LastWrite = now
 	rec.extendDeadline(now)
 	n, err := rec.ResponseWriter.Write(buf)
 	rec.Bytes += int64(n)
--- a/request/responder/responder.go
+++ b/request/responder/responder.go
@@ -33,7 +33,7 @@
 	Code       string
 	Param      string
 	Message    string
-	Ran        invoker.Execution
+	Execution  invoker.Execution
 	RetryAfter time.Duration
 }
 
@@ -79,8 +79,8 @@
 		seconds := int64((pro.RetryAfter + time.Second - 1) / time.Second)
 		wri.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
-	if pro.Ran != "" {
-		wri.Header().Set(RunHeader, string(pro.Ran))
+	if pro.Execution != "" {
+		wri.Header().Set(RunHeader, string(pro.Execution))
 	}
 	WriteJSON(wri, pro.Status, pro.body())
 }
--- a/standin/generator/generator_test.go
+++ b/standin/generator/generator_test.go
@@ -74,7 +74,7 @@
 	case "wait":
 		scr.now = scr.now.Add(time.Duration(arg("ms", 0)) * time.Millisecond)
 	case "cancel":
-		scr.gen.removeOwned(invoker.Free{RequestID: word("id"), Attempt: int(arg("attempt", 1)), Owner: own})
+		scr.gen.removeOwned(invoker.FreeRequest{RequestID: word("id"), Attempt: int(arg("attempt", 1)), Owner: own})
 	case "hold":
 		wai := &waiter{
 			reservation: invoker.Reservation{ReservationID: word("id"), Owner: own, Tokens: arg("tokens", 0)},
@@ -122,7 +122,7 @@
 	require.NoError(t, inv.Import(t.Context(), toAddress, fromAddress, "export-1", own))
 	require.Equal(t, hashes, to.cache.match(hashes))
 	// A request from another incarnation of the owner frees nothing.
-	fre := invoker.Free{Kind: kindExport, ID: "export-1", Owner: invoker.Owner{Host: "host-a", Incarnation: 2}}
+	fre := invoker.FreeRequest{Kind: kindExport, ID: "export-1", Owner: invoker.Owner{Host: "host-a", Incarnation: 2}}
 	require.NoError(t, inv.Free(t.Context(), fromAddress, fre))
 	require.Equal(t, int64(4096), from.usedTokens())
 	fre.Owner = own
--- a/standin/generator/hold.go
+++ b/standin/generator/hold.go
@@ -177,7 +177,7 @@
 }
 
 func (gen *Generator) cancel(wri http.ResponseWriter, htr *http.Request) {
-	fre, ok := decode[invoker.Free](wri, htr)
+	fre, ok := decode[invoker.FreeRequest](wri, htr)
 	if !ok {
 		return
 	}
@@ -190,7 +190,7 @@
 
 // removeOwned removes a sequence, unless it belongs to another owner or a newer
 // attempt.
-func (gen *Generator) removeOwned(fre invoker.Free) {
+func (gen *Generator) removeOwned(fre invoker.FreeRequest) {
 	seq := gen.sequences[fre.RequestID]
 	if seq != nil && seq.req.Owner == fre.Owner && seq.req.Attempt <= fre.Attempt {
 		gen.remove(seq)
@@ -199,7 +199,7 @@
 }
 
 func (gen *Generator) free(wri http.ResponseWriter, htr *http.Request) {
-	fre, ok := decode[invoker.Free](wri, htr)
+	fre, ok := decode[invoker.FreeRequest](wri, htr)
 	if !ok {
 		return
 	}
--- a/standin/generator/report.go
+++ b/standin/generator/report.go
@@ -55,8 +55,8 @@
 
 func (gen *Generator) isLeaving() bool { return gen.leaving || gen.faults.Leaving }
 
-func (seq *sequence) entry(kind string, now time.Time) invoker.Sequence {
-	entry := invoker.Sequence{
+func (seq *sequence) entry(kind string, now time.Time) invoker.MemoryHolder {
+	entry := invoker.MemoryHolder{
 		RequestID: seq.req.RequestID, Attempt: seq.req.Attempt, Owner: seq.req.Owner, Kind: kind, Tokens: seq.memory,
 		AgeMs: now.Sub(seq.queuedAt).Milliseconds(), IdleMs: now.Sub(seq.progressAt).Milliseconds(),
 		ExpiresMs: seq.expiresAt.Sub(now).Milliseconds(), Detached: seq.attachedAttempt == 0,
@@ -64,9 +64,9 @@
 	return entry
 }
 
-func (hol hold) entry(now time.Time) invoker.Sequence {
+func (hol hold) entry(now time.Time) invoker.MemoryHolder {
 	age := now.Sub(hol.at).Milliseconds()
-	return invoker.Sequence{
+	return invoker.MemoryHolder{
 		RequestID: hol.requestID, Owner: hol.owner, Tokens: hol.tokens, Kind: hol.kind, ID: hol.id,
 		AgeMs: age, IdleMs: age, ExpiresMs: hol.expiresAt.Sub(now).Milliseconds(),
 	}
@@ -111,8 +111,8 @@
 
 // possiblyLost returns the sequences that have no connection, made no progress
 // for at least minIdle milliseconds, or have expired.
-func possiblyLost(seqs []invoker.Sequence, minIdle int64) []invoker.Sequence {
-	var out []invoker.Sequence
+func possiblyLost(seqs []invoker.MemoryHolder, minIdle int64) []invoker.MemoryHolder {
+	var out []invoker.MemoryHolder
 	for _, seq := range seqs {
 		if seq.Detached || seq.IdleMs >= minIdle || seq.ExpiresMs < 0 {
 			out = append(out, seq)
