--- a/connection/multiplexer/guard.go
+++ b/connection/multiplexer/guard.go
@@ -19,18 +19,20 @@
 )
 
 // monitor sends heartbeats on a session while calls are in progress, and closes the
-// session when a heartbeat is not answered. A session without calls causes no work
-// until it has been idle for idleTimeout.
+// session when a heartbeat is not answered. Nothing is sent on a session without
+// calls; the host that dialed it closes it after idleTimeout.
 type monitor struct {
 	link link
-	// retireIdle takes the idle session out of use and returns true, unless a call
-	// has started. It is nil on the accepting side, where the peer closes the session.
-	retireIdle func() bool
+	// retireIfIdle removes the idle session and returns true; it returns false if a
+	// call is in progress. It is nil for an accepted session, which the dialing peer
+	// closes.
+	retireIfIdle func() bool
 
 	mu    sync.Mutex
 	calls int
 	// scheduled reports whether the timer of the next heartbeat runs; lastUsed is
-	// the time at which the last call ended.
+	// the time at which the last call ended, or at which the session was opened if
+	// there was none.
 	scheduled bool
 	lastUsed  time.Time
 }
@@ -60,8 +62,8 @@
 	return mon.calls > 0
 }
 
-// heartbeat sends a heartbeat if calls are in progress, and schedules the next one
-// while they are.
+// heartbeat sends a heartbeat and schedules the next heartbeat if calls are in
+// progress.
 func (mon *monitor) heartbeat() {
 	if mon.link.IsClosed() {
 		return
@@ -79,7 +81,8 @@
 	}
 }
 
-// watchIdle closes the session once it has been idle for idleTimeout.
+// watchIdle starts the timer that closes the session once it has been idle for
+// idleTimeout.
 func (mon *monitor) watchIdle() {
 	mon.mu.Lock()
 	mon.lastUsed = time.Now()
@@ -87,6 +90,8 @@
 	time.AfterFunc(idleTimeout, mon.checkIdle)
 }
 
+// checkIdle closes the session if it has been idle for idleTimeout, and otherwise
+// schedules the next check.
 func (mon *monitor) checkIdle() {
 	mon.mu.Lock()
 	left := idleTimeout - time.Since(mon.lastUsed)
@@ -96,15 +101,15 @@
 	mon.mu.Unlock()
 	switch {
 	case mon.link.IsClosed():
-	case left <= 0 && mon.retireIdle():
+	case left <= 0 && mon.retireIfIdle():
 		mon.link.Close()
 	default:
 		time.AfterFunc(max(left, heartbeatInterval), mon.checkIdle)
 	}
 }
 
-// handler wraps a handler so that the monitor counts its calls.
-func (mon *monitor) handler(han Handler) Handler {
+// countCalls returns a handler that calls han and reports its calls to the monitor.
+func (mon *monitor) countCalls(han Handler) Handler {
 	return func(ctx context.Context, env *messenger.Envelope) *messenger.Envelope {
 		mon.beginCall()
 		defer mon.endCall()
--- a/connection/multiplexer/link.go
+++ b/connection/multiplexer/link.go
@@ -15,31 +15,33 @@
 
 // newDialedLink opens the session on a connection that this host has dialed.
 func newDialedLink(con net.Conn) (link, error) {
-	con = closingConn{con}
+	con = closeOnErrorConn{con}
 	ses, err := yamux.Client(con, sessionConfig())
 	return link{ses, con}, eris.Wrap(err, "multiplexer: open session")
 }
 
 // newAcceptedLink opens the session on a connection that a peer has dialed.
 func newAcceptedLink(con net.Conn) (link, error) {
-	con = closingConn{con}
+	con = closeOnErrorConn{con}
 	ses, err := yamux.Server(con, sessionConfig())
 	return link{ses, con}, eris.Wrap(err, "multiplexer: accept session")
 }
 
 // Close closes the connection, which ends the session. If the yamux session were
-// closed first, the readers of its streams would poll in a busy loop until the
-// connection is closed, which takes a whole time slice on a host with one core.
+// closed first, its stream readers would poll in a busy loop until the connection is
+// closed; on a host with one core they would occupy a whole time slice before the
+// connection can be closed.
 func (lin link) Close() error {
 	return eris.Wrapf(lin.con.Close(), "link.Close: peer %s", lin.con.RemoteAddr())
 }
 
-// closingConn is a connection that closes itself after a failed write, for the same
-// reason as link.Close: yamux closes the session after such a failure.
-type closingConn struct{ net.Conn }
+// closeOnErrorConn is a connection that closes itself after a failed write. yamux
+// closes its session after such a failure, and the connection must be closed first,
+// as in link.Close.
+type closeOnErrorConn struct{ net.Conn }
 
 // Write writes to the connection and closes it if the write fails.
-func (clo closingConn) Write(buf []byte) (int, error) {
+func (clo closeOnErrorConn) Write(buf []byte) (int, error) {
 	n, err := clo.Conn.Write(buf)
 	if err != nil {
 		_ = clo.Close()
--- a/connection/multiplexer/link_test.go
+++ b/connection/multiplexer/link_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// readers returns the states of the goroutines that read yamux streams.
-func readers() []string {
+// readerStates returns the states of the goroutines that read yamux streams.
+func readerStates() []string {
 	buf := make([]byte, 1<<20)
 	var out []string
 	for goroutine := range strings.SplitSeq(string(buf[:runtime.Stack(buf, true)]), "\n\n") {
@@ -55,9 +55,10 @@
 	return out
 }
 
-// TestCloseWakesNoReaders closes a session whose connection closes slowly. Until then
-// the readers of its streams must block: readers that poll in a busy loop occupied a
-// host with one core for a whole time slice.
+// TestCloseWakesNoReaders closes a session whose connection takes long to close. The
+// stream readers must stay blocked meanwhile: if the yamux session is closed before
+// its connection, they poll in a busy loop and occupy a host with one core for a whole
+// time slice.
 func TestCloseWakesNoReaders(t *testing.T) {
 	tts := []struct {
 		name  string
@@ -82,7 +83,7 @@
 			ses := &session{link: lin}
 			_, err = ses.pipeline()
 			require.NoError(t, err)
-			require.Eventually(t, func() bool { return len(readers()) == 1 }, 5*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return len(readerStates()) == 1 }, 5*time.Second, time.Millisecond)
 			stopped := make(chan struct{})
 			go func() {
 				defer close(stopped)
@@ -90,13 +91,13 @@
 			}()
 			<-slo.closeCalled
 			for range 20 {
-				require.Equal(t, []string{"select"}, readers(), "a reader that polls is runnable")
+				require.Equal(t, []string{"select"}, readerStates(), "a stream reader polls instead of blocking")
 				time.Sleep(time.Millisecond)
 			}
 			close(slo.release)
 			<-stopped
 			<-lin.CloseChan()
-			require.Eventually(t, func() bool { return len(readers()) == 0 }, 5*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return len(readerStates()) == 0 }, 5*time.Second, time.Millisecond)
 		})
 	}
 }
--- a/connection/multiplexer/multiplexer.go
+++ b/connection/multiplexer/multiplexer.go
@@ -1,7 +1,7 @@
-// Package multiplexer sends calls between entry hosts over yamux sessions.
+// Package multiplexer sends calls between hosts over yamux sessions.
 //
-// The calls of a session share one stream, on which call numbers match replies to
-// calls; a call with a large envelope uses a separate stream.
+// The calls of a session share one stream, on which a reply has the number of its
+// call; a call with a large envelope uses a separate stream.
 package multiplexer
 
 import (
@@ -21,13 +21,13 @@
 )
 
 const (
-	dialTimeout       = 500 * time.Millisecond
-	streamOpenTimeout = 2 * time.Second
-	streamCloseDelay  = 2 * time.Second
+	dialTimeout        = 500 * time.Millisecond
+	streamOpenTimeout  = 2 * time.Second
+	streamCloseTimeout = 2 * time.Second
 )
 
 // Handler answers one call of a peer. The context ends when the peer cancels the
-// call.
+// call. If Handler returns nil, no reply is sent.
 type Handler func(ctx context.Context, env *messenger.Envelope) *messenger.Envelope
 
 // Multiplexer holds the sessions of one host. Its zero value can send calls;
@@ -47,7 +47,7 @@
 	closed   bool
 }
 
-// session is a session that this host has dialed.
+// session is a dialed link with its shared stream and its monitor.
 type session struct {
 	link
 	monitor monitor
@@ -59,16 +59,18 @@
 func sessionConfig() *yamux.Config {
 	cfg := yamux.DefaultConfig()
 	cfg.EnableKeepAlive = false
+	// Session.Ping waits for its reply for this long as well.
 	cfg.ConnectionWriteTimeout = heartbeatTimeout
 	cfg.StreamOpenTimeout = streamOpenTimeout
-	cfg.StreamCloseTimeout = streamCloseDelay
+	cfg.StreamCloseTimeout = streamCloseTimeout
 	cfg.LogOutput = io.Discard
 	return cfg
 }
 
-// Call sends env to the host at address and waits for its reply. After a failure
-// or timeout the next call dials again, while calls in progress keep the session
-// for as long as it answers heartbeats.
+// Call sends env to the host at address and waits for its reply. After a transport
+// error or a timeout the next call dials again; calls in progress continue on the
+// old session while the peer answers its heartbeats. A Failure reply is returned as
+// an error and keeps the session in use.
 func (mul *Multiplexer) Call(ctx context.Context, address string, env *messenger.Envelope) (*messenger.Envelope, error) {
 	ses, err := mul.acquire(ctx, address)
 	if err != nil {
@@ -114,7 +116,7 @@
 	return ses.pipe, nil
 }
 
-// single sends a call on a stream of its own.
+// single sends a call on a separate stream.
 func (ses *session) single(ctx context.Context, env *messenger.Envelope) (*messenger.Envelope, error) {
 	str, err := ses.OpenStream()
 	if err != nil {
@@ -133,8 +135,8 @@
 	return rep, eris.Wrap(err, "session.single: reply")
 }
 
-// acquire returns a session with a call begun on it, so that it is not closed as
-// idle before the caller ends the call.
+// acquire returns a session and counts a call on it, so that the session is not
+// closed as idle. The caller ends the call with monitor.endCall.
 func (mul *Multiplexer) acquire(ctx context.Context, address string) (*session, error) {
 	if ses := mul.reuse(address); ses != nil {
 		return ses, nil
@@ -152,6 +154,8 @@
 	return mul.keep(address, &session{link: lin})
 }
 
+// reuse returns the open session to address and counts a call on it; nil if there
+// is none.
 func (mul *Multiplexer) reuse(address string) *session {
 	mul.mu.Lock()
 	defer mul.mu.Unlock()
@@ -163,7 +167,8 @@
 	return ses
 }
 
-// keep stores ses, unless another call has stored an open session first.
+// keep stores ses and counts a call on it. If another call has stored an open
+// session meanwhile, keep closes ses and returns the stored session.
 func (mul *Multiplexer) keep(address string, ses *session) (*session, error) {
 	mul.mu.Lock()
 	defer mul.mu.Unlock()
@@ -180,7 +185,7 @@
 		mul.sessions = map[string]*session{}
 	}
 	ses.monitor.link = ses.link
-	ses.monitor.retireIdle = func() bool { return mul.retireIfIdle(address, ses) }
+	ses.monitor.retireIfIdle = func() bool { return mul.retireIfIdle(address, ses) }
 	ses.monitor.beginCall()
 	ses.monitor.watchIdle()
 	mul.sessions[address] = ses
@@ -191,7 +196,8 @@
 	return ses, nil
 }
 
-// retireIfIdle takes a session out of use unless a call is in progress on it.
+// retireIfIdle removes a session, so that later calls dial again, and returns true.
+// If a call is in progress on the session, it returns false.
 func (mul *Multiplexer) retireIfIdle(address string, ses *session) bool {
 	mul.mu.Lock()
 	defer mul.mu.Unlock()
@@ -203,13 +209,15 @@
 }
 
 // retireSession removes a session, so that later calls dial again. The calls in
-// progress go on; if the session does not answer heartbeats, they end with it.
+// progress continue until they end or a heartbeat fails and closes the session.
 func (mul *Multiplexer) retireSession(address string, ses *session) {
 	mul.mu.Lock()
 	defer mul.mu.Unlock()
 	mul.removeSession(address, ses)
 }
 
+// removeSession removes ses if it is still the stored session. The caller holds the
+// lock.
 func (mul *Multiplexer) removeSession(address string, ses *session) {
 	if mul.sessions[address] == ses {
 		delete(mul.sessions, address)
@@ -286,6 +294,8 @@
 	return mul.Handler(ctx, env)
 }
 
+// serveStream serves either the shared stream of a session or a stream with a single
+// call: the first envelope of a shared stream has a call number, which is above 0.
 func (mul *Multiplexer) serveStream(str *yamux.Stream, mon *monitor) {
 	defer str.Close()
 	env, err := messenger.Read(str)
@@ -296,7 +306,7 @@
 		return
 	}
 	if env.GetCall() > 0 {
-		servePipeline(str, mon.handler(mul.Handle), env)
+		servePipeline(str, mon.countCalls(mul.Handle), env)
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -308,12 +318,13 @@
 		_, _ = str.Read(buf[:])
 		cancel()
 	}()
-	if rep := mon.handler(mul.Handle)(ctx, env); rep != nil {
+	if rep := mon.countCalls(mul.Handle)(ctx, env); rep != nil {
 		_ = messenger.Write(str, rep)
 	}
 }
 
-// Close closes all sessions. Calls that are still dialing fail.
+// Close closes the dialed and the accepted sessions. Calls in progress and calls that
+// are still dialing fail.
 func (mul *Multiplexer) Close() {
 	mul.mu.Lock()
 	defer mul.mu.Unlock()
--- a/connection/multiplexer/multiplexer_test.go
+++ b/connection/multiplexer/multiplexer_test.go
@@ -15,9 +15,11 @@
 	"go.uber.org/goleak"
 )
 
+// detectionLimit bounds the wait for the detection of an unresponsive session. It is
+// above heartbeatInterval + heartbeatTimeout.
 const detectionLimit = 3 * time.Second
 
-func done() *messenger.Envelope {
+func doneEnvelope() *messenger.Envelope {
 	return &messenger.Envelope{Body: &messenger.Envelope_Done{Done: &messenger.Done{}}}
 }
 
@@ -28,7 +30,7 @@
 	require.NoError(t, err)
 	mul := &multiplexer.Multiplexer{Handler: func(ctx context.Context, env *messenger.Envelope) *messenger.Envelope {
 		if env.GetPing() != nil {
-			return done()
+			return doneEnvelope()
 		}
 		held.Add(1)
 		defer held.Add(-1)
@@ -87,7 +89,7 @@
 			defer stop()
 			res := make(chan error, 1)
 			go func() {
-				_, err := mul.Call(ctx, lin.Address(), done())
+				_, err := mul.Call(ctx, lin.Address(), doneEnvelope())
 				res <- err
 			}()
 			require.Eventually(t, func() bool { return held.Load() == 1 }, detectionLimit, time.Millisecond)
@@ -108,32 +110,32 @@
 	}
 }
 
-// TestTimeoutLeavesOtherCalls lets a call time out. A slow call on the same session,
-// which still answers heartbeats, must go on.
+// TestTimeoutLeavesOtherCalls lets a call time out. Another call on the same session
+// must continue, since the session still answers heartbeats.
 func TestTimeoutLeavesOtherCalls(t *testing.T) {
 	var held atomic.Int64
 	address := serve(t, &held)
 	mul := &multiplexer.Multiplexer{}
 	defer mul.Close()
-	long, stop := context.WithCancel(t.Context())
+	longCtx, cancelLong := context.WithCancel(t.Context())
 	res := make(chan error, 1)
 	go func() {
-		_, err := mul.Call(long, address, done())
+		_, err := mul.Call(longCtx, address, doneEnvelope())
 		res <- err
 	}()
 	require.Eventually(t, func() bool { return held.Load() == 1 }, detectionLimit, time.Millisecond)
-	short, end := context.WithTimeout(t.Context(), 50*time.Millisecond)
-	defer end()
-	_, err := mul.Call(short, address, done())
+	shortCtx, cancelShort := context.WithTimeout(t.Context(), 50*time.Millisecond)
+	defer cancelShort()
+	_, err := mul.Call(shortCtx, address, doneEnvelope())
 	require.Error(t, err)
 	_, err = mul.Call(t.Context(), address, ping())
 	require.NoError(t, err)
 	select {
 	case err := <-res:
-		require.Fail(t, "the slow call ended", "%v", err)
+		require.Fail(t, "the other call ended", "%v", err)
 	case <-time.After(2 * time.Second):
 	}
-	stop()
+	cancelLong()
 	require.ErrorIs(t, <-res, context.Canceled)
 }
 
@@ -151,7 +153,7 @@
 			if env.GetPing() == nil {
 				panic("unexpected message")
 			}
-			return done()
+			return doneEnvelope()
 		},
 		OnPanic: func(*messenger.Envelope, any, []byte) { panics.Add(1) },
 	}
@@ -161,7 +163,7 @@
 	mul := &multiplexer.Multiplexer{}
 	defer mul.Close()
 	large := &messenger.Envelope{Body: &messenger.Envelope_TablesPush{TablesPush: &messenger.TablesPush{Document: make([]byte, 64<<10)}}}
-	for i, env := range []*messenger.Envelope{done(), large} {
+	for i, env := range []*messenger.Envelope{doneEnvelope(), large} {
 		_, err = mul.Call(t.Context(), lis.Addr().String(), env)
 		require.ErrorContains(t, err, "internal")
 		require.EqualValues(t, i+1, panics.Load())
--- a/connection/multiplexer/pipeline.go
+++ b/connection/multiplexer/pipeline.go
@@ -15,12 +15,13 @@
 
 const (
 	// maxPipelinedBytes bounds the size of an envelope on the shared stream; a
-	// larger one would delay the others and gets a stream of its own.
+	// larger envelope would delay the other envelopes and is sent on a separate stream.
 	maxPipelinedBytes = 16 << 10
-	// pipelineQueue is the maximum number of envelopes that wait to be written.
-	pipelineQueue = 256
-	// maxWriteBytes is the size from which a batch of frames gets no further frame.
-	maxWriteBytes = 64 << 10
+	// maxQueuedEnvelopes bounds the envelopes that wait to be written to a stream.
+	maxQueuedEnvelopes = 256
+	// fullBatchBytes is the size from which a batch of frames is written without
+	// adding further frames.
+	fullBatchBytes = 64 << 10
 	// maxPipelinedCalls bounds the calls that a host serves concurrently on one
 	// stream; further calls stay unread in the stream.
 	maxPipelinedCalls = 4096
@@ -38,7 +39,7 @@
 }
 
 func newFrameWriter(str io.WriteCloser) *frameWriter {
-	fra := &frameWriter{stream: str, queue: make(chan *messenger.Envelope, pipelineQueue), closed: make(chan struct{})}
+	fra := &frameWriter{stream: str, queue: make(chan *messenger.Envelope, maxQueuedEnvelopes), closed: make(chan struct{})}
 	go fra.run()
 	return fra
 }
@@ -81,13 +82,14 @@
 	}
 }
 
-// batch encodes an envelope and those queued behind it into one buffer.
+// batch encodes an envelope and the queued envelopes after it into one buffer, until
+// the buffer has fullBatchBytes.
 func (fra *frameWriter) batch(buf *bytes.Buffer, env *messenger.Envelope) error {
 	for {
 		if err := messenger.Write(buf, env); err != nil {
 			return err
 		}
-		if buf.Len() >= maxWriteBytes {
+		if buf.Len() >= fullBatchBytes {
 			return nil
 		}
 		select {
@@ -98,28 +100,28 @@
 	}
 }
 
-// pipeline sends the calls of one session on one stream. Call numbers match replies
-// to calls.
+// pipeline sends the calls of one session on one stream. A reply has the number of
+// its call.
 type pipeline struct {
 	writer *frameWriter
 
 	mu       sync.Mutex
 	lastCall uint64
-	waiting  map[uint64]chan *messenger.Envelope
+	replies  map[uint64]chan *messenger.Envelope
 	closed   bool
 	// refusal is the failure with which the peer refused the stream; nil for none.
 	refusal error
 }
 
 func newPipeline(str net.Conn) *pipeline {
-	pip := &pipeline{writer: newFrameWriter(str), waiting: map[uint64]chan *messenger.Envelope{}}
+	pip := &pipeline{writer: newFrameWriter(str), replies: map[uint64]chan *messenger.Envelope{}}
 	go pip.read(str)
 	return pip
 }
 
 // call sends an envelope and waits for its reply.
 func (pip *pipeline) call(ctx context.Context, env *messenger.Envelope) (*messenger.Envelope, error) {
-	number, replies, ok := pip.register()
+	number, reply, ok := pip.register()
 	if !ok {
 		return nil, pip.closeError()
 	}
@@ -128,7 +130,7 @@
 		return nil, err
 	}
 	select {
-	case env, ok = <-replies:
+	case env, ok = <-reply:
 		if !ok {
 			return nil, pip.closeError()
 		}
@@ -154,26 +156,27 @@
 	return errPipelineClosed
 }
 
-func (pip *pipeline) register() (number uint64, replies chan *messenger.Envelope, ok bool) {
+func (pip *pipeline) register() (number uint64, reply chan *messenger.Envelope, ok bool) {
 	pip.mu.Lock()
 	defer pip.mu.Unlock()
 	if pip.closed {
 		return 0, nil, false
 	}
 	pip.lastCall++
-	replies = make(chan *messenger.Envelope, 1)
-	pip.waiting[pip.lastCall] = replies
-	return pip.lastCall, replies, true
+	reply = make(chan *messenger.Envelope, 1)
+	pip.replies[pip.lastCall] = reply
+	return pip.lastCall, reply, true
 }
 
 func (pip *pipeline) unregister(number uint64) {
 	pip.mu.Lock()
 	defer pip.mu.Unlock()
-	delete(pip.waiting, number)
+	delete(pip.replies, number)
 }
 
 // cancel notifies the peer that the call is cancelled. If the queue is full, no
-// notification is sent, and the call at the peer ends by its own timeouts.
+// notification is sent, and the call continues at the peer until the handler's own
+// timeout ends it.
 func (pip *pipeline) cancel(number uint64) {
 	select {
 	case pip.writer.queue <- &messenger.Envelope{Call: number, Body: &messenger.Envelope_CallEnd{CallEnd: &messenger.CallEnd{}}}:
@@ -201,9 +204,9 @@
 	if fai := env.GetFailure(); fai != nil && env.GetCall() == 0 {
 		pip.refusal = eris.Errorf("multiplexer: the stream was refused: %s: %s", fai.GetCode(), fai.GetMessage())
 	}
-	if replies := pip.waiting[env.GetCall()]; replies != nil {
-		delete(pip.waiting, env.GetCall())
-		replies <- env
+	if reply := pip.replies[env.GetCall()]; reply != nil {
+		delete(pip.replies, env.GetCall())
+		reply <- env
 	}
 }
 
@@ -212,9 +215,9 @@
 	pip.mu.Lock()
 	defer pip.mu.Unlock()
 	pip.closed = true
-	for number, replies := range pip.waiting {
-		close(replies)
-		delete(pip.waiting, number)
+	for number, reply := range pip.replies {
+		close(reply)
+		delete(pip.replies, number)
 	}
 }
 
@@ -233,15 +236,15 @@
 // servePipeline answers the calls of a stream. env is the first envelope, which has
 // already been read.
 func servePipeline(str net.Conn, han Handler, env *messenger.Envelope) {
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	ser := &pipelineServer{writer: newFrameWriter(str), handler: han, slots: make(chan struct{}, maxPipelinedCalls), cancels: map[uint64]context.CancelFunc{}}
 	defer ser.writer.close()
 	for {
 		if env.GetCallEnd() != nil {
-			ser.endCall(env.GetCall())
+			ser.cancelCall(env.GetCall())
 		} else {
-			ser.beginCall(ctx, env)
+			ser.serveCall(ctx, env)
 		}
 		var err error
 		if env, err = messenger.Read(str); err != nil {
@@ -250,7 +253,9 @@
 	}
 }
 
-func (ser *pipelineServer) beginCall(ctx context.Context, env *messenger.Envelope) {
+// serveCall waits for a free slot and then runs the handler in a goroutine. While it
+// waits, no further envelope is read from the stream.
+func (ser *pipelineServer) serveCall(ctx context.Context, env *messenger.Envelope) {
 	ser.slots <- struct{}{}
 	ctx, cancel := context.WithCancel(ctx)
 	ser.mu.Lock()
@@ -258,15 +263,16 @@
 	ser.mu.Unlock()
 	go func() {
 		defer func() { <-ser.slots }()
-		defer ser.endCall(env.GetCall())
+		defer ser.cancelCall(env.GetCall())
 		if rep := ser.handler(ctx, env); rep != nil {
 			_ = ser.writer.send(ctx, withCall(rep, env.GetCall()))
 		}
 	}()
 }
 
-// endCall cancels a call in progress, or removes the entry of an answered one.
-func (ser *pipelineServer) endCall(number uint64) {
+// cancelCall cancels the context of a call and removes its entry. The call may have
+// been answered already.
+func (ser *pipelineServer) cancelCall(number uint64) {
 	ser.mu.Lock()
 	cancel := ser.cancels[number]
 	delete(ser.cancels, number)
--- a/connection/multiplexer/pipeline_test.go
+++ b/connection/multiplexer/pipeline_test.go
@@ -17,12 +17,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func query(key string) *messenger.Envelope {
+func claimCommit(key string) *messenger.Envelope {
 	return &messenger.Envelope{Body: &messenger.Envelope_ClaimCommit{ClaimCommit: &messenger.ClaimCommit{Key: key}}}
 }
 
-// echo serves calls that return the key of the query; odd keys are answered 5 ms
-// late.
+// echo serves calls that return the key of the ClaimCommit; odd keys are answered
+// after 5 ms.
 func echo(tb testing.TB) string {
 	tb.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,7 +62,7 @@
 			if n%50 == 0 {
 				key = strings.Repeat("x", 100_000) + key
 			}
-			rep, err := mul.Call(ctx, address, query(key))
+			rep, err := mul.Call(ctx, address, claimCommit(key))
 			if err != nil || rep.GetClaimResult().GetMessage() != key {
 				t.Errorf("call %d: %v", n, err)
 			}
@@ -80,22 +80,22 @@
 	var mul multiplexer.Multiplexer
 	defer mul.Close()
 	ctx, cancel := context.WithCancel(t.Context())
-	err := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
-		_, callErr := mul.Call(ctx, address, query("held"))
-		err <- callErr
+		_, err := mul.Call(ctx, address, claimCommit("held"))
+		result <- err
 	}()
 	require.Eventually(t, func() bool { return held.Load() == 1 }, detectionLimit, time.Millisecond)
 	cancel()
-	require.ErrorIs(t, <-err, context.Canceled)
+	require.ErrorIs(t, <-result, context.Canceled)
 	require.Eventually(t, func() bool { return held.Load() == 0 }, detectionLimit, time.Millisecond)
-	_, callErr := mul.Call(t.Context(), address, ping())
-	require.NoError(t, callErr)
+	_, err := mul.Call(t.Context(), address, ping())
+	require.NoError(t, err)
 }
 
-// TestCallOfAnotherVersion calls a peer that refuses the stream because of its
+// TestCallRefusedByVersion calls a peer that refuses the stream because of its
 // protocol version. The error of the call must contain the refusal.
-func TestCallOfAnotherVersion(t *testing.T) {
+func TestCallRefusedByVersion(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer lis.Close()
@@ -115,6 +115,7 @@
 		_, _ = messenger.Read(str)
 		_ = messenger.Write(str, messenger.NewFailure("protocol_version", "speaks version 7"))
 		str.Close()
+		// Keeps the session open for 50 ms after the refusal is sent.
 		time.Sleep(50 * time.Millisecond)
 	}()
 	var mul multiplexer.Multiplexer
@@ -136,7 +137,7 @@
 			b.SetParallelism(parallelism)
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					if _, err := mul.Call(context.Background(), address, query("key")); err != nil {
+					if _, err := mul.Call(context.Background(), address, claimCommit("key")); err != nil {
 						b.Error(err)
 					}
 				}
