--- a/request/receiver/body.go
+++ b/request/receiver/body.go
@@ -17,10 +17,10 @@
 	// BodyCopies is the number of copies of a body that are in memory at the same
 	// time: as received, as decoded, and as sent to the endpoint.
 	BodyCopies = 3
-	// reserveStep is the smallest reservation, in bytes of body, for a body of
-	// unknown length.
-	reserveStep      = 64 << 10
-	memoryRetryAfter = time.Second
+	// firstReserveBytes is the size in bytes for which memory is first reserved for a
+	// body of unknown length; the memory is BodyCopies times as much.
+	firstReserveBytes = 64 << 10
+	memoryRetryAfter  = time.Second
 )
 
 // MemoryBudget bounds the memory for the bodies of requests in progress. It is
@@ -29,31 +29,31 @@
 	// MaxBytes is the limit; 0 means no limit.
 	MaxBytes int64
 
-	mu   sync.Mutex
-	used int64
+	mu       sync.Mutex
+	reserved int64
 }
 
 // Reserved returns the number of bytes that are reserved.
 func (bud *MemoryBudget) Reserved() int64 {
 	bud.mu.Lock()
 	defer bud.mu.Unlock()
-	return bud.used
+	return bud.reserved
 }
 
 func (bud *MemoryBudget) reserve(n int64) bool {
 	bud.mu.Lock()
 	defer bud.mu.Unlock()
-	if bud.MaxBytes > 0 && bud.used+n > bud.MaxBytes {
+	if bud.MaxBytes > 0 && bud.reserved+n > bud.MaxBytes {
 		return false
 	}
-	bud.used += n
+	bud.reserved += n
 	return true
 }
 
 func (bud *MemoryBudget) release(n int64) {
 	bud.mu.Lock()
 	defer bud.mu.Unlock()
-	bud.used -= n
+	bud.reserved -= n
 }
 
 // Body is a request's body that reserves memory when it is read, so that no memory
@@ -61,65 +61,69 @@
 // the request has ended.
 type Body struct {
 	io.ReadCloser
-	budget   *MemoryBudget
-	length   int64
-	read     int64
-	reserved int64
+	budget *MemoryBudget
+	// announcedBytes and readBytes count bytes of the body, reservedBytes bytes of memory.
+	announcedBytes int64
+	readBytes      int64
+	reservedBytes  int64
 }
 
-// NewBody wraps a body of an announced length in bytes; -1 if it is unknown. A
-// longer announced length than maxBytes reserves only for maxBytes, since ReadBody
-// refuses such a body.
-func NewBody(bod io.ReadCloser, bud *MemoryBudget, length, maxBytes int64) *Body {
-	return &Body{ReadCloser: bod, budget: bud, length: min(length, maxBytes)}
+// NewBody wraps a body of an announced length in bytes; -1 if it is unknown. For an
+// announced length above maxBytes, memory for only maxBytes is reserved, since
+// ReadBody refuses such a body.
+func NewBody(bod io.ReadCloser, bud *MemoryBudget, announcedBytes, maxBytes int64) *Body {
+	return &Body{ReadCloser: bod, budget: bud, announcedBytes: min(announcedBytes, maxBytes)}
 }
 
 // Read reserves memory and reads. The first call reserves for the whole announced
-// length; if the length is unknown, the reservation doubles as needed. It fails
+// length; if the length is unknown, the reservation doubles as needed. Read fails
 // with a RefusalError if the budget is exhausted.
 func (bod *Body) Read(buf []byte) (int, error) {
 	if err := bod.reserve(); err != nil {
 		return 0, err
 	}
-	n, err := bod.ReadCloser.Read(buf[:min(int64(len(buf)), max(bod.reserved/BodyCopies-bod.read, 1))])
-	bod.read += int64(n)
+	// At least one byte is read, so that the end of the body and an excess byte are
+	// detected.
+	n, err := bod.ReadCloser.Read(buf[:min(int64(len(buf)), max(bod.reservedBytes/BodyCopies-bod.readBytes, 1))])
+	bod.readBytes += int64(n)
 	return n, err
 }
 
+// reserve reserves the memory that the next read needs.
 func (bod *Body) reserve() error {
-	want := bod.reserved
+	want := bod.reservedBytes
 	switch {
-	case bod.reserved == 0 && bod.length >= 0:
-		want = bod.length * BodyCopies
-	case bod.length < 0 && bod.read >= bod.reserved/BodyCopies:
-		want = max(2*bod.reserved, reserveStep*BodyCopies)
+	case bod.reservedBytes == 0 && bod.announcedBytes >= 0:
+		want = bod.announcedBytes * BodyCopies
+	case bod.announcedBytes < 0 && bod.readBytes >= bod.reservedBytes/BodyCopies:
+		want = max(2*bod.reservedBytes, firstReserveBytes*BodyCopies)
 	}
-	if !bod.budget.reserve(want - bod.reserved) {
+	if !bod.budget.reserve(want - bod.reservedBytes) {
 		return &RefusalError{
 			Status: http.StatusServiceUnavailable, Code: "host_memory_full",
 			Message: "the host holds too many large requests", RetryAfter: memoryRetryAfter,
 		}
 	}
-	bod.reserved = want
+	bod.reservedBytes = want
 	return nil
 }
 
 // Release releases the reserved memory. It is idempotent.
 func (bod *Body) Release() {
-	bod.budget.release(bod.reserved)
-	bod.reserved = 0
+	bod.budget.release(bod.reservedBytes)
+	bod.reservedBytes = 0
 }
 
 // ReadBody reads a complete body. It fails with a RefusalError if the body is
 // over maxBytes, incomplete or too slow, or if its memory budget is exhausted.
 func ReadBody(bod io.Reader, maxBytes int64) ([]byte, error) {
 	var buf bytes.Buffer
-	if err := growBuffer(&buf, bod); err != nil {
+	if err := reserveBuffer(&buf, bod); err != nil {
 		return nil, err
 	}
 	_, err := buf.ReadFrom(io.LimitReader(bod, maxBytes+1))
-	var bad *RefusalError
-	if eris.As(err, &bad) {
+	var refused *RefusalError
+	if eris.As(err, &refused) {
 		return nil, err
 	}
 	if err != nil {
@@ -131,17 +135,17 @@
 	return buf.Bytes(), nil
 }
 
-// growBuffer reserves memory for a body of known length and allocates the buffer in
-// one step.
-func growBuffer(buf *bytes.Buffer, reader io.Reader) error {
+// reserveBuffer reserves the memory of a body of known length and allocates its
+// buffer at once.
+func reserveBuffer(buf *bytes.Buffer, reader io.Reader) error {
 	bod, ok := reader.(*Body)
-	if !ok || bod.length < 0 {
+	if !ok || bod.announcedBytes < 0 {
 		return nil
 	}
 	if err := bod.reserve(); err != nil {
 		return err
 	}
-	buf.Grow(int(bod.length) + bytes.MinRead)
+	buf.Grow(int(bod.announcedBytes) + bytes.MinRead)
 	return nil
 }
 
--- a/request/receiver/prompt.go
+++ b/request/receiver/prompt.go
@@ -16,6 +16,7 @@
 )
 
 const (
+	// defaultMaxTokens is the answer limit of a request that sets no limit.
 	defaultMaxTokens = 256
 	// MaxAnswerTokens bounds the answer tokens that a caller may request.
 	MaxAnswerTokens = 32_768
@@ -42,7 +43,7 @@
 type wirePrompt struct {
 	Model string `json:"model"`
 	// Prompt and message contents are decoded in the same pass as the other
-	// fields, since another pass over a long prompt takes noticeable time.
+	// fields, which avoids a second pass over a long prompt.
 	Prompt              any            `json:"prompt"`
 	Messages            []wireMessage  `json:"messages"`
 	Stream              bool           `json:"stream"`
@@ -66,7 +67,7 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// wireSampling holds the settings that are validated but have no effect.
+// wireSampling holds the sampling fields that are validated but have no effect.
 type wireSampling struct {
 	Temperature      *float64 `json:"temperature"`
 	TopP             *float64 `json:"top_p"`
@@ -94,8 +95,7 @@
 }
 
 // ParsePrompt reads and validates the body of /v1/chat/completions, if chat is
-// set, or of /v1/completions. It returns a RefusalError
-// for an invalid request.
+// set, or of /v1/completions. It returns a RefusalError for an invalid request.
 func ParsePrompt(bod io.Reader, maxBytes int64, chat bool) (Prompt, error) {
 	buf, err := ReadBody(bod, maxBytes)
 	if err != nil {
@@ -156,14 +156,14 @@
 	return req.wireUnsupported.validate()
 }
 
-type boundedSetting struct {
+type samplingField struct {
 	name     string
 	val      *float64
 	min, max float64
 }
 
-func (sam wireSampling) fields() []boundedSetting {
-	return []boundedSetting{
+func (sam wireSampling) fields() []samplingField {
+	return []samplingField{
 		{"temperature", sam.Temperature, 0, 2},
 		{"top_p", sam.TopP, 0, 1},
 		{"presence_penalty", sam.PresencePenalty, -2, 2},
@@ -220,7 +220,8 @@
 	return nil
 }
 
-// hasNoEffect reports whether a value is missing, empty or one of neutralValues.
+// hasNoEffect reports whether a value is missing, null, false, empty or one of
+// neutralValues.
 func hasNoEffect(raw json.RawMessage, neutralValues ...string) bool {
 	var buf bytes.Buffer
 	if len(raw) == 0 || json.Compact(&buf, raw) != nil {
@@ -296,6 +297,7 @@
 	return builder.String(), nil
 }
 
+// answerLimit returns the first limit that is set, or defaultMaxTokens if none is.
 func answerLimit(limits ...*int64) (int64, error) {
 	for _, limit := range limits {
 		if limit == nil {
--- a/request/receiver/receiver.go
+++ b/request/receiver/receiver.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	// MaxBearerBytes bounds the length of a bearer key.
+	// MaxBearerBytes bounds the length of a bearer key, the caller's API key.
 	MaxBearerBytes = 1024
 	// MinTimeLimit is the shortest time limit that a caller may request.
 	MinTimeLimit = time.Millisecond
@@ -54,22 +54,23 @@
 	return key, nil
 }
 
-// ValidateHeaders validates the headers that hemlockpin defines, before the body is
-// read. The time limit is checked relative to now.
+// ValidateHeaders validates the headers that this package reads, before the body is
+// read. It does not check the bearer key, and the result does not depend on now.
 func ValidateHeaders(hea http.Header, now time.Time) error {
 	for _, name := range []string{TimeLimitHeader, KeyHeader, KeyTimeHeader, "Authorization"} {
 		if len(hea.Values(name)) > 1 {
 			return badRequest("repeated_header", name, "the header "+name+" stands twice")
 		}
 	}
-	if err := validateKey(hea); err != nil {
+	if err := validateIdempotencyKey(hea); err != nil {
 		return err
 	}
+	// Only the form of the header is checked; the result does not depend on the limit.
 	_, err := Deadline(hea, time.Hour, now)
 	return err
 }
 
-func validateKey(hea http.Header) error {
+func validateIdempotencyKey(hea http.Header) error {
 	if len(hea.Values(KeyHeader)) > 0 && !claimer.ValidKey(hea.Get(KeyHeader)) {
 		return badRequest("idempotency_key_invalid", KeyHeader, fmt.Sprintf("the key must be 1 to %d printable ASCII characters without spaces", claimer.MaxKeyBytes))
 	}
--- a/request/receiver/receiver_test.go
+++ b/request/receiver/receiver_test.go
@@ -20,17 +20,17 @@
 	datadriven.RunTest(t, "testdata/prompts", func(t *testing.T, dat *datadriven.TestData) string {
 		prompt, err := parsePrompt([]byte(expand(t, dat.Input)), dat.Cmd == "chat")
 		if err != nil {
-			return faultText(t, err)
+			return refusalText(t, err)
 		}
 		return fmt.Sprintf("%q tokens=%d max=%d stream=%t usage=%t seed=%d ignored=%v\n", prompt.Text, prompt.Tokens, prompt.MaxTokens, prompt.Stream, prompt.IncludeUsage, prompt.Seed, prompt.Ignored)
 	})
 }
 
-func faultText(t *testing.T, err error) string {
+func refusalText(t *testing.T, err error) string {
 	t.Helper()
-	var bad *RefusalError
-	require.ErrorAs(t, err, &bad)
-	return fmt.Sprintf("%d %s %s: %s\n", bad.Status, bad.Code, bad.Param, bad.Message)
+	var refused *RefusalError
+	require.ErrorAs(t, err, &refused)
+	return fmt.Sprintf("%d %s %s: %s\n", refused.Status, refused.Code, refused.Param, refused.Message)
 }
 
 func expand(t *testing.T, text string) string {
@@ -49,7 +49,8 @@
 	return strings.ReplaceAll(text, `\xff`, "\xff")
 }
 
-// TestHeaders validates headers from testdata/headers.
+// TestHeaders validates headers from testdata/headers and prints the refusal or the
+// resulting time limit.
 func TestHeaders(t *testing.T) {
 	datadriven.RunTest(t, "testdata/headers", func(t *testing.T, dat *datadriven.TestData) string {
 		hea := http.Header{}
@@ -58,7 +59,7 @@
 			hea.Add(name, strings.TrimSpace(val))
 		}
 		if err := ValidateHeaders(hea, time.Unix(0, 0)); err != nil {
-			return faultText(t, err)
+			return refusalText(t, err)
 		}
 		deadline, err := Deadline(hea, time.Minute, time.Unix(0, 0))
 		require.NoError(t, err)
@@ -66,14 +67,17 @@
 	})
 }
 
+// TestBodyBudget reads bodies of announced and unknown length with a budget of
+// 50 kB. Memory must be reserved for BodyCopies of the body, and a body beyond the
+// budget or the limit must be refused.
 func TestBodyBudget(t *testing.T) {
-	tt := []struct {
-		name   string
-		length int64
-		size   int
-		max    int64
-		held   int64
-		code   string
+	tts := []struct {
+		name           string
+		announcedBytes int64
+		actualBytes    int
+		maxBytes       int64
+		reserved       int64
+		code           string
 	}{
 		{"announced", 1000, 1000, 1000, 3000, ""},
 		{"announced, too large for the host", 20_000, 20_000, 1 << 20, 0, "host_memory_full"},
@@ -81,32 +85,32 @@
 		{"empty", 0, 0, 1000, 0, ""},
 		{"unknown length", -1, 5000, 1 << 20, 0, "host_memory_full"},
 	}
-	for _, tc := range tt {
-		t.Run(tc.name, func(t *testing.T) {
+	for _, tt := range tts {
+		t.Run(tt.name, func(t *testing.T) {
 			bud := &MemoryBudget{MaxBytes: 50_000}
-			bod := NewBody(io.NopCloser(strings.NewReader(strings.Repeat("x", tc.size))), bud, tc.length, tc.max)
-			buf, err := ReadBody(bod, tc.max)
-			require.Equal(t, tc.held, bud.Reserved())
+			bod := NewBody(io.NopCloser(strings.NewReader(strings.Repeat("x", tt.actualBytes))), bud, tt.announcedBytes, tt.maxBytes)
+			buf, err := ReadBody(bod, tt.maxBytes)
+			require.Equal(t, tt.reserved, bud.Reserved())
 			bod.Release()
 			require.Zero(t, bud.Reserved())
-			if tc.code == "" {
+			if tt.code == "" {
 				require.NoError(t, err)
-				require.Len(t, buf, tc.size)
+				require.Len(t, buf, tt.actualBytes)
 				return
 			}
-			var bad *RefusalError
-			require.ErrorAs(t, err, &bad)
-			require.Equal(t, tc.code, bad.Code)
+			var refused *RefusalError
+			require.ErrorAs(t, err, &refused)
+			require.Equal(t, tt.code, refused.Code)
 		})
 	}
 }
 
-// TestBodyUnknownLength reads bodies of unknown length whose sizes are at the
-// boundaries of the reservation steps: each must be read completely, with memory
+// TestBodyUnknownLength reads bodies of unknown length, with sizes around those at
+// which the reservation grows: each body must be read completely, with memory
 // reserved for all its copies.
 func TestBodyUnknownLength(t *testing.T) {
-	for _, size := range []int{0, 1, reserveStep - 1, reserveStep, reserveStep + 1, 5*reserveStep + 7} {
-		bud := &MemoryBudget{MaxBytes: 64 * reserveStep}
+	for _, size := range []int{0, 1, firstReserveBytes - 1, firstReserveBytes, firstReserveBytes + 1, 5*firstReserveBytes + 7} {
+		bud := &MemoryBudget{MaxBytes: 64 * firstReserveBytes}
 		bod := NewBody(io.NopCloser(strings.NewReader(strings.Repeat("x", size))), bud, -1, 1<<20)
 		buf, err := ReadBody(bod, 1<<20)
 		require.NoError(t, err)
@@ -115,6 +119,8 @@
 	}
 }
 
+// FuzzPrompt checks that parsePrompt never panics, refuses bodies only with status
+// 400, and otherwise returns complete prompts.
 func FuzzPrompt(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"hum"}]}`), true)
 	f.Add([]byte(`{"model":"m","prompt":"hum","stream":true,"stream_options":{"include_usage":true}}`), false)
@@ -125,9 +131,9 @@
 	f.Fuzz(func(t *testing.T, buf []byte, chat bool) {
 		prompt, err := parsePrompt(buf, chat)
 		if err != nil {
-			var bad *RefusalError
-			require.True(t, errors.As(err, &bad))
-			require.Equal(t, http.StatusBadRequest, bad.Status)
+			var refused *RefusalError
+			require.True(t, errors.As(err, &refused))
+			require.Equal(t, http.StatusBadRequest, refused.Status)
 			return
 		}
 		require.NotEmpty(t, prompt.Model)
--- a/request/responder/answer.go
+++ b/request/responder/answer.go
@@ -17,10 +17,11 @@
 
 const (
 	// slowCallerTimeout bounds one write to a caller, so that a caller that does not
-	// read occupies no more than the connection's buffers.
+	// read cannot block the request.
 	slowCallerTimeout = 5 * time.Second
-	// deadlineInterval is the least time between two updates of the write deadline.
-	deadlineInterval = 250 * time.Millisecond
+	// deadlineUpdateInterval is the minimum time between two updates of the write
+	// deadline.
+	deadlineUpdateInterval = 250 * time.Millisecond
 )
 
 // ErrSlowCaller reports that the caller does not read its answer.
@@ -37,8 +38,8 @@
 	Created      time.Time
 
 	started bool
-	// text is the answer so far. It is needed for an answer that is not streamed,
-	// and to resume a streamed answer on another engine.
+	// text is the answer so far. It is sent at the end if the answer is not streamed,
+	// and is used to resume a streamed answer on another engine.
 	text strings.Builder
 	// pending holds the chunks that are not sent yet.
 	pending []byte
@@ -89,7 +90,7 @@
 	common := []byte(`data: {"id":`)
 	common = appendString(common, ans.ID)
 	common = append(common, `,"object":`...)
-	common = appendString(common, ans.object(true))
+	common = appendString(common, ans.objectType(true))
 	common = append(common, `,"created":`...)
 	common = strconv.AppendInt(common, ans.Created.Unix(), 10)
 	common = append(common, `,"model":`...)
@@ -119,7 +120,7 @@
 }
 
 // Flush sends the tokens added since the last Flush. It fails with ErrSlowCaller if
-// the caller does not read within 5 s.
+// the caller does not read within slowCallerTimeout.
 func (ans *Answer) Flush(now time.Time) error {
 	if len(ans.pending) == 0 {
 		return nil
@@ -138,10 +139,10 @@
 	return err
 }
 
-// extendDeadline sets the deadline of the next writes. Writers that do not support
-// deadlines have none.
+// extendDeadline sets the deadline of the next writes. It has no effect on a writer
+// that does not support deadlines.
 func (ans *Answer) extendDeadline(con *http.ResponseController, now time.Time) {
-	if now.Sub(ans.deadlineSetAt) < deadlineInterval {
+	if now.Sub(ans.deadlineSetAt) < deadlineUpdateInterval {
 		return
 	}
 	ans.deadlineSetAt = now
@@ -176,7 +177,8 @@
 }
 
 // Fail ends the answer with a problem. A stream that has started gets an error event
-// and no [DONE] event, so that callers cannot take the answer for complete.
+// and no [DONE] event, so that the caller cannot mistake the answer for a complete
+// answer.
 func (ans *Answer) Fail(pro Problem, now time.Time) {
 	if !ans.started {
 		WriteProblem(ans.Writer, pro)
@@ -206,8 +208,8 @@
 	ans.pending = append(ans.pending, "\n\n"...)
 }
 
-// appendChunk appends a chunk that is not a plain token chunk: the first one, the one
-// with the finish reason, or the one with the usage.
+// appendChunk appends the first chunk, the chunk with the finish reason or the chunk
+// with the usage. fin is set only for the usage chunk, which has no choices.
 func (ans *Answer) appendChunk(del delta, reason *string, fin *invoker.Finish) error {
 	type choice struct {
 		Index        int     `json:"index"`
@@ -235,7 +237,7 @@
 		Model   string   `json:"model"`
 		Choices []choice `json:"choices"`
 		Usage   *usage   `json:"usage,omitempty"`
-	}{ans.ID, ans.object(true), ans.Created.Unix(), ans.Model, chos, usageOf(fin)})
+	}{ans.ID, ans.objectType(true), ans.Created.Unix(), ans.Model, chos, usageOf(fin)})
 	if err != nil {
 		return err
 	}
@@ -243,7 +245,7 @@
 	return nil
 }
 
-func (ans *Answer) object(chunk bool) string {
+func (ans *Answer) objectType(chunk bool) string {
 	switch {
 	case ans.Chat && chunk:
 		return "chat.completion.chunk"
@@ -290,5 +292,5 @@
 		Model   string   `json:"model"`
 		Choices []choice `json:"choices"`
 		Usage   *usage   `json:"usage"`
-	}{ans.ID, ans.object(false), ans.Created.Unix(), ans.Model, []choice{cho}, usageOf(&fin)})
+	}{ans.ID, ans.objectType(false), ans.Created.Unix(), ans.Model, []choice{cho}, usageOf(&fin)})
 }
--- a/request/responder/recorder.go
+++ b/request/responder/recorder.go
@@ -5,7 +5,9 @@
 	"time"
 )
 
-const deadlineRefresh = time.Second
+// recorderDeadlineUpdateInterval is the minimum time between two updates of the write
+// deadline, unless half of Recorder.WriteTimeout is shorter.
+const recorderDeadlineUpdateInterval = time.Second
 
 // Labels describe a request for metrics.
 type Labels struct {
@@ -27,7 +29,7 @@
 	// be nil.
 	OnWriteInterval func(time.Duration)
 
-	// Labels are set when the route is known.
+	// Labels are set by SetLabels once the route is known; they are empty before.
 	Labels Labels
 	// Status is 0 until the header is written.
 	Status int
@@ -77,10 +79,10 @@
 	return n, err
 }
 
-// extendDeadline moves the write deadline forward, at most once a second, or once in
-// half of a WriteTimeout shorter than two seconds.
+// extendDeadline sets the write deadline to WriteTimeout from now, at most once per
+// recorderDeadlineUpdateInterval or half of WriteTimeout, whichever is shorter.
 func (rec *Recorder) extendDeadline(now time.Time) {
-	if rec.WriteTimeout <= 0 || now.Sub(rec.deadlineSetAt) < min(deadlineRefresh, rec.WriteTimeout/2) {
+	if rec.WriteTimeout <= 0 || now.Sub(rec.deadlineSetAt) < min(recorderDeadlineUpdateInterval, rec.WriteTimeout/2) {
 		return
 	}
 	rec.deadlineSetAt = now
--- a/request/responder/responder.go
+++ b/request/responder/responder.go
@@ -20,14 +20,16 @@
 	RevisionHeader = "Hemlockpin-Tables-Revision"
 	// IgnoredHeader lists the fields of a prompt that had no effect.
 	IgnoredHeader = "Hemlockpin-Ignored"
-	// AgeHeader is the age of the tables in seconds. It is set while a host can
-	// reach neither the store nor peers that reach it.
+	// AgeHeader is the age of the tables in seconds. It is set only if the store has
+	// not confirmed them for some time, neither to this host nor to its peers.
 	AgeHeader = "Hemlockpin-Tables-Age"
-	// InForceHeader is the number of hosts known to have an accepted edit in force.
+	// InForceHeader is the number of hosts that have an accepted edit in force: the
+	// host that accepted the edit and the hosts that have confirmed it.
 	InForceHeader = "Hemlockpin-Tables-In-Force"
 )
 
-// Problem is a refusal or failure that is sent to the caller.
+// Problem is a refusal or failure as sent to the caller. A receiver.RefusalError is
+// sent as a Problem.
 type Problem struct {
 	Status     int
 	Code       string
@@ -71,7 +73,7 @@
 	return body
 }
 
-// WriteProblem writes a problem as the whole answer. Nothing may have been written
+// WriteProblem writes a problem as the complete answer. Nothing may have been written
 // before.
 func WriteProblem(wri http.ResponseWriter, pro Problem) {
 	setCode(wri, pro)
