--- a/connection/invoker/engine.go
+++ b/connection/invoker/engine.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// maxReplyBytes bounds a reply that is read into memory. The rest of a longer reply is
+// not read.
 const maxReplyBytes = 16 << 20
 
 // Owner identifies the host process on whose behalf an engine works.
@@ -17,8 +19,9 @@
 // Part is the share of one engine in a group of engines that hold one prompt
 // together.
 type Part struct {
-	Endpoint      string
-	Address       string
+	Endpoint string
+	Address  string
+	// Tokens is the memory of the part in tokens.
 	Tokens        int64
 	ReservationID string
 }
@@ -26,7 +29,7 @@
 // GenerateRequest starts or resumes one sequence on an engine.
 type GenerateRequest struct {
 	RequestID string
-	// Attempt is the number of this dispatch of the request, from 1.
+	// Attempt is the number of this attempt of the request, from 1.
 	Attempt      int
 	Owner        Owner
 	Model        string
@@ -39,7 +42,8 @@
 	StartIndex int64
 	// Generated is the text of the tokens before StartIndex.
 	Generated string
-	BudgetMs  int64
+	// BudgetMs is the time until the request's deadline.
+	BudgetMs int64
 	// ReservationID identifies memory reserved earlier for the request.
 	ReservationID string
 	// Group lists the engines that hold the prompt together, the called engine first.
@@ -63,7 +67,8 @@
 	RequestID string
 	Attempt   int
 	Owner     Owner
-	Tokens    int64
+	// Tokens is the memory in tokens.
+	Tokens int64
 	// Kind is Running, Queued, Reservation or Export.
 	Kind string
 	// ID identifies a reservation or an export.
@@ -86,8 +91,8 @@
 	return time.Duration(seq.ExpiresMs)*time.Millisecond < age-margin
 }
 
-// Load is an engine's report of its work and its memory in tokens. It lags
-// behind the engine's state.
+// Load is an engine's load report. Memory is counted in tokens. The report lags behind
+// the engine's state.
 type Load struct {
 	Engine             string
 	Incarnation        uint64
@@ -100,12 +105,13 @@
 	MemoryTokens       int64
 	UsedTokens         int64
 	CachedTokens       int64
-	PrefillRate        float64
-	StepMs             float64
+	// PrefillRate is in tokens per second; StepMs is the duration of one decode step.
+	PrefillRate float64
+	StepMs      float64
 	// AgeMs is the age of the report when it was sent.
 	AgeMs     int64
 	Sequences []MemoryHolder
-	// Partial marks a report that was read without its sequences.
+	// Partial marks a report without Sequences, as read by Summary.
 	Partial bool `json:"-"`
 }
 
@@ -124,10 +130,10 @@
 	return loa, err
 }
 
-// Suspects reads those holders of an engine's memory that may have been
-// abandoned: those without a connection, without progress for minIdle, or past
-// their deadline. The list lags like the load report and is almost always empty
-// in normal operation.
+// Suspects reads a load report that lists only the memory holders that may have been
+// abandoned: without a connection, without progress for minIdle, or past their
+// deadline. The list lags like the full report and is almost always empty in normal
+// operation.
 func (inv *Invoker) Suspects(ctx context.Context, address string, minIdle time.Duration) (Load, error) {
 	var loa Load
 	err := inv.get(ctx, "Invoker.Suspects", address, "/v1/load?MinIdleMs="+strconv.FormatInt(minIdle.Milliseconds(), 10), &loa)
@@ -139,7 +145,8 @@
 	ReservationID string
 	RequestID     string
 	Owner         Owner
-	Tokens        int64
+	// Tokens is the reserved memory in tokens.
+	Tokens int64
 	// BudgetMs is the time until the request's deadline; 0 selects the engine's
 	// default.
 	BudgetMs int64
@@ -147,8 +154,8 @@
 	WaitMs int64
 }
 
-// ReserveFor reserves memory of an engine until it is released. It is idempotent
-// by reservation ID.
+// ReserveFor reserves memory of an engine until the reservation is released or its
+// BudgetMs has passed. It is idempotent by reservation ID.
 func (inv *Invoker) ReserveFor(ctx context.Context, address string, res Reservation) error {
 	return inv.post(ctx, "Invoker.ReserveFor", address, "/v1/reserve", res)
 }
@@ -164,7 +171,9 @@
 	Owner     Owner
 }
 
-// Free releases memory whose owner no longer uses it. It is idempotent.
+// Free releases the memory of a holder of any kind whose owner no longer uses it.
+// Release frees only a reservation or an export, by its identifier; Cancel stops
+// attempts of a request. Free is idempotent.
 func (inv *Invoker) Free(ctx context.Context, address string, fre FreeRequest) error {
 	return inv.post(ctx, "Invoker.Free", address, "/v1/free", fre)
 }
@@ -175,7 +184,7 @@
 	return inv.ReserveFor(ctx, address, Reservation{ReservationID: reservationID, RequestID: requestID, Owner: own, Tokens: tokens})
 }
 
-// Release frees a reservation or an export. It is idempotent.
+// Release frees a reservation or an export by its identifier. It is idempotent.
 func (inv *Invoker) Release(ctx context.Context, address, id string) error {
 	return inv.post(ctx, "Invoker.Release", address, "/v1/release", struct{ ID string }{id})
 }
@@ -184,12 +193,13 @@
 // numbers means that events were lost.
 type CacheEvent struct {
 	Sequence uint64
-	Stored   []uint64
-	Evicted  []uint64
-	Cleared  bool
+	// Stored and Evicted are chained hashes of prefix blocks.
+	Stored  []uint64
+	Evicted []uint64
+	Cleared bool
 }
 
-// Order tells an engine to load a model, adapter or version, or to change its
+// Order instructs an engine to load a model, an adapter or a version, or to change its
 // role.
 type Order struct {
 	ID string
@@ -206,13 +216,14 @@
 	ExpectedGeneration uint64
 }
 
-// SendOrder sends an order to an engine. Its errors name the step
-// Invoker.GiveOrder, because operators see their text.
+// SendOrder sends an order to an engine. The step in its errors stays
+// Invoker.GiveOrder, because operators see the text of the errors.
 func (inv *Invoker) SendOrder(ctx context.Context, address string, ord Order) error {
 	return inv.post(ctx, "Invoker.GiveOrder", address, "/v1/orders", ord)
 }
 
-// Export makes the engine keep the KV cache of a completed prefix for transfer.
+// Export makes the engine keep the KV cache of a completed prefix for transfer. The
+// hashes are the chained hashes of the prefix blocks.
 func (inv *Invoker) Export(ctx context.Context, address, exportID string, own Owner, hashes []uint64) error {
 	return inv.post(ctx, "Invoker.Export", address, "/v1/kv/export", struct {
 		ExportID string
--- a/connection/invoker/invoker.go
+++ b/connection/invoker/invoker.go
@@ -26,11 +26,11 @@
 	// gzipEncoding is the content encoding of compressed reports.
 	gzipEncoding = "gzip"
 
-	dialTimeout        = 500 * time.Millisecond
-	idleConnTimeout    = 30 * time.Second
-	maxIdlePerEndpoint = 64
-	// clientRetention is how long the connections to an endpoint are kept without
-	// a call.
+	dialTimeout             = 500 * time.Millisecond
+	idleConnTimeout         = 30 * time.Second
+	maxIdleConnsPerEndpoint = 64
+	// clientRetention is how long the client of an endpoint is kept without a call.
+	// It is also the interval at which unused clients are removed.
 	clientRetention = 10 * time.Minute
 )
 
@@ -68,25 +68,25 @@
 
 // Invoker calls endpoints by address. Its zero value is ready to use.
 type Invoker struct {
-	// Traffic counts the bytes of prompts and of service calls that may be
-	// repeated, Control those of control calls, such as load reports. Service
-	// calls that run at most once are not counted.
+	// Traffic counts the bytes of generate calls and of service calls without
+	// AtMostOnce. Control counts the bytes of control calls, such as reading load
+	// reports. Service calls with AtMostOnce are not counted.
 	Traffic counter.Traffic
 	Control counter.Traffic
 
-	mu        sync.Mutex
-	clients   map[peer]*client
-	lastSweep time.Time
+	mu          sync.Mutex
+	clients     map[poolKey]*client
+	lastRemoval time.Time
 }
 
-// peer identifies a connection pool by the endpoint's address and by whether the
+// poolKey identifies a connection pool by the endpoint's address and by whether the
 // pool serves control calls.
-type peer struct {
+type poolKey struct {
 	address string
 	control bool
 }
 
-// client is the connection pool of one peer. Pools are separate so that the
+// client is the connection pool of one poolKey. Pools are separate so that the
 // connections to an unresponsive endpoint can be closed without affecting other
 // endpoints.
 type client struct {
@@ -95,25 +95,25 @@
 	lastUsed  time.Time
 }
 
-func (inv *Invoker) client(pee peer) *http.Client {
+func (inv *Invoker) client(key poolKey) *http.Client {
 	now := time.Now()
 	inv.mu.Lock()
 	defer inv.mu.Unlock()
-	cli := inv.clients[pee]
+	cli := inv.clients[key]
 	if cli == nil {
-		cli = newClient(inv.trafficOf(pee))
+		cli = newClient(inv.trafficOf(key))
 		if inv.clients == nil {
-			inv.clients = map[peer]*client{}
+			inv.clients = map[poolKey]*client{}
 		}
-		inv.clients[pee] = cli
+		inv.clients[key] = cli
 	}
 	cli.lastUsed = now
 	inv.removeUnused(now)
 	return &cli.Client
 }
 
-func (inv *Invoker) trafficOf(pee peer) *counter.Traffic {
-	if pee.control {
+func (inv *Invoker) trafficOf(key poolKey) *counter.Traffic {
+	if key.control {
 		return &inv.Control
 	}
 	return &inv.Traffic
@@ -122,7 +122,7 @@
 func newClient(traffic *counter.Traffic) *client {
 	tra := &http.Transport{
 		DialContext:         traffic.Dialer(dialTimeout),
-		MaxIdleConnsPerHost: maxIdlePerEndpoint,
+		MaxIdleConnsPerHost: maxIdleConnsPerEndpoint,
 		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
@@ -132,18 +132,20 @@
 // removeUnused removes the clients of endpoints that have not been called for
 // clientRetention. The caller holds the lock.
 func (inv *Invoker) removeUnused(now time.Time) {
-	if now.Sub(inv.lastSweep) < clientRetention {
+	if now.Sub(inv.lastRemoval) < clientRetention {
 		return
 	}
-	inv.lastSweep = now
-	for pee, cli := range inv.clients {
+	inv.lastRemoval = now
+	for key, cli := range inv.clients {
 		if now.Sub(cli.lastUsed) > clientRetention {
 			cli.transport.CloseIdleConnections()
-			delete(inv.clients, pee)
+			delete(inv.clients, key)
 		}
 	}
 }
 
+// atMostOnceClient opens a connection for each call and follows no redirects, so that
+// it sends a call at most once.
 var atMostOnceClient = &http.Client{
 	Transport: &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -160,7 +162,7 @@
 	if cal.AtMostOnce {
 		return atMostOnceClient
 	}
-	return inv.client(peer{address: address})
+	return inv.client(poolKey{address: address})
 }
 
 // CloseIdleConnections closes the idle connections to an endpoint, so that later
@@ -170,13 +172,15 @@
 	inv.mu.Lock()
 	defer inv.mu.Unlock()
 	for _, control := range []bool{false, true} {
-		if cli := inv.clients[peer{address, control}]; cli != nil {
+		if cli := inv.clients[poolKey{address, control}]; cli != nil {
 			cli.transport.CloseIdleConnections()
 		}
 	}
 }
 
-func setHeaders(ctx context.Context, req *http.Request) {
+// setCommonHeaders sets the content type, which replaces the content type of a
+// ServiceCall, and the trace context.
+func setCommonHeaders(ctx context.Context, req *http.Request) {
 	req.Header.Set("Content-Type", "application/json")
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
 }
@@ -191,6 +195,8 @@
 	return Unknown
 }
 
+// replyError returns the error of a reply with a status other than 200. Its Execution
+// is Unknown unless the endpoint reports whether the request ran.
 func replyError(step, address string, res *http.Response) error {
 	var body struct {
 		Code    string
@@ -205,7 +211,7 @@
 }
 
 func (inv *Invoker) get(ctx context.Context, step, address, path string, out any) error {
-	return inv.exchange(ctx, step, address, http.MethodGet, path, nil, out)
+	return inv.controlCall(ctx, step, address, http.MethodGet, path, nil, out)
 }
 
 func (inv *Invoker) post(ctx context.Context, step, address, path string, in any) error {
@@ -213,19 +219,20 @@
 	if err != nil {
 		return &Error{Step: step, Address: address, Execution: NotRun, Err: err}
 	}
-	return inv.exchange(ctx, step, address, http.MethodPost, path, body, nil)
+	return inv.controlCall(ctx, step, address, http.MethodPost, path, body, nil)
 }
 
-func (inv *Invoker) exchange(ctx context.Context, step, address, method, path string, body []byte, out any) error {
+// controlCall sends a control call and decodes the reply into out, which may be nil.
+func (inv *Invoker) controlCall(ctx context.Context, step, address, method, path string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return &Error{Step: step, Address: address, Execution: NotRun, Err: err}
 	}
-	setHeaders(ctx, req)
+	setCommonHeaders(ctx, req)
 	if method == http.MethodGet {
 		req.Header.Set("Accept-Encoding", gzipEncoding)
 	}
-	res, err := inv.client(peer{address, true}).Do(req)
+	res, err := inv.client(poolKey{address, true}).Do(req)
 	if err != nil {
 		return &Error{Step: step, Address: address, Execution: executionAfter(err), Err: err}
 	}
--- a/connection/invoker/orders.go
+++ b/connection/invoker/orders.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// Kinds of orders.
+// Kinds of orders, the values of Order.Kind.
 const (
 	LoadModel   = "LoadModel"
 	LoadAdapter = "LoadAdapter"
@@ -18,7 +18,8 @@
 
 // EngineConfig is the configuration of an engine.
 type EngineConfig struct {
-	// Generation starts at 1 and increases with each order carried out.
+	// Generation starts at 1 and increases by 1 with each order that the engine
+	// carries out.
 	Generation uint64
 	// Fence is the highest fencing number that the engine has seen.
 	Fence    uint64
--- a/connection/invoker/scanner.go
+++ b/connection/invoker/scanner.go
@@ -25,24 +25,24 @@
 // scanner reads server-sent events. Token events in the usual form, which are
 // nearly all events of a stream, are decoded without reflection.
 type scanner struct {
-	// requestID is the expected identifier; tokens share this string instead of
-	// each allocating a copy.
+	// requestID is the request identifier of the stream. Tokens with this identifier
+	// share the string, which saves an allocation for each token.
 	requestID string
-	kind      []byte
+	eventType []byte
 	data      []byte
 	longLine  []byte
 }
 
-// next reads one event.
+// next reads one event. An error event is returned as a reportedError.
 func (sca *scanner) next(reader *bufio.Reader) (Event, error) {
-	sca.kind = sca.kind[:0]
+	sca.eventType = sca.eventType[:0]
 	sca.data = sca.data[:0]
 	for {
 		line, err := sca.readLine(reader)
 		if err != nil {
 			return nil, err
 		}
-		if len(line) == 0 && len(sca.kind) == 0 && len(sca.data) == 0 {
+		if len(line) == 0 && len(sca.eventType) == 0 && len(sca.data) == 0 {
 			continue
 		}
 		if len(line) == 0 {
@@ -68,6 +68,8 @@
 	return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
 }
 
+// readLongLine reads the rest of a line that exceeds the reader's buffer and returns
+// the line.
 func (sca *scanner) readLongLine(reader *bufio.Reader) ([]byte, error) {
 	for {
 		line, err := reader.ReadSlice('\n')
@@ -86,7 +88,7 @@
 	val = bytes.TrimPrefix(val, []byte(" "))
 	switch string(name) {
 	case "event":
-		sca.kind = append(sca.kind[:0], val...)
+		sca.eventType = append(sca.eventType[:0], val...)
 	case "data":
 		if len(sca.data) > 0 {
 			sca.data = append(sca.data, '\n')
@@ -100,7 +102,7 @@
 }
 
 func (sca *scanner) decode() (Event, error) {
-	switch string(sca.kind) {
+	switch string(sca.eventType) {
 	case "Token":
 		if tok, ok := sca.parseToken(); ok {
 			return tok, nil
@@ -117,7 +119,7 @@
 		}
 		return nil, &rep
 	default:
-		return nil, eris.Wrapf(errMalformed, "unknown event type %.64q", sca.kind)
+		return nil, eris.Wrapf(errMalformed, "unknown event type %.64q", sca.eventType)
 	}
 }
 
@@ -129,8 +131,8 @@
 	return eve, nil
 }
 
-// parseToken decodes a token whose fields come in the usual order and without
-// escapes. It returns false for any other form.
+// parseToken decodes a token event whose fields are in the engines' usual order and
+// contain no escapes. It returns false for any other form.
 func (sca *scanner) parseToken() (Token, bool) {
 	cur := cursor{remaining: sca.data, ok: true}
 	cur.expect(`{"RequestID":`)
--- a/connection/invoker/scanner_test.go
+++ b/connection/invoker/scanner_test.go
@@ -25,12 +25,15 @@
 	}
 }
 
+// TestScanner decodes events that differ in field order, line ends, escapes and size.
+// Token events outside the fast path must be decoded as well, and malformed events must
+// fail with errMalformed.
 func TestScanner(t *testing.T) {
 	tok := Token{RequestID: "r", Attempt: 2, Index: 7, Text: " t00"}
 	tts := []struct {
-		name, txt string
-		want      []Event
-		err       error
+		name, text string
+		want       []Event
+		err        error
 	}{
 		{"plain", "event: Token\ndata: {\"RequestID\":\"r\",\"Attempt\":2,\"Index\":7,\"Text\":\" t00\"}\n\n", []Event{tok}, io.EOF},
 		{"other order", "event: Token\ndata: {\"Text\":\" t00\",\"Index\":7,\"Attempt\":2,\"RequestID\":\"r\"}\n\n", []Event{tok}, io.EOF},
@@ -39,15 +42,15 @@
 		{"escapes", "event: Token\ndata: {\"RequestID\":\"r\",\"Attempt\":2,\"Index\":7,\"Text\":\"\\u00e9\\n\"}\n\n", []Event{Token{"r", 2, 7, "é\n"}}, io.EOF},
 		{"long", "event: Token\ndata: {\"RequestID\":\"r\",\"Attempt\":2,\"Index\":7,\"Text\":\"" + strings.Repeat("x", 500) + "\"}\n\n", []Event{Token{"r", 2, 7, strings.Repeat("x", 500)}}, io.EOF},
 		{"leading zero", "event: Token\ndata: {\"RequestID\":\"r\",\"Attempt\":02,\"Index\":7,\"Text\":\"x\"}\n\n", nil, errMalformed},
-		{"no JSON", "event: Token\ndata: {\n\n", nil, errMalformed},
+		{"invalid JSON", "event: Token\ndata: {\n\n", nil, errMalformed},
 		{"unknown type", "event: Surprise\ndata: {}\n\n", nil, errMalformed},
 		{"too long", "event: Token\ndata: " + strings.Repeat("x", maxEventBytes+1) + "\n\n", nil, errMalformed},
-		{"too many lines", "event: Token\n" + strings.Repeat("data: "+strings.Repeat("x", 1000)+"\n", 1200) + "\n", nil, errMalformed},
-		{"cut", "event: Token\ndata: {\"Requ", nil, io.EOF},
+		{"too long in lines", "event: Token\n" + strings.Repeat("data: "+strings.Repeat("x", 1000)+"\n", 1200) + "\n", nil, errMalformed},
+		{"truncated", "event: Token\ndata: {\"Requ", nil, io.EOF},
 	}
 	for _, tt := range tts {
 		t.Run(tt.name, func(t *testing.T) {
-			got, err := scanAll(tt.txt)
+			got, err := scanAll(tt.text)
 			require.Equal(t, tt.want, got)
 			require.ErrorIs(t, err, tt.err)
 		})
@@ -70,8 +73,8 @@
 	})
 }
 
-// FuzzScanner checks that the scanner neither panics nor returns unknown errors,
-// whatever the input.
+// FuzzScanner checks that the scanner neither panics nor returns an error other than
+// io.EOF, errMalformed and reportedError.
 func FuzzScanner(f *testing.F) {
 	f.Add("event: Token\ndata: {}\n\n")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/connection/invoker/service.go
+++ b/connection/invoker/service.go
@@ -19,19 +19,20 @@
 	// Key is the idempotency key of the call; empty for a repeatable call without
 	// a key.
 	Key string
-	// AtMostOnce marks a call that must not be sent twice.
+	// AtMostOnce marks a call that must run at most once. It is sent on a new
+	// connection.
 	AtMostOnce bool
 }
 
-// ServiceReply is the complete answer of a plain service.
+// ServiceReply is the answer of a plain service. Body is truncated at maxReplyBytes.
 type ServiceReply struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Call sends a call to the service at address. A reply with any status is
-// returned without an error; an Error states whether the call ran.
+// Call sends a call to the service at address. It returns a reply with any status
+// without an error. A returned Error states whether the call ran.
 func (inv *Invoker) Call(ctx context.Context, address string, cal ServiceCall) (ServiceReply, error) {
 	req, err := http.NewRequestWithContext(ctx, cal.Method, "http://"+address+cal.Path, bytes.NewReader(cal.Body))
 	if err != nil {
@@ -40,7 +41,7 @@
 	for name, val := range cal.Header {
 		req.Header[name] = val
 	}
-	setHeaders(ctx, req)
+	setCommonHeaders(ctx, req)
 	if cal.Key != "" {
 		req.Header.Set(KeyHeader, cal.Key)
 	}
--- a/connection/invoker/stream.go
+++ b/connection/invoker/stream.go
@@ -17,7 +17,8 @@
 const (
 	// maxEventBytes bounds the size of one event of a stream.
 	maxEventBytes = 1 << 20
-	// streamBufferBytes holds some dozens of tokens that arrive together.
+	// streamBufferBytes is the size of a stream's read buffer, enough for several
+	// dozen token events.
 	streamBufferBytes = 8 << 10
 	// EventTimeout bounds the time between two events of a stream, and the time
 	// to the reply after the upload. Engines send an event at least every 500 ms.
@@ -35,13 +36,14 @@
 	EnginePromptHeader  = "Engine-Prompt-Tokens"
 )
 
-// ErrMismatch reports an answer to a different request than the one sent.
+// ErrMismatch reports that the engine answered a different request, attempt, model or
+// prompt length.
 var ErrMismatch = eris.New("invoker: the answer is to another request")
 
 // Event is one event of an engine's answer: Token, Finish or Idle.
 type Event interface{ event() }
 
-// Token is one generated token. RequestID and Attempt identify its dispatch.
+// Token is one generated token. RequestID and Attempt identify the attempt.
 type Token struct {
 	RequestID string
 	Attempt   int
@@ -49,7 +51,7 @@
 	Text      string
 }
 
-// Finish ends a complete answer.
+// Finish is the last event of a complete answer.
 type Finish struct {
 	RequestID string
 	Attempt   int
@@ -60,7 +62,8 @@
 	CompletionTokens int64
 }
 
-// Idle shows that the engine is responsive while it has no token to send.
+// Idle is sent while the engine has no token to send. It shows that the engine is
+// responsive.
 type Idle struct {
 	// Prefilled counts the prompt tokens that have been prefilled.
 	Prefilled int64
@@ -74,39 +77,39 @@
 
 // Stream is one running answer of an engine. It is not safe for concurrent use.
 type Stream struct {
-	peer   string
-	ctx    context.Context
-	cancel context.CancelFunc
-	body   io.ReadCloser
-	reader *bufio.Reader
+	address string
+	ctx     context.Context
+	cancel  context.CancelFunc
+	body    io.ReadCloser
+	reader  *bufio.Reader
 	// timer closes the connection when nothing arrives in time.
 	timer    *time.Timer
 	timedOut atomic.Bool
-	// ran is Unknown until the first token arrives, since the engine may not have
-	// started the request before, and then Ran.
-	ran     Execution
-	scanner scanner
-	// unread holds tokens that Next returns before it reads further events.
-	unread []Token
+	// execution is Ran after the first token. Before, it is Unknown, since the engine
+	// may not have started the request.
+	execution Execution
+	scanner   scanner
+	// pushedBack holds tokens that Next returns before it reads further events.
+	pushedBack []Token
 }
 
-// Generate dispatches a request to the engine at address and returns its
+// Generate sends a request to the engine at address and returns its
 // stream. The stream must be closed.
 func (inv *Invoker) Generate(ctx context.Context, address string, gen GenerateRequest) (*Stream, error) {
 	body, err := json.Marshal(gen)
 	if err != nil {
 		return nil, &Error{Step: "Invoker.Generate: encode", Address: address, Execution: NotRun, Err: err}
 	}
-	str := &Stream{peer: address, ran: Unknown}
+	str := &Stream{address: address, execution: Unknown}
 	str.ctx, str.cancel = context.WithCancel(ctx)
-	str.timer = time.AfterFunc(EventTimeout+maxUploadTime(len(body)), str.timeOut)
+	str.timer = time.AfterFunc(EventTimeout+maxUploadTime(len(body)), str.onTimeout)
 	req, err := http.NewRequestWithContext(str.ctx, http.MethodPost, "http://"+address+"/v1/generate", bytes.NewReader(body))
 	if err != nil {
 		defer str.Close()
 		return nil, &Error{Step: "Invoker.Generate: build", Address: address, Execution: NotRun, Err: err}
 	}
-	setHeaders(ctx, req)
-	res, err := inv.client(peer{address: address}).Do(req)
+	setCommonHeaders(ctx, req)
+	res, err := inv.client(poolKey{address: address}).Do(req)
 	if err != nil {
 		defer str.Close()
 		return nil, str.openError(err)
@@ -135,13 +138,13 @@
 	return time.Duration(bytes) * time.Second / minUploadRate
 }
 
-// openError returns the error of a dispatch without a reply. After a timeout it
-// is unknown whether the engine ran the request.
+// openError returns the error of a request that got no reply. After a timeout it is
+// unknown whether the engine ran the request.
 func (str *Stream) openError(err error) error {
 	if str.timedOut.Load() {
-		return &Error{Step: "Invoker.Generate: silent", Address: str.peer, Execution: Unknown, Err: ErrUnresponsive}
+		return &Error{Step: "Invoker.Generate: silent", Address: str.address, Execution: Unknown, Err: ErrUnresponsive}
 	}
-	return &Error{Step: "Invoker.Generate: send", Address: str.peer, Execution: executionAfter(err), Err: err}
+	return &Error{Step: "Invoker.Generate: send", Address: str.address, Execution: executionAfter(err), Err: err}
 }
 
 func checkReply(header http.Header, gen GenerateRequest) error {
@@ -159,7 +162,7 @@
 	return nil
 }
 
-func (str *Stream) timeOut() {
+func (str *Stream) onTimeout() {
 	str.timedOut.Store(true)
 	str.cancel()
 }
@@ -167,9 +170,9 @@
 // Next waits for the next event. If nothing arrives within timeout, it closes
 // this stream's connection and returns ErrUnresponsive in an Error.
 func (str *Stream) Next(timeout time.Duration) (Event, error) {
-	if len(str.unread) > 0 {
-		tok := str.unread[0]
-		str.unread = str.unread[1:]
+	if len(str.pushedBack) > 0 {
+		tok := str.pushedBack[0]
+		str.pushedBack = str.pushedBack[1:]
 		return tok, nil
 	}
 	str.timer.Reset(timeout)
@@ -179,13 +182,13 @@
 		return nil, str.readError(err)
 	}
 	if _, ok := eve.(Token); ok {
-		str.ran = Ran
+		str.execution = Ran
 	}
 	return eve, nil
 }
 
 func (str *Stream) readError(err error) error {
-	out := &Error{Step: "Stream.Next", Address: str.peer, Execution: str.ran, Err: err}
+	out := &Error{Step: "Stream.Next", Address: str.address, Execution: str.execution, Err: err}
 	var rep *reportedError
 	switch {
 	case str.timedOut.Load():
@@ -208,12 +211,12 @@
 
 // PushBack makes Next return toks again before further events. toks are the last
 // tokens that Next returned.
-func (str *Stream) PushBack(toks []Token) { str.unread = toks }
+func (str *Stream) PushBack(toks []Token) { str.pushedBack = toks }
 
 // Buffered reports whether Next can return an event without reading from the
-// connection.
+// connection. It may return false if an event with CRLF line ends is buffered.
 func (str *Stream) Buffered() bool {
-	if len(str.unread) > 0 {
+	if len(str.pushedBack) > 0 {
 		return true
 	}
 	n := str.reader.Buffered()
@@ -224,8 +227,8 @@
 	return bytes.Contains(buf, []byte("\n\n"))
 }
 
-// Close closes the connection of the stream. The engine stops the sequence when
-// it notices; Invoker.Cancel stops it reliably.
+// Close closes the connection of the stream. The engine stops the sequence when it
+// detects the closed connection; Invoker.Cancel stops the sequence reliably.
 func (str *Stream) Close() {
 	str.timer.Stop()
 	str.cancel()
