--- a/connection/exchanger/exchanger.go
+++ b/connection/exchanger/exchanger.go
@@ -25,13 +25,14 @@
 	// dialTimeout bounds the connection set-up, which takes milliseconds between
 	// data centres of a region.
 	dialTimeout = 400 * time.Millisecond
-	// readBufferBytes holds the head of an answer and several events of a stream.
+	// readBufferBytes is the size of a read buffer, enough for the head of an answer
+	// and several events of a stream.
 	readBufferBytes = 4 << 10
 	// maxInterimAnswers bounds the interim (1xx) answers before the final one, and
 	// maxHeadBytes the total size of all their heads: a faulty endpoint may send
 	// bytes without end.
-	maxInterimAnswers = 8
-	maxHeadBytes      = 64 << 10
+	maxAnswers   = 8
+	maxHeadBytes = 64 << 10
 	// concurrentBodyBytes is the size from which the body is sent while the answer
 	// is read, since an endpoint may answer before it has read the whole body.
 	concurrentBodyBytes = 16 << 10
@@ -72,8 +73,9 @@
 	// Target is the path and query, unchanged from the caller's request.
 	Target string
 	Host   string
-	// Header builds the header after the connection is established, so that its
-	// times are those of the send. If it fails, the request is not sent.
+	// Header builds the header after the connection is established, so that times in
+	// the header refer to the moment of sending. If Header fails, the request is not
+	// sent.
 	Header func() (http.Header, error)
 	Body   []byte
 }
@@ -86,8 +88,8 @@
 	Body   *bufio.Reader
 	// Length is the announced length of the body in bytes; -1 if it is unknown.
 	Length int64
-	// Framed reports whether the end of the body is marked, by its length or by
-	// chunked encoding, and not only by the end of the connection.
+	// Framed reports whether the answer marks the end of the body, by a length or by
+	// chunked encoding. If not, the body ends with the connection.
 	Framed bool
 
 	con  net.Conn
@@ -113,8 +115,8 @@
 // the connection is closed at once, also while the body is read. An error is a
 // NotSentError or a NoAnswerError.
 func (exc *Exchanger) Exchange(ctx context.Context, address string, req Request) (*Answer, error) {
-	dia := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
-	con, err := dia.DialContext(ctx, "tcp", address)
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
+	con, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, &NotSentError{Address: address, Err: err}
 	}
@@ -178,17 +180,17 @@
 	return err
 }
 
-// receive skips interim answers and reads the head of the final one.
+// receive skips interim answers and reads the head of the final answer.
 func receive(con net.Conn, method string) (*http.Response, error) {
-	hea := &headReader{Reader: con, remaining: maxHeadBytes}
-	reader := bufio.NewReaderSize(hea, readBufferBytes)
-	for range maxInterimAnswers {
+	limited := &headReader{Reader: con, remaining: maxHeadBytes}
+	reader := bufio.NewReaderSize(limited, readBufferBytes)
+	for range maxAnswers {
 		res, err := http.ReadResponse(reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
 		if res.StatusCode >= http.StatusOK {
-			hea.done = true
+			limited.done = true
 			return res, nil
 		}
 	}
@@ -205,7 +207,8 @@
 	done      bool
 }
 
-// Read fails once the heads exceed the limit.
+// Read reads from the connection. Until done is set, it fails with errHeadTooLarge
+// once remaining is used up.
 func (hea *headReader) Read(buf []byte) (int, error) {
 	if hea.done {
 		return hea.Reader.Read(buf)
