--- a/connection/acceptor/acceptor.go
+++ b/connection/acceptor/acceptor.go
@@ -16,9 +16,11 @@
 const (
 	// drainPollInterval is how often a draining host checks for open connections.
 	drainPollInterval = 20 * time.Millisecond
-	refusalTimeout    = time.Second
+	// refusalTimeout bounds the refusal of a connection, and refusalReadBytes what is
+	// read from the connection after its answer.
+	refusalTimeout = time.Second
 	// maxRefusals bounds the surplus connections that concurrently get a 503
-	// answer; any beyond it are closed without an answer.
+	// answer; further surplus connections are closed without an answer.
 	maxRefusals      = 64
 	refusalReadBytes = 64 << 10
 )
@@ -34,7 +36,8 @@
 // they time out.
 type Listener struct {
 	net.Listener
-	// Max is the limit, Refused counts the surplus connections.
+	// Max is the maximum number of open connections. Refused counts the connections
+	// above it.
 	Max     int64
 	Refused tally.Counter
 
@@ -84,8 +87,9 @@
 // answer if its request is read after the shutdown began.
 func (lis *Listener) Drain(server *http.Server) {
 	for {
-		// SetKeepAlivesEnabled also closes idle connections. It comes before the
-		// listener is closed, so that each later answer has Connection: close.
+		// SetKeepAlivesEnabled is called before the listener is closed, so that every
+		// answer after that has Connection: close. It also closes idle connections; the
+		// loop repeats the call for connections that became idle.
 		server.SetKeepAlivesEnabled(false)
 		_ = lis.Close()
 		if lis.open.Load() == 0 {
--- a/connection/acceptor/acceptor_test.go
+++ b/connection/acceptor/acceptor_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCloseAnswersAccepted sends a request on a connection that was accepted before
+// TestDrainAnswersAccepted sends a request on a connection that was accepted before
 // the host began to drain. The request must get an answer, with Connection: close.
-func TestCloseAnswersAccepted(t *testing.T) {
+func TestDrainAnswersAccepted(t *testing.T) {
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	lis := &Listener{Listener: raw, Max: 8}
@@ -28,6 +28,7 @@
 		lis.Drain(server)
 		close(drained)
 	}()
+	// Drain has closed the listener once a dial fails.
 	require.Eventually(t, func() bool {
 		probe, err := net.Dial("tcp", raw.Addr().String())
 		if err == nil {
--- a/connection/counter/counter.go
+++ b/connection/counter/counter.go
@@ -21,7 +21,8 @@
 	// Sent and Received are TCP payload bytes, without headers.
 	Sent     int64
 	Received int64
-	// Opened is the number of connections that were opened.
+	// Opened is the number of connections counted so far, including closed
+	// connections.
 	Opened int64
 }
 
@@ -58,6 +59,7 @@
 	}
 }
 
+// conn counts the bytes of a connection.
 type conn struct {
 	net.Conn
 	traffic *Traffic
--- a/connection/counter/counter_test.go
+++ b/connection/counter/counter_test.go
@@ -10,6 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestTraffic counts both directions of a connection. A nil Traffic must return the
+// connection itself and zero counts.
 func TestTraffic(t *testing.T) {
 	var tra counter.Traffic
 	raw, peer := net.Pipe()
--- a/connection/persister/list.go
+++ b/connection/persister/list.go
@@ -16,7 +16,8 @@
 // gzipEncoding is the content encoding of a compressed list.
 const gzipEncoding = "gzip"
 
-// listCache holds the list that was read last.
+// listCache is the last received list with its ETag. receivedBytes is the length of
+// the last answer's body, also if the list had not changed.
 type listCache struct {
 	mu            sync.Mutex
 	etag          string
@@ -68,6 +69,6 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "unpack answer")
 	}
-	out, err := io.ReadAll(io.LimitReader(reader, maxListBytes))
+	out, err := io.ReadAll(io.LimitReader(reader, maxAnswerBytes))
 	return out, eris.Wrap(err, "unpack answer")
 }
--- a/connection/persister/list_test.go
+++ b/connection/persister/list_test.go
@@ -13,8 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestListOfFullSize reads a list of the intended size: it is compressed, limited
-// to the endpoints of the local region, and not transferred again unchanged.
+// TestListOfFullSize reads a list of 401 entries. The answer must be compressed and
+// contain only the endpoints of the local region and all hosts, and the list must not
+// be transferred again until it changes.
 func TestListOfFullSize(t *testing.T) {
 	kee := keeper.New(keeper.Settings{ReadRate: 1000, WriteRate: 1000})
 	ser := httptest.NewServer(kee.Handler())
@@ -29,6 +30,7 @@
 		})
 	}
 	put(persister.Entry{ID: "host-0", Kind: persister.KindHost, Region: "region-3"})
+	// The keeper serves the newest list that is older than ListLag, which is 0 here.
 	time.Sleep(time.Millisecond)
 	per := persister.Persister{BaseURL: ser.URL, Region: "region-1"}
 	ents, err := per.Entries(t.Context())
--- a/connection/persister/persister.go
+++ b/connection/persister/persister.go
@@ -28,15 +28,16 @@
 	// MaxValueBytes bounds the size of an object's value.
 	MaxValueBytes = 1 << 20
 
-	maxListBytes = 64 << 20
+	// maxAnswerBytes bounds the body of an answer, as received and as decompressed.
+	maxAnswerBytes = 64 << 20
 
 	dialTimeout     = 500 * time.Millisecond
 	idleConnTimeout = 30 * time.Second
 	maxIdleConns    = 64
 )
 
-// Errors of calls to the platform. Put documents after which errors it is unknown
-// whether a write or a deletion took effect.
+// Errors of calls to the platform. For the errors after which a write or a deletion
+// may have taken effect, see Put.
 var (
 	ErrNotFound    = eris.New("persister: object not found")
 	ErrConflict    = eris.New("persister: object has another version")
@@ -55,7 +56,8 @@
 // EntryKind is the kind of a process in the list.
 type EntryKind string
 
-// Kinds of processes in the list. The platform calls a host an entry.
+// Kinds of processes in the list. The platform's name for the kind of a host is Entry;
+// it does not mean the type Entry.
 const (
 	KindHost    EntryKind = "Entry"
 	KindEngine  EntryKind = "Engine"
@@ -77,7 +79,8 @@
 // Persister calls the platform at BaseURL.
 type Persister struct {
 	BaseURL string
-	// Client sends the calls. If it has no transport, one is created.
+	// Client sends the calls. If it has no transport, a transport is created at the
+	// first call.
 	Client http.Client
 	// Region limits the list to the hosts of all regions and the endpoints of
 	// this region, if the platform supports that; empty for all endpoints.
@@ -133,13 +136,13 @@
 	return eris.Wrapf(err, "Persister.Delete: %s at platform %s", path, per.BaseURL)
 }
 
-// Watch waits until an object whose path has the prefix gets a version above
-// after, or until wait has passed, and returns the changed objects.
-func (per *Persister) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Object, error) {
+// Watch waits until an object whose path has the prefix has a version above
+// afterVersion, or until maxWait has passed, and returns the changed objects.
+func (per *Persister) Watch(ctx context.Context, prefix string, afterVersion uint64, maxWait time.Duration) ([]Object, error) {
 	query := url.Values{}
 	query.Set("Prefix", prefix)
-	query.Set("After", strconv.FormatUint(after, 10))
-	query.Set("WaitMs", strconv.FormatInt(wait.Milliseconds(), 10))
+	query.Set("After", strconv.FormatUint(afterVersion, 10))
+	query.Set("WaitMs", strconv.FormatInt(maxWait.Milliseconds(), 10))
 	res, err := per.do(ctx, http.MethodGet, "/v1/watch?"+query.Encode(), nil, nil)
 	if err != nil {
 		return nil, eris.Wrapf(err, "Persister.Watch: %s at platform %s", prefix, per.BaseURL)
@@ -154,8 +157,8 @@
 	body []byte
 	// receivedBytes is the length of the body as received, before decompression.
 	receivedBytes int
-	// unchanged is set if the platform answered that the list is still the version
-	// named in the request.
+	// unchanged is set if the platform answered with status 304: the list still has
+	// the ETag of the request.
 	unchanged bool
 }
 
@@ -174,7 +177,7 @@
 		return response{}, eris.Wrap(err, "send")
 	}
 	defer res.Body.Close()
-	buf, err := io.ReadAll(io.LimitReader(res.Body, maxListBytes))
+	buf, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
 		per.closeIdleAfterTimeout(err)
 		return response{}, eris.Wrap(err, "read answer")
@@ -193,8 +196,7 @@
 }
 
 // closeIdleAfterTimeout closes the idle connections if err is a timeout: a
-// network fault that blocks one established connection may block all of them,
-// while new connections work.
+// network fault may block all established connections while new connections work.
 func (per *Persister) closeIdleAfterTimeout(err error) {
 	if errors.Is(err, context.DeadlineExceeded) {
 		per.client().CloseIdleConnections()
--- a/connection/persister/weights.go
+++ b/connection/persister/weights.go
@@ -19,9 +19,9 @@
 // currentVersion is the name under which the store serves the current version.
 const currentVersion = "current"
 
-// Weights requests one read of a model's weights from the weight store; an empty
-// version selects the current version. The store limits the rate of reads and
-// refuses those above it with ErrRateLimited.
+// Weights reads the description of a model's weights, which the weight store counts as
+// one read of the weights; an empty version selects the current version. The store
+// limits the rate of reads and refuses further reads with ErrRateLimited.
 func (per *Persister) Weights(ctx context.Context, model, version string) (Weights, error) {
 	var wei Weights
 	if version == "" {
