--- a/connection/exchanger/exchanger.go
+++ b/connection/exchanger/exchanger.go
@@ -28,10 +28,10 @@
 	// readBufferBytes is the size of a read buffer, enough for the head of an answer
 	// and several events of a stream.
 	readBufferBytes = 4 << 10
-	// maxInterimAnswers bounds the interim (1xx) answers before the final one, and
-	// maxHeadBytes the total size of all their heads: a faulty endpoint may send
-	// bytes without end.
-	maxAnswers   = 8
+	// maxAnswers bounds the answers that are read, interim (1xx) and final.
+	maxAnswers = 8
+	// maxHeadBytes bounds the total size of the heads of these answers, since a faulty
+	// endpoint may send bytes without end.
 	maxHeadBytes = 64 << 10
 	// concurrentBodyBytes is the size from which the body is sent while the answer
 	// is read, since an endpoint may answer before it has read the whole body.
