--- a/connection/messenger/messenger.go
+++ b/connection/messenger/messenger.go
@@ -1,5 +1,5 @@
-// Package messenger defines the protobuf messages between entry hosts and their
-// framing.
+// Package messenger defines the protobuf messages between hosts, and the framing of
+// the messages.
 //
 // A frame is a four-byte big-endian length followed by one encoded Envelope.
 package messenger
@@ -20,6 +20,7 @@
 	// tables of one megabyte.
 	MaxFrameBytes = 4 << 20
 
+	// lengthBytes is the size of the length field of a frame.
 	lengthBytes = 4
 )
 
@@ -74,7 +75,7 @@
 	return env, nil
 }
 
-// NewFailure returns an envelope that refuses a call.
+// NewFailure returns the reply to a call that is refused or has failed.
 func NewFailure(code, message string) *Envelope {
 	return &Envelope{Body: &Envelope_Failure{Failure: &Failure{Code: code, Message: message}}}
 }
--- a/connection/messenger/messenger_test.go
+++ b/connection/messenger/messenger_test.go
@@ -26,6 +26,8 @@
 	return buf.Bytes()
 }
 
+// TestReadRefuses reads truncated, oversized and undecodable frames and a frame of
+// another protocol version; each must give its own error.
 func TestReadRefuses(t *testing.T) {
 	complete := frame(t, ping(1))
 	otherVersion := proto.CloneOf(ping(1))
@@ -70,6 +72,7 @@
 	})
 }
 
+// BenchmarkPing writes and reads a ping, and reports the size of its frame.
 func BenchmarkPing(b *testing.B) {
 	for _, updates := range []int{0, 8} {
 		b.Run(fmt.Sprintf("%d updates", updates), func(b *testing.B) {
