--- a/connection/invoker/engine.go
+++ b/connection/invoker/engine.go
@@ -87,8 +87,8 @@
 
 // Expired reports whether the owner's deadline has passed by more than margin.
 // The age is the time since the report was made.
-func (seq MemoryHolder) Expired(age, margin time.Duration) bool {
-	return time.Duration(seq.ExpiresMs)*time.Millisecond < age-margin
+func (hol MemoryHolder) Expired(age, margin time.Duration) bool {
+	return time.Duration(hol.ExpiresMs)*time.Millisecond < age-margin
 }
 
 // Load is an engine's load report. Memory is counted in tokens. The report lags behind
--- a/connection/invoker/stream.go
+++ b/connection/invoker/stream.go
@@ -129,6 +129,7 @@
 	return str, nil
 }
 
+// setBody sets the body of the reply and its buffered reader.
 func (str *Stream) setBody(body io.ReadCloser) {
 	str.body = body
 	str.reader = bufio.NewReaderSize(body, streamBufferBytes)
