--- a/connection/messenger/messenger.go
+++ b/connection/messenger/messenger.go
@@ -1,5 +1,5 @@
-// Package messenger defines the protobuf messages between entry hosts and their
-// framing.
+// Package messenger defines the protobuf messages between hosts, and the framing of
+// the messages.
 //
 // A frame is a four-byte big-endian length followed by one encoded Envelope.
 package messenger
@@ -20,13 +20,14 @@
 	// tables of one megabyte.
 	MaxFrameBytes = 4 << 20
 
+	// lengthBytes is the size of the length field of a frame.
 	lengthBytes = 4
 )
 
 // Errors of Read and Write.
 var (
-	ErrFrameTooLarge = eris.New("messenger: frame exceeds the maximum size")
-	ErrProtocol      = eris.New("messenger: peer speaks another protocol version")
+	ErrFrameTooLarge   = eris.New("messenger: frame exceeds the maximum size")
+	ErrProtocolVersion = eris.New("messenger: peer speaks another protocol version")
 )
 
 // Write sets the protocol version of an envelope and sends it as one frame.
@@ -47,7 +48,7 @@
 }
 
 // Read receives one frame. It returns io.EOF unwrapped if the stream ends before
-// a frame starts, and ErrProtocol for an envelope of another protocol version.
+// a frame starts, and ErrProtocolVersion for an envelope of another protocol version.
 func Read(reader io.Reader) (*Envelope, error) {
 	var head [lengthBytes]byte
 	if _, err := io.ReadFull(reader, head[:]); err != nil {
@@ -69,12 +70,12 @@
 		return nil, eris.Wrap(err, "messenger.Read: decode")
 	}
 	if env.GetProtocol() != ProtocolVersion {
-		return nil, ErrProtocol
+		return nil, ErrProtocolVersion
 	}
 	return env, nil
 }
 
-// NewFailure returns an envelope that refuses a call.
+// NewFailure returns the reply to a call that is refused or has failed.
 func NewFailure(code, message string) *Envelope {
 	return &Envelope{Body: &Envelope_Failure{Failure: &Failure{Code: code, Message: message}}}
 }
--- a/process/reclaimer/reclaimer.go
+++ b/process/reclaimer/reclaimer.go
@@ -99,7 +99,7 @@
 	Endpoint string
 	Address  string
 	// Holding names the holding, its owner and its attempt.
-	Holding invoker.Free
+	Holding invoker.FreeRequest
 	Reason  Reason
 	Tokens  int64
 }
@@ -153,16 +153,16 @@
 	return acts
 }
 
-func freeOf(rep Report, seq invoker.Sequence) Free {
+func freeOf(rep Report, seq invoker.MemoryHolder) Free {
 	return Free{
 		Endpoint: rep.Endpoint, Address: rep.Address, Tokens: seq.Tokens,
-		Holding: invoker.Free{Kind: seq.Kind, ID: seq.ID, RequestID: seq.RequestID, Attempt: seq.Attempt, Owner: seq.Owner},
+		Holding: invoker.FreeRequest{Kind: seq.Kind, ID: seq.ID, RequestID: seq.RequestID, Attempt: seq.Attempt, Owner: seq.Owner},
 	}
 }
 
 // reason returns the reason to free a holding. It is empty while the owner may still
 // need the memory.
-func (rec *Reclaimer) reason(rep Report, seq invoker.Sequence, mem Members, loc LocalRequests, now time.Time) Reason {
+func (rec *Reclaimer) reason(rep Report, seq invoker.MemoryHolder, mem Members, loc LocalRequests, now time.Time) Reason {
 	if time.Duration(seq.AgeMs)*time.Millisecond < MinAge {
 		return ""
 	}
@@ -190,7 +190,7 @@
 }
 
 // localReason returns the reason to free a holding that this host owns.
-func localReason(seq invoker.Sequence, loc LocalRequests) Reason {
+func localReason(seq invoker.MemoryHolder, loc LocalRequests) Reason {
 	attempt, ok := loc.Attempt(workID(seq.RequestID, seq.ID))
 	switch {
 	case !ok:
@@ -214,7 +214,7 @@
 // shouldQuery reports whether to query the owner of a holding: another process owns it,
 // it is not younger than MinAge, it is detached or was idle for too long, and no query
 // about it was made within queryInterval.
-func (rec *Reclaimer) shouldQuery(fre Free, seq invoker.Sequence, now time.Time) bool {
+func (rec *Reclaimer) shouldQuery(fre Free, seq invoker.MemoryHolder, now time.Time) bool {
 	if seq.Owner == rec.Self || time.Duration(seq.AgeMs)*time.Millisecond < MinAge {
 		return false
 	}
--- a/request/receiver/receiver.go
+++ b/request/receiver/receiver.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	// MaxBearerBytes bounds the length of a bearer key.
+	// MaxBearerBytes bounds the length of a bearer key, the caller's API key.
 	MaxBearerBytes = 1024
 	// MinTimeLimit is the shortest time limit that a caller may request.
 	MinTimeLimit = time.Millisecond
 )
 
-// BadRequestError is a refusal of the caller's request, with its HTTP status.
-type BadRequestError struct {
+// RefusalError is a refusal of a caller's request, with its HTTP status.
+type RefusalError struct {
 	Status  int
 	Code    string
 	Param   string
@@ -41,7 +41,7 @@
 }
 
 // Error returns the code and the message.
-func (err *BadRequestError) Error() string {
+func (err *RefusalError) Error() string {
 	return fmt.Sprintf("bad request: %s: %s", err.Code, err.Message)
 }
 
@@ -49,27 +49,28 @@
 func BearerKey(hea http.Header) (string, error) {
 	key, ok := strings.CutPrefix(hea.Get("Authorization"), "Bearer ")
 	if !ok || key == "" || len(key) > MaxBearerBytes {
-		return "", &BadRequestError{Status: http.StatusUnauthorized, Code: "invalid_api_key", Message: "a bearer key is required"}
+		return "", &RefusalError{Status: http.StatusUnauthorized, Code: "invalid_api_key", Message: "a bearer key is required"}
 	}
 	return key, nil
 }
 
-// ValidateHeaders validates the headers that hemlockpin defines, before the body is
-// read. The time limit is checked relative to now.
+// ValidateHeaders validates the headers that this package reads, before the body is
+// read. It does not check the bearer key, and the result does not depend on now.
 func ValidateHeaders(hea http.Header, now time.Time) error {
 	for _, name := range []string{TimeLimitHeader, KeyHeader, KeyTimeHeader, "Authorization"} {
 		if len(hea.Values(name)) > 1 {
 			return badRequest("repeated_header", name, "the header "+name+" stands twice")
 		}
 	}
-	if err := validateKey(hea); err != nil {
+	if err := validateIdempotencyKey(hea); err != nil {
 		return err
 	}
+	// Only the form of the header is checked; the result does not depend on the limit.
 	_, err := Deadline(hea, time.Hour, now)
 	return err
 }
 
-func validateKey(hea http.Header) error {
+func validateIdempotencyKey(hea http.Header) error {
 	if len(hea.Values(KeyHeader)) > 0 && !claimer.ValidKey(hea.Get(KeyHeader)) {
 		return badRequest("idempotency_key_invalid", KeyHeader, fmt.Sprintf("the key must be 1 to %d printable ASCII characters without spaces", claimer.MaxKeyBytes))
 	}
@@ -91,5 +92,5 @@
 }
 
 func badRequest(code, param, message string) error {
-	return &BadRequestError{Status: http.StatusBadRequest, Code: code, Param: param, Message: message}
+	return &RefusalError{Status: http.StatusBadRequest, Code: code, Param: param, Message: message}
 }
--- a/request/responder/recorder.go
+++ b/request/responder/recorder.go
@@ -5,7 +5,9 @@
 	"time"
 )
 
-const deadlineRefresh = time.Second
+// recorderDeadlineUpdateInterval is the minimum time between two updates of the write
+// deadline, unless half of Recorder.WriteTimeout is shorter.
+const recorderDeadlineUpdateInterval = time.Second
 
 // Labels describe a request for metrics.
 type Labels struct {
@@ -23,19 +25,19 @@
 	Clock func() time.Time
 	// WriteTimeout bounds each write; 0 means no limit.
 	WriteTimeout time.Duration
-	// OnInterval is called with the time between two consecutive writes; it may
+	// OnWriteInterval is called with the time between two consecutive writes; it may
 	// be nil.
-	OnInterval func(time.Duration)
+	OnWriteInterval func(time.Duration)
 
-	// Labels are set when the route is known.
+	// Labels are set by SetLabels once the route is known; they are empty before.
 	Labels Labels
 	// Status is 0 until the header is written.
 	Status int
 	// Code is the code of the problem sent to the caller; empty for none.
 	Code string
-	// First and Last are the times of the first and the last write.
-	First time.Time
-	Last  time.Time
+	// FirstWrite and LastWrite are the times of the first and the last write.
+	FirstWrite time.Time
+	LastWrite  time.Time
 	// Bytes is the number of bytes of the body written so far.
 	Bytes int64
 	// Err is the first error of a write to the caller.
@@ -62,12 +64,12 @@
 	if rec.Status == 0 {
 		rec.Status = http.StatusOK
 	}
-	if rec.First.IsZero() {
-		rec.First = now
-	} else if rec.OnInterval != nil {
-		rec.OnInterval(now.Sub(rec.Last))
+	if rec.FirstWrite.IsZero() {
+		rec.FirstWrite = now
+	} else if rec.OnWriteInterval != nil {
+		rec.OnWriteInterval(now.Sub(rec.LastWrite))
 	}
-	rec.Last = now
+	rec.LastWrite = now
 	rec.extendDeadline(now)
 	n, err := rec.ResponseWriter.Write(buf)
 	rec.Bytes += int64(n)
@@ -77,10 +79,10 @@
 	return n, err
 }
 
-// extendDeadline moves the write deadline forward, at most once a second, or once in
-// half of a WriteTimeout shorter than two seconds.
+// extendDeadline sets the write deadline to WriteTimeout from now, at most once per
+// recorderDeadlineUpdateInterval or half of WriteTimeout, whichever is shorter.
 func (rec *Recorder) extendDeadline(now time.Time) {
-	if rec.WriteTimeout <= 0 || now.Sub(rec.deadlineSetAt) < min(deadlineRefresh, rec.WriteTimeout/2) {
+	if rec.WriteTimeout <= 0 || now.Sub(rec.deadlineSetAt) < min(recorderDeadlineUpdateInterval, rec.WriteTimeout/2) {
 		return
 	}
 	rec.deadlineSetAt = now
