--- a/version/differ/differ.go
+++ b/version/differ/differ.go
@@ -13,8 +13,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrMismatch means that the tables to which a delta is applied are not its base,
-// or that the result is not the document for which the delta was computed.
+// ErrMismatch means that a delta does not fit: the tables to which it is applied do
+// not have its base revision, or the result is not the document for which the delta
+// was computed. Apply checks only the base revision; its callers check the result.
 var ErrMismatch = eris.New("differ: the delta does not lead to the document")
 
 // Delta changes the tables of BaseRevision into those of Revision. A changed entry
@@ -23,16 +24,17 @@
 	BaseRevision uint64
 	Revision     uint64
 	Nonce        string
-	Edits        []parser.Edit
-	Routes       Section[parser.Route]
-	Pools        Section[parser.Pool]
-	Teams        Section[parser.Team]
+	// Edits holds the accepted edits after BaseRevision that the tables still list.
+	Edits  []parser.Edit
+	Routes Section[parser.Route]
+	Pools  Section[parser.Pool]
+	Teams  Section[parser.Team]
 	// Caller is nil if the limits have not changed.
 	Caller *parser.Limits `json:",omitempty"`
 }
 
 // Section holds the changes to one table: the new and changed entries and the names
-// of the removed ones.
+// of the removed entries.
 type Section[T any] struct {
 	Changed []T      `json:",omitempty"`
 	Removed []string `json:",omitempty"`
@@ -82,8 +84,8 @@
 	return sec
 }
 
-// Apply returns the tables of Revision. It returns ErrMismatch if base is not of
-// BaseRevision.
+// Apply returns the tables that result from applying the delta to base. It returns
+// ErrMismatch if base does not have revision BaseRevision.
 func (del Delta) Apply(base parser.Tables) (parser.Tables, error) {
 	if base.Revision != del.BaseRevision {
 		return parser.Tables{}, eris.Wrapf(ErrMismatch, "Delta.Apply: base revision %d, have %d", del.BaseRevision, base.Revision)
@@ -134,9 +136,9 @@
 	return out
 }
 
-// Compose returns the delta that has the effect of del followed by next, except for
-// the order of entries that both change. If the order differs, the receiver finds
-// another checksum and requests the complete document.
+// Compose returns the delta that has the effect of del followed by next, except that
+// entries changed or added by both may be in another order. The result then has
+// another checksum, and the receiver requests the complete document.
 func (del Delta) Compose(next Delta) Delta {
 	return Delta{
 		BaseRevision: del.BaseRevision, Revision: next.Revision, Nonce: next.Nonce,
@@ -150,22 +152,22 @@
 
 func compose[T any](first, second Section[T], nameOf func(T) string) Section[T] {
 	var sec Section[T]
-	changedLater := map[string]bool{}
+	changedInSecond := map[string]bool{}
 	for _, entry := range second.Changed {
-		changedLater[nameOf(entry)] = true
+		changedInSecond[nameOf(entry)] = true
 	}
-	removedLater := map[string]bool{}
+	removedInSecond := map[string]bool{}
 	for _, name := range second.Removed {
-		removedLater[name] = true
+		removedInSecond[name] = true
 	}
 	for _, entry := range first.Changed {
-		if !changedLater[nameOf(entry)] && !removedLater[nameOf(entry)] {
+		if !changedInSecond[nameOf(entry)] && !removedInSecond[nameOf(entry)] {
 			sec.Changed = append(sec.Changed, entry)
 		}
 	}
 	sec.Changed = append(sec.Changed, second.Changed...)
 	for _, name := range first.Removed {
-		if !changedLater[name] {
+		if !changedInSecond[name] {
 			sec.Removed = append(sec.Removed, name)
 		}
 	}
@@ -186,5 +188,6 @@
 	return del, eris.Wrap(err, "differ.Decode")
 }
 
-// Checksum returns a hash of an encoded document, to compare documents.
+// Checksum returns the xxHash64 of an encoded document. Hosts compare it to check
+// that the result of a delta is the expected document.
 func Checksum(doc []byte) uint64 { return xxhash.Sum64(doc) }
--- a/version/explainer/explainer.go
+++ b/version/explainer/explainer.go
@@ -9,7 +9,8 @@
 	"hemlockpin/version/parser"
 )
 
-// Candidate is a route with the reasons for which it is not chosen.
+// Candidate is a route and either the mark that it is chosen or the reasons why it
+// is not.
 type Candidate struct {
 	Route  string
 	Pool   string
@@ -48,8 +49,9 @@
 	return exp
 }
 
-// reasons lists why rou does not serve the query. A route that matches is passed
-// over only if the chosen route is nested in it.
+// reasons lists why rou does not serve the query. If rou differs from the query in
+// none of the compared properties, the reason is that the chosen route is nested in
+// rou. Match.Host is not compared.
 func reasons(rou parser.Route, poo parser.Pool, que matcher.Query, chosen string) []string {
 	var out []string
 	mat := rou.Match
--- a/version/explainer/explainer_test.go
+++ b/version/explainer/explainer_test.go
@@ -46,8 +46,8 @@
 }
 
 // TestExplain checks that explanations agree with the matcher: the chosen route
-// has no reasons, every other route has at least one, and a route that is passed
-// over for a nested route contains that route.
+// has no reasons, every other route has at least one, and a route for
+// which a nested route is chosen contains the chosen route.
 func TestExplain(t *testing.T) {
 	require.NoError(t, flag.Set("rapid.seed", seed))
 	rapid.Check(t, func(t *rapid.T) {
--- a/version/matcher/matcher.go
+++ b/version/matcher/matcher.go
@@ -10,12 +10,12 @@
 	tab    parser.Tables
 	pools  map[string]parser.Pool
 	teams  map[string]parser.Team
-	routes map[group][]*parser.Route
+	routes map[routeKey][]*parser.Route
 }
 
-// group is the key of the routes that have the same kind of pool and require the
-// same model, team and host. Empty fields mean any.
-type group struct {
+// routeKey is the key of the index: the kind of a route's pool and the model, team
+// and host that the route requires. Empty fields mean any.
+type routeKey struct {
 	kind              parser.PoolKind
 	model, team, host string
 }
@@ -38,7 +38,7 @@
 		tab:    tab,
 		pools:  make(map[string]parser.Pool, len(tab.Pools)),
 		teams:  make(map[string]parser.Team, len(tab.Teams)),
-		routes: map[group][]*parser.Route{},
+		routes: map[routeKey][]*parser.Route{},
 	}
 	for _, poo := range tab.Pools {
 		mat.pools[poo.Name] = poo
@@ -50,13 +50,14 @@
 	}
 	for i := range tab.Routes {
 		rou := &tab.Routes[i]
-		gro := group{mat.kindOf(rou), rou.Match.Model, rou.Match.Team, rou.Match.Host}
-		mat.routes[gro] = append(mat.routes[gro], rou)
+		key := routeKey{mat.kindOf(rou), rou.Match.Model, rou.Match.Team, rou.Match.Host}
+		mat.routes[key] = append(mat.routes[key], rou)
 	}
 	return mat
 }
 
-// kindOf returns the kind of a route's pool; of a split route, that of the first.
+// kindOf returns the kind of a route's pool or, for a split route, of the first pool
+// of the split.
 func (mat *Matcher) kindOf(rou *parser.Route) parser.PoolKind {
 	name := rou.Pool
 	if name == "" && len(rou.Split) > 0 {
@@ -83,23 +84,26 @@
 	return poo, ok
 }
 
-// Route finds the innermost route that matches the query, and its pool.
+// Route finds the innermost route that matches the query, which is the one that all
+// other matching routes contain, and its pool. The pool of a split route is empty.
+// Routes that require a host are found only if they require no model and no team.
 func (mat *Matcher) Route(que Query) (parser.Route, parser.Pool, bool) {
-	gros := [...]group{
+	keys := [...]routeKey{
 		{que.Kind, que.Model, que.Team, ""},
 		{que.Kind, que.Model, "", ""},
 		{que.Kind, "", que.Team, ""},
 		{que.Kind, "", "", ""},
 	}
 	var best *parser.Route
-	for i, gro := range gros {
+	for i, key := range keys {
+		// Without a team or a model, this key equals an earlier one.
 		if (i%2 == 1 && que.Team == "") || (i >= 2 && que.Model == "") {
 			continue
 		}
-		best = innermost(best, mat.routes[gro], que)
+		best = innermost(best, mat.routes[key], que)
 	}
 	if que.Host != "" {
-		best = innermost(best, mat.routes[group{kind: que.Kind, host: que.Host}], que)
+		best = innermost(best, mat.routes[routeKey{kind: que.Kind, host: que.Host}], que)
 	}
 	if best == nil {
 		return parser.Route{}, parser.Pool{}, false
@@ -107,7 +111,8 @@
 	return *best, mat.pools[best.Pool], true
 }
 
-// innermost returns the innermost of best and the routes that match the query.
+// innermost returns the innermost of best, which may be nil, and those of rous that
+// match the query.
 func innermost(best *parser.Route, rous []*parser.Route, que Query) *parser.Route {
 	for _, rou := range rous {
 		if !rou.Match.Matches(que.Model, que.Team, que.Host, que.Path, que.PromptTokens) {
@@ -120,17 +125,18 @@
 	return best
 }
 
-// Models lists the models of the routes that are open to a team, without
-// duplicates.
+// Models lists the models of the routes that match any team or the given team,
+// without duplicates and in the order of the routes.
 func (mat *Matcher) Models(team string) []string {
 	var models []string
-	found := map[string]bool{"": true}
+	// Routes without a model are left out.
+	listed := map[string]bool{"": true}
 	for _, rou := range mat.tab.Routes {
 		model := rou.Match.Model
-		if found[model] || (rou.Match.Team != "" && rou.Match.Team != team) {
+		if listed[model] || (rou.Match.Team != "" && rou.Match.Team != team) {
 			continue
 		}
-		found[model] = true
+		listed[model] = true
 		models = append(models, model)
 	}
 	return models
--- a/version/matcher/matcher_test.go
+++ b/version/matcher/matcher_test.go
@@ -42,8 +42,9 @@
 	return tab
 }
 
-// The index must find the same route as a search through all routes.
-func TestRouteIsInnermost(t *testing.T) {
+// TestRouteAgreesWithLinearSearch checks that the index finds the same route as a
+// search through all routes, so that Route looks up every key it needs.
+func TestRouteAgreesWithLinearSearch(t *testing.T) {
 	ran := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		tab := randomTables(ran)
--- a/version/parser/ambiguity.go
+++ b/version/parser/ambiguity.go
@@ -6,24 +6,26 @@
 	"strings"
 )
 
-// bucket is the key of an index of routes that can overlap. Each route is in several
-// buckets; in those with wildcard as model or team, that property does not count.
+// bucket is the key of an index of routes that can overlap. Each route is in four
+// buckets: with its model and team, and with wildcard in place of either or both. A
+// bucket with a wildcard holds the routes of every model or team.
 type bucket struct {
 	kind              PoolKind
 	path, model, team string
 }
 
-// wildcard cannot be the name of a model or team, since names contain no NUL byte.
+// wildcard stands for every model or team in a bucket. An empty text stands for the
+// routes that require none. Names contain no NUL byte.
 const wildcard = "\x00"
 
-// pair holds the indexes of two routes in the table.
+// pair holds the positions of two ambiguous routes in the table; later is the greater.
 type pair struct{ later, earlier int }
 
-// ambiguities returns a fault for each pair of routes that overlap without one
-// containing the other. Two routes overlap only if the path prefix of one contains
-// that of the other. Therefore each route is compared only with the routes in the
+// ambiguityFaults returns a fault for each ambiguous pair of routes to pools of the
+// same kind. Two routes overlap only if the path prefix of one contains that of the
+// other. Therefore each route is compared only with the routes in the
 // buckets of its own path prefix and of the shorter prefixes that contain it.
-func ambiguities(rous []Route, kinds map[string]PoolKind) []string {
+func ambiguityFaults(rous []Route, kinds map[string]PoolKind) []string {
 	bucs := map[bucket][]int{}
 	for i, rou := range rous {
 		for _, buc := range bucketsOf(rou, kinds[rou.Pool]) {
@@ -40,10 +42,10 @@
 			}
 		}
 	}
-	return formatOverlaps(rous, found)
+	return formatAmbiguities(rous, found)
 }
 
-func formatOverlaps(rous []Route, found map[pair]bool) []string {
+func formatAmbiguities(rous []Route, found map[pair]bool) []string {
 	pais := make([]pair, 0, len(found))
 	for pai := range found {
 		pais = append(pais, pai)
@@ -78,8 +80,8 @@
 func candidates(rou Route, kin PoolKind) []bucket {
 	var out []bucket
 	for _, path := range ancestors(rou.Match.PathPrefix) {
-		for _, model := range compatibleTexts(rou.Match.Model) {
-			for _, team := range compatibleTexts(rou.Match.Team) {
+		for _, model := range compatibleKeys(rou.Match.Model) {
+			for _, team := range compatibleKeys(rou.Match.Team) {
 				out = append(out, bucket{kin, path, model, team})
 			}
 		}
@@ -87,16 +89,18 @@
 	return out
 }
 
-// compatibleTexts returns the model or team names of the buckets to search for
-// routes that can overlap a route with the given model or team. Empty means any.
-func compatibleTexts(text string) []string {
+// compatibleKeys returns the model or team keys of the buckets to search for routes
+// that can overlap a route with the given model or team. A route without a model or
+// team can overlap the routes of every model or team.
+func compatibleKeys(text string) []string {
 	if text == "" {
 		return []string{wildcard}
 	}
 	return []string{text, ""}
 }
 
-// trimPath removes a trailing slash: /a/ and /a match the same paths below /a.
+// trimPath removes a trailing slash, because /a/ and /a match the same paths below /a.
+// Only /a matches /a itself.
 func trimPath(path string) string { return strings.TrimSuffix(path, "/") }
 
 // ancestors returns a path prefix and all shorter prefixes that contain it.
--- a/version/parser/overlap.go
+++ b/version/parser/overlap.go
@@ -15,7 +15,7 @@
 		mat.maxTokens() >= other.maxTokens()
 }
 
-// Overlaps reports whether a request can exist that both match.
+// Overlaps reports whether some request matches both mat and other.
 func (mat Match) Overlaps(other Match) bool {
 	return (textContains(mat.Model, other.Model) || textContains(other.Model, mat.Model)) &&
 		(textContains(mat.Team, other.Team) || textContains(other.Team, mat.Team)) &&
@@ -25,8 +25,9 @@
 		other.MinPromptTokens <= mat.maxTokens()
 }
 
-// Ambiguous reports whether two matches overlap and neither strictly contains the
-// other. The innermost match of a request that both match is then undefined.
+// Ambiguous reports whether mat and other overlap and either are equal or neither
+// contains the other. For a request that matches both, the innermost match is then
+// undefined.
 func (mat Match) Ambiguous(other Match) bool {
 	if !mat.Overlaps(other) {
 		return false
@@ -34,9 +35,9 @@
 	return mat.Contains(other) == other.Contains(mat)
 }
 
-// hasPromptBounds reports whether the match restricts the model or the length of
-// the prompt, which calls to plain services do not have.
-func (mat Match) hasPromptBounds() bool {
+// isEngineOnly reports whether the match restricts the model or the length of the
+// prompt. Calls to plain services have neither a model nor a prompt.
+func (mat Match) isEngineOnly() bool {
 	return mat.Model != "" || mat.MinPromptTokens != 0 || mat.MaxPromptTokens != 0
 }
 
@@ -48,8 +49,11 @@
 	return mat.MaxPromptTokens
 }
 
+// textContains reports whether outer is empty, which means any, or equal to inner.
 func textContains(outer, inner string) bool { return outer == "" || outer == inner }
 
+// pathContains reports whether inner is outer or a path below it, in whole segments.
+// An empty outer contains every path.
 func pathContains(outer, inner string) bool {
 	if outer == "" || outer == inner {
 		return true
@@ -57,7 +61,8 @@
 	return strings.HasPrefix(inner, strings.TrimSuffix(outer, "/")+"/")
 }
 
-// Matches reports whether a request with these properties matches.
+// Matches reports whether a request with the given model, team, host, path and prompt
+// length in tokens matches mat.
 func (mat Match) Matches(model, team, host, path string, promptTokens int64) bool {
 	return textContains(mat.Model, model) &&
 		textContains(mat.Team, team) &&
--- a/version/parser/parser_test.go
+++ b/version/parser/parser_test.go
@@ -33,6 +33,7 @@
 	})
 }
 
+// TestDocumentTooLarge checks that a document over the platform's limit is rejected.
 func TestDocumentTooLarge(t *testing.T) {
 	_, err := parser.Parse(make([]byte, parser.MaxDocumentBytes+1))
 	require.ErrorContains(t, err, "the limit is 1048576")
@@ -53,9 +54,9 @@
 	return out
 }
 
-// The check by index must find the same ambiguous routes as a direct comparison of
-// each pair.
-func TestAmbiguitiesAreComplete(t *testing.T) {
+// TestValidateFindsAmbiguousPairs checks that Validate, which compares only routes of
+// shared buckets, rejects a pair of routes if and only if Match.Ambiguous reports it.
+func TestValidateFindsAmbiguousPairs(t *testing.T) {
 	mats := matches()
 	pool := parser.Pool{Name: "p", Kind: parser.PoolEngine, Selector: parser.Selector{Service: "s"}}.Defaults()
 	for i, mat := range mats {
@@ -68,8 +69,8 @@
 	}
 }
 
-// bigTables returns 5,000 routes over 11 models and 980 teams.
-func bigTables() parser.Tables {
+// tablesOf5000Routes returns tables with 5,000 routes over 6 models and 980 teams.
+func tablesOf5000Routes() parser.Tables {
 	tab := parser.Tables{Pools: []parser.Pool{{Name: "p", Kind: parser.PoolEngine, Selector: parser.Selector{Service: "s"}}}}
 	for i := range 980 {
 		tab.Teams = append(tab.Teams, parser.Team{Name: fmt.Sprintf("team-%d", i), KeyDigests: []string{parser.DigestKey(fmt.Sprint(i))}})
@@ -84,14 +85,14 @@
 }
 
 func BenchmarkValidate5000Routes(b *testing.B) {
-	tab := bigTables()
+	tab := tablesOf5000Routes()
 	for b.Loop() {
 		require.NoError(b, tab.Validate())
 	}
 }
 
 func BenchmarkParse5000Routes(b *testing.B) {
-	doc, err := bigTables().Encode()
+	doc, err := tablesOf5000Routes().Encode()
 	require.NoError(b, err)
 	b.ReportMetric(float64(len(doc)), "document-bytes")
 	for b.Loop() {
@@ -101,7 +102,7 @@
 }
 
 // FuzzParse checks that an accepted document is accepted again after encoding, and
-// that its encoding is then stable.
+// that the second encoding equals the first.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"Revision":1,"Routes":[{"Name":"a","Match":{"Model":"m"},"Pool":"p","TimeLimit":"30s"}],"Pools":[{"Name":"p","Kind":"Engine","Selector":{"Service":"s"}}],"Teams":null}`))
 	f.Add([]byte(`{"Routes":[{"Name":"a","Match":{"PathPrefix":"/a//b"},"Pool":"p"}],"Pools":[{"Name":"p","Kind":"Service","Selector":{"Service":"s"}}]}`))
--- a/version/parser/pool.go
+++ b/version/parser/pool.go
@@ -15,8 +15,8 @@
 	PoolService PoolKind = "Service"
 )
 
-// Selector selects the endpoints of a pool from the platform's list: those of the
-// service, in the named data centres or, if DataCenters is empty, in all.
+// Selector selects the endpoints of a pool from the platform's list: the endpoints of
+// Service in DataCenters or, if DataCenters is empty, in all data centres.
 type Selector struct {
 	Service     string
 	DataCenters []string `json:",omitempty"`
@@ -29,12 +29,14 @@
 	Selector Selector
 	// MaxOutstanding bounds the requests on one endpoint; 0 means no bound.
 	MaxOutstanding int `json:",omitempty"`
-	// MaxWaiting bounds the requests that wait for the pool on one host.
+	// MaxWaiting bounds the requests that wait for the pool on one host; 0 means
+	// the default of 1000.
 	MaxWaiting int `json:",omitempty"`
-	// ChecksFencing says that the endpoints refuse orders with an old fencing number.
+	// ChecksFencing means that the endpoints refuse orders with an outdated fencing
+	// number.
 	ChecksFencing bool `json:",omitempty"`
 	// LongShare is the share of the engines, 0 to 1, that long prompts may
-	// occupy at a time; 0 means that hosts derive it from the recent load.
+	// occupy at a time; 0 means that each host derives the share from the recent load.
 	LongShare float64 `json:",omitempty"`
 	// Overflow lists the regions that accept requests of the pool that the
 	// caller's region cannot serve in time. AnyRegion means all regions; an empty
@@ -45,8 +47,8 @@
 	// MaxConnections bounds the connections to one endpoint from all callers; 0
 	// means no bound.
 	MaxConnections int `json:",omitempty"`
-	// Batching describes the engines of a pool whose prompts are forwarded; nil
-	// for plain services.
+	// Batching describes the engines of a pool to which prompts are forwarded; nil
+	// for pools of plain services.
 	Batching *Batching `json:",omitempty"`
 }
 
@@ -59,26 +61,30 @@
 	// MemoryTokens is the size in tokens of an engine's memory for prompts and
 	// answers.
 	MemoryTokens int64
-	// StepMs is the base time of a decode step. SequenceMs is added for each
-	// answer, and ContextMs for each thousand tokens of the answers' contexts.
+	// StepMs is the base time of a decode step in milliseconds. SequenceMs is added
+	// for each answer, and ContextMs for each thousand tokens of the answers'
+	// contexts.
 	StepMs     float64
 	SequenceMs float64
 	ContextMs  float64
-	// Stride is the number of decode steps in a pass; an event is sent after each
-	// pass.
+	// Stride is the number of decode steps after which an engine sends an event.
 	Stride int
 	// ReadRate is the prefill rate in prompt tokens per second. PairsMs is the
-	// additional prefill time for a million pairs of a token and an earlier token.
+	// additional prefill time in milliseconds for each million pairs of a token and
+	// an earlier token.
 	ReadRate float64
 	PairsMs  float64
-	// ChunkTokens is the maximum number of prompt tokens prefilled in one step.
+	// ChunkTokens is the maximum number of prompt tokens prefilled along with
+	// one decode step.
 	ChunkTokens int64
-	// HopMs is added to each decode step of an answer whose prompt is divided
+	// HopMs is the time in milliseconds added to each decode step of an answer whose prompt is divided
 	// among several engines.
 	HopMs float64
-	// ReportLagMs is the age of an engine's load report when it arrives.
+	// ReportLagMs is the age in milliseconds of an engine's load report when it
+	// arrives.
 	ReportLagMs float64
-	// UsualPrompt and UsualAnswer are mean lengths in tokens.
+	// UsualPrompt and UsualAnswer are the mean lengths of prompts and answers in
+	// tokens.
 	UsualPrompt int64
 	UsualAnswer int64
 }
--- a/version/parser/route.go
+++ b/version/parser/route.go
@@ -15,7 +15,7 @@
 	MaxPromptTokens = 4_000_000
 )
 
-// Match says which requests a route matches. Empty fields match everything.
+// Match defines which requests a route matches. Empty fields match everything.
 type Match struct {
 	// Model matches the model of a prompt.
 	Model string `json:",omitempty"`
@@ -41,7 +41,8 @@
 	TimeLimit Duration
 	// Priority orders requests; higher values are served first.
 	Priority int `json:",omitempty"`
-	// Repeatable marks calls that may run more than once.
+	// Repeatable marks calls that endpoints may run more than once, so that a call
+	// may be sent again.
 	Repeatable bool `json:",omitempty"`
 
 	// The fields below are for calls that are forwarded unchanged.
@@ -70,9 +71,9 @@
 	Weight int
 }
 
-// PoolFor returns the pool for a call. draw is a uniformly distributed hash of the
+// PoolFor returns the pool for a call. hash is a uniformly distributed hash of the
 // call, so that a repeated call is assigned to the same pool.
-func (rou Route) PoolFor(draw uint64) string {
+func (rou Route) PoolFor(hash uint64) string {
 	sum := 0
 	for _, sha := range rou.Split {
 		sum += max(0, sha.Weight)
@@ -80,16 +81,16 @@
 	if sum == 0 {
 		return rou.Pool
 	}
-	at := int(draw % uint64(sum))
+	remainder := int(hash % uint64(sum))
 	for _, sha := range rou.Split {
-		if at -= max(0, sha.Weight); at < 0 {
+		if remainder -= max(0, sha.Weight); remainder < 0 {
 			return sha.Pool
 		}
 	}
 	return rou.Pool
 }
 
-// Attempts returns the maximum number of endpoints to which one call may be sent.
+// Attempts returns MaxAttempts with its default of 1.
 func (rou Route) Attempts() int { return max(1, rou.MaxAttempts) }
 
 // AllowsResend reports whether a call of the route may be sent to another endpoint
--- a/version/parser/tables.go
+++ b/version/parser/tables.go
@@ -18,7 +18,7 @@
 )
 
 // MaxDocumentBytes bounds the encoded tables; it is the platform's limit for the
-// size of a value.
+// size of an object.
 const MaxDocumentBytes = 1 << 20
 
 // MaxRecentEdits bounds the number of edits in Tables.Recent.
@@ -44,23 +44,23 @@
 
 // Tables is one revision of the routes, pools and teams.
 type Tables struct {
-	// Revision counts the accepted changes from 1. Revision 0 has no content.
+	// Revision counts the accepted edits from 1. Revision 0 has no content.
 	Revision uint64
 	// Nonce identifies the edit that made the revision.
 	Nonce string `json:",omitempty"`
-	// Recent lists the latest edits, the newest last, so that a host can tell
+	// Recent lists the latest edits, the newest last, so that a host can check
 	// whether its edit was accepted even if other edits followed.
 	Recent []Edit `json:",omitempty"`
 	Routes []Route
 	Pools  []Pool
 	Teams  []Team
-	// Caller bounds what callers of forwarded calls may send.
+	// Caller limits what callers of forwarded calls may send.
 	Caller Limits `json:",omitzero"`
 }
 
-// Limits bound the size of the headers and body that a caller may send, the time
-// for the headers and the idle time of its connection. 0 means that the tables set
-// no bound.
+// Limits are bounds on the size of a caller's headers and body, on the time to send
+// the headers and on the idle time of the connection. 0 means that the tables set no
+// bound.
 type Limits struct {
 	MaxHeaderBytes int      `json:",omitempty"`
 	MaxBodyBytes   int64    `json:",omitempty"`
@@ -68,7 +68,7 @@
 	IdleTimeout    Duration `json:",omitempty"`
 }
 
-// Edit identifies an accepted change.
+// Edit identifies an accepted edit.
 type Edit struct {
 	Revision uint64
 	Nonce    string
@@ -141,7 +141,8 @@
 	return tab
 }
 
-// WithEdit returns the tables as the successor of base, made by the edit edi.
+// WithEdit returns the tables with the revision and nonce of edi, and with the recent
+// edits of base followed by edi.
 func (tab Tables) WithEdit(base Tables, edi Edit) Tables {
 	recent := append(slices.Clone(base.Recent), edi)
 	tab.Recent = recent[max(0, len(recent)-MaxRecentEdits):]
@@ -149,7 +150,8 @@
 }
 
 // Includes reports whether the edit with the nonce made the given revision. known
-// is false if the tables no longer list the edit of that revision.
+// is false if the tables have a later revision and no longer list the edit of the
+// given one.
 func (tab Tables) Includes(revision uint64, nonce string) (included, known bool) {
 	if tab.Nonce == nonce && tab.Revision == revision {
 		return true, true
@@ -162,6 +164,7 @@
 			return edi.Nonce == nonce, true
 		}
 	}
+	// An edit with another nonce made the revision of the tables.
 	return false, tab.Revision == revision
 }
 
@@ -202,11 +205,11 @@
 				faults = append(faults, fmt.Sprintf("route %q: unknown pool %q", rou.Name, sha.Pool))
 			}
 		}
-		if kin == PoolService && rou.Match.hasPromptBounds() {
+		if kin == PoolService && rou.Match.isEngineOnly() {
 			faults = append(faults, fmt.Sprintf("route %q: Model and prompt bounds are for routes to engine pools", rou.Name))
 		}
 	}
-	return append(faults, ambiguities(tab.Routes, kinds)...)
+	return append(faults, ambiguityFaults(tab.Routes, kinds)...)
 }
 
 func (tab Tables) validateTeams() []string {
@@ -229,6 +232,7 @@
 	return faults
 }
 
+// validName reports whether a name has 1 to 63 bytes of a-z, 0-9 and -.
 func validName(name string) bool {
 	if name == "" || len(name) > 63 {
 		return false
--- a/version/parser/team.go
+++ b/version/parser/team.go
@@ -6,13 +6,14 @@
 	"fmt"
 )
 
-// Team is a group of callers with its keys and its share of the fleet.
+// Team is a group of callers with its keys and its share of the fleet's
+// capacity.
 type Team struct {
 	Name string
 	// KeyDigests are the hex SHA-256 digests of the team's bearer keys.
 	KeyDigests []string
 	// Share is the team's weight relative to the other teams when the fleet is
-	// fully loaded.
+	// fully loaded; 0 means the default of 1.
 	Share float64 `json:",omitempty"`
 	// TokensPerSecond bounds the rate of the team's prompt and answer tokens
 	// across the fleet; 0 means no bound.
