--- a/operator/correlator/correlator.go
+++ b/operator/correlator/correlator.go
@@ -19,8 +19,9 @@
 // maxLineBytes bounds the length of a log line.
 const maxLineBytes = 1 << 20
 
-// Messages of the host that serves a request: the first line of the request, and the
-// last line of each send.
+// Messages of the host that serves a request: messageAccepted is in the first line
+// about the request, messageEnded in the last line about each send, which is an
+// attempt on one endpoint.
 const (
 	messageAccepted = "call accepted"
 	messageEnded    = "send ended"
@@ -36,17 +37,17 @@
 	Fields map[string]any
 }
 
-// requestAndSend returns the ID of the request that a line is about. For lines of a
-// planner, whose RequestID field has the form ID/SEND/..., it also returns the number
-// of the send; for lines of the host that serves the request, -1.
-func (lin Line) requestAndSend() (id string, send int) {
+// parseRequestID returns the ID of the request that a line is about. The RequestID
+// field of a planner's line has the form ID/SEND/...; send is then the number of the
+// send. For lines of the host that serves the request, send is -1.
+func (lin Line) parseRequestID() (id string, send int) {
 	text, _ := lin.Fields["RequestID"].(string)
 	id, rest, ok := strings.Cut(text, "/")
 	if !ok {
 		return id, -1
 	}
-	number, _, _ := strings.Cut(rest, "/")
-	send, err := strconv.Atoi(number)
+	attempt, _, _ := strings.Cut(rest, "/")
+	send, err := strconv.Atoi(attempt)
 	if err != nil {
 		return id, -1
 	}
@@ -57,6 +58,9 @@
 type Correlator struct {
 	RequestID string
 
+	// servingLines holds the lines of the host that serves the request, planLines
+	// those of planners by the number of the send, and stateLines the lines about no
+	// request.
 	servingLines []Line
 	planLines    map[int][]Line
 	stateLines   []Line
@@ -78,7 +82,7 @@
 	return eris.Wrapf(sca.Err(), "Correlator.Read: log of %s", host)
 }
 
-// Skipped returns the number of lines that were not log lines.
+// Skipped returns the number of lines that Read could not parse.
 func (cor *Correlator) Skipped() int { return cor.skipped }
 
 // parse parses a log line. Text before the JSON object, such as the prefix that a log
@@ -105,10 +109,10 @@
 	return lin, lin.Message != ""
 }
 
-// add sorts a line into the lines of the serving host, those of planners and those
-// that belong to no request. Lines of other requests are dropped.
+// add stores a line with the lines of the serving host, of planners or about no
+// request, and drops lines about other requests.
 func (cor *Correlator) add(lin Line) {
-	id, send := lin.requestAndSend()
+	id, send := lin.parseRequestID()
 	switch {
 	case id == "":
 		cor.stateLines = append(cor.stateLines, lin)
@@ -123,14 +127,15 @@
 	}
 }
 
-// Lines returns the lines of the request in causal order, which does not depend on
-// the hosts' clocks: the lines of the host that served the request in the order of its
-// log, and before the lines of each send those of its planner.
+// Lines returns the lines about the request in causal order, without comparing the
+// hosts' clocks. The lines of the serving host are in the order of its log; the
+// planner's lines for a send are inserted before the lines of that send.
 func (cor *Correlator) Lines() []Line {
 	var out []Line
 	send := 0
 	planLines := maps.Clone(cor.planLines)
 	for _, lin := range cor.servingLines {
+		// The call is accepted before its first send is planned.
 		if lin.Message != messageAccepted {
 			out = append(out, planLines[send]...)
 			delete(planLines, send)
@@ -140,6 +145,7 @@
 			send++
 		}
 	}
+	// Plans without a send of the serving host come last.
 	for _, n := range slices.Sorted(maps.Keys(planLines)) {
 		out = append(out, planLines[n]...)
 	}
@@ -148,8 +154,8 @@
 
 // StateLines returns what the hosts of the request last logged about the store, the
 // tables, peers and the endpoints that the request used. For each host, message and
-// subject, it is the newest line that is not later than the host's last line about
-// the request.
+// subject (endpoint, field What and peer), it returns the last line read that is not
+// later than the host's last line about the request.
 func (cor *Correlator) StateLines() []Line {
 	endpoints := map[string]bool{}
 	lastAt := map[string]time.Time{}
@@ -161,7 +167,7 @@
 			lastAt[lin.Host] = lin.At
 		}
 	}
-	newest := map[string]Line{}
+	last := map[string]Line{}
 	var keys []string
 	for _, lin := range cor.stateLines {
 		endpoint, _ := lin.Fields["Endpoint"].(string)
@@ -169,17 +175,17 @@
 		if !ok || lin.At.After(until) || endpoint != "" && !endpoints[endpoint] {
 			continue
 		}
-		what, _ := lin.Fields["What"].(string)
+		subject, _ := lin.Fields["What"].(string)
 		peer, _ := lin.Fields["Peer"].(string)
-		key := strings.Join([]string{lin.Host, lin.Message, endpoint, what, peer}, "\x00")
-		if _, ok := newest[key]; !ok {
+		key := strings.Join([]string{lin.Host, lin.Message, endpoint, subject, peer}, "\x00")
+		if _, ok := last[key]; !ok {
 			keys = append(keys, key)
 		}
-		newest[key] = lin
+		last[key] = lin
 	}
 	var out []Line
 	for _, key := range keys {
-		out = append(out, newest[key])
+		out = append(out, last[key])
 	}
 	slices.SortStableFunc(out, func(a, b Line) int { return a.At.Compare(b.At) })
 	return out
@@ -196,6 +202,7 @@
 		value := lin.Fields[name]
 		if number, ok := value.(float64); ok {
 			value = strconv.FormatFloat(number, 'f', -1, 64)
+			// Milliseconds are rounded to whole numbers.
 			if strings.HasSuffix(name, "Ms") {
 				value = strconv.FormatFloat(number, 'f', 0, 64)
 			}
--- a/operator/correlator/correlator_test.go
+++ b/operator/correlator/correlator_test.go
@@ -9,7 +9,9 @@
 )
 
 // TestCorrelator reads the logs of testdata/requests. The input of each case is the
-// concatenated log of several hosts; the output is the text of the lines found.
+// concatenated log of several hosts; the output is the text of the lines
+// found. The lines must be in causal order although the clocks differ, and lines about
+// other requests must be left out.
 func TestCorrelator(t *testing.T) {
 	datadriven.RunTest(t, "testdata/requests", func(t *testing.T, dat *datadriven.TestData) string {
 		cor := &Correlator{}
--- a/operator/editor/editor.go
+++ b/operator/editor/editor.go
@@ -1,6 +1,6 @@
 // Package editor derives new tables from old ones for the operators' command line:
 // it merges files, sets fields of entries, removes entries and compares two
-// versions. It does not communicate with hosts.
+// revisions. It does not communicate with hosts.
 package editor
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind is the kind of an entry, which names its table.
+// Kind is the kind of an entry and thereby its table.
 type Kind string
 
 // Kinds of entries.
@@ -79,7 +79,8 @@
 	return tab, err
 }
 
-// Remove removes the entry with a name. It returns an error if there is none.
+// Remove removes the entry with a name. It returns an error if no entry has
+// the name.
 func Remove(tab parser.Tables, kin Kind, name string) (parser.Tables, error) {
 	if _, err := Find(tab, kin, name); err != nil {
 		return tab, err
@@ -95,8 +96,8 @@
 	return tab, nil
 }
 
-// Merge adds the entries of part to the tables. They replace entries of the same
-// kind and name; the remaining entries are unchanged.
+// Merge adds the entries of part to tab. An entry of part replaces the entry of the
+// same kind and name; all other entries are unchanged.
 func Merge(tab, part parser.Tables) parser.Tables {
 	tab.Routes = merge(tab.Routes, part.Routes)
 	tab.Pools = merge(tab.Pools, part.Pools)
@@ -104,8 +105,8 @@
 	return tab
 }
 
-// Decode decodes a document that may hold only some of the entries. It does not
-// validate them.
+// Decode decodes a document that may hold only some of the entries, and fills in
+// defaults. It does not validate the entries.
 func Decode(doc []byte) (parser.Tables, error) {
 	tab, err := decodeStrict[parser.Tables](doc)
 	return tab.Defaults(), err
--- a/operator/editor/editor_test.go
+++ b/operator/editor/editor_test.go
@@ -17,7 +17,7 @@
 const seed = "20261204"
 
 // TestEdits runs the edits of testdata/edits in sequence on the same tables and
-// prints what each edit changes.
+// prints what each edit changes. An edit that fails must leave the tables unchanged.
 func TestEdits(t *testing.T) {
 	var tab parser.Tables
 	datadriven.RunTest(t, "testdata/edits", func(t *testing.T, dat *datadriven.TestData) string {
@@ -75,9 +75,9 @@
 	return tab
 }
 
-// TestMergeLaws checks with random tables that a merge adds or replaces its entries,
+// TestMergeReplacesByName checks with random tables that a merge adds or replaces its entries,
 // leaves the others unchanged and is idempotent.
-func TestMergeLaws(t *testing.T) {
+func TestMergeReplacesByName(t *testing.T) {
 	require.NoError(t, flag.Set("rapid.seed", seed))
 	rapid.Check(t, func(t *rapid.T) {
 		old, part := drawTables(t), drawTables(t)
--- a/operator/editor/fields.go
+++ b/operator/editor/fields.go
@@ -15,8 +15,8 @@
 var errNoFields = errors.New("the value has no fields")
 
 // Set changes fields of one entry. An assignment is PATH=VALUE, where PATH
-// names a field such as TimeLimit or Match.Model. VALUE is text if the field holds
-// text, else JSON.
+// names a field such as TimeLimit or Match.Model. VALUE is taken as text if the
+// entry can then be decoded, else as JSON.
 func Set(tab parser.Tables, kin Kind, name string, assignments []string) (parser.Tables, error) {
 	ent, err := Find(tab, kin, name)
 	if err != nil {
@@ -34,21 +34,21 @@
 		if path == "Name" {
 			return tab, eris.New("Name cannot be set: add an entry under the new name and remove the old one")
 		}
-		if doc, err = assign(doc, kin, strings.Split(path, "."), value); err != nil {
+		if doc, err = assignField(doc, kin, strings.Split(path, "."), value); err != nil {
 			return tab, eris.Wrapf(err, "%s", assignment)
 		}
 	}
 	return Put(tab, kin, doc)
 }
 
-// assign sets the field at path to the value as text or, if the entry cannot be
-// decoded with that, to the value as JSON.
-func assign(doc []byte, kin Kind, path []string, value string) ([]byte, error) {
+// assignField sets the field at path to the value as text or, if the entry can then
+// not be decoded, to the value as JSON.
+func assignField(doc []byte, kin Kind, path []string, value string) ([]byte, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return nil, err
 	}
-	var reported error
+	var bestErr error
 	for _, raw := range []json.RawMessage{text, json.RawMessage(value)} {
 		if !json.Valid(raw) {
 			continue
@@ -61,17 +61,17 @@
 		if err == nil {
 			return out, nil
 		}
-		// If the field does not hold text, the error of the value as JSON is more
-		// useful than that of the value as text.
-		if reported == nil || errors.As(reported, new(*json.UnmarshalTypeError)) {
-			reported = err
+		// For a field that does not hold text, the text gives only a type error, and
+		// the error of the value as JSON is more useful.
+		if bestErr == nil || errors.As(bestErr, new(*json.UnmarshalTypeError)) {
+			bestErr = err
 		}
 	}
-	return nil, reported
+	return nil, bestErr
 }
 
-// replaceField returns the object doc with the field at path set to raw.
-func replaceField(doc []byte, path []string, raw json.RawMessage) ([]byte, error) {
+// replaceField returns the object doc with the field at path set to value.
+func replaceField(doc []byte, path []string, value json.RawMessage) ([]byte, error) {
 	obj := map[string]json.RawMessage{}
 	if len(doc) > 0 {
 		if err := json.Unmarshal(doc, &obj); err != nil {
@@ -79,16 +79,16 @@
 		}
 	}
 	if len(path) > 1 {
-		inner, err := replaceField(obj[path[0]], path[1:], raw)
+		inner, err := replaceField(obj[path[0]], path[1:], value)
 		if errors.Is(err, errNoFields) {
 			err = eris.Errorf("%s has no fields", path[0])
 		}
 		if err != nil {
 			return nil, err
 		}
-		raw = inner
+		value = inner
 	}
-	obj[path[0]] = raw
+	obj[path[0]] = value
 	return json.Marshal(obj)
 }
 
@@ -98,7 +98,7 @@
 	return err
 }
 
-// Action says how an entry changed between two versions of the tables.
+// Action is the way in which an entry changed between two revisions of the tables.
 type Action string
 
 // Ways in which an entry can change.
@@ -108,7 +108,7 @@
 	Changed Action = "changed"
 )
 
-// Change is the difference of one entry between two versions of the tables.
+// Change is the difference of one entry between two revisions of the tables.
 type Change struct {
 	Kind   Kind
 	Name   string
@@ -126,13 +126,13 @@
 
 // Diff lists the entries that differ: first routes, then pools, then teams, each
 // sorted by name.
-func Diff(old, cur parser.Tables) []Change {
+func Diff(old, next parser.Tables) []Change {
 	var out []Change
 	for _, kin := range []Kind{Routes, Pools, Teams} {
-		entryNames := append(Names(old, kin), Names(cur, kin)...)
+		entryNames := append(Names(old, kin), Names(next, kin)...)
 		slices.Sort(entryNames)
 		for _, name := range slices.Compact(entryNames) {
-			if cha, ok := diffEntry(old, cur, kin, name); ok {
+			if cha, ok := diffEntry(old, next, kin, name); ok {
 				out = append(out, cha)
 			}
 		}
@@ -140,13 +140,13 @@
 	return out
 }
 
-func diffEntry(old, cur parser.Tables, kin Kind, name string) (Change, bool) {
+func diffEntry(old, next parser.Tables, kin Kind, name string) (Change, bool) {
 	cha := Change{Kind: kin, Name: name, Action: Changed}
 	before, err := Find(old, kin, name)
 	if err != nil {
 		cha.Action = Added
 	}
-	after, err := Find(cur, kin, name)
+	after, err := Find(next, kin, name)
 	if err != nil {
 		cha.Action = Removed
 	}
@@ -154,13 +154,13 @@
 	return cha, len(cha.Fields) > 0
 }
 
-func diffFields(old, cur map[string]string) []FieldChange {
+func diffFields(old, next map[string]string) []FieldChange {
 	var out []FieldChange
-	paths := append(slices.Collect(maps.Keys(old)), slices.Collect(maps.Keys(cur))...)
+	paths := append(slices.Collect(maps.Keys(old)), slices.Collect(maps.Keys(next))...)
 	slices.Sort(paths)
 	for _, path := range slices.Compact(paths) {
-		if path != "Name" && old[path] != cur[path] {
-			out = append(out, FieldChange{Path: path, Old: old[path], New: cur[path]})
+		if path != "Name" && old[path] != next[path] {
+			out = append(out, FieldChange{Path: path, Old: old[path], New: next[path]})
 		}
 	}
 	return out
--- a/operator/requester/requester.go
+++ b/operator/requester/requester.go
@@ -28,8 +28,8 @@
 	maxReplyBytes = 64 << 20
 )
 
-// UnreachableError reports that no host answered. For a write, it also means that
-// nothing was sent.
+// UnreachableError means that no host answered. After a write, it means that the
+// request was not sent, so that nothing changed.
 type UnreachableError struct{ Causes []string }
 
 // Error lists the cause for each host.
@@ -43,27 +43,29 @@
 	Message string
 }
 
-// Error formats the failure.
+// Error names the host and the cause.
 func (err *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("host %s: it is unknown whether the change was accepted: %s", err.Host, err.Message)
 }
 
-// ConflictError reports an edit that was refused because another edit had changed
-// the revision that it was based on.
+// ConflictError reports an edit that was refused because its base revision is no
+// longer in force.
 type ConflictError struct {
 	Host    string
 	Base    uint64
 	Current parser.Tables
 }
 
-// Error formats the failure.
+// Error names the host and the two revisions.
 func (err *ConflictError) Error() string {
 	return fmt.Sprintf("host %s: the edit was based on revision %d, but revision %d is in force; nothing was changed", err.Host, err.Base, err.Current.Revision)
 }
 
-// RejectedError lists every fault of a refused edit or order.
+// RejectedError reports an edit or order that was rejected as invalid, with every
+// fault.
 type RejectedError struct {
-	// Host names where the faults were found: a host, or the client itself.
+	// Host is where the faults were found: the word "host" and the host's URL, or
+	// "this command" if the client validated the edit.
 	Host    string
 	Message string
 	Faults  []string
@@ -74,7 +76,8 @@
 	return fmt.Sprintf("%s: %s:\n  %s", err.Host, err.Message, strings.Join(err.Faults, "\n  "))
 }
 
-// StatusError is any other answer of a host with a status outside 200 to 299.
+// StatusError reports an answer with a status outside 200 to 299 for which there is
+// no other error type.
 type StatusError struct {
 	Host    string
 	Status  int
@@ -82,7 +85,7 @@
 	Message string
 }
 
-// Error formats the refusal.
+// Error names the host, the status, the code and the message.
 func (err *StatusError) Error() string {
 	return fmt.Sprintf("host %s: status %d %s: %s", err.Host, err.Status, err.Code, err.Message)
 }
@@ -100,12 +103,12 @@
 	return read[parser.Tables](ctx, req, http.MethodGet, "/v1/tables", nil)
 }
 
-// Status reads the status that one host reports of itself.
+// Status reads one host's own status.
 func (req *Requester) Status(ctx context.Context) (server.Status, error) {
 	return read[server.Status](ctx, req, http.MethodGet, "/v1/status", nil)
 }
 
-// HostStatuses reads the state of all hosts through one of them.
+// HostStatuses reads the status of all hosts, which the answering host collects.
 func (req *Requester) HostStatuses(ctx context.Context) ([]server.HostStatus, error) {
 	return read[[]server.HostStatus](ctx, req, http.MethodGet, "/v1/status/hosts", nil)
 }
@@ -121,8 +124,8 @@
 }
 
 // Explain reads which route, pool and endpoint one host would choose for a request.
-func (req *Requester) Explain(ctx context.Context, exp server.ExplainRequest) (server.Explanation, error) {
-	return read[server.Explanation](ctx, req, http.MethodPost, "/v1/explain", exp)
+func (req *Requester) Explain(ctx context.Context, expReq server.ExplainRequest) (server.Explanation, error) {
+	return read[server.Explanation](ctx, req, http.MethodPost, "/v1/explain", expReq)
 }
 
 // History lists the accepted revisions.
@@ -144,9 +147,8 @@
 	InForce int
 }
 
-// Put replaces the tables if their revision is still base. Its errors are
-// UnreachableError, RejectedError, ConflictError, UnknownOutcomeError and
-// StatusError.
+// Put replaces the tables if their revision is still base. It returns an
+// UnreachableError, RejectedError, ConflictError, UnknownOutcomeError or StatusError.
 func (req *Requester) Put(ctx context.Context, tab parser.Tables, base uint64) (AcceptedEdit, error) {
 	var out AcceptedEdit
 	header := http.Header{"If-Match": {strconv.Quote(strconv.FormatUint(base, 10))}}
@@ -167,26 +169,26 @@
 	return out.Host, err
 }
 
-// Order issues an order to an engine. It may be repeated with the same ID, which the
-// engine carries out only once.
+// Order issues an order to an engine. A call may be repeated with the same ID: the
+// engine carries out the orders of one ID only once.
 func (req *Requester) Order(ctx context.Context, ord server.OrderRequest) (server.OrderReply, error) {
 	var out server.OrderReply
 	_, err := req.write(ctx, http.MethodPost, "/v1/orders", nil, ord, &out)
 	var sta *StatusError
+	// After a gateway timeout, the order may have reached the engine.
 	if errors.As(err, &sta) && sta.Status == http.StatusGatewayTimeout {
 		err = &UnknownOutcomeError{Host: sta.Host, Message: sta.Code + ": " + sta.Message}
 	}
 	return out, err
 }
 
-// read sends a read to one host after the other until one answers, be it with a
-// status that is an error.
+// read tries the hosts in order until one answers, even with an error status.
 func read[T any](ctx context.Context, req *Requester, method, path string, in any) (T, error) {
 	var causes []string
 	for _, host := range req.Hosts {
 		var out T
-		sent, _, err := req.exchange(ctx, readTimeout, method, host, path, nil, in, &out)
-		if err == nil || sent && isHostAnswer(err) {
+		maybeSent, _, err := req.exchange(ctx, readTimeout, method, host, path, nil, in, &out)
+		if err == nil || maybeSent && isRefusal(err) {
 			return out, err
 		}
 		causes = append(causes, err.Error())
@@ -195,36 +197,37 @@
 	return out, &UnreachableError{causes}
 }
 
-// isHostAnswer reports whether a host answered the request and refused it.
-func isHostAnswer(err error) bool {
+// isRefusal reports whether err is a host's answer that refuses the request: a
+// StatusError or RejectedError.
+func isRefusal(err error) bool {
 	var sta *StatusError
 	var rej *RejectedError
 	return errors.As(err, &sta) || errors.As(err, &rej)
 }
 
-// write sends a write to the first host. Unless the connection could not be made or
-// the host reports the outcome, the outcome is unknown.
+// write sends a write to the first host. If the connection was made but the
+// host does not report the outcome, it returns an UnknownOutcomeError.
 func (req *Requester) write(ctx context.Context, method, path string, header http.Header, in, out any) (http.Header, error) {
 	if len(req.Hosts) == 0 {
 		return nil, &UnreachableError{[]string{"no host was named"}}
 	}
 	host := req.Hosts[0]
-	sent, replyHeader, err := req.exchange(ctx, writeTimeout, method, host, path, header, in, out)
+	maybeSent, replyHeader, err := req.exchange(ctx, writeTimeout, method, host, path, header, in, out)
 	switch {
 	case err == nil:
 		return replyHeader, nil
-	case !sent:
+	case !maybeSent:
 		return nil, &UnreachableError{[]string{err.Error() + " (nothing was sent)"}}
-	case isHostAnswer(err) || errors.As(err, new(*ConflictError)) || errors.As(err, new(*UnknownOutcomeError)):
+	case isRefusal(err) || errors.As(err, new(*ConflictError)) || errors.As(err, new(*UnknownOutcomeError)):
 		return nil, err
 	default:
 		return nil, &UnknownOutcomeError{Host: host, Message: err.Error()}
 	}
 }
 
-// exchange sends a request to a host and decodes the answer into out. sent reports
-// whether the request may have reached the host.
-func (req *Requester) exchange(ctx context.Context, timeout time.Duration, method, host, path string, header http.Header, in, out any) (sent bool, replyHeader http.Header, err error) {
+// exchange sends a request to a host and decodes the answer into out. maybeSent
+// reports whether the request may have reached the host.
+func (req *Requester) exchange(ctx context.Context, timeout time.Duration, method, host, path string, header http.Header, in, out any) (maybeSent bool, replyHeader http.Header, err error) {
 	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	buf, err := json.Marshal(in)
@@ -240,7 +243,7 @@
 	}
 	res, err := req.Client.Do(httpReq)
 	if err != nil {
-		return !notConnected(err), nil, eris.Wrapf(err, "Requester.exchange: host %s", host)
+		return !isDialError(err), nil, eris.Wrapf(err, "Requester.exchange: host %s", host)
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
@@ -248,19 +251,19 @@
 		return true, nil, eris.Wrapf(err, "Requester.exchange: answer of host %s", host)
 	}
 	if res.StatusCode/100 != 2 {
-		return true, nil, errorOf(host, res.StatusCode, body)
+		return true, nil, answerError(host, res.StatusCode, body)
 	}
 	return true, res.Header, eris.Wrapf(json.Unmarshal(body, out), "Requester.exchange: decode answer of host %s", host)
 }
 
-// notConnected reports whether no connection was made, so that nothing was sent.
-func notConnected(err error) bool {
+// isDialError reports whether no connection was made, so that nothing was sent.
+func isDialError(err error) bool {
 	var opErr *net.OpError
 	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
 
-// errorOf returns the error for an answer with a status other than 2xx.
-func errorOf(host string, status int, body []byte) error {
+// answerError returns the error for an answer with a status outside 200 to 299.
+func answerError(host string, status int, body []byte) error {
 	var reply server.OperatorError
 	if json.Unmarshal(body, &reply) != nil {
 		reply.Message = strings.TrimSpace(string(body))
--- a/operator/requester/requester_test.go
+++ b/operator/requester/requester_test.go
@@ -38,8 +38,8 @@
 	return "http://" + lis.Addr().String()
 }
 
-// TestPutError checks that the error of an edit says whether the edit may have been
-// accepted, and that a failed edit is not sent to another host.
+// TestPutError checks that a failed Put returns the error type that says whether the
+// edit may have been accepted, and that Put does not send a failed edit to another host.
 func TestPutError(t *testing.T) {
 	tt := []struct {
 		name string
@@ -56,7 +56,8 @@
 	}
 	for _, tc := range tt {
 		t.Run(tc.name, func(t *testing.T) {
-			// The second host would accept the change, but must not receive it.
+			// The second host accepts every edit, so that Put succeeds if it sends the
+			// edit there.
 			req := &requester.Requester{Hosts: []string{tc.host, serve(t, respondWith(200, `{"Revision":1}`))}}
 			_, err := req.Put(t.Context(), parser.Tables{}, 8)
 			require.Error(t, err)
