--- a/cmd/hemlockload/main.go
+++ b/cmd/hemlockload/main.go
@@ -1,11 +1,12 @@
-// Command hemlockload sends open-loop load to entry hosts, injects faults into the
-// stand-ins at given times and reports the outcomes.
+// Command hemlockload sends open-loop load to entry hosts, injects faults into
+// stand-ins at the times given by --fault and reports the outcomes.
 package main
 
 import (
 	"fmt"
 	"os"
 
+	// All programs of the project use the name resolver of the C library.
 	_ "runtime/cgo"
 
 	"github.com/jessevdk/go-flags"
--- a/cmd/hemlockload/run.go
+++ b/cmd/hemlockload/run.go
@@ -69,8 +69,8 @@
 		return err
 	}
 	out := rep.Outcomes()
-	if bad := out[sender.Wrong] + out[sender.Broken]; bad > 0 {
-		return eris.Errorf("%d answers were wrong or broken", bad)
+	if failures := out[sender.Wrong] + out[sender.Broken]; failures > 0 {
+		return eris.Errorf("%d answers were wrong or broken", failures)
 	}
 	return nil
 }
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// printAdmitted prints the tokens that were admitted for each team beside the most
-// that its rate allows if all hosts can reach each other.
+// printAdmitted prints for each team the tokens that were admitted and the maximum
+// that TeamRate allows while all hosts can reach each other.
 func (com *runCommand) printAdmitted(rep summarizer.Report) {
 	fle := limiter.Fleet{Hosts: len(com.Hosts)}
 	for _, tea := range rep.Teams {
--- a/cmd/hemlockpin/apply.go
+++ b/cmd/hemlockpin/apply.go
@@ -39,8 +39,8 @@
 	})
 }
 
-// decodeFile reads the entries of a file. A file that cannot be decoded counts as a
-// rejected edit.
+// decodeFile reads the entries of a file. It returns a RejectedError if the file
+// cannot be decoded.
 func (com *command) decodeFile(name string) (parser.Tables, error) {
 	doc, err := com.readFile(name)
 	if err != nil {
@@ -53,8 +53,8 @@
 	return tab, nil
 }
 
-// combine merges the given entries into the old tables or, if whole, replaces all
-// entries by them. Revision, nonce and recent edits are those of the old tables.
+// combine merges the entries of given into old or, if whole, replaces all entries of
+// old with those of given. Revision, nonce and recent edits are those of old.
 func combine(old, given parser.Tables, whole bool) parser.Tables {
 	if !whole {
 		return editor.Merge(old, given)
--- a/cmd/hemlockpin/diff.go
+++ b/cmd/hemlockpin/diff.go
@@ -26,11 +26,11 @@
 	if (com.Args.File == "") == (com.Revision == 0) {
 		return usageErrorf("diff needs either FILE or --revision")
 	}
-	old, cur, err := com.readVersions()
+	old, next, err := com.readRevisions()
 	if err != nil {
 		return err
 	}
-	chas := editor.Diff(old, cur)
+	chas := editor.Diff(old, next)
 	if com.JSON {
 		return com.printJSON(chas)
 	}
@@ -38,26 +38,26 @@
 	return nil
 }
 
-// readVersions returns the two versions to compare: an earlier revision and the
-// tables in force, or these and the result of applying the file.
-func (com *diffCommand) readVersions() (old, cur parser.Tables, err error) {
+// readRevisions returns the two tables to compare: an earlier revision and the tables
+// in force, or the tables in force and the result of applying the file to them.
+func (com *diffCommand) readRevisions() (old, next parser.Tables, err error) {
 	if com.Revision != 0 {
 		return com.readRevisionAndCurrent(com.Revision)
 	}
 	fileTables, err := com.decodeFile(com.Args.File)
 	if err != nil {
-		return old, cur, err
+		return old, next, err
 	}
-	old, err = com.requester().Tables(com.ctx)
+	old, err = com.newRequester().Tables(com.ctx)
 	return old, combine(old, fileTables, com.Whole), err
 }
 
 // readRevisionAndCurrent reads an earlier revision and the tables in force.
 func (com *command) readRevisionAndCurrent(revision uint64) (old, cur parser.Tables, err error) {
-	old, err = com.requester().Revision(com.ctx, revision)
+	old, err = com.newRequester().Revision(com.ctx, revision)
 	if err != nil {
 		return old, cur, historyError(err, "revision "+strconv.FormatUint(revision, 10))
 	}
-	cur, err = com.requester().Tables(com.ctx)
+	cur, err = com.newRequester().Tables(com.ctx)
 	return old, cur, err
 }
--- a/cmd/hemlockpin/digest.go
+++ b/cmd/hemlockpin/digest.go
@@ -23,7 +23,7 @@
 
 // Execute prints the digest.
 func (com *digestCommand) Execute([]string) error {
-	key, err := com.key()
+	key, err := com.readOrGenerateKey()
 	if err != nil {
 		return err
 	}
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// keyIfNew returns the key if it is a new one; a key that was read is not printed.
+// keyIfNew returns the key if it was generated; a key read from standard input is not
+// printed.
 func (com *digestCommand) keyIfNew(key string) string {
 	if com.New {
 		return key
@@ -48,7 +49,8 @@
 	return ""
 }
 
-func (com *digestCommand) key() (string, error) {
+// readOrGenerateKey generates a key with --new, or else reads it from standard input.
+func (com *digestCommand) readOrGenerateKey() (string, error) {
 	if com.New {
 		buf := make([]byte, randomKeyBytes)
 		_, err := rand.Read(buf)
--- a/cmd/hemlockpin/drain.go
+++ b/cmd/hemlockpin/drain.go
@@ -16,7 +16,7 @@
 
 // Execute sends the request to drain.
 func (com *drainCommand) Execute([]string) error {
-	host, err := com.requester().Drain(com.ctx, com.Args.Host)
+	host, err := com.newRequester().Drain(com.ctx, com.Args.Host)
 	if err != nil {
 		return err
 	}
--- a/cmd/hemlockpin/edit.go
+++ b/cmd/hemlockpin/edit.go
@@ -28,57 +28,59 @@
 	Changes []editor.Change
 }
 
-// edit reads the tables in force, changes them and writes them back, unless another
-// edit was accepted meanwhile.
+// edit reads the tables in force, applies change and, except for a dry run, writes
+// the result. It returns a ConflictError if another edit was accepted in the meantime
+// or opt.Base is set and not in force.
 func (com *command) edit(opt editOptions, change func(parser.Tables) (parser.Tables, error)) error {
-	old, err := com.requester().Tables(com.ctx)
+	old, err := com.newRequester().Tables(com.ctx)
 	if err != nil {
 		return err
 	}
-	cur, err := change(old)
+	next, err := change(old)
 	if err != nil {
 		return err
 	}
 	if opt.Base != 0 && opt.Base != old.Revision {
-		return com.refuseStaleBase(opt.Base, old, cur.Defaults())
+		return com.refuseStaleBase(opt.Base, old, next.Defaults())
 	}
-	return com.submit(opt, old, cur.Defaults())
+	return com.submit(opt, old, next.Defaults())
 }
 
 // refuseStaleBase refuses an edit whose base is not the revision in force, and prints
-// what the edit would change there.
-func (com *command) refuseStaleBase(base uint64, old, cur parser.Tables) error {
+// the difference between the tables in force and the result of the edit.
+func (com *command) refuseStaleBase(base uint64, old, next parser.Tables) error {
 	if !com.JSON {
 		fmt.Fprintf(com.out, "against revision %d, now in force, the edit would change:\n", old.Revision)
-		com.printDiff(editor.Diff(old, cur))
+		com.printDiff(editor.Diff(old, next))
 	}
 	return &requester.ConflictError{Host: com.Hosts[0], Base: base, Current: old}
 }
 
-// submit validates the changed tables and, except for a dry run or an edit without
-// effect, writes them if old is still in force.
-func (com *command) submit(opt editOptions, old, cur parser.Tables) error {
-	rep := editReport{Base: old.Revision, Changes: editor.Diff(old, cur)}
-	var invalid *parser.FaultsError
-	if err := cur.Validate(); errors.As(err, &invalid) {
+// submit validates the changed tables and, except for a dry run or an edit that
+// changes nothing, writes them if old is still in force.
+func (com *command) submit(opt editOptions, old, next parser.Tables) error {
+	rep := editReport{Base: old.Revision, Changes: editor.Diff(old, next)}
+	var faults *parser.FaultsError
+	if err := next.Validate(); errors.As(err, &faults) {
+		// The changes are printed as text with --json too.
 		com.printDiff(rep.Changes)
-		return &requester.RejectedError{Host: "this command", Message: rejectionMessage, Faults: invalid.Faults}
+		return &requester.RejectedError{Host: "this command", Message: rejectionMessage, Faults: faults.Faults}
 	}
 	if opt.DryRun || len(rep.Changes) == 0 {
 		return com.printEdit(rep)
 	}
-	out, err := com.requester().Put(com.ctx, cur, old.Revision)
+	out, err := com.newRequester().Put(com.ctx, next, old.Revision)
 	if err != nil {
-		return com.explainConflict(old, err)
+		return com.printConflict(old, err)
 	}
 	rep.Revision = out.Tables.Revision
 	rep.InForce = out.InForce
 	return com.printEdit(rep)
 }
 
-// explainConflict prints what others have changed since old if err is a conflict
-// with another edit. It returns err.
-func (com *command) explainConflict(old parser.Tables, err error) error {
+// printConflict prints the changes that other edits have made since old if err is a
+// conflict with another edit. It returns err.
+func (com *command) printConflict(old parser.Tables, err error) error {
 	var conflict *requester.ConflictError
 	if errors.As(err, &conflict) && !com.JSON && conflict.Current.Revision != old.Revision {
 		fmt.Fprintf(com.out, "changes from revision %d to revision %d by others:\n", old.Revision, conflict.Current.Revision)
--- a/cmd/hemlockpin/entries.go
+++ b/cmd/hemlockpin/entries.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	listLong   = "Lists the entries of the table."
-	showLong   = "Prints one entry as JSON."
-	setLong    = "Changes fields of one entry, for example\n  hemlockpin routes set questions TimeLimit=5s Match.MaxPromptTokens=8000\nor, without FIELD=VALUE, adds or replaces the entry by JSON from --file."
-	removeLong = "Removes one entry. The edit is rejected if another entry refers to it."
+	listLong     = "Lists the entries of the table."
+	getEntryLong = "Prints one entry as JSON."
+	setLong      = "Changes fields of one entry, for example\n  hemlockpin routes set questions TimeLimit=5s Match.MaxPromptTokens=8000\nor, without FIELD=VALUE, adds or replaces the entry by JSON from --file."
+	removeLong   = "Removes one entry. The edit is rejected if another entry refers to it."
 )
 
 // addTableCommands adds the commands routes, pools and teams with their subcommands.
@@ -29,7 +29,7 @@
 		}
 		subs := []subcommand{
 			{"list", "list " + name, listLong, &listCommand{command: com, kind: kin}},
-			{"get", "print one " + string(kin), showLong, &showCommand{command: com, kind: kin}},
+			{"get", "print one " + string(kin), getEntryLong, &getEntryCommand{command: com, kind: kin}},
 			{"set", "change or add one " + string(kin), setLong, &setCommand{command: com, kind: kin}},
 			{"remove", "remove one " + string(kin), removeLong, &removeCommand{command: com, kind: kin}},
 		}
@@ -49,7 +49,7 @@
 
 // Execute lists the entries.
 func (com *listCommand) Execute([]string) error {
-	tab, err := com.requester().Tables(com.ctx)
+	tab, err := com.newRequester().Tables(com.ctx)
 	if err != nil {
 		return err
 	}
@@ -111,15 +111,15 @@
 	Name string `positional-arg-name:"NAME"`
 }
 
-type showCommand struct {
+type getEntryCommand struct {
 	*command `no-flag:"yes"`
 	kind     editor.Kind
 	Args     nameArgument `positional-args:"yes" required:"yes"`
 }
 
 // Execute prints the entry.
-func (com *showCommand) Execute([]string) error {
-	tab, err := com.requester().Tables(com.ctx)
+func (com *getEntryCommand) Execute([]string) error {
+	tab, err := com.newRequester().Tables(com.ctx)
 	if err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 	})
 }
 
-// asUsageError makes an error of the operator's input a usageError; nil stays nil.
+// asUsageError wraps a non-nil error in a usageError.
 func asUsageError(err error) error {
 	if err == nil {
 		return nil
--- a/cmd/hemlockpin/explain.go
+++ b/cmd/hemlockpin/explain.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	exp, err := com.requester().Explain(com.ctx, req)
+	exp, err := com.newRequester().Explain(com.ctx, req)
 	if err != nil {
 		return err
 	}
@@ -100,10 +100,11 @@
 	return com.printTable([]string{"ENDPOINT", "DATA CENTRE", "MEMORY TOKENS", "QUEUED TOKENS", "WHY"}, rows)
 }
 
-// formatTokens formats the use of an endpoint's memory; - if its size is unknown.
-func formatTokens(used, all int64) string {
-	if all == 0 {
+// formatTokens formats the used and total tokens of an endpoint's memory; it returns
+// "-" if the total is 0, which means unknown.
+func formatTokens(used, total int64) string {
+	if total == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%d of %d", used, all)
+	return fmt.Sprintf("%d of %d", used, total)
 }
--- a/cmd/hemlockpin/get.go
+++ b/cmd/hemlockpin/get.go
@@ -11,7 +11,7 @@
 
 // Execute prints the tables.
 func (com *getCommand) Execute([]string) error {
-	tab, err := com.requester().Tables(com.ctx)
+	tab, err := com.newRequester().Tables(com.ctx)
 	if err != nil {
 		return err
 	}
--- a/cmd/hemlockpin/history.go
+++ b/cmd/hemlockpin/history.go
@@ -26,7 +26,7 @@
 
 // Execute lists the revisions.
 func (com *historyCommand) Execute([]string) error {
-	his, err := com.requester().History(com.ctx)
+	his, err := com.newRequester().History(com.ctx)
 	if err != nil {
 		return historyError(err, "the history")
 	}
@@ -54,21 +54,21 @@
 
 // Execute makes a new edit with the entries of the earlier revision.
 func (com *rollbackCommand) Execute([]string) error {
-	old, err := com.requester().Revision(com.ctx, com.Args.Revision)
+	earlier, err := com.newRequester().Revision(com.ctx, com.Args.Revision)
 	if err != nil {
 		return historyError(err, "revision "+strconv.FormatUint(com.Args.Revision, 10))
 	}
 	return com.edit(com.editOptions, func(cur parser.Tables) (parser.Tables, error) {
-		return combine(cur, old, true), nil
+		return combine(cur, earlier, true), nil
 	})
 }
 
-// historyError adds an explanation to the error of a host that does not have the
-// history asked for.
-func historyError(err error, what string) error {
-	var ans *requester.StatusError
-	if errors.As(err, &ans) && ans.Status == http.StatusNotFound {
-		return eris.Wrapf(err, "host %s does not have %s: it is not kept any more, or the host's build keeps no history", ans.Host, what)
+// historyError explains a 404 answer: the host does not have the requested revision or
+// history. Other errors are returned as they are.
+func historyError(err error, subject string) error {
+	var sta *requester.StatusError
+	if errors.As(err, &sta) && sta.Status == http.StatusNotFound {
+		return eris.Wrapf(err, "host %s does not have %s: it is not kept any more, or the host's build keeps no history", sta.Host, subject)
 	}
 	return err
 }
--- a/cmd/hemlockpin/main.go
+++ b/cmd/hemlockpin/main.go
@@ -10,6 +10,7 @@
 	"os/signal"
 	"syscall"
 
+	// All programs of the project use the name resolver of the C library.
 	_ "runtime/cgo"
 
 	"hemlockpin/operator/requester"
@@ -17,7 +18,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Exit codes. mainLong documents them.
+// Exit codes, as documented in mainLong.
 const (
 	exitOK       = 0
 	exitFailure  = 1
@@ -43,7 +44,9 @@
 	out io.Writer
 }
 
-func (com *command) requester() *requester.Requester { return &requester.Requester{Hosts: com.Hosts} }
+func (com *command) newRequester() *requester.Requester {
+	return &requester.Requester{Hosts: com.Hosts}
+}
 
 // usageError is an error in the command line or in an input file.
 type usageError struct{ err error }
--- a/cmd/hemlockpin/order.go
+++ b/cmd/hemlockpin/order.go
@@ -39,7 +39,7 @@
 	if com.ID == "" {
 		com.ID = uuid.NewString()
 	}
-	rep, err := com.requester().Order(com.ctx, server.OrderRequest{
+	rep, err := com.newRequester().Order(com.ctx, server.OrderRequest{
 		Endpoint: com.Args.Endpoint, Kind: com.Args.Kind, Model: com.Model, Adapter: com.Adapter, Version: com.Version,
 		Role: com.Role, ID: com.ID, TimeMs: com.Time.Milliseconds(),
 	})
--- a/cmd/hemlockpin/print.go
+++ b/cmd/hemlockpin/print.go
@@ -9,6 +9,7 @@
 	"hemlockpin/operator/editor"
 )
 
+// columnGap is the number of spaces between columns.
 const columnGap = 2
 
 // printJSON prints a value as JSON, for use by programs.
@@ -28,7 +29,7 @@
 	return wri.Flush()
 }
 
-// printDiff prints the changes between two versions of the tables.
+// printDiff prints the changes between two revisions of the tables.
 func (com *command) printDiff(chas []editor.Change) {
 	if len(chas) == 0 {
 		fmt.Fprintln(com.out, "no difference")
--- a/cmd/hemlockpin/status.go
+++ b/cmd/hemlockpin/status.go
@@ -20,7 +20,7 @@
 
 // Execute prints the hosts.
 func (com *statusCommand) Execute([]string) error {
-	stas, err := com.requester().HostStatuses(com.ctx)
+	stas, err := com.newRequester().HostStatuses(com.ctx)
 	if err != nil {
 		return err
 	}
@@ -50,6 +50,8 @@
 	return err
 }
 
+// formatAge formats the time since at; it returns "never" if at is unset or not
+// after the Unix epoch.
 func formatAge(at time.Time) string {
 	if at.UnixMilli() <= 0 {
 		return "never"
@@ -63,7 +65,7 @@
 
 // Execute prints the endpoints.
 func (com *endpointsCommand) Execute([]string) error {
-	stas, err := com.requester().EndpointStatuses(com.ctx)
+	stas, err := com.newRequester().EndpointStatuses(com.ctx)
 	if err != nil {
 		return err
 	}
--- a/cmd/hemlockpin/trace.go
+++ b/cmd/hemlockpin/trace.go
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// readLog reads the log at path. Lines without a host count as those of the host that
-// the file is named after.
+// readLog reads the log at path. A line without a Host field belongs to the host that
+// is named by the file's base name without its extension.
 func readLog(cor *correlator.Correlator, path string) error {
 	fil, err := os.Open(path)
 	if err != nil {
--- a/cmd/hemlockpin/usage.go
+++ b/cmd/hemlockpin/usage.go
@@ -17,7 +17,7 @@
 
 // Execute prints the counts.
 func (com *usageCommand) Execute([]string) error {
-	sta, err := com.requester().TeamsStatus(com.ctx)
+	sta, err := com.newRequester().TeamsStatus(com.ctx)
 	if err != nil {
 		return err
 	}
--- a/cmd/hemlockpind/forward.go
+++ b/cmd/hemlockpind/forward.go
@@ -13,11 +13,11 @@
 	"github.com/rs/zerolog"
 )
 
-// configPollInterval is the interval at which the settings file is checked for
-// changes that are not announced by SIGHUP.
+// configPollInterval is the interval at which the modification time of the settings
+// file is checked, for changes without a SIGHUP.
 const configPollInterval = 2 * time.Second
 
-// runForwarder runs a host that forwards calls unchanged on the users' platform.
+// runForwarder runs a host that forwards calls unchanged on the platform.
 func runForwarder(ctx context.Context, set configurer.Settings, hup <-chan os.Signal, log zerolog.Logger, now time.Time) error {
 	cli := platform.New(set.Platform, &counter.Traffic{})
 	fwd := forwarder.New(set, forwarder.Platform{Source: cli, Codec: platform.Codec{}, EngineClient: cli}, log, forwarder.ChooseIncarnation(ctx, set, now))
@@ -25,8 +25,8 @@
 	return fwd.Run(ctx)
 }
 
-// watchSettings reloads the settings on SIGHUP and when their file changes. Invalid
-// settings are logged and the previous ones kept.
+// watchSettings reloads the settings on SIGHUP and when their file changes. If the
+// new settings are invalid, it logs the error and keeps the previous settings.
 func watchSettings(ctx context.Context, set configurer.Settings, hup <-chan os.Signal, fwd *forwarder.Forwarder, log zerolog.Logger) {
 	tic := time.NewTicker(configPollInterval)
 	defer tic.Stop()
@@ -37,6 +37,8 @@
 			return
 		case <-hup:
 		case <-tic.C:
+			// A file that cannot be read, for example while it is being replaced, is
+			// checked again at the next tick.
 			if modified := modTime(set.Config); modified.IsZero() || modified.Equal(lastModified) {
 				continue
 			}
@@ -44,7 +46,7 @@
 		lastModified = modTime(set.Config)
 		next, err := configurer.Read(os.Args[1:])
 		if err != nil {
-			log.Error().Err(err).Msg("settings not reloaded; the old ones stay in force")
+			log.Error().Err(err).Msg("settings not reloaded; keeping the previous settings")
 			continue
 		}
 		fwd.Reload(next)
--- a/cmd/hemlockpind/main.go
+++ b/cmd/hemlockpind/main.go
@@ -23,11 +23,12 @@
 )
 
 const (
-	exitFailure  = 1
+	exitFailure = 1
+	// exitSettings is the exit code for invalid settings.
 	exitSettings = 2
 
-	// timeFormat is the format of the times in the log. It has milliseconds, since a
-	// request takes only some hundred milliseconds.
+	// timeFormat is the format of the times in the log. It has milliseconds, because
+	// requests take only some hundred milliseconds.
 	timeFormat = "2006-01-02T15:04:05.000Z07:00"
 )
 
@@ -82,7 +83,7 @@
 	for {
 		select {
 		case <-hup:
-			log.Warn().Msg("settings not reloaded: with this interface they are read at the start only")
+			log.Warn().Msg("settings not reloaded on SIGHUP; this interface reads its settings only at startup")
 		case <-ctx.Done():
 			return
 		}
--- a/cmd/hemlockstandin/main.go
+++ b/cmd/hemlockstandin/main.go
@@ -1,5 +1,5 @@
 // Command hemlockstandin runs stand-ins for the external systems in tests and
-// trials: the platform, a model engine and a plain service.
+// load runs: the platform, a model engine and a plain service.
 package main
 
 import (
@@ -11,6 +11,7 @@
 	"os/signal"
 	"syscall"
 
+	// All programs of the project use the name resolver of the C library.
 	_ "runtime/cgo"
 
 	"hemlockpin/standin/booker"
@@ -26,12 +27,12 @@
 
 type serviceCommand struct{ booker.Settings }
 
-// Execute runs the platform.
+// Execute runs the stand-in for the platform.
 func (com *platformCommand) Execute([]string) error {
 	return serve(com.Listen, keeper.New(com.Settings).Handler())
 }
 
-// Execute runs an engine.
+// Execute runs the stand-in for an engine.
 func (com *engineCommand) Execute([]string) error {
 	gen := generator.New(com.Settings)
 	stop := make(chan struct{})
@@ -40,7 +41,7 @@
 	return serve(com.Listen, gen.Handler())
 }
 
-// Execute runs a plain service.
+// Execute runs the stand-in for a plain service.
 func (com *serviceCommand) Execute([]string) error {
 	return serve(com.Listen, booker.New(com.Settings).Handler())
 }
