--- a/cmd/hemlockpind/main.go
+++ b/cmd/hemlockpind/main.go
@@ -53,7 +53,7 @@
 }
 
 func run(set configurer.Settings, hup <-chan os.Signal) error {
-	if heapBytes := set.HeapBytes(); heapBytes > 0 {
+	if heapBytes := set.HeapLimit(); heapBytes > 0 {
 		debug.SetMemoryLimit(heapBytes)
 	}
 	lev, _ := zerolog.ParseLevel(set.LogLevel)
--- a/process/configurer/bound.go
+++ b/process/configurer/bound.go
@@ -17,20 +17,20 @@
 	megabyte = 1 << 20
 )
 
-// HeapBytes returns the soft memory limit for the garbage collector, in bytes; 0 if the
+// HeapLimit returns the soft memory limit for the garbage collector, in bytes; 0 if the
 // memory of the process is not known.
-func (set Settings) HeapBytes() int64 { return int64(heapShare * float64(set.MemoryMB*megabyte)) }
+func (set Settings) HeapLimit() int64 { return int64(heapShare * float64(set.MemoryMB*megabyte)) }
 
-// BodyBytes returns the limit of the memory for bodies of requests in progress, in bytes.
-func (set Settings) BodyBytes() int64 {
+// BodyMemoryLimit returns the limit of the memory for bodies of requests in progress, in bytes.
+func (set Settings) BodyMemoryLimit() int64 {
 	if set.MemoryMB == 0 {
 		return set.MaxBodyMemory
 	}
 	return min(set.MaxBodyMemory, int64(bodyShare*float64(set.MemoryMB*megabyte)))
 }
 
-// CallerConns returns the limit of callers' connections.
-func (set Settings) CallerConns() int64 {
+// CallerConnLimit returns the limit of callers' connections.
+func (set Settings) CallerConnLimit() int64 {
 	if set.MaxFiles == 0 {
 		return int64(set.MaxConns)
 	}
--- a/process/configurer/bound_test.go
+++ b/process/configurer/bound_test.go
@@ -21,9 +21,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			set := Settings{Host: Host{MemoryMB: tt.memory, MaxFiles: tt.files}, Limits: Limits{MaxBodyMemory: 512 << 20, MaxConns: 10_000}}
-			require.Equal(t, tt.heap, set.HeapBytes())
-			require.Equal(t, tt.bodies, set.BodyBytes())
-			require.Equal(t, tt.conns, set.CallerConns())
+			require.Equal(t, tt.heap, set.HeapLimit())
+			require.Equal(t, tt.bodies, set.BodyMemoryLimit())
+			require.Equal(t, tt.conns, set.CallerConnLimit())
 		})
 	}
 }
--- a/process/forwarder/forwarder.go
+++ b/process/forwarder/forwarder.go
@@ -106,7 +106,7 @@
 func New(set configurer.Settings, pla Platform, log zerolog.Logger, incarnation uint64) *Forwarder {
 	fwd := &Forwarder{Settings: set, Platform: pla, Log: log, Incarnation: incarnation, started: time.Now(), ready: make(chan struct{})}
 	fwd.scope, fwd.metrics = measurer.New(log)
-	fwd.bodyMemory.MaxBytes = set.BodyBytes()
+	fwd.bodyMemory.MaxBytes = set.BodyMemoryLimit()
 	fwd.publisher = &publisher.Publisher{}
 	fwd.multiplexer = &multiplexer.Multiplexer{Handler: fwd.handlePeer, OnPanic: fwd.logPanic}
 	fwd.initGossiper()
@@ -172,7 +172,7 @@
 	gro.Go(func() { fwd.monitorHosts(workCtx) })
 	gro.Go(func() { fwd.pollWatchers(workCtx) })
 	callerSrv := fwd.callerServer()
-	lis := &acceptor.Listener{Listener: listeners.caller, Max: fwd.Settings.CallerConns(), Refused: fwd.scope.Counter("connections_refused")}
+	lis := &acceptor.Listener{Listener: listeners.caller, Max: fwd.Settings.CallerConnLimit(), Refused: fwd.scope.Counter("connections_refused")}
 	httpServers := []*http.Server{{Handler: fwd.readyRoutes(), ReadHeaderTimeout: headerTimeout}, {Handler: fwd.operatorRoutes(), ReadHeaderTimeout: headerTimeout}}
 	gro.Go(func() { _ = callerSrv.Serve(lis) })
 	gro.Go(func() { _ = httpServers[0].Serve(listeners.ready) })
--- a/process/server/server.go
+++ b/process/server/server.go
@@ -93,7 +93,7 @@
 	ser.scope, ser.metrics = measurer.New(log)
 	own := invoker.Owner{Host: set.HostID, Incarnation: ser.Incarnation}
 	ser.meter = newMeter(ser.scope)
-	ser.bodyMemory.MaxBytes = set.BodyBytes()
+	ser.bodyMemory.MaxBytes = set.BodyMemoryLimit()
 	ser.invoker = &invoker.Invoker{}
 	ser.persister = ser.newPersister()
 	ser.publisher = &publisher.Publisher{Store: ser.persister}
@@ -141,7 +141,7 @@
 	gro.Go(func() { _ = ser.multiplexer.Serve(listeners.peer) })
 	callerSrv := ser.callerServer(ser.countRequests(ser.edge(ser.callerRoutes())))
 	operatorSrv := ser.operatorServer()
-	lis := &acceptor.Listener{Listener: listeners.caller, Max: ser.Settings.CallerConns(), Refused: ser.scope.Counter("connections_refused")}
+	lis := &acceptor.Listener{Listener: listeners.caller, Max: ser.Settings.CallerConnLimit(), Refused: ser.scope.Counter("connections_refused")}
 	gro.Go(func() { _ = callerSrv.Serve(lis) })
 	gro.Go(func() { _ = operatorSrv.Serve(listeners.operator) })
 	ser.Log.Info().Str("Listen", ser.Settings.Listen).Msg("host started")
