--- a/process/configurer/bound_test.go
+++ b/process/configurer/bound_test.go
@@ -6,6 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestBounds computes the limits of hosts. On a small host, they must follow its memory
+// and file descriptors.
 func TestBounds(t *testing.T) {
 	tests := []struct {
 		name                string
--- a/process/configurer/configurer.go
+++ b/process/configurer/configurer.go
@@ -1,5 +1,5 @@
-// Package configurer holds the settings of an entry host. They are read from flags,
-// environment variables and a file, and validated completely before anything starts.
+// Package configurer holds the settings of a host. They are read from flags, environment
+// variables and a file, and validated completely before the host starts.
 package configurer
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Settings are the settings of one entry host.
+// Settings are the settings of one host.
 type Settings struct {
 	Host        `group:"Host"`
 	Limits      `group:"Limits towards callers"`
@@ -60,9 +60,11 @@
 	SeedPeers    []string      `long:"seed-peer" env:"HEMLOCKPIN_SEED_PEERS" env-delim:"," description:"address of another host, as IP:port, to ask when the platform is out; may stand several times"`
 }
 
-// The values of Forwarding.Interface: the interfaces that a host can offer to callers.
+// Values of Forwarding.Interface.
 const (
-	InterfaceOpenAI  = "openai"
+	// InterfaceOpenAI is the OpenAI-compatible API.
+	InterfaceOpenAI = "openai"
+	// InterfaceForward is the forwarding of unchanged calls.
 	InterfaceForward = "forward"
 )
 
--- a/process/configurer/configurer_test.go
+++ b/process/configurer/configurer_test.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	page      = "../../docs/operators/settings.md"
-	pageBegin = "<!-- settings -->\n"
-	pageEnd   = "<!-- end of settings -->\n"
+	settingsPage = "../../docs/operators/settings.md"
+	tableBegin   = "<!-- settings -->\n"
+	tableEnd     = "<!-- end of settings -->\n"
 )
 
 var rewritePage = flag.Bool("rewrite-page", false, "rewrite the table of the settings page")
 
-// TestRead reads settings as in testdata/settings. An input line is an argument, or an
-// environment variable if it starts with HEMLOCKPIN_.
+// TestRead reads settings as in testdata/settings. All faults must be reported at once. An
+// input line is an argument, or an environment variable if it starts with HEMLOCKPIN_.
+// Without "bare", the arguments of a case begin with the required settings.
 func TestRead(t *testing.T) {
 	datadriven.RunTest(t, "testdata/settings", func(t *testing.T, data *datadriven.TestData) string {
 		args := []string{"--host-id=host-0", "--data-center=colombo", "--platform=http://127.0.0.1:7000"}
@@ -49,16 +50,16 @@
 	})
 }
 
-// TestPage checks that the table of the settings page matches the settings.
-func TestPage(t *testing.T) {
-	doc, err := os.ReadFile(page)
+// TestSettingsPage checks that the table of the settings page matches the settings.
+func TestSettingsPage(t *testing.T) {
+	doc, err := os.ReadFile(settingsPage)
 	require.NoError(t, err)
-	before, rest, ok := strings.Cut(string(doc), pageBegin)
+	before, rest, ok := strings.Cut(string(doc), tableBegin)
 	require.True(t, ok)
-	old, after, ok := strings.Cut(rest, pageEnd)
+	old, after, ok := strings.Cut(rest, tableEnd)
 	require.True(t, ok)
 	if *rewritePage {
-		require.NoError(t, os.WriteFile(page, []byte(before+pageBegin+settingsTable()+pageEnd+after), 0o644))
+		require.NoError(t, os.WriteFile(settingsPage, []byte(before+tableBegin+settingsTable()+tableEnd+after), 0o644))
 		return
 	}
 	require.Equal(t, settingsTable(), old, "run go test ./process/configurer -rewrite-page")
@@ -91,9 +92,10 @@
 	return "`" + text + "`"
 }
 
-// TestEnvironment checks that the environment variable of each option has the name of its
-// flag. Only a final S may differ, as for SEED_PEERS.
-func TestEnvironment(t *testing.T) {
+// TestEnvironmentNames checks that the environment variable of each option is named like
+// its flag: HEMLOCKPIN_ and the flag's name in capitals with underscores. Only a final S
+// may differ, as for SEED_PEERS.
+func TestEnvironmentNames(t *testing.T) {
 	var count int
 	for i := range reflect.TypeFor[Settings]().NumField() {
 		gro := reflect.TypeFor[Settings]().Field(i)
--- a/process/configurer/file_test.go
+++ b/process/configurer/file_test.go
@@ -29,8 +29,9 @@
 	return path
 }
 
-// TestFile reads settings from a file, which flags and the environment override.
-func TestFile(t *testing.T) {
+// TestReadFile reads settings from a file. Flags and environment variables must override
+// the file.
+func TestReadFile(t *testing.T) {
 	t.Setenv("HEMLOCKPIN_CONFIG", writeFile(t, fileText))
 	t.Setenv("HEMLOCKPIN_DATA_CENTER", "gampaha")
 	set, err := Read([]string{"--host-id=front-2"})
@@ -41,6 +42,8 @@
 	require.Equal(t, []string{"127.0.0.1:1", "127.0.0.1:2"}, set.SeedPeers)
 }
 
+// TestFileFaults reads files with a fault. The fault must be reported with the line or the
+// name of the setting.
 func TestFileFaults(t *testing.T) {
 	tests := []struct{ name, text, fault string }{
 		{"unknown setting", "[Host]\nhostid = a\n", "hostid"},
--- a/process/configurer/reader.go
+++ b/process/configurer/reader.go
@@ -11,7 +11,8 @@
 	"github.com/jessevdk/go-flags"
 )
 
-var flagName = regexp.MustCompile("(?:--|unknown flag `)([a-z-]+)")
+// flagNameInError matches the name of the faulty flag in an error text of go-flags.
+var flagNameInError = regexp.MustCompile("(?:--|unknown flag `)([a-z-]+)")
 
 // HelpError is returned if the arguments ask for help. It holds the help text.
 type HelpError struct{ Text string }
@@ -31,9 +32,10 @@
 
 // Read reads the settings from the arguments, the environment and the settings file, and
 // validates them. It returns a FaultsError with all faults, including values that can't
-// be parsed, or a HelpError. A faulty environment variable is unset.
+// be parsed, or a HelpError. Read unsets an environment variable with an invalid value, so
+// that it can continue and find further faults.
 func Read(args []string) (Settings, error) {
-	var fas []string
+	var faults []string
 	fileArgs, err := readFile(args)
 	if err != nil {
 		return Settings{}, &FaultsError{[]string{err.Error()}}
@@ -42,24 +44,24 @@
 	for {
 		var set Settings
 		rest, err := NewParser(&set).ParseArgs(args)
-		var fla *flags.Error
+		var flagErr *flags.Error
 		switch {
 		case err == nil:
-			return set, set.validateWith(append(fas, unexpectedArguments(rest)...))
-		case errors.As(err, &fla) && fla.Type == flags.ErrHelp:
-			return set, &HelpError{fla.Message}
+			return set, set.validateWith(append(faults, unexpectedArguments(rest)...))
+		case errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp:
+			return set, &HelpError{flagErr.Message}
 		}
-		fas = append(fas, strings.ReplaceAll(err.Error(), "`", "'"))
-		match := flagName.FindStringSubmatch(err.Error())
+		// go-flags quotes the names of unknown flags with a backtick and an apostrophe.
+		faults = append(faults, strings.ReplaceAll(err.Error(), "`", "'"))
+		match := flagNameInError.FindStringSubmatch(err.Error())
 		if match == nil || !dropOption(match[1], &args) {
-			return set, &FaultsError{fas}
+			return set, &FaultsError{faults}
 		}
 	}
 }
 
-// readFile reads the settings file that the arguments or the environment name. It
-// returns the settings as arguments, without those that the arguments or the environment
-// override.
+// readFile reads the settings file that --config or HEMLOCKPIN_CONFIG gives. It returns the
+// file's settings as arguments, except the settings that args or the environment also set.
 func readFile(args []string) ([]string, error) {
 	var location struct {
 		Config string `long:"config" env:"HEMLOCKPIN_CONFIG"`
@@ -75,28 +77,29 @@
 		return nil, fmt.Errorf("--config %s: %w", location.Config, err)
 	}
 	var out []string
-	for _, opt := range options(par.Groups()) {
-		if opt.IsSet() && !opt.IsSetDefault() && os.Getenv(opt.EnvDefaultKey) == "" && !sets(args, opt.LongName) {
+	for _, opt := range allOptions(par.Groups()) {
+		if opt.IsSet() && !opt.IsSetDefault() && os.Getenv(opt.EnvDefaultKey) == "" && !containsOption(args, opt.LongName) {
 			out = append(out, asArguments(opt)...)
 		}
 	}
 	return out, nil
 }
 
-func options(gros []*flags.Group) []*flags.Option {
+// allOptions returns the options of the groups and their subgroups.
+func allOptions(gros []*flags.Group) []*flags.Option {
 	var out []*flags.Option
 	for _, gro := range gros {
-		out = append(append(out, gro.Options()...), options(gro.Groups())...)
+		out = append(append(out, gro.Options()...), allOptions(gro.Groups())...)
 	}
 	return out
 }
 
-// sets reports whether the arguments set an option.
-func sets(args []string, name string) bool {
+// containsOption reports whether the arguments set an option.
+func containsOption(args []string, name string) bool {
 	return slices.ContainsFunc(args, func(arg string) bool { return arg == "--"+name || strings.HasPrefix(arg, "--"+name+"=") })
 }
 
-// asArguments returns the value of an option as arguments, one per element of a list.
+// asArguments returns an option as --name=value arguments, one for each element of a list.
 func asArguments(opt *flags.Option) []string {
 	if list, ok := opt.Value().([]string); ok {
 		var out []string
@@ -108,25 +111,25 @@
 	return []string{fmt.Sprintf("--%s=%v", opt.LongName, opt.Value())}
 }
 
-// validateWith validates the settings and returns a FaultsError with the given parse
-// faults and those found, or nil if there are none.
-func (set Settings) validateWith(fas []string) error {
-	var invalid *FaultsError
-	if err := set.Validate(); errors.As(err, &invalid) {
-		fas = append(fas, invalid.Faults...)
+// validateWith validates the settings. It returns a FaultsError with faults, which were
+// found while parsing, and the faults of the validation, or nil if there are none.
+func (set Settings) validateWith(faults []string) error {
+	var found *FaultsError
+	if err := set.Validate(); errors.As(err, &found) {
+		faults = append(faults, found.Faults...)
 	}
-	if len(fas) > 0 {
-		return &FaultsError{fas}
+	if len(faults) > 0 {
+		return &FaultsError{faults}
 	}
 	return nil
 }
 
 func unexpectedArguments(args []string) []string {
-	var fas []string
+	var faults []string
 	for _, arg := range args {
-		fas = append(fas, fmt.Sprintf("unexpected argument %q", arg))
+		faults = append(faults, fmt.Sprintf("unexpected argument %q", arg))
 	}
-	return fas
+	return faults
 }
 
 // dropOption removes a faulty option from the arguments or, if it is not there, from the
--- a/process/configurer/validator.go
+++ b/process/configurer/validator.go
@@ -14,50 +14,53 @@
 )
 
 const (
+	// maxNameBytes is the limit of host, data centre and region names.
 	maxNameBytes = 63
-	// maxCores is the limit of --cpu-share. It detects values in other units.
+	// maxCores is the limit of --cpu-share. It detects a value that is not in cores.
 	maxCores = 1024
-	// minMemoryMB suffices for the program, the tables and a few requests; minFiles for
-	// the listeners, the sessions with other hosts and a few requests.
+	// minMemoryMB is the least memory in MB. It suffices for the program, the tables and a
+	// few requests.
 	minMemoryMB = 48
-	minFiles    = 512
+	// minFiles is the least number of file descriptors. It suffices for the listeners, the
+	// sessions with other hosts and a few requests.
+	minFiles = 512
 )
 
 // Validate returns a FaultsError with all faults, or nil if there are none.
 func (set Settings) Validate() error {
-	var fas []string
-	fas = append(fas, set.Host.validate()...)
-	fas = append(fas, set.Limits.validate()...)
-	fas = append(fas, set.Placing.validate()...)
-	fas = append(fas, set.Peering.validate()...)
-	fas = append(fas, set.Forwarding.validate()...)
-	fas = append(fas, checkPositive(flagValue{"--drain-notice", int64(set.DrainNotice)}, flagValue{"--drain-timeout", int64(set.DrainTimeout)})...)
-	fas = append(fas, set.Observation.validate()...)
-	if len(fas) > 0 {
-		return &FaultsError{fas}
+	var faults []string
+	faults = append(faults, set.Host.validate()...)
+	faults = append(faults, set.Limits.validate()...)
+	faults = append(faults, set.Placing.validate()...)
+	faults = append(faults, set.Peering.validate()...)
+	faults = append(faults, set.Forwarding.validate()...)
+	faults = append(faults, checkPositive(flagValue{"--drain-notice", int64(set.DrainNotice)}, flagValue{"--drain-timeout", int64(set.DrainTimeout)})...)
+	faults = append(faults, set.Observation.validate()...)
+	if len(faults) > 0 {
+		return &FaultsError{faults}
 	}
 	return nil
 }
 
 func (hos Host) validate() []string {
-	var fas []string
+	var faults []string
 	if !validName(hos.HostID) {
-		fas = append(fas, fmt.Sprintf("--host-id %q must be 1 to %d letters, digits, points and hyphens", hos.HostID, maxNameBytes))
+		faults = append(faults, fmt.Sprintf("--host-id %q must be 1 to %d letters, digits, points and hyphens", hos.HostID, maxNameBytes))
 	}
 	if !validName(hos.DataCenter) {
-		fas = append(fas, fmt.Sprintf("--data-center %q must be 1 to %d letters, digits, points and hyphens", hos.DataCenter, maxNameBytes))
+		faults = append(faults, fmt.Sprintf("--data-center %q must be 1 to %d letters, digits, points and hyphens", hos.DataCenter, maxNameBytes))
 	}
 	if hos.Region != "" && !validName(hos.Region) {
-		fas = append(fas, fmt.Sprintf("--region %q must be at most %d letters, digits, points and hyphens", hos.Region, maxNameBytes))
+		faults = append(faults, fmt.Sprintf("--region %q must be at most %d letters, digits, points and hyphens", hos.Region, maxNameBytes))
 	}
 	if !(hos.CPUShare >= 0 && hos.CPUShare <= maxCores) {
-		fas = append(fas, fmt.Sprintf("--cpu-share %g must be 0 to %d", hos.CPUShare, maxCores))
+		faults = append(faults, fmt.Sprintf("--cpu-share %g must be 0 to %d", hos.CPUShare, maxCores))
 	}
 	if hos.MemoryMB != 0 && hos.MemoryMB < minMemoryMB {
-		fas = append(fas, fmt.Sprintf("--memory-mb %d must be 0 or at least %d", hos.MemoryMB, minMemoryMB))
+		faults = append(faults, fmt.Sprintf("--memory-mb %d must be 0 or at least %d", hos.MemoryMB, minMemoryMB))
 	}
 	if hos.MaxFiles != 0 && hos.MaxFiles < minFiles {
-		fas = append(fas, fmt.Sprintf("--max-files %d must be 0 or at least %d", hos.MaxFiles, minFiles))
+		faults = append(faults, fmt.Sprintf("--max-files %d must be 0 or at least %d", hos.MaxFiles, minFiles))
 	}
 	flagAt := map[string]string{}
 	addrs := []struct{ flag, val string }{
@@ -65,17 +68,17 @@
 	}
 	for _, addr := range addrs {
 		if !validAddress(addr.val) {
-			fas = append(fas, fmt.Sprintf("%s %q must be IP:port", addr.flag, addr.val))
+			faults = append(faults, fmt.Sprintf("%s %q must be IP:port", addr.flag, addr.val))
 		} else if other := flagAt[addr.val]; other != "" {
-			fas = append(fas, fmt.Sprintf("%s %q is also %s", addr.flag, addr.val, other))
+			faults = append(faults, fmt.Sprintf("%s %q is also %s", addr.flag, addr.val, other))
 		}
 		flagAt[addr.val] = addr.flag
 	}
-	return fas
+	return faults
 }
 
 func (lim Limits) validate() []string {
-	fas := checkPositive(
+	faults := checkPositive(
 		flagValue{"--max-body-bytes", lim.MaxBodyBytes},
 		flagValue{"--max-body-memory", lim.MaxBodyMemory},
 		flagValue{"--max-header-bytes", int64(lim.MaxHeader)},
@@ -86,62 +89,62 @@
 		flagValue{"--idle-timeout", int64(lim.IdleTimeout)},
 	)
 	if lim.MaxBodyMemory > 0 && lim.MaxBodyMemory/receiver.BodyCopies < lim.MaxBodyBytes {
-		fas = append(fas, fmt.Sprintf("--max-body-memory %d is less than %d times --max-body-bytes", lim.MaxBodyMemory, receiver.BodyCopies))
+		faults = append(faults, fmt.Sprintf("--max-body-memory %d is less than %d times --max-body-bytes", lim.MaxBodyMemory, receiver.BodyCopies))
 	}
-	return fas
+	return faults
 }
 
 func (pla Placing) validate() []string {
-	fas := checkPositive(flagValue{"--load-interval", int64(pla.LoadInterval)})
+	faults := checkPositive(flagValue{"--load-interval", int64(pla.LoadInterval)})
 	if !placer.Policy(pla.Placement).Valid() {
-		fas = append(fas, fmt.Sprintf("--placement %q is not a placement policy", pla.Placement))
+		faults = append(faults, fmt.Sprintf("--placement %q is not a placement policy", pla.Placement))
 	}
-	return fas
+	return faults
 }
 
 func (pee Peering) validate() []string {
-	fas := checkPositive(
+	faults := checkPositive(
 		flagValue{"--list-interval", int64(pee.ListInterval)},
 		flagValue{"--heartbeat-interval", int64(pee.Heartbeat)},
 	)
 	for _, addr := range pee.SeedPeers {
 		if !validAddress(addr) {
-			fas = append(fas, fmt.Sprintf("--seed-peer %q must be IP:port", addr))
+			faults = append(faults, fmt.Sprintf("--seed-peer %q must be IP:port", addr))
 		}
 	}
 	if !validURL(pee.Platform) {
-		fas = append(fas, fmt.Sprintf("--platform %q must be a URL such as http://127.0.0.1:7000", pee.Platform))
+		faults = append(faults, fmt.Sprintf("--platform %q must be a URL such as http://127.0.0.1:7000", pee.Platform))
 	}
-	return fas
+	return faults
 }
 
 func (obs Observation) validate() []string {
-	var fas []string
+	var faults []string
 	if obs.TraceEndpoint != "" && !validURL(obs.TraceEndpoint) {
-		fas = append(fas, fmt.Sprintf("--trace-endpoint %q must be a URL such as http://127.0.0.1:4318", obs.TraceEndpoint))
+		faults = append(faults, fmt.Sprintf("--trace-endpoint %q must be a URL such as http://127.0.0.1:4318", obs.TraceEndpoint))
 	}
 	if !(obs.TraceRatio >= 0 && obs.TraceRatio <= 1) {
-		fas = append(fas, fmt.Sprintf("--trace-ratio %g must be 0 to 1", obs.TraceRatio))
+		faults = append(faults, fmt.Sprintf("--trace-ratio %g must be 0 to 1", obs.TraceRatio))
 	}
 	switch lev, err := zerolog.ParseLevel(obs.LogLevel); {
 	case err != nil, obs.LogLevel == "", lev < zerolog.DebugLevel, lev > zerolog.ErrorLevel:
-		fas = append(fas, fmt.Sprintf("--log-level %q must be debug, info, warn or error", obs.LogLevel))
+		faults = append(faults, fmt.Sprintf("--log-level %q must be debug, info, warn or error", obs.LogLevel))
 	}
-	return fas
+	return faults
 }
 
 func (fwd Forwarding) validate() []string {
-	var fas []string
+	var faults []string
 	if fwd.Interface != InterfaceOpenAI && fwd.Interface != InterfaceForward {
-		fas = append(fas, fmt.Sprintf("--interface %q must be %s or %s", fwd.Interface, InterfaceOpenAI, InterfaceForward))
+		faults = append(faults, fmt.Sprintf("--interface %q must be %s or %s", fwd.Interface, InterfaceOpenAI, InterfaceForward))
 	}
 	if fwd.Interface == InterfaceForward && !validAddress(fwd.ReadyListen) {
-		fas = append(fas, fmt.Sprintf("--ready-listen %q must be IP:port", fwd.ReadyListen))
+		faults = append(faults, fmt.Sprintf("--ready-listen %q must be IP:port", fwd.ReadyListen))
 	}
 	if !(fwd.RetryRatio >= 0 && fwd.RetryRatio <= 1) || !(fwd.RetrySlack >= 0) {
-		fas = append(fas, fmt.Sprintf("--retry-ratio %g must be 0 to 1, and --retry-slack %g not negative", fwd.RetryRatio, fwd.RetrySlack))
+		faults = append(faults, fmt.Sprintf("--retry-ratio %g must be 0 to 1, and --retry-slack %g not negative", fwd.RetryRatio, fwd.RetrySlack))
 	}
-	return append(fas, checkPositive(
+	return append(faults, checkPositive(
 		flagValue{"--retry-window", int64(fwd.RetryWindow)}, flagValue{"--apply-within", int64(fwd.ApplyWithin)}, flagValue{"--leave-within", int64(fwd.LeaveWithin)},
 		flagValue{"--start-wait", int64(fwd.StartWait)},
 	)...)
@@ -154,15 +157,17 @@
 
 // checkPositive returns a fault for each value that is not positive.
 func checkPositive(values ...flagValue) []string {
-	var fas []string
+	var faults []string
 	for _, val := range values {
 		if val.value <= 0 {
-			fas = append(fas, val.flag+" must be positive")
+			faults = append(faults, val.flag+" must be positive")
 		}
 	}
-	return fas
+	return faults
 }
 
+// validName reports whether name has 1 to maxNameBytes ASCII letters, digits, points and
+// hyphens.
 func validName(name string) bool {
 	if name == "" || len(name) > maxNameBytes {
 		return false
@@ -172,6 +177,7 @@
 	}) < 0
 }
 
+// validAddress reports whether address is a literal IP address with a port above 0.
 func validAddress(address string) bool {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil {
@@ -181,7 +187,8 @@
 	return err == nil && n > 0
 }
 
+// validURL reports whether text is an http or https URL with a host.
 func validURL(text string) bool {
-	ure, err := url.Parse(text)
-	return err == nil && (ure.Scheme == "http" || ure.Scheme == "https") && ure.Host != ""
+	parsed, err := url.Parse(text)
+	return err == nil && (parsed.Scheme == "http" || parsed.Scheme == "https") && parsed.Host != ""
 }
