--- a/process/logger/logger.go
+++ b/process/logger/logger.go
@@ -1,9 +1,9 @@
 // Package logger writes a host's log lines without ever blocking the host.
 //
 // A goroutine writes the lines from a bounded buffer. When the buffer is full, lines
-// are shed (dropped). A part of the buffer is reserved for warnings and errors, which
-// report failures and refusals, so that ordinary lines are shed first. The numbers of
-// shed lines are counted by kind and logged when the output accepts lines again.
+// are dropped. A part of the buffer is reserved for warnings and errors, which report
+// failures and refusals, so that ordinary lines are dropped first. Dropped lines are
+// counted by kind (Shed), and the counts are logged when the output accepts lines again.
 package logger
 
 import (
@@ -16,13 +16,14 @@
 )
 
 const (
-	// DefaultBufferBytes is the usual size of the buffer, about 4,000 lines.
+	// DefaultBufferBytes is the default size of the buffer in bytes: room for about 4,000
+	// lines.
 	DefaultBufferBytes = 1 << 20
-	// ordinaryShare is the share of the buffer that lines below the level of a warning
-	// may fill.
+	// ordinaryShare is the share of the buffer that lines below the warning level may
+	// fill.
 	ordinaryShare = 0.75
-	// maxWriteBytes is the size of one write to the output, beyond which the write holds
-	// only the rest of its last line.
+	// maxWriteBytes is the size in bytes after which a write to the output ends at the next
+	// end of a line.
 	maxWriteBytes = 64 << 10
 	// batchDelay is how long lines are collected before they are written together.
 	batchDelay = 20 * time.Millisecond
@@ -30,9 +31,9 @@
 	flushTimeout = 500 * time.Millisecond
 )
 
-// Shed counts the lines that were shed.
+// Shed counts the lines that were dropped because the buffer was full.
 type Shed struct {
-	// Ordinary counts lines below the level of a warning, Important warnings and above.
+	// Ordinary counts lines below the warning level, Important counts all other lines.
 	Ordinary  int64
 	Important int64
 }
@@ -42,14 +43,16 @@
 	out   io.Writer
 	limit int
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// wake has a value when run has lines to write or must end.
 	wake chan struct{}
 	buf  []byte
 	shed Shed
 	// reported is the value of shed that was last logged.
 	reported Shed
 	closed   bool
-	stopped  chan struct{}
+	// stopped is closed when run has ended.
+	stopped chan struct{}
 }
 
 // New returns a writer that buffers at most limit bytes for out. It starts a goroutine,
@@ -60,10 +63,10 @@
 	return wri
 }
 
-// Write buffers or sheds a line at the info level.
+// Write buffers or drops a line at the info level.
 func (wri *Writer) Write(line []byte) (int, error) { return wri.WriteLevel(zerolog.InfoLevel, line) }
 
-// WriteLevel buffers a line, or sheds it if there is no room. It never fails and never
+// WriteLevel buffers a line, or drops it if there is no room. It never fails and never
 // waits for the output.
 func (wri *Writer) WriteLevel(lev zerolog.Level, line []byte) (int, error) {
 	wri.mu.Lock()
@@ -91,15 +94,15 @@
 	}
 }
 
-// Shed returns the numbers of lines shed so far.
+// Shed returns the numbers of lines dropped so far.
 func (wri *Writer) Shed() Shed {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
 	return wri.shed
 }
 
-// Close writes the buffered lines. It returns after 500 ms even if the output has not
-// accepted all of them.
+// Close writes the buffered lines. It waits at most 500 ms for the output. Lines that are
+// written after Close may not reach the output.
 func (wri *Writer) Close() {
 	wri.mu.Lock()
 	if !wri.closed {
@@ -139,8 +142,8 @@
 	return wri.closed
 }
 
-// nextBatch moves the next complete lines from the buffer to buf. If lines were shed
-// since the last report, it appends a line with the counts.
+// nextBatch moves the next complete lines from the buffer to buf. If lines were dropped
+// since the last report, it appends a line with the counts since the start.
 func (wri *Writer) nextBatch(buf []byte) []byte {
 	wri.mu.Lock()
 	defer wri.mu.Unlock()
--- a/process/logger/logger_test.go
+++ b/process/logger/logger_test.go
@@ -11,42 +11,43 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pipe is an output that blocks until unblocked is closed.
-type pipe struct {
+// blockingOutput is an output that blocks until unblocked is closed.
+type blockingOutput struct {
 	mu        sync.Mutex
 	buf       bytes.Buffer
 	unblocked chan struct{}
 }
 
-func (pip *pipe) Write(buf []byte) (int, error) {
-	<-pip.unblocked
-	pip.mu.Lock()
-	defer pip.mu.Unlock()
-	return pip.buf.Write(buf)
+func (out *blockingOutput) Write(buf []byte) (int, error) {
+	<-out.unblocked
+	out.mu.Lock()
+	defer out.mu.Unlock()
+	return out.buf.Write(buf)
 }
 
-func (pip *pipe) text() string {
-	pip.mu.Lock()
-	defer pip.mu.Unlock()
-	return pip.buf.String()
+func (out *blockingOutput) text() string {
+	out.mu.Lock()
+	defer out.mu.Unlock()
+	return out.buf.String()
 }
 
-func TestWrites(t *testing.T) {
-	pip := &pipe{unblocked: make(chan struct{})}
-	close(pip.unblocked)
-	wri := New(pip, DefaultBufferBytes)
+// TestWritesLinesInOrder logs two lines. Close must write the buffered lines in their order.
+func TestWritesLinesInOrder(t *testing.T) {
+	out := &blockingOutput{unblocked: make(chan struct{})}
+	close(out.unblocked)
+	wri := New(out, DefaultBufferBytes)
 	log := zerolog.New(wri)
 	log.Info().Msg("one")
 	log.Warn().Msg("two")
 	wri.Close()
-	require.Equal(t, "{\"level\":\"info\",\"message\":\"one\"}\n{\"level\":\"warn\",\"message\":\"two\"}\n", pip.text())
+	require.Equal(t, "{\"level\":\"info\",\"message\":\"one\"}\n{\"level\":\"warn\",\"message\":\"two\"}\n", out.text())
 }
 
-// TestStuckReader logs while the output is blocked. Lines must be shed, ordinary ones
+// TestBlockedOutput logs while the output is blocked. Lines must be dropped, ordinary lines
 // first, and logging must not block.
-func TestStuckReader(t *testing.T) {
-	pip := &pipe{unblocked: make(chan struct{})}
-	wri := New(pip, 4096)
+func TestBlockedOutput(t *testing.T) {
+	out := &blockingOutput{unblocked: make(chan struct{})}
+	wri := New(out, 4096)
 	log := zerolog.New(wri)
 	done := make(chan struct{})
 	go func() {
@@ -65,13 +66,13 @@
 	}
 	require.Positive(t, wri.Shed().Ordinary)
 	require.Zero(t, wri.Shed().Important)
-	close(pip.unblocked)
+	close(out.unblocked)
 	wri.Close()
-	require.Equal(t, 10, strings.Count(pip.text(), "failure"))
-	require.Contains(t, pip.text(), "ShedOrdinary")
+	require.Equal(t, 10, strings.Count(out.text(), "failure"))
+	require.Contains(t, out.text(), "ShedOrdinary")
 }
 
-func BenchmarkLine(b *testing.B) {
+func BenchmarkBufferLine(b *testing.B) {
 	wri := New(&discard{}, DefaultBufferBytes)
 	log := zerolog.New(wri)
 	for b.Loop() {
@@ -81,12 +82,12 @@
 }
 
 func BenchmarkShedLine(b *testing.B) {
-	pip := &pipe{unblocked: make(chan struct{})}
-	log := zerolog.New(New(pip, 16))
+	out := &blockingOutput{unblocked: make(chan struct{})}
+	log := zerolog.New(New(out, 16))
 	for b.Loop() {
 		log.Info().Str("RequestID", "9c41d07be2a35f68").Str("Endpoint", "i-7f3a91c2").Int("Sends", 1).Msg("send ended")
 	}
-	close(pip.unblocked)
+	close(out.unblocked)
 }
 
 type discard struct{}
