--- a/process/measurer/measurer.go
+++ b/process/measurer/measurer.go
@@ -12,6 +12,7 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
+// reportInterval is the interval at which tally passes values to the reporter.
 const reportInterval = time.Second
 
 // New creates the metrics of a host, with those of the Go runtime and the process, and
@@ -22,9 +23,9 @@
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	rep := prometheus.NewReporter(prometheus.Options{
 		Registerer: reg,
-		// A metric that conflicts with another is dropped. It must not end the process, as
-		// it would without this function, which replaces a panic.
-		OnRegisterError: func(err error) { log.Error().Err(err).Msg("metric not registered") },
+		// The reporter's default is to panic if a metric conflicts with another. This
+		// function logs the error instead, and the host runs without the metric.
+		OnRegisterError: func(err error) { log.Error().Err(err).Msg("metric not registered; the host runs without it") },
 	})
 	sco, _ := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "hemlockpin", CachedReporter: rep, Separator: prometheus.DefaultSeparator, SanitizeOptions: &prometheus.DefaultSanitizerOpts,
