--- a/process/tracer/tracer.go
+++ b/process/tracer/tracer.go
@@ -1,5 +1,5 @@
-// Package tracer sets up the tracing of an entry host: a span for each hop, with the
-// W3C trace context propagated through hosts, peers and endpoints.
+// Package tracer sets up the tracing of a host: a span for each hop, with the W3C trace
+// context propagated through hosts, peers and endpoints.
 package tracer
 
 import (
@@ -20,9 +20,12 @@
 )
 
 const (
-	flushTimeout  = 2 * time.Second
+	// flushTimeout limits the export of the remaining spans at shutdown.
+	flushTimeout = 2 * time.Second
+	// exportTimeout limits one request to the collector.
 	exportTimeout = 2 * time.Second
-	// maxQueuedSpans limits the memory for spans while the collector is unavailable.
+	// maxQueuedSpans is the number of spans that are held while the collector is
+	// unavailable. Further spans are dropped.
 	maxQueuedSpans = 2048
 	serviceName    = "hemlockpind"
 	tracesPath     = "/v1/traces"
@@ -40,8 +43,9 @@
 }
 
 // Start sets up trace context propagation for the process and, if there is a collector,
-// the export of spans. flush exports the remaining spans and waits up to 2 s for it.
-func Start(ctx context.Context, set Settings, log zerolog.Logger) (flush func(), err error) {
+// the export of spans. shutdown exports the remaining spans within 2 s and
+// ends the export.
+func Start(ctx context.Context, set Settings, log zerolog.Logger) (shutdown func(), err error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	if set.Endpoint == "" {
 		return func() {}, nil
@@ -70,10 +74,10 @@
 
 // withDefaultPath adds the default OTLP path of traces to a URL that has no path.
 func withDefaultPath(endpoint string) string {
-	ure, err := url.Parse(endpoint)
-	if err == nil && strings.Trim(ure.Path, "/") == "" {
-		ure.Path = tracesPath
-		return ure.String()
+	parsed, err := url.Parse(endpoint)
+	if err == nil && strings.Trim(parsed.Path, "/") == "" {
+		parsed.Path = tracesPath
+		return parsed.String()
 	}
 	return endpoint
 }
@@ -85,9 +89,9 @@
 	logged atomic.Bool
 }
 
-// Handle logs the failure if it is the first.
-func (err *errorLog) Handle(cause error) {
-	if !err.logged.Swap(true) {
-		err.log.Warn().Err(cause).Msg("export of spans failed; later failures are not logged")
+// Handle implements otel.ErrorHandler.
+func (elo *errorLog) Handle(cause error) {
+	if !elo.logged.Swap(true) {
+		elo.log.Warn().Err(cause).Msg("export of spans failed; later failures are not logged")
 	}
 }
