--- a/process/configurer/validator.go
+++ b/process/configurer/validator.go
@@ -63,16 +63,16 @@
 		faults = append(faults, fmt.Sprintf("--max-files %d must be 0 or at least %d", hos.MaxFiles, minFiles))
 	}
 	flagAt := map[string]string{}
-	addrs := []struct{ flag, val string }{
+	addrs := []struct{ flag, value string }{
 		{"--listen", hos.Listen}, {"--peer-listen", hos.PeerListen}, {"--operator-listen", hos.Operator},
 	}
 	for _, addr := range addrs {
-		if !validAddress(addr.val) {
-			faults = append(faults, fmt.Sprintf("%s %q must be IP:port", addr.flag, addr.val))
-		} else if other := flagAt[addr.val]; other != "" {
-			faults = append(faults, fmt.Sprintf("%s %q is also %s", addr.flag, addr.val, other))
+		if !validAddress(addr.value) {
+			faults = append(faults, fmt.Sprintf("%s %q must be IP:port", addr.flag, addr.value))
+		} else if other := flagAt[addr.value]; other != "" {
+			faults = append(faults, fmt.Sprintf("%s %q is also %s", addr.flag, addr.value, other))
 		}
-		flagAt[addr.val] = addr.flag
+		flagAt[addr.value] = addr.flag
 	}
 	return faults
 }
