--- a/process/reclaimer/reclaimer.go
+++ b/process/reclaimer/reclaimer.go
@@ -1,7 +1,7 @@
 // Package reclaimer frees memory of engines that is held for requests that no host
 // works on any more. Every holding (a sequence, a reservation or an export) names its
 // owner: a host, the incarnation of its process, and a request. An engine reports each
-// holding as an invoker.Sequence, whatever its kind. A holding is freed only if
+// holding as an invoker.MemoryHolder, whatever its kind. A holding is freed only if
 //
 //   - the owner's process is known to have been replaced,
 //   - for DeadGrace, the membership has listed the owner as dead and the platform has
